--- /dev/null
+++ b/tests/stored_data.rs
@@ -0,0 +1,311 @@
+//! Files that commit ad41793 wrote, in `tests/data`: they are read as they were meant, to the last field, and written
+//! again as the same bytes.
+#[path = "stubs/api.rs"]
+mod api;
+#[path = "stubs/stored.rs"]
+mod stored;
+mod stubs;
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use api::*;
+use knowledge::{Faults, Snapshot};
+use serde_json::json;
+use store::{Disk, Opened, Record, Versions};
+use stubs::*;
+
+const EVERY_FIELD: &str = "every-field.known";
+const IN_A_FOLDER: &str = "learned/00000000000000000003.known";
+const HANDED_OVER: &str = "amberlever.learned";
+const MAINTENANCE: &str = "amberlever.maintenance";
+const VERSION_FILES: [&str; 3] = ["state.redb", "recent-0", "recent-1"];
+
+fn data(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "data", name].iter().collect()
+}
+
+fn bytes(name: &str) -> Vec<u8> {
+    fs::read(data(name)).expect("a file of tests/data")
+}
+
+fn text(name: &str) -> String {
+    String::from_utf8(bytes(name)).expect("text")
+}
+
+/// Puts a copy of a file into a folder, under the same name.
+fn copy(name: &str, folder: &Path) -> PathBuf {
+    let original = data(name);
+    let copied = folder.join(original.file_name().expect("a name"));
+    fs::create_dir_all(folder).expect("made");
+    // Not with its permissions, which a checkout may have made read-only.
+    fs::write(&copied, fs::read(original).expect("a file of tests/data")).expect("copied");
+    copied
+}
+
+fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+}
+
+// ---- Learned state ----
+
+/// Every field, and no byte that is not accounted for: what was read is written as the same bytes.
+#[track_caller]
+fn holds(name: &str, expected: &Snapshot) {
+    let bytes = bytes(name);
+    let (read, faults) = knowledge::read(&bytes).expect("readable");
+    assert_eq!(faults, Faults::default(), "{name}");
+    assert_eq!(&read, expected, "{name}");
+    assert!(knowledge::write(&read) == bytes, "{name} is written as other bytes");
+    assert!(knowledge::write(expected) == bytes, "{name} is written as other bytes");
+}
+
+#[test]
+fn learned_state_is_read_field_by_field_and_written_as_the_same_bytes() {
+    holds(EVERY_FIELD, &stored::every_field());
+    holds(IN_A_FOLDER, &stored::learned_in_a_folder());
+    holds(HANDED_OVER, &stored::handed_over());
+}
+
+#[test]
+fn the_program_shows_learned_state_as_it_did() {
+    let show = |format: &str, name: &str| {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
+        command.env_remove("LB_CONFIG").args(["state", "--format", format, "show"]).arg(data(name));
+        let output = command.output().expect("it runs");
+        assert!(output.status.success(), "{output:?}");
+        String::from_utf8(output.stdout).expect("text")
+    };
+    assert_eq!(show("text", EVERY_FIELD), text("shown/every-field.txt"));
+    assert_eq!(show("json", EVERY_FIELD), text("shown/every-field.json"));
+    assert_eq!(show("json", IN_A_FOLDER), text("shown/learned.json"));
+    assert_eq!(show("json", HANDED_OVER), text("shown/amberlever.learned.json"));
+}
+
+/// An installation with the pools, classes and nodes of the file in the folder.
+fn two_pools(folder: &Path) -> String {
+    let nowhere = nobody();
+    let class = |name: &str| {
+        format!(
+            "[[class]]\nname = \"{name}\"\naim_ms = 1000\ndeadline_ms = 2000\nsemantics = \"idempotent\"\n"
+        )
+    };
+    let node = |name: &str, zone: &str| {
+        format!("{{ name = \"{name}\", address = \"{nowhere}\", zone = \"{zone}\" }}")
+    };
+    let near = [node("n0", "south"), node("n1", "north"), node("n2", "north")].join(", ");
+    format!(
+        r#"[server]
+listen = [{{ address = "127.0.0.1:0" }}]
+zone = "south"
+[knowledge]
+folder = {folder:?}
+every_s = 3600
+{}{}[[pool]]
+name = "near"
+nodes = [{near}]
+[[pool]]
+name = "far"
+nodes = [{}]
+[[route]]
+name = "near"
+match = {{ path = "/a/*" }}
+class = "read"
+pool = "near"
+[[route]]
+name = "far"
+match = {{ path = "/b/*" }}
+class = "read"
+pool = "far"
+"#,
+        class("read"),
+        class("write"),
+        node("n0", "south"),
+    )
+}
+
+/// Starts with a folder, ends without a request, and tells what it wrote at its end under this name.
+fn started_with(folder: &Path, written: &str) -> (String, Snapshot) {
+    let mut proxy = serve(&two_pools(folder), &[]);
+    proxy.terminate();
+    assert!(proxy.end().success());
+    let bytes = fs::read(folder.join(written)).expect("the next number");
+    let (left, faults) = knowledge::read(&bytes).expect("sound");
+    assert_eq!(faults, Faults::default());
+    (proxy.log(), left)
+}
+
+/// What it knows of the read calls of a node.
+fn samples(learned: &Snapshot, pool: &str, node: &str) -> f64 {
+    let pool = learned.pools.iter().find(|p| p.name == pool).expect("the pool");
+    let class = pool.classes.iter().position(|class| class == "read").expect("the class");
+    pool.nodes.iter().find(|n| n.name == node).expect("the node").classes[class].weight
+}
+
+#[test]
+fn a_proxy_starts_from_the_folder_and_knows_what_is_in_it() {
+    let folder = folder().join("learned");
+    let kept = copy(IN_A_FOLDER, &folder);
+    let (log, _) = started_with(&folder, "00000000000000000004.known");
+    // The older the file gets, the less it counts.
+    let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
+    assert!(is_read && !log.contains("in part"), "{log}");
+    assert!(fs::read(&kept).expect("still there") == bytes(IN_A_FOLDER), "as it was");
+    // The same, as if it were of this moment.
+    let written_ms = Some(unix_ms());
+    let fresh = Snapshot { written_ms, ..knowledge::read(&bytes(IN_A_FOLDER)).expect("readable").0 };
+    fs::write(folder.join("00000000000000000005.known"), knowledge::write(&fresh)).expect("written");
+    let (log, left) = started_with(&folder, "00000000000000000006.known");
+    assert!(log.contains("knowledge: from "), "{log}");
+    for (pool, node) in [("near", "n0"), ("far", "n0")] {
+        let (told, known) = (samples(&fresh, pool, node), samples(&left, pool, node));
+        assert!(told > 50.0 && known > 1.0 && known <= told, "{pool}/{node}: {told}, then {known}");
+    }
+    assert!(samples(&left, "near", "n1") < 1.0, "nothing was known of it");
+}
+
+// ---- What a process of the platform leaves for the next ----
+
+#[test]
+fn a_process_takes_up_what_the_one_before_learned_and_had_out_by_hand() {
+    let nodes: Vec<Backend> = (0..2).map(|_| Backend::of(|_| ok("done"))).collect();
+    let (discovery, held) = (Discovery::new(), Held::new());
+    let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
+    copy(HANDED_OVER, &held.folder);
+    let maintenance = copy(MAINTENANCE, &held.folder);
+    let process = held.start(&config);
+    let log = process.log();
+    let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
+    assert!(is_read && !log.contains("passing over"), "{log}");
+    assert!(log.contains("maintenance: 1 backends are out by hand, from before"), "{log}");
+    for i in 0..10 {
+        assert_eq!(process.ask(&read(&format!("r-{i}"), 5000)).status(), 200);
+    }
+    assert_eq!(nodes.iter().map(|n| n.requests().len()).collect::<Vec<_>>(), [10, 0]);
+    // Out already: what is written is what was there, to the byte.
+    assert_eq!(process.call("POST", "/maintenance/enter", "s-1").0, 200);
+    assert_eq!(fs::read_to_string(&maintenance).expect("kept"), text(MAINTENANCE));
+    assert_eq!(text(MAINTENANCE), "amberlever-maintenance 1 29c25ce6\n-s-1\n+s-0\n+s-1\n");
+}
+
+// ---- Versions ----
+
+const NOTHING: &str = r#"{"tenants":{}}"#;
+const ONE: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"requests_per_s":50.0,"burst":5.0},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
+const BOTH: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"requests_per_s":50.0,"burst":5.0},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}},"two":{"hosts":["*.two.example"],"limits":{},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"a.two.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7103","name":"n0"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
+const BOTH_WITH_LIMITS: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"weight":2,"requests_per_s":60.5,"burst":7.0,"in_flight":9,"connections":11,"body_bytes":70000,"retries_per_s":0.25},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}},"two":{"hosts":["*.two.example"],"limits":{},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"a.two.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7103","name":"n0"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
+const ONE_WITH_LIMITS: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"weight":2,"requests_per_s":60.5,"burst":7.0,"in_flight":9,"connections":11,"body_bytes":70000,"retries_per_s":0.25},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
+/// The value of the name `tokens`: the four that were issued, by their hashes.
+const TOKENS: &str = r#"[{"name":"op","role":"operator","sha256":[194,97,20,228,57,174,205,155,14,24,66,103,55,174,3,224,65,9,75,80,84,88,195,231,165,144,156,63,185,125,216,216]},{"name":"adm","role":{"administrator":"one"},"sha256":[185,92,27,108,71,187,40,94,148,196,201,1,172,148,203,30,66,230,183,171,215,119,206,95,161,50,98,7,134,180,223,81]},{"name":"read","role":{"reader":null},"sha256":[67,57,163,170,141,169,184,188,252,103,79,141,113,39,83,81,106,5,189,84,51,47,119,122,191,245,214,200,81,77,242,234]},{"name":"reads","role":{"reader":"one"},"sha256":[214,247,10,144,23,99,123,56,80,222,172,97,41,2,118,193,210,40,235,88,54,102,255,240,65,137,186,157,26,121,198,220]}]"#;
+
+/// The tokens themselves, which let nobody in anywhere else: the operator's, the administrator's of tenant `one`, and
+/// two readers', of everything and of tenant `one`.
+const BEARERS: [&str; 4] = [
+    "5b633c61ab25050ade0b9535c3e1de1661a2841bd401f6495e95fdf03e3c5fd1",
+    "236f4bf4132e645bfacd806ec121fde72210d7e0c9474689ed09aeefcd402f16",
+    "6a8bca6266d2a72e55b93a1d298ee3dbfc8bc0b6b9457fbd7bac2bcbe9856e3e",
+    "3d5a74b278cf4662bca2d0520db76d03d6cd74ff57a6ff0f326af3e9c4edfad4",
+];
+
+/// All versions, the oldest first.
+fn versions() -> Vec<Record> {
+    let record = |number, at_ms, who: &str, why: &str, body: &str| Record {
+        number,
+        at_ms,
+        who: who.to_owned(),
+        why: why.to_owned(),
+        body: body.to_owned(),
+    };
+    vec![
+        record(1, 1_796_284_439_690, "file", "the first start", NOTHING),
+        record(2, 1_796_284_439_700, "local", "", ONE),
+        record(3, 1_796_284_439_704, "local", "a second", BOTH),
+        record(4, 1_796_284_439_708, "local", "", BOTH_WITH_LIMITS),
+        record(5, 1_796_284_439_711, "local", "", ONE_WITH_LIMITS),
+    ]
+}
+
+/// A folder with copies of these files.
+fn state_with(files: &[&str]) -> PathBuf {
+    let folder = folder();
+    for name in files {
+        copy(&format!("versions/{name}"), &folder.join("state"));
+    }
+    folder
+}
+
+#[test]
+fn versions_and_values_are_read_field_by_field() {
+    let Opened { disk, newest, warnings } =
+        Disk::open(&state_with(&VERSION_FILES).join("state")).expect("opens");
+    let all = versions();
+    assert_eq!(warnings, Vec::<String>::new());
+    assert_eq!(newest.as_ref(), all.last());
+    assert_eq!((0..7).filter_map(|number| disk.get(number)).collect::<Vec<_>>(), all);
+    let heads = |most: usize| {
+        let newest_first = all.iter().rev().take(most);
+        newest_first.map(|r| Record { body: String::new(), ..r.clone() }).collect::<Vec<_>>()
+    };
+    assert_eq!(disk.list(10), heads(10));
+    assert_eq!(disk.list(2), heads(2));
+    assert_eq!(disk.value("tokens").as_deref(), Some(TOKENS));
+    assert_eq!(disk.value("another"), None);
+}
+
+/// All that a tenant can be given, and all roles that a token can have.
+#[test]
+fn documents_and_tokens_are_written_as_the_same_text() {
+    for version in versions() {
+        let document: config::Document = serde_json::from_str(&version.body).expect("a document");
+        assert_eq!(serde_json::to_string(&document).expect("JSON"), version.body, "{}", version.number);
+    }
+    let tokens: Vec<config::Token> = serde_json::from_str(TOKENS).expect("tokens");
+    assert_eq!(serde_json::to_string(&tokens).expect("JSON"), TOKENS);
+}
+
+#[test]
+fn the_files_beside_the_store_are_read_and_written_as_the_same_bytes() {
+    let all = versions();
+    for (name, version) in [("recent-0", &all[3]), ("recent-1", &all[4])] {
+        let bytes = bytes(&format!("versions/{name}"));
+        assert_eq!(Record::decode(&bytes).as_ref(), Some(version), "{name}");
+        assert!(version.encode() == bytes, "{name} is written as other bytes");
+        // It serves where the store is lost.
+        let Opened { newest, warnings, .. } = Disk::open(&state_with(&[name]).join("state")).expect("opens");
+        assert_eq!(newest.as_ref(), Some(version));
+        assert_eq!(warnings, [format!("version {} was found beside the store", version.number)]);
+    }
+}
+
+#[test]
+fn a_hosted_service_starts_from_the_versions_and_knows_its_tokens() {
+    let service = start_in(&state_with(&VERSION_FILES), &hosted_file("", ""));
+    let get = |path: &str, token: &str| service.call("GET", path, Some(token), None, None);
+    let [operator, administrator, reader, own_reader] = BEARERS;
+    let listed = get("/v1/versions", operator);
+    let numbers = |told: &Told| -> Vec<u64> {
+        let all = told.body.as_array().into_iter().flatten();
+        all.filter_map(|version| version["number"].as_u64()).collect()
+    };
+    assert_eq!((listed.status, numbers(&listed)), (200, vec![5, 4, 3, 2, 1]), "{listed:?}");
+    let tokens = json!([
+        { "name": "op", "role": "operator" },
+        { "name": "adm", "role": { "administrator": "one" } },
+        { "name": "read", "role": { "reader": null } },
+        { "name": "reads", "role": { "reader": "one" } },
+    ]);
+    assert_eq!(get("/v1/tokens", operator).body, tokens);
+    let statuses = |path: &str| [administrator, reader, own_reader].map(|token| get(path, token).status);
+    assert_eq!(statuses("/v1/tenants/one"), [200, 200, 200]);
+    assert_eq!(statuses("/v1/tenants/two"), [403, 404, 403], "taken out in version 5");
+    assert_eq!(statuses("/v1/versions"), [403, 200, 403]);
+    let expected: serde_json::Value = serde_json::from_str(ONE_WITH_LIMITS).expect("JSON");
+    for part in ["hosts", "limits", "config"] {
+        let told = &get("/v1/tenants/one", operator).body[part];
+        assert_eq!(told, &expected["tenants"]["one"][part], "{part}");
+    }
+    assert_eq!(service.get("/v1/tenants/one").status, 401, "there are tokens");
+    assert!(!service.process.log().contains("damaged"), "{}", service.process.log());
+}
