--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,5 +1,8 @@
 //! A balancer with a clock, for tests through the public interface.
 #![allow(dead_code)]
+pub mod digest;
+pub mod event_sequence;
+pub mod recorded_form;
 pub mod world;
 
 use decide::interface::*;
--- a/crates/decide/tests/common/world.rs
+++ b/crates/decide/tests/common/world.rs
@@ -6,6 +6,8 @@
 use decide::interface::*;
 use decide::Balancer;
 
+use super::digest::Digest;
+use super::recorded_form::recorded_form;
 use super::server;
 
 /// A server: so many calls at once, each for so long, the others wait.
@@ -55,7 +57,7 @@
     /// For each balancer: when it sent, and where to.
     pub sent: Vec<Vec<(Micros, usize)>>,
     /// All actions, as one figure.
-    pub digest: u64,
+    pub digest: Digest,
 }
 
 impl World {
@@ -77,7 +79,7 @@
             next: 0,
             served: vec![Vec::new(); balancers],
             sent: vec![Vec::new(); balancers],
-            digest: 0xcbf2_9ce4_8422_2325,
+            digest: Digest::new(),
             servers,
         };
         for rank in 0..balancers {
@@ -202,9 +204,7 @@
         let mut out = Vec::new();
         self.balancers[b].handle(self.now, event, &mut out);
         for action in out {
-            for byte in format!("{b} {action:?}").bytes() {
-                self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-            }
+            self.digest.write(&format!("{b} {}", recorded_form(&action)));
             match action {
                 Action::Send { request, backend, until } => {
                     let server = backend.0 as usize;
--- a/crates/decide/tests/replay.rs
+++ b/crates/decide/tests/replay.rs
@@ -27,7 +27,7 @@
     world.rate = vec![200.0; 3];
     world.restart(1, seed + 1);
     world.run(4_000_000);
-    world.digest
+    world.digest.value()
 }
 
 #[test]
