--- a/crates/keep/tests/kills.rs
+++ b/crates/atomic-file/tests/kills.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use keep::{Folder, Keeper, Unopened};
+use atomic_file::{Folder, Keeper, Unopened};
 
 const CHILD: &str = "KEEP_CHILD_FOLDER";
 const KILLS: usize = 500;
--- a/crates/keep/tests/power.rs
+++ b/crates/atomic-file/tests/power.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::rc::Rc;
 
-use keep::{Files, Keeper};
+use atomic_file::{Files, Keeper};
 
 /// A file's content, by number; names point at them.
 type Names = BTreeMap<String, usize>;
--- a/crates/speaker/tests/stuck.rs
+++ b/crates/bgp-speaker/tests/stuck.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bgp::{Facts, Listed, ListedNode};
-use speaker::Speaker;
+use bgp_speaker::Speaker;
 use testkit::router::{Heard, Manner, Router};
 
 const PREFIX: &str = "192.0.2.1/32";
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -393,9 +393,9 @@
     }
 
     /// The bounds of the table of keys.
-    fn keys(&mut self, written: &file::Keys) -> keys::Bounds {
-        let usual = keys::Bounds::default();
-        keys::Bounds {
+    fn keys(&mut self, written: &file::Keys) -> idempotency::Bounds {
+        let usual = idempotency::Bounds::default();
+        idempotency::Bounds {
             entries: self.bounded("entries", &written.entries, usual.entries, 100_000_000),
             bytes: self.bounded("bytes", &written.bytes, usual.bytes, 1 << 40),
         }
--- a/crates/config/src/hosted.rs
+++ b/crates/config/src/hosted.rs
@@ -84,7 +84,7 @@
     /// What the whole program can bear.
     pub capacity: Capacity,
     /// Keys that are known at once, and bytes of their answers, of all tenants together.
-    pub keys: keys::Bounds,
+    pub keys: idempotency::Bounds,
     /// Zones of callers, as listeners name them.
     pub zones: Vec<String>,
 }
@@ -307,10 +307,10 @@
 
     /// A tenant's part of the table of keys, by weight.
     #[must_use]
-    pub fn keys(&self, shared: &Shared, tenant: &Tenant) -> keys::Bounds {
+    pub fn keys(&self, shared: &Shared, tenant: &Tenant) -> idempotency::Bounds {
         let (weight, all) = (u64::from(tenant.doc.limits.weight()), self.weights());
         let part = |whole: usize| (whole as u64 / all).saturating_mul(weight).max(1) as usize;
-        keys::Bounds { entries: part(shared.keys.entries), bytes: part(shared.keys.bytes) }
+        idempotency::Bounds { entries: part(shared.keys.entries), bytes: part(shared.keys.bytes) }
     }
 
     /// A tenant's limits.
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -26,7 +26,7 @@
     /// Times and bounds for all pools.
     pub limits: Limits,
     /// Keys that are known at once, and bytes of their answers.
-    pub keys: keys::Bounds,
+    pub keys: idempotency::Bounds,
     /// Where what was learned is kept, if it is.
     pub knowledge: Option<Knowledge>,
     /// Where operators call, if they do.
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object as a deployment writes it, and the names that it introduces.
 //!
-//! The simulator's adapter and the real proxy are given the same JSON object. The decisions take only indexes
+//! The simulator's bridge and the real proxy are given the same JSON object. The decisions take only indexes
 //! and figures ([`Settings`]); the names stay here, and what only a real proxy needs is in [`Transport`].
 //! Unknown keys are passed over.
 
--- a/crates/emulate/src/restart.rs
+++ b/crates/emulate/src/restart.rs
@@ -4,7 +4,7 @@
 
 use decide::interface::*;
 use decide::Balancer;
-use members::{InitialList, LeaseTerms, Policy, Watch};
+use membership::{InitialList, LeaseTerms, Policy, Watch};
 
 use crate::node::FALL;
 use crate::world::{Proxy, What, World, AIM, DEADLINE, GRACE, MUST_ASK};
@@ -53,10 +53,10 @@
     pub fn running(fleet: &Fleet, rank: usize) -> Proxy {
         let mut proxy = Proxy::start(fleet, rank, 0, 0);
         let mut actions = Vec::new();
-        proxy.watch.handle(0, members::Event::Wake, &mut actions);
+        proxy.watch.handle(0, membership::Event::Wake, &mut actions);
         for action in actions {
-            if let members::Action::Ask(id, _) = action {
-                proxy.watch.handle(0, members::Event::Answered(id, false), &mut Vec::new());
+            if let membership::Action::Ask(id, _) = action {
+                proxy.watch.handle(0, membership::Event::Answered(id, false), &mut Vec::new());
             }
         }
         proxy.answered = Some(0);
--- a/crates/emulate/src/world.rs
+++ b/crates/emulate/src/world.rs
@@ -5,7 +5,7 @@
 use decide::interface::*;
 use decide::Balancer;
 use fastrand::Rng;
-use members::{CallId, Watch};
+use membership::{CallId, Watch};
 
 use crate::discovery::{Discovery, End};
 use crate::node::{Node, CORES, WORK};
@@ -187,7 +187,7 @@
             // One that was put before another moment was asked for is passed over.
             What::Wake(p) if self.proxies[p].wakes == Some(self.now) => {
                 self.proxies[p].wakes = None;
-                self.watch(p, members::Event::Wake);
+                self.watch(p, membership::Event::Wake);
             }
             What::Wake(_) => {}
             What::Call(p, life, id, ending) if self.proxies[p].life == life => {
@@ -350,21 +350,21 @@
                 Action::Timer { at, token } => {
                     self.at(at.max(self.now), What::Timer(p, self.proxies[p].life, token))
                 }
-                Action::Subscribe => self.watch(p, members::Event::Begin),
+                Action::Subscribe => self.watch(p, membership::Event::Begin),
                 _ => {}
             }
         }
     }
 
-    fn watch(&mut self, p: usize, event: members::Event) {
+    fn watch(&mut self, p: usize, event: membership::Event) {
         let mut actions = Vec::new();
         self.proxies[p].watch.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                members::Action::Ask(id, wait) => self.call(p, id, wait),
+                membership::Action::Ask(id, wait) => self.call(p, id, wait),
                 // Its end is passed over by the watch.
-                members::Action::Drop(_) => {}
-                members::Action::Ended => {
+                membership::Action::Drop(_) => {}
+                membership::Action::Ended => {
                     self.decide(p, Event::Backends { scope: ListScope::Failed, entries: &[] });
                 }
             }
@@ -401,8 +401,10 @@
     fn call_ends(&mut self, p: usize, id: CallId, ending: Ending) {
         let version = match ending {
             Ending::Whole(version) => version,
-            Ending::Broken => return self.watch(p, members::Event::Broke(id)),
-            Ending::Failed => return self.watch(p, members::Event::Failed(id, members::Failure::Answered)),
+            Ending::Broken => return self.watch(p, membership::Event::Broke(id)),
+            Ending::Failed => {
+                return self.watch(p, membership::Event::Failed(id, membership::Failure::Answered))
+            }
         };
         let seen = self.proxies[p].seen;
         (self.proxies[p].answered, self.proxies[p].silent) = (Some(self.now), None);
@@ -417,7 +419,7 @@
             self.proxies[p].seen = version;
             self.decide(p, Event::Backends { scope: ListScope::Delta, entries: &entries });
         }
-        self.watch(p, members::Event::Answered(id, version > seen));
+        self.watch(p, membership::Event::Answered(id, version > seen));
     }
 
     /// The oldest node drains, and a new one takes its place.
--- a/crates/keys/tests/properties.rs
+++ b/crates/idempotency/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use keys::{Begin, Bounds, Keys, Micros, Ticket};
+use idempotency::{Begin, Bounds, Keys, Micros, Ticket};
 
 enum Known {
     Open,
--- a/crates/knowledge/tests/format.rs
+++ b/crates/learned-state/tests/format.rs
@@ -1,6 +1,6 @@
 //! The format: what is written is read, damage costs a section, versions meet, and no bytes panic or take memory.
 
-use knowledge::{read, write, Faults, Mean, Node, Pool, Snapshot, Unreadable, VERY_OLD};
+use learned_state::{read, write, Faults, Mean, Node, Pool, Snapshot, Unreadable, VERY_OLD};
 use proptest::prelude::*;
 
 fn mean(random: &mut fastrand::Rng) -> Mean {
--- a/crates/members/tests/maintenance.rs
+++ b/crates/membership/tests/maintenance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use members::maintenance::{MOST_KNOWN, MOST_OUT};
-use members::{Maintenance, Refused};
+use membership::maintenance::{MOST_KNOWN, MOST_OUT};
+use membership::{Maintenance, Refused};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/members/tests/told.rs
+++ b/crates/membership/tests/told.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fastrand::Rng;
-use members::{Action, CallId, Event, Failure, InitialList, LeaseTerms, Micros, Policy, Watch};
+use membership::{Action, CallId, Event, Failure, InitialList, LeaseTerms, Micros, Policy, Watch};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000 * MS;
--- a/crates/members/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use members::{Action, CallId, Event, Expiry, Failure, InitialList, LeaseTerms, Micros, Policy, Watch};
+use membership::{Action, CallId, Event, Expiry, Failure, InitialList, LeaseTerms, Micros, Policy, Watch};
 use proptest::prelude::*;
 
 const MS: Micros = 1_000;
--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/backend/mod.rs
@@ -19,7 +19,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use members::ExpiryCause;
+use membership::ExpiryCause;
 use prometheus_client::metrics::counter::Counter;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -11,9 +11,9 @@
 
 use crate::clock::Clock;
 use crate::inbox::Handle;
+use crate::learned_state::{timed, Past};
 use crate::log::say;
 use crate::membership::Known;
-use crate::memory::{self, Past};
 
 /// The names of the file, and of what will be it.
 const FILE: &str = "amberlever.learned";
@@ -55,9 +55,9 @@
     while !ending.get() {
         if let Some(learned) = handle.learned().await {
             let pools = vec![known.named(POOL, &learned, clock, &names.borrow())];
-            let snapshot = memory::timed(knowledge::Snapshot { pools, ..knowledge::Snapshot::default() });
+            let snapshot = timed(learned_state::Snapshot { pools, ..learned_state::Snapshot::default() });
             // Not synced: it is for a process that follows on this machine.
-            let made = fs::write(folder.join(NEW), knowledge::write(&snapshot))
+            let made = fs::write(folder.join(NEW), learned_state::write(&snapshot))
                 .and_then(|()| fs::rename(folder.join(NEW), folder.join(FILE)));
             if let (Err(e), false) = (made, complained) {
                 complained = true;
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -19,7 +19,7 @@
 use hyper::{header, StatusCode};
 use jsonrpc::Call;
 use limit::{Admitted, Cause, Limiter, TenantId, Usage};
-use members::Refused;
+use membership::Refused;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
--- a/crates/proxy/src/memory/figures.rs
+++ b/crates/proxy/src/learned_state/figures.rs
@@ -5,7 +5,7 @@
 use decide::interface::{BackendId, Micros};
 use decide::learned::{self, Learned};
 use decide::settings::Names;
-use knowledge::{Node, Pool, VERY_OLD};
+use learned_state::{Node, Pool, VERY_OLD};
 
 /// What the nodes and classes of a pool are called.
 pub struct Called<'a> {
@@ -14,19 +14,19 @@
     pub ids: BTreeMap<&'a str, BackendId>,
 }
 
-fn span(micros: Micros) -> knowledge::Micros {
+fn span(micros: Micros) -> learned_state::Micros {
     u64::try_from(micros).unwrap_or(0)
 }
 
-fn micros(span: knowledge::Micros) -> Micros {
+fn micros(span: learned_state::Micros) -> Micros {
     span.min(VERY_OLD) as Micros
 }
 
-fn mean_out(mean: &learned::Mean) -> knowledge::Mean {
-    knowledge::Mean { sum: mean.sum, weight: mean.weight, age: span(mean.age) }
+fn mean_out(mean: &learned::Mean) -> learned_state::Mean {
+    learned_state::Mean { sum: mean.sum, weight: mean.weight, age: span(mean.age) }
 }
 
-fn mean_in(mean: &knowledge::Mean) -> learned::Mean {
+fn mean_in(mean: &learned_state::Mean) -> learned::Mean {
     learned::Mean { sum: mean.sum, weight: mean.weight, age: micros(mean.age) }
 }
 
@@ -70,7 +70,7 @@
 /// name is left out. `started` makes of a node's start how long it is ago.
 pub fn indexed(
     pool: &Pool,
-    age: knowledge::Micros,
+    age: learned_state::Micros,
     called: &Called<'_>,
     started: impl Fn(u64) -> Option<Micros>,
 ) -> Learned {
@@ -78,7 +78,7 @@
     let places: Vec<Option<usize>> =
         called.names.classes.iter().map(|class| pool.classes.iter().position(|c| c == class)).collect();
     // Classes in the order that the decisions have them in; of a new one nothing is known.
-    let by_class = |means: &[knowledge::Mean]| -> Vec<learned::Mean> {
+    let by_class = |means: &[learned_state::Mean]| -> Vec<learned::Mean> {
         places.iter().map(|p| p.and_then(|p| means.get(p)).map(mean_in).unwrap_or_default()).collect()
     };
     let server = |node: &Node| {
@@ -91,7 +91,7 @@
             cold_tokens: 0.0,
         })
     };
-    let means = |all: &[(String, knowledge::Mean)], index: &dyn Fn(&str) -> Option<usize>| {
+    let means = |all: &[(String, learned_state::Mean)], index: &dyn Fn(&str) -> Option<usize>| {
         all.iter().filter_map(|(name, mean)| Some((index(name)?, mean_in(mean)))).collect()
     };
     Learned {
--- a/crates/proxy/src/memory/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use atomic_file::{Folder, Keeper};
 use config::Knowledge;
-use keep::{Folder, Keeper};
-use knowledge::Snapshot;
+use learned_state::Snapshot;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
@@ -22,7 +22,7 @@
 /// What was learned before, as it was read, and how old it is.
 pub struct Past {
     snapshot: Snapshot,
-    age: knowledge::Micros,
+    age: learned_state::Micros,
     read: Instant,
 }
 
@@ -30,13 +30,13 @@
     /// The newest sound file of a folder, which another process may still hold: an ending one, say.
     pub fn read(folder: &Path) -> Option<Past> {
         let sound = |bytes: &[u8]| {
-            let (snapshot, faults) = knowledge::read(bytes).ok()?;
+            let (snapshot, faults) = learned_state::read(bytes).ok()?;
             if faults.damaged > 0 || faults.cut {
                 say(format_args!("knowledge: read in part, {} sections are damaged", faults.damaged));
             }
             Some(snapshot)
         };
-        match keep::newest(&Folder::held(folder), sound) {
+        match atomic_file::newest(&Folder::held(folder), sound) {
             Ok(snapshot) => snapshot.map(Past::of),
             // Nothing was kept yet.
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => None,
@@ -49,12 +49,12 @@
 
     /// What these bytes hold, as far as they are sound.
     pub fn sound(bytes: &[u8]) -> Option<Past> {
-        knowledge::read(bytes).ok().map(|(snapshot, _)| Past::of(snapshot))
+        learned_state::read(bytes).ok().map(|(snapshot, _)| Past::of(snapshot))
     }
 
     fn of(snapshot: Snapshot) -> Past {
         let age = snapshot.age(unix_ms());
-        if age == knowledge::VERY_OLD {
+        if age == learned_state::VERY_OLD {
             say(format_args!("knowledge: very old, or a clock is wrong: it counts for nothing"));
         } else {
             say(format_args!("knowledge: from {:.0} s ago", age as f64 / 1e6));
@@ -71,14 +71,14 @@
 
 /// What is told of a pool, and how old it was at that time.
 pub struct Told {
-    pub pool: knowledge::Pool,
-    age: knowledge::Micros,
+    pub pool: learned_state::Pool,
+    age: learned_state::Micros,
     since: Instant,
 }
 
 impl Told {
     /// By now.
-    pub fn age(&self) -> knowledge::Micros {
+    pub fn age(&self) -> learned_state::Micros {
         self.age.saturating_add(self.since.elapsed().as_micros() as u64)
     }
 }
@@ -173,7 +173,7 @@
     while let Ok(Job { snapshot, done }) = jobs.recv() {
         let written = writer.open(&mut keeper).and_then(|()| {
             let Some(keeper) = &mut keeper else { return Ok(()) };
-            keeper.put(&knowledge::write(&snapshot)).map_err(|e| e.to_string())
+            keeper.put(&learned_state::write(&snapshot)).map_err(|e| e.to_string())
         });
         tell(written);
         if let Some(done) = done {
--- a/crates/proxy/src/maintenance.rs
+++ b/crates/proxy/src/maintenance.rs
@@ -9,7 +9,7 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, SystemTime};
 
-use members::{Maintenance, Refused};
+use membership::{Maintenance, Refused};
 use tokio::time::sleep;
 
 use crate::log::say;
--- a/crates/proxy/src/membership/discovery.rs
+++ b/crates/proxy/src/membership/discovery.rs
@@ -16,7 +16,7 @@
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use members::{Action, CallId, Event, Failure, InitialList, Policy, Watch};
+use membership::{Action, CallId, Event, Failure, InitialList, Policy, Watch};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::{AbortHandle, JoinSet};
--- a/crates/proxy/src/membership/roster.rs
+++ b/crates/proxy/src/membership/roster.rs
@@ -16,10 +16,10 @@
 use crate::clock::Clock;
 use crate::figures::{Labels, PoolNow};
 use crate::inbox::Handle;
+use crate::learned_state::figures::{self, Called};
+use crate::learned_state::Told;
 use crate::log::say;
 use crate::maintenance::Bans;
-use crate::memory::figures::{self, Called};
-use crate::memory::Told;
 
 /// The name of a host that has gone is kept for this long: by then nothing is open that went there, so that
 /// whoever gets its id is not taken for it.
@@ -149,7 +149,7 @@
     }
 
     /// What decisions state, under names.
-    pub fn named(&self, pool: &str, learned: &Learned, clock: Clock, names: &Names) -> knowledge::Pool {
+    pub fn named(&self, pool: &str, learned: &Learned, clock: Clock, names: &Names) -> learned_state::Pool {
         let ids = self.ids.borrow();
         let now = clock.now();
         figures::named(pool, learned, &called(&ids, names), |up_for| {
--- a/crates/proxy/src/once.rs
+++ b/crates/proxy/src/once.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use decide::interface::Micros;
 use hyper::{HeaderMap, StatusCode};
-use keys::{Begin, Bounds, Keys, Ticket};
+use idempotency::{Begin, Bounds, Keys, Ticket};
 
 use crate::clock::Clock;
 use crate::exchange::Answer;
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use members::Refused;
+use membership::Refused;
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
--- a/crates/proxy/src/own.rs
+++ b/crates/proxy/src/own.rs
@@ -13,16 +13,16 @@
 use hyper::http::request::Parts;
 use hyper::StatusCode;
 use jsonrpc::Call;
-use members::Refused;
+use membership::Refused;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
 use crate::clock::Clock;
 use crate::gate::{one, Connection, Router, Turned, Way, TENANT};
+use crate::learned_state::{Memory, Past};
 use crate::log::say;
 use crate::maintenance::Desk;
 use crate::mapping;
-use crate::memory::{Memory, Past};
 use crate::once::Table;
 use crate::operators::{self, only, Operated};
 use crate::pool::Office;
@@ -155,7 +155,7 @@
     }
 }
 
-async fn learned(current: &RefCell<Rc<Snapshot>>) -> knowledge::Snapshot {
+async fn learned(current: &RefCell<Rc<Snapshot>>) -> learned_state::Snapshot {
     let snapshot = Rc::clone(&current.borrow());
     snapshot.learned().await
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -11,7 +11,7 @@
 use config::{parse_told, sockets_cut, Told};
 use decide::interface::Micros;
 use decide::settings::{self, Site};
-use members::{LeaseTerms, Policy, Refused};
+use membership::{LeaseTerms, Policy, Refused};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use tokio::net::TcpListener;
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -7,7 +7,7 @@
 use config::{Config, Health, Host, HostList, Node, NodeState, Operators, Protocol, Source};
 use decide::interface::*;
 use decide::settings::{Names, Transport};
-use members::Policy;
+use membership::Policy;
 use route::{Count, Within};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
@@ -19,10 +19,10 @@
 use crate::driver::Driver;
 use crate::figures::{Figures, Labels, PoolNow};
 use crate::inbox::Handle;
+use crate::learned_state::Told;
 use crate::log::say;
 use crate::maintenance::{Bans, Desk};
 use crate::membership::{Discovery, FileWatch, Known, Listed, Retold, Roster};
-use crate::memory::Told;
 use crate::operators;
 
 /// A source that says nothing for this long is told of, and again each time that doubles.
@@ -187,7 +187,7 @@
     }
 
     /// What it has learned.
-    pub async fn learned(&self) -> Option<knowledge::Pool> {
+    pub async fn learned(&self) -> Option<learned_state::Pool> {
         let learned = self.handle.learned().await?;
         Some(self.known.named(&self.name, &learned, self.clock, &self.names.borrow()))
     }
--- a/crates/proxy/src/snapshot.rs
+++ b/crates/proxy/src/snapshot.rs
@@ -13,7 +13,7 @@
 use crate::figures::{Counts, PoolNow};
 use crate::gate::{Course, Next};
 use crate::inbox::Handle;
-use crate::memory::Past;
+use crate::learned_state::Past;
 use crate::pool::{Office, Pool};
 
 /// A configuration that serves.
@@ -95,8 +95,8 @@
     }
 
     /// What its pools have learned.
-    pub async fn learned(&self) -> knowledge::Snapshot {
-        let mut learned = knowledge::Snapshot::default();
+    pub async fn learned(&self) -> learned_state::Snapshot {
+        let mut learned = learned_state::Snapshot::default();
         for pool in &self.pools {
             learned.pools.extend(pool.learned().await);
         }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-use keep::{Files, Folder};
+use atomic_file::{Files, Folder};
 use redb::{Database, ReadableTable, TableDefinition};
 
 use crate::{Record, StoreError, Versions, KEPT};
--- a/src/bin/amberlever-adapter/main.rs
+++ b/src/bin/amberlever-simulator/main.rs
@@ -13,7 +13,7 @@
     match wire::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("amberlever-adapter: {fault}");
+            eprintln!("amberlever-simulator: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/amberlever-adapter/wire.rs
+++ b/src/bin/amberlever-simulator/wire.rs
@@ -10,7 +10,7 @@
 use decide::settings::{self, micros, Names, Site};
 use decide::Balancer;
 
-/// Why the adapter stopped.
+/// Why the program stopped.
 #[derive(Debug)]
 pub enum Fault {
     /// A line that the wire does not allow: its number, its text and the cause.
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -10,11 +10,11 @@
 
 use admin::announce::Announcing;
 use bgp::Facts;
+use bgp_speaker::Speaker;
 use config::{Bgp, Config};
 use proxy::log::say;
 use proxy::own::Announces;
 use serde_json::{json, Value};
-use speaker::Speaker;
 
 use crate::cli::{BgpCommand, Format};
 use crate::{failed, seed};
--- a/src/bin/amberlever/state.rs
+++ b/src/bin/amberlever/state.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use knowledge::{Faults, Mean, Snapshot};
+use learned_state::{Faults, Mean, Snapshot};
 use serde_json::json;
 
 use crate::cli::{Format, StateCommand};
@@ -33,11 +33,11 @@
     let fault = |why: String| format!("{}: {why}", path.display());
     // A file that is no such file may be of any size.
     let size = std::fs::metadata(path).map_err(|e| fault(e.to_string()))?.len();
-    if size > knowledge::MOST_BYTES as u64 {
-        return Err(fault(knowledge::Unreadable::TooLarge.to_string()));
+    if size > learned_state::MOST_BYTES as u64 {
+        return Err(fault(learned_state::Unreadable::TooLarge.to_string()));
     }
     let bytes = std::fs::read(path).map_err(|e| fault(e.to_string()))?;
-    let (snapshot, faults) = knowledge::read(&bytes).map_err(|e| fault(e.to_string()))?;
+    let (snapshot, faults) = learned_state::read(&bytes).map_err(|e| fault(e.to_string()))?;
     Ok((figures(&snapshot), faults))
 }
 
--- a/tests/adapter.rs
+++ b/tests/simulator.rs
@@ -1,17 +1,17 @@
-//! The adapter from text to text.
+//! The simulator bridge, from text to text.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn adapter(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_amberlever-adapter"))
+fn simulator(input: &str) -> Output {
+    let mut child = Command::new(env!("CARGO_BIN_EXE_amberlever-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("the bridge starts");
     // It may stop reading at the first line that it cannot use.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the bridge ends")
 }
 
 fn settings(extra: &str) -> String {
@@ -36,7 +36,7 @@
 
 #[track_caller]
 fn fails(input: &str, line: usize, cause: &str) {
-    let output = adapter(input);
+    let output = simulator(input);
     let said = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success(), "it went on: {said}");
     assert!(said.contains(&format!("line {line}")) && said.contains(cause), "{said}");
@@ -51,7 +51,7 @@
         settings(""),
         submit(12),
     );
-    let output = adapter(&input);
+    let output = simulator(&input);
     let said = String::from_utf8(output.stdout).expect("text");
     assert!(output.status.success());
     assert!(said.contains("TRANSMIT 11 5 1100.000"), "{said}");
@@ -68,7 +68,7 @@
         settings(""),
         submit(2),
     );
-    let said = String::from_utf8(adapter(&input).stdout).expect("text");
+    let said = String::from_utf8(simulator(&input).stdout).expect("text");
     assert!(said.contains("TRANSMIT 1 5") && said.contains("DECLINE 2"), "{said}");
 }
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use api::*;
-use knowledge::{Faults, Snapshot};
+use learned_state::{Faults, Snapshot};
 use serde_json::json;
 use store::{Disk, Opened, Record, Versions};
 use stubs::*;
@@ -55,11 +55,11 @@
 #[track_caller]
 fn holds(name: &str, expected: &Snapshot) {
     let bytes = bytes(name);
-    let (read, faults) = knowledge::read(&bytes).expect("readable");
+    let (read, faults) = learned_state::read(&bytes).expect("readable");
     assert_eq!(faults, Faults::default(), "{name}");
     assert_eq!(&read, expected, "{name}");
-    assert!(knowledge::write(&read) == bytes, "{name} is written as other bytes");
-    assert!(knowledge::write(expected) == bytes, "{name} is written as other bytes");
+    assert!(learned_state::write(&read) == bytes, "{name} is written as other bytes");
+    assert!(learned_state::write(expected) == bytes, "{name} is written as other bytes");
 }
 
 #[test]
@@ -132,7 +132,7 @@
     proxy.terminate();
     assert!(proxy.end().success());
     let bytes = fs::read(folder.join(written)).expect("the next number");
-    let (left, faults) = knowledge::read(&bytes).expect("sound");
+    let (left, faults) = learned_state::read(&bytes).expect("sound");
     assert_eq!(faults, Faults::default());
     (proxy.log(), left)
 }
@@ -155,8 +155,8 @@
     assert!(fs::read(&kept).expect("still there") == bytes(IN_A_FOLDER), "as it was");
     // The same, as if it were of this moment.
     let written_ms = Some(unix_ms());
-    let fresh = Snapshot { written_ms, ..knowledge::read(&bytes(IN_A_FOLDER)).expect("readable").0 };
-    fs::write(folder.join("00000000000000000005.known"), knowledge::write(&fresh)).expect("written");
+    let fresh = Snapshot { written_ms, ..learned_state::read(&bytes(IN_A_FOLDER)).expect("readable").0 };
+    fs::write(folder.join("00000000000000000005.known"), learned_state::write(&fresh)).expect("written");
     let (log, left) = started_with(&folder, "00000000000000000006.known");
     assert!(log.contains("knowledge: from "), "{log}");
     for (pool, node) in [("near", "n0"), ("far", "n0")] {
--- a/tests/stubs/stored.rs
+++ b/tests/stubs/stored.rs
@@ -1,6 +1,6 @@
 //! What the files of learned state in `tests/data` hold, field by field.
 
-use knowledge::{Mean, Node, Pool, Snapshot};
+use learned_state::{Mean, Node, Pool, Snapshot};
 
 fn mean(sum: f64, weight: f64, age: u64) -> Mean {
     Mean { sum, weight, age }
