--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use decide::interface::{self, Group, Micros, Semantics};
+use decide::{DeduplicationGroup, Micros, Semantics};
 use jsonrpc::Framing;
 use route::{Condition, HostPattern, Key, Match, PathPattern, PoolId, Route, Split, Table, Within};
 use toml::Spanned;
@@ -551,9 +551,9 @@
             (file::Semantics::AtMostOnce, ..) => Semantics::AtMostOnce,
             (file::Semantics::Deduplicated, Some(group), Some(window)) => Semantics::Deduplicated {
                 group: match group.get_ref() {
-                    file::Group::All => Group::All,
-                    file::Group::Zone => Group::Zone,
-                    file::Group::Cell => Group::Cell,
+                    file::Group::All => DeduplicationGroup::All,
+                    file::Group::Zone => DeduplicationGroup::Zone,
+                    file::Group::Cell => DeduplicationGroup::Cell,
                 },
                 window: self.ms("dedup_window_ms", window, 0),
             },
@@ -570,11 +570,11 @@
             let help = "leave it out, or write semantics = \"deduplicated\"".to_owned();
             self.fault(span, "only deduplicated classes have a group and a window", Some(help));
         }
-        let figures = interface::Class {
-            aim,
+        let figures = decide::Class {
+            latency_objective: aim,
             deadline,
-            gain: self.number("worth", &class.worth, 0.0..=1e9),
-            late_value: self.number("late_worth", &class.late_worth, 0.0..=1.0),
+            priority_weight: self.number("worth", &class.worth, 0.0..=1e9),
+            late_answer_value: self.number("late_worth", &class.late_worth, 0.0..=1.0),
             semantics,
         };
         Class { name: class.name.get_ref().clone(), figures }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use decide::interface::{self, Micros, Settings};
+use decide::{Micros, Settings};
 use route::Table;
 
 use crate::announce::Bgp;
@@ -113,14 +113,20 @@
     /// Its name.
     pub name: String,
     /// What the decisions are told of it.
-    pub figures: interface::Class,
+    pub figures: decide::Class,
 }
 
 impl PartialEq for Class {
     fn eq(&self, other: &Self) -> bool {
         let figures = |c: &Class| {
             let f = &c.figures;
-            (f.aim, f.deadline, f.gain.to_bits(), f.late_value.to_bits(), f.semantics)
+            (
+                f.latency_objective,
+                f.deadline,
+                f.priority_weight.to_bits(),
+                f.late_answer_value.to_bits(),
+                f.semantics,
+            )
         };
         self.name == other.name && figures(self) == figures(other)
     }
@@ -214,20 +220,20 @@
             classes: self.classes.iter().map(|c| c.figures.clone()).collect(),
             tenants: Vec::new(),
             cross_zone_price: self.limits.cross_zone_price,
-            ask_discovery: matches!(pool.source, Source::Discovery(_)),
-            must_ask_in: MUST_ASK_IN,
+            poll_discovery: matches!(pool.source, Source::Discovery(_)),
+            max_poll_interval: MUST_ASK_IN,
             can_cancel: true,
-            second_copies: false,
-            can_probe: false,
-            peers: false,
-            retry_after: self.limits.retry_after > 0,
+            hedging_allowed: false,
+            health_checks_allowed: false,
+            gossip_allowed: false,
+            send_retry_after: self.limits.retry_after > 0,
             max_retry_after: self.limits.retry_after,
             max_attempts: self.limits.attempts,
-            tick: 1_000,
-            cold_from: self.limits.cold_from,
-            cold_time: self.limits.cold_time,
-            fall_multiple: FALL_MULTIPLE,
-            fall_time: FALL_TIME,
+            timer_resolution: 1_000,
+            slow_start_min_capacity: self.limits.cold_from,
+            slow_start_duration: self.limits.cold_time,
+            overload_multiple: FALL_MULTIPLE,
+            overload_window: FALL_TIME,
         }
     }
 
--- a/crates/decide/src/choice.rs
+++ b/crates/decide/src/choice.rs
@@ -9,7 +9,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::interface::*;
+use crate::{
+    Action, Class, DeduplicationGroup, Endpoint, EndpointFilter, EndpointId, EndpointState, Event,
+    LoadReport, Micros, NewRequest, Outcome, RequestId, Semantics, Settings, UpdateScope, TIME_LIMIT,
+};
 
 /// n: slots that hold T1. More of them forgive longer peaks, and act later in a real overload.
 const FIRST_SLOTS: usize = 3;
@@ -139,7 +142,7 @@
 }
 
 struct Backend {
-    entry: BackendEntry,
+    entry: Endpoint,
     inflight: u32,
     /// What peers said they hold here, and when.
     others: BTreeMap<u32, (u8, Micros)>,
@@ -165,7 +168,7 @@
 
 struct Request {
     class: usize,
-    allowed: Option<Arc<Allowed>>,
+    allowed: Option<Arc<EndpointFilter>>,
     most_attempts: usize,
     until: Micros,
     streaming: bool,
@@ -191,7 +194,7 @@
     cursor: usize,
     t1: f64,
     backends: Vec<Backend>,
-    index: BTreeMap<BackendId, usize>,
+    index: BTreeMap<EndpointId, usize>,
     ready: Vec<usize>,
     local: Vec<usize>,
     subset: Vec<usize>,
@@ -229,16 +232,16 @@
         let s = s.bounded();
         // A deeper call is owed its part of the way only: the tiers still ahead over all tiers.
         let part = 1.0 - s.tier.min(s.tiers.max(1) - 1) as f64 / s.tiers.max(1) as f64;
-        let aims: Vec<f64> = s.classes.iter().map(|c| (c.aim.max(1) as f64) * part).collect();
+        let aims: Vec<f64> = s.classes.iter().map(|c| (c.latency_objective.max(1) as f64) * part).collect();
         let shortest = aims.iter().copied().fold(f64::INFINITY, f64::min).min(1e9);
-        let mut gains: Vec<f64> = s.classes.iter().map(|c| c.gain).collect();
+        let mut gains: Vec<f64> = s.classes.iter().map(|c| c.priority_weight).collect();
         gains.sort_by(f64::total_cmp);
         gains.dedup();
-        let row_of = |c: &Class| gains.iter().position(|g| *g == c.gain).unwrap_or(0);
+        let row_of = |c: &Class| gains.iter().position(|g| *g == c.priority_weight).unwrap_or(0);
         let single = usize::from(gains.len() < 2);
         let class_rows: Vec<usize> = s.classes.iter().map(|c| row_of(c) + single).collect();
         let rows = gains.len().max(1) + single;
-        let period = (shortest as Micros / PERIODS_PER_AIM).max(4 * s.tick).max(1000);
+        let period = (shortest as Micros / PERIODS_PER_AIM).max(4 * s.timer_resolution).max(1000);
         let tenants = vec![Ewma::default(); s.tenants.len()];
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -276,7 +279,7 @@
             retry_tokens: 3.0,
             trials: 0.0,
             tenants,
-            subscribed: !s.ask_discovery,
+            subscribed: !s.poll_discovery,
             ask_wait: 0,
             s,
         }
@@ -292,32 +295,34 @@
             self.start = now;
             // Out of step with the other instances: cursors that move together on late figures swing.
             out.push(Action::Timer { at: now + self.rng.i64(1..=self.period), token: PERIOD });
-            if self.s.ask_discovery {
+            if self.s.poll_discovery {
                 // The more there are, the longer discovery takes to answer each: guards against its being
                 // swamped by a fleet that starts. Does harm where lists are old.
-                let all =
-                    i64::from(self.s.balancers).max(USUAL_FLEET) * self.s.must_ask_in / (8 * USUAL_FLEET);
-                let spread = all.min(self.s.must_ask_in * 3 / 4).max(1);
+                let all = i64::from(self.s.balancers).max(USUAL_FLEET) * self.s.max_poll_interval
+                    / (8 * USUAL_FLEET);
+                let spread = all.min(self.s.max_poll_interval * 3 / 4).max(1);
                 out.push(Action::Timer { at: now + self.rng.i64(0..spread), token: ASK });
             }
         }
         match event {
-            Event::Backends { scope, entries } => self.on_backends(now, scope, entries, out),
+            Event::EndpointUpdate { scope, endpoints } => self.on_backends(now, scope, endpoints, out),
             Event::Request(request) => self.on_request(now, &request, out),
             Event::StreamStarted { request } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     r.streaming = true;
                 }
             }
-            Event::Came(id) => self.on_came(now, id),
-            Event::Outcome { request, attempt, backend, outcome, is_final, report, .. } => {
+            Event::BodyReceived(id) => self.on_came(now, id),
+            Event::AttemptEnded {
+                request, attempt, endpoint: backend, outcome, is_final, report, ..
+            } => {
                 self.on_report(now, backend, report);
                 if let Some((b, figure)) = self.on_end(now, request, attempt, outcome) {
                     self.tell(b, figure, out);
                     self.on_outcome(now, request, outcome, is_final, out);
                 }
             }
-            Event::ClientGone(id) => {
+            Event::ClientDisconnected(id) => {
                 // Guards against clients with less patience than their aim says: to them this was too late.
                 if self.requests.get(&id).is_some_and(|r| r.attempts.iter().any(|a| a.running)) {
                     self.samples.push(1.0);
@@ -325,34 +330,34 @@
                 }
                 self.finish(id, out);
             }
-            Event::Told { from, payload } => self.on_told(now, from, payload),
+            Event::GossipReceived { from, payload } => self.on_told(now, from, payload),
             Event::Timer(PERIOD) => self.on_period(now, out),
             Event::Timer(ASK) if !self.subscribed => self.ask(out),
             Event::Timer(_) => {}
-            Event::Probed { backend, report, .. } => self.on_report(now, backend, report),
+            Event::HealthChecked { endpoint: backend, report, .. } => self.on_report(now, backend, report),
         }
     }
 
     /// How many servers that are ready get nothing for now, because calls to them failed.
     #[must_use]
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn ejected_count(&self, now: Micros) -> usize {
         self.ready.iter().filter(|&&b| self.backends[b].out_until > now).count()
     }
 
     // ---- Fleet and discovery ----
 
-    fn on_backends(&mut self, now: Micros, scope: ListScope, entries: &[BackendEntry], out: &mut Out) {
-        if scope == ListScope::Failed {
-            self.subscribed = !self.s.ask_discovery;
+    fn on_backends(&mut self, now: Micros, scope: UpdateScope, entries: &[Endpoint], out: &mut Out) {
+        if scope == UpdateScope::Failed {
+            self.subscribed = !self.s.poll_discovery;
             if !self.subscribed {
                 out.push(Action::Timer { at: now + self.rng.i64(1..=self.ask_wait.max(1)), token: ASK });
             }
             return;
         }
-        if scope == ListScope::Full || scope == ListScope::Cached {
-            self.backends.iter_mut().for_each(|b| b.entry.stage = Stage::Gone);
+        if scope == UpdateScope::Full || scope == UpdateScope::Cached {
+            self.backends.iter_mut().for_each(|b| b.entry.state = EndpointState::Removed);
         }
-        if scope != ListScope::Cached {
+        if scope != UpdateScope::Cached {
             self.ask_wait = 0;
         }
         for entry in entries {
@@ -373,15 +378,18 @@
             known.entry = entry;
         }
         let before = self.ready.len();
-        let is_ready = |b: &usize| self.backends[*b].entry.stage == Stage::Ready;
+        let is_ready = |b: &usize| self.backends[*b].entry.state == EndpointState::Ready;
         self.ready = self.index.values().copied().filter(is_ready).collect();
         let at_home = |b: &usize| self.backends[*b].entry.zone == self.s.zone;
         self.local = self.ready.iter().copied().filter(at_home).collect();
         // An even part of the pool: all balancers cut the same ring, in an order that means nothing.
         // At home where home is large enough: what crosses zones costs, and may be cut.
-        let mut ring =
-            if self.local.len() >= 2 * SUBSET_LEAST && !self.s.peers { &self.local } else { &self.ready }
-                .clone();
+        let mut ring = if self.local.len() >= 2 * SUBSET_LEAST && !self.s.gossip_allowed {
+            &self.local
+        } else {
+            &self.ready
+        }
+        .clone();
         ring.sort_by_key(|&b| mixed(self.backends[b].entry.id.0));
         let (n, all) = (ring.len(), self.s.balancers as usize);
         let size = ((SUBSET_OVERLAP * self.ready.len() as f64 / all as f64).ceil() as usize)
@@ -389,7 +397,7 @@
             .min(n);
         let rank = self.s.rank as usize % all;
         self.peers.clear();
-        if self.s.peers && n > 0 {
+        if self.s.gossip_allowed && n > 0 {
             // Guards against crowding where each sees too little: a group shares one part, and talks.
             let groups = (n / size).max(1);
             let group = |r: usize| r * groups / all;
@@ -415,17 +423,18 @@
     /// Asks for the list, and again later should that fail: sooner than a silent instance is taken as told.
     fn ask(&mut self, out: &mut Out) {
         self.subscribed = true;
-        self.ask_wait = (self.ask_wait * 2).clamp(self.s.must_ask_in / 5, self.s.must_ask_in).max(1);
-        out.push(Action::Subscribe);
+        self.ask_wait =
+            (self.ask_wait * 2).clamp(self.s.max_poll_interval / 5, self.s.max_poll_interval).max(1);
+        out.push(Action::PollDiscovery);
     }
 
     // ---- Load and cursor ----
 
-    fn on_report(&mut self, now: Micros, id: BackendId, report: Option<Report>) {
+    fn on_report(&mut self, now: Micros, id: EndpointId, report: Option<LoadReport>) {
         let (Some(&b), Some(report)) = (self.index.get(&id), report) else { return };
         let sound = |x: &f64| x.is_finite() && *x >= 0.0;
         let backend = &mut self.backends[b];
-        if let Some(held) = report.inflight.or(report.queue).filter(sound) {
+        if let Some(held) = report.in_flight.or(report.queued).filter(sound) {
             (backend.reported, backend.report_at, backend.sent_since) = (held, now, 0);
         }
         if let Some(utilisation) = report.utilisation.filter(sound) {
@@ -436,7 +445,7 @@
     /// What another balancer holds at a server and how its last call there went; all else is passed over.
     fn on_told(&mut self, now: Micros, from: u32, payload: &[u8]) {
         let &[a, b, c, d, held, figure] = payload else { return };
-        let server = BackendId(u32::from_le_bytes([a, b, c, d]));
+        let server = EndpointId(u32::from_le_bytes([a, b, c, d]));
         if let (true, Some(&b)) = (self.peers.contains(&from), self.index.get(&server)) {
             self.backends[b].others.insert(from, (held, now));
             self.on_figure(now, b, figure);
@@ -464,7 +473,7 @@
             let backend = &self.backends[b];
             let mut payload = backend.entry.id.0.to_le_bytes().to_vec();
             payload.extend([backend.inflight.min(255) as u8, figure]);
-            out.extend(self.peers.iter().map(|&to| Action::Tell { to, payload: payload.clone() }));
+            out.extend(self.peers.iter().map(|&to| Action::SendGossip { to, payload: payload.clone() }));
         }
     }
 
@@ -551,7 +560,7 @@
             return;
         }
         if r.class >= self.s.classes.len() {
-            out.push(Action::Refuse { request: r.id, retry_after: 0 });
+            out.push(Action::Reject { request: r.id, retry_after: 0 });
             return;
         }
         self.arrivals.add(now, self.memory, 0.0);
@@ -559,17 +568,21 @@
         self.trials = (self.trials + TRIAL_SHARE).min(1.0);
         let row = self.row(now, r);
         let class = &self.s.classes[r.class];
-        let whole = now + r.coming.clamp(0, TIME_LIMIT);
+        let whole = now + r.body_pending.clamp(0, TIME_LIMIT);
         let deadline = whole + r.time_left.clamp(0, TIME_LIMIT);
         // Past its aim an answer is worth nothing here, and waiting longer only loads the servers.
-        let until = if class.late_value > 0.0 { deadline } else { deadline.min(whole + class.aim) };
+        let until = if class.late_answer_value > 0.0 {
+            deadline
+        } else {
+            deadline.min(whole + class.latency_objective)
+        };
         let request = Request {
             class: r.class,
-            allowed: r.allowed.clone(),
-            most_attempts: if r.attempts == 0 { usize::MAX } else { r.attempts },
+            allowed: r.endpoint_filter.clone(),
+            most_attempts: if r.max_attempts == 0 { usize::MAX } else { r.max_attempts },
             until,
             streaming: false,
-            coming: r.coming > 0,
+            coming: r.body_pending > 0,
             answered: false,
             attempts: Vec::new(),
         };
@@ -599,7 +612,8 @@
     /// where another is there after all, which would have taken this call.
     fn last_ways_in(&self, r: &NewRequest, row: usize) -> bool {
         let kept = WAYS_KEPT + self.table.len() - 1 - row;
-        self.s.may_end_alone() && r.ways_in.is_some_and(|w| w.free < kept.min(w.all / WAYS_KEPT_OF))
+        self.s.may_end_alone()
+            && r.downstream_connections.is_some_and(|w| w.idle < kept.min(w.open / WAYS_KEPT_OF))
     }
 
     /// Does a call of this row meet the threshold under the cursor? Where a balancer's own T1 is too small
@@ -639,7 +653,7 @@
         // Few requests name the servers that they may go to; for those these are the pool.
         let named = self.requests.get(&id).and_then(|r| r.allowed.clone()).map(|allowed| {
             let ready = self.ready.iter().copied();
-            ready.filter(|&b| allowed.allows(&self.backends[b].entry)).collect::<Vec<usize>>()
+            ready.filter(|&b| allowed.matches(&self.backends[b].entry)).collect::<Vec<usize>>()
         });
         let ready = named.as_ref().unwrap_or(&self.ready);
         let few = ready.len() <= SAMPLE;
@@ -757,7 +771,7 @@
             (all.sum, all.n) = (all.sum + mean.sum, all.n + mean.n);
             own = if c == class { mean } else { own };
         }
-        let kind = self.kinds.get(&backend.entry.kind).map_or(1.0, |k| k.mean(1.0, 3.0));
+        let kind = self.kinds.get(&backend.entry.machine_kind).map_or(1.0, |k| k.mean(1.0, 3.0));
         own.mean(all.mean(kind, 2.0), 4.0)
     }
 
@@ -784,7 +798,7 @@
         }
         let zone = self.zones.entry(backend.entry.zone).or_default();
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => zone.add(now, self.memory, 0.0),
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => zone.add(now, self.memory, 0.0),
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 zone.add(now, self.memory, 1.0);
                 backend.fails += 1;
@@ -799,7 +813,7 @@
                     backend.out_until = now + wait / 2 + self.rng.i64(0..=wait / 2);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
         if outcome == Outcome::Ok {
             (backend.fails, backend.out_until) = (0, 0);
@@ -812,18 +826,18 @@
         }
         let figure = match outcome {
             Outcome::Ok | Outcome::Timeout => (took / aim * FIGURES_PER_AIM).clamp(1.0, 253.0) as u8,
-            Outcome::Full => FULL,
+            Outcome::Rejected => FULL,
             Outcome::Error => FAILED,
             _ => 0,
         };
         self.on_figure(now, b, figure);
         let spent = match outcome {
             Outcome::Ok | Outcome::Cancelled => took,
-            Outcome::Full | Outcome::Moot => 0.0,
+            Outcome::Rejected | Outcome::NotSent => 0.0,
             _ => took + BROKEN * aim,
         } / self.usual(class);
         let backend = &mut self.backends[b];
-        let kind = self.kinds.entry(backend.entry.kind).or_default();
+        let kind = self.kinds.entry(backend.entry.machine_kind).or_default();
         for mean in [&mut backend.classes[class].mean, kind] {
             mean.wait(now, self.memory, spent);
             mean.n += f64::from(u8::from(outcome == Outcome::Ok));
@@ -861,13 +875,13 @@
     fn may_send(&self, now: Micros, id: RequestId, b: usize) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let backend = &self.backends[b].entry;
-        if backend.stage != Stage::Ready
-            || request.allowed.as_ref().is_some_and(|allowed| !allowed.allows(backend))
+        if backend.state != EndpointState::Ready
+            || request.allowed.as_ref().is_some_and(|allowed| !allowed.matches(backend))
             || request.streaming
             || request.answered
             || now >= request.until
             || request.attempts.len() >= self.s.max_attempts.max(1).min(request.most_attempts)
-            || (!self.s.second_copies && request.attempts.iter().any(|a| a.running))
+            || (!self.s.hedging_allowed && request.attempts.iter().any(|a| a.running))
         {
             return false;
         }
@@ -878,9 +892,9 @@
             Semantics::Deduplicated { group, window } => risky.all(|a| {
                 let other = &self.backends[a.backend].entry;
                 let same = match group {
-                    Group::All => true,
-                    Group::Zone => other.zone == backend.zone,
-                    Group::Cell => other.cell.is_some() && other.cell == backend.cell,
+                    DeduplicationGroup::All => true,
+                    DeduplicationGroup::Zone => other.zone == backend.zone,
+                    DeduplicationGroup::Cell => other.cell.is_some() && other.cell == backend.cell,
                 };
                 same && now < a.sent + window
             }),
@@ -902,7 +916,7 @@
             backend.hold(request.class, now - self.start);
             self.inflight += 1;
         }
-        out.push(Action::Send { request: id, backend: backend.entry.id, until: request.until });
+        out.push(Action::Send { request: id, endpoint: backend.entry.id, deadline: request.until });
         self.tell(b, 0, out);
     }
 
@@ -913,7 +927,7 @@
         let allowed = match self.s.classes[request.class].semantics {
             Semantics::Idempotent => true,
             Semantics::AtMostOnce => !may_have_run,
-            Semantics::Deduplicated { group, .. } => !may_have_run || group == Group::All,
+            Semantics::Deduplicated { group, .. } => !may_have_run || group == DeduplicationGroup::All,
         };
         if request.streaming || request.answered {
             return;
@@ -921,9 +935,9 @@
         if allowed {
             // At the front, and while shedding, clients come back when this overload may have passed.
             let wait = if self.cursor >= FIRST_SLOTS { self.s.max_retry_after } else { wait };
-            let advise = self.s.retry_after && self.s.tier == 0;
+            let advise = self.s.send_retry_after && self.s.tier == 0;
             let retry_after = if advise { wait.min(self.s.max_retry_after) } else { 0 };
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -947,8 +961,10 @@
     /// The part of its capacity that a cold server surely has by now.
     fn cold_part(&self, now: Micros, b: usize) -> Option<f64> {
         let age = now - self.backends[b].entry.up_since?;
-        let done = age.max(0) as f64 / self.s.cold_time.max(1) as f64;
-        (done < 1.0).then(|| (self.s.cold_from + (1.0 - self.s.cold_from) * done).max(0.01))
+        let done = age.max(0) as f64 / self.s.slow_start_duration.max(1) as f64;
+        (done < 1.0).then(|| {
+            (self.s.slow_start_min_capacity + (1.0 - self.s.slow_start_min_capacity) * done).max(0.01)
+        })
     }
 
     /// Rule 4: this instance's share of what a cold server takes, as if all others used theirs in full.
@@ -971,13 +987,13 @@
         };
         // What all balancers may send within the window, less three roots for chance: guards against few
         // calls in a short window, where an even share of the budget is often overrun.
-        let all = self.s.fall_multiple * part * carried * f64::from(self.s.balancers);
-        let budget = all * self.s.fall_time as f64;
+        let all = self.s.overload_multiple * part * carried * f64::from(self.s.balancers);
+        let budget = all * self.s.overload_window as f64;
         let safe = (((9.0 + 4.0 * budget).sqrt() - 3.0) / 2.0).powi(2) / budget.max(1e-9);
         let rate = safe.min(COLD_SAFETY) * all / f64::from(self.s.balancers);
         let backend = &mut self.backends[b];
         let since = (now - backend.cold_at.max(backend.entry.up_since.unwrap_or(now))).max(0) as f64;
-        let most = rate * self.s.fall_time as f64 / 2.0;
+        let most = rate * self.s.overload_window as f64 / 2.0;
         backend.cold_tokens = (backend.cold_tokens + since * rate).min(most);
         backend.cold_at = now;
         // Less than one call is a chance of one, lost when not drawn: guards against hundreds of balancers
@@ -989,7 +1005,7 @@
 }
 
 impl Backend {
-    fn new(entry: BackendEntry, classes: usize) -> Self {
+    fn new(entry: Endpoint, classes: usize) -> Self {
         Backend {
             entry,
             inflight: 0,
--- a/crates/decide/src/choice/learned.rs
+++ b/crates/decide/src/choice/learned.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use super::{Balancer, Ewma, T1_START};
-use crate::interface::*;
-use crate::learned::{Learned, Mean, Server};
+use crate::learned::{DecayedMean, LearnedEndpoint, LearnedState};
+use crate::{EndpointId, EndpointState, Micros, TIME_LIMIT};
 
 /// Figures fade by this time, in microseconds. Longer warms starts after longer pauses, and believes more
 /// that no longer holds.
@@ -27,43 +27,47 @@
 const SEASONED: f64 = 2.0;
 
 /// What one told, and its servers by id.
-type ById<'a> = (&'a Learned, BTreeMap<BackendId, &'a Server>);
+type ById<'a> = (&'a LearnedState, BTreeMap<EndpointId, &'a LearnedEndpoint>);
 
 impl Balancer {
     /// What it has learned, as it stands at this time.
     #[must_use]
-    pub fn learned(&self, now: Micros) -> Learned {
+    pub fn learned_state(&self, now: Micros) -> LearnedState {
         let now = now.clamp(self.now, TIME_LIMIT);
-        let mean = |e: &Ewma| Mean { sum: e.sum, weight: e.n, age: (now - e.at).max(0) };
+        let mean = |e: &Ewma| DecayedMean { sum: e.sum, weight: e.n, age: (now - e.at).max(0) };
         let told = |all: &BTreeMap<usize, Ewma>| all.iter().map(|(i, e)| (*i, mean(e))).collect();
-        let known = self.backends.iter().filter(|b| b.entry.stage != Stage::Gone);
-        let servers = known.map(|b| Server {
+        let known = self.backends.iter().filter(|b| b.entry.state != EndpointState::Removed);
+        let servers = known.map(|b| LearnedEndpoint {
             id: b.entry.id,
-            up_for: b.entry.up_since.map(|at| now - at),
+            uptime: b.entry.up_since.map(|at| now - at),
             classes: b.classes.iter().map(|c| mean(&c.mean)).collect(),
-            fails: b.fails,
-            out_for: (b.out_until - now).max(0),
-            cold_tokens: b.cold_tokens,
+            consecutive_failures: b.fails,
+            ejected_for: (b.out_until - now).max(0),
+            slow_start_tokens: b.cold_tokens,
         });
         let per_server = self.t1 / self.ready.len().max(1) as f64 * f64::from(self.s.balancers);
-        Learned {
+        LearnedState {
             age: 0,
-            up_for: if self.started { now - self.start } else { 0 },
-            servers: servers.collect(),
-            kinds: told(&self.kinds),
-            zones: told(&self.zones),
-            usual: self.usual.iter().map(mean).collect(),
-            pool: mean(&self.pool),
-            threshold: if self.t1.is_finite() && !self.ready.is_empty() { per_server } else { 0.0 },
-            cursor: self.cursor as f64 / (self.table[0].len() - 1).max(1) as f64,
-            baseline: self.baseline,
+            uptime: if self.started { now - self.start } else { 0 },
+            endpoints: servers.collect(),
+            latency_by_machine_kind: told(&self.kinds),
+            loss_by_zone: told(&self.zones),
+            typical_latency: self.usual.iter().map(mean).collect(),
+            pool_latency: mean(&self.pool),
+            threshold_per_endpoint: if self.t1.is_finite() && !self.ready.is_empty() {
+                per_server
+            } else {
+                0.0
+            },
+            cursor_position: self.cursor as f64 / (self.table[0].len() - 1).max(1) as f64,
+            baseline_latency: self.baseline,
         }
     }
 
     /// Takes in what others have learned, once it knows its servers: of a process before, or of several
     /// balancers, whose middle counts. Nothing of it touches a rule: drains, cold budgets and what may run
     /// again stand as they are.
-    pub fn learn(&mut self, now: Micros, told: &[Learned]) {
+    pub fn import_learned_state(&mut self, now: Micros, told: &[LearnedState]) {
         self.now = now.clamp(self.now, TIME_LIMIT);
         let now = self.now;
         if told.is_empty() {
@@ -73,26 +77,26 @@
         let trust = 0.5 + 0.5 * self.rng.f64();
         let memory = self.memory;
         for class in 0..self.usual.len() {
-            let all = told.iter().filter_map(|l| self.evidence(l, l.usual.get(class)?, 0.0));
+            let all = told.iter().filter_map(|l| self.evidence(l, l.typical_latency.get(class)?, 0.0));
             if let Some((x, weight)) = middle(all, 0.0) {
                 let x = x.clamp(self.aims[class] / 1e3, self.aims[class] * 2.0);
                 take_in(&mut self.usual[class], now, memory, x, weight * trust);
             }
         }
-        let pool = told.iter().filter_map(|l| self.evidence(l, &l.pool, 0.0));
+        let pool = told.iter().filter_map(|l| self.evidence(l, &l.pool_latency, 0.0));
         if let Some((x, weight)) = middle(pool, 0.0) {
             take_in(&mut self.pool, now, memory, x.clamp(1.0, memory), weight * trust);
         }
         let by_id: Vec<ById<'_>> =
-            told.iter().map(|l| (l, l.servers.iter().map(|s| (s.id, s)).collect())).collect();
+            told.iter().map(|l| (l, l.endpoints.iter().map(|s| (s.id, s)).collect())).collect();
         for b in 0..self.backends.len() {
             self.learn_server(now, b, &by_id, trust);
         }
-        for (kind, x, weight) in self.named(told, |l| &l.kinds, 1.0) {
+        for (kind, x, weight) in self.named(told, |l| &l.latency_by_machine_kind, 1.0) {
             let x = x.clamp(1.0 / MOST_MULTIPLE, MOST_MULTIPLE);
             take_in(self.kinds.entry(kind).or_default(), now, memory, x, weight * trust);
         }
-        for (zone, x, weight) in self.named(told, |l| &l.zones, 0.0) {
+        for (zone, x, weight) in self.named(told, |l| &l.loss_by_zone, 0.0) {
             take_in(self.zones.entry(zone).or_default(), now, memory, x.clamp(0.0, 1.0), weight * trust);
         }
         self.learn_pool(now, told, trust);
@@ -101,7 +105,7 @@
     fn learn_server(&mut self, now: Micros, b: usize, told: &[ById<'_>], trust: f64) {
         let (id, up_since) = (self.backends[b].entry.id, self.backends[b].entry.up_since);
         // The same process has been up for as long as it had when this was told, and since.
-        let same = |l: &Learned, s: &Server| match (up_since, s.up_for) {
+        let same = |l: &LearnedState, s: &LearnedEndpoint| match (up_since, s.uptime) {
             (Some(at), Some(up_for)) => {
                 (now - at).saturating_sub(up_for.saturating_add(l.age.max(0))).saturating_abs() < SAME_START
             }
@@ -109,7 +113,7 @@
             _ => false,
         };
         let of_server = told.iter().filter_map(|(l, servers)| Some((*l, *servers.get(&id)?)));
-        let all: Vec<(&Learned, &Server)> = of_server.filter(|(l, s)| same(l, s)).collect();
+        let all: Vec<(&LearnedState, &LearnedEndpoint)> = of_server.filter(|(l, s)| same(l, s)).collect();
         for class in 0..self.backends[b].classes.len() {
             let means = all.iter().filter_map(|(l, s)| self.evidence(l, s.classes.get(class)?, 1.0));
             if let Some((x, weight)) = middle(means, 1.0) {
@@ -118,7 +122,8 @@
             }
         }
         // Left alone only where most say so, and while most others are not.
-        let mut out: Vec<Micros> = all.iter().map(|(l, s)| s.out_for.saturating_sub(l.age.max(0))).collect();
+        let mut out: Vec<Micros> =
+            all.iter().map(|(l, s)| s.ejected_for.saturating_sub(l.age.max(0))).collect();
         out.sort_unstable();
         let left =
             out.get(out.len().saturating_sub(1) / 2).copied().unwrap_or(0).min(8 * self.memory as Micros);
@@ -130,27 +135,34 @@
     }
 
     /// T1, the cursor and the baseline: only until there are own figures for them.
-    fn learn_pool(&mut self, now: Micros, told: &[Learned], trust: f64) {
+    fn learn_pool(&mut self, now: Micros, told: &[LearnedState], trust: f64) {
         if (now - self.start) as f64 > self.memory / 2.0 {
             return;
         }
-        let age = |l: &Learned| l.age.max(0) as f64;
-        let seasoned =
-            |l: &Learned| l.up_for as f64 > self.memory && l.threshold.is_finite() && l.threshold > 0.0;
-        let known = told.iter().filter(|l| seasoned(l)).map(|l| (l.threshold, (-age(l) / T1_KEPT).exp()));
+        let age = |l: &LearnedState| l.age.max(0) as f64;
+        let seasoned = |l: &LearnedState| {
+            l.uptime as f64 > self.memory
+                && l.threshold_per_endpoint.is_finite()
+                && l.threshold_per_endpoint > 0.0
+        };
+        let known = told
+            .iter()
+            .filter(|l| seasoned(l))
+            .map(|l| (l.threshold_per_endpoint, (-age(l) / T1_KEPT).exp()));
         let share = self.ready.len() as f64 / f64::from(self.s.balancers);
         if let (Some((x, weight)), true) = (middle(known, T1_START), self.t1.is_finite()) {
             let x = x.clamp(T1_START / T1_SPAN, T1_START * T1_SPAN) * share;
             self.t1 += (x - self.t1) * weight;
         }
         let period = self.period as f64;
-        let places =
-            told.iter().map(|l| (l.cursor.clamp(0.0, 1.0) * (-age(l) / (CURSOR_KEPT * period)).exp(), 1.0));
+        let places = told
+            .iter()
+            .map(|l| (l.cursor_position.clamp(0.0, 1.0) * (-age(l) / (CURSOR_KEPT * period)).exp(), 1.0));
         if let Some((place, _)) = middle(places.filter(|(x, _)| x.is_finite()), 0.0) {
             let place = (place * trust * (self.table[0].len() - 1) as f64) as usize;
             self.cursor = self.cursor.max(place);
         }
-        let bases = told.iter().filter_map(|l| Some((l.baseline?, (-age(l) / KEPT).exp())));
+        let bases = told.iter().filter_map(|l| Some((l.baseline_latency?, (-age(l) / KEPT).exp())));
         if let (Some((base, weight)), None) =
             (middle(bases.filter(|(x, _)| x.is_finite()), 0.0), self.baseline)
         {
@@ -160,11 +172,11 @@
 
     /// What a mean comes to and how many samples it is worth by now. `prior` is what nothing at all would
     /// say.
-    fn evidence(&self, told: &Learned, mean: &Mean, prior: f64) -> Option<(f64, f64)> {
-        let Mean { sum, weight, age } = *mean;
+    fn evidence(&self, told: &LearnedState, mean: &DecayedMean, prior: f64) -> Option<(f64, f64)> {
+        let DecayedMean { sum, weight, age } = *mean;
         let sound = sum.is_finite() && weight.is_finite() && sum >= 0.0 && weight >= 0.0;
         let age = age.max(0).saturating_add(told.age.max(0)) as f64;
-        let seasoned = (told.up_for.max(0) as f64 / (SEASONED * self.memory)).min(1.0);
+        let seasoned = (told.uptime.max(0) as f64 / (SEASONED * self.memory)).min(1.0);
         // A server that never answered has a sum and no samples.
         let k = if prior > 0.0 { 1.0 } else { 0.0 };
         let seen = weight.max(if prior > 0.0 { (sum / MOST_MULTIPLE).min(MOST_SAMPLES) } else { 0.0 });
@@ -175,8 +187,8 @@
     /// The middle of what is told by some name, for each name.
     fn named(
         &self,
-        told: &[Learned],
-        of: impl Fn(&Learned) -> &Vec<(usize, Mean)>,
+        told: &[LearnedState],
+        of: impl Fn(&LearnedState) -> &Vec<(usize, DecayedMean)>,
         prior: f64,
     ) -> Vec<(usize, f64, f64)> {
         let mut names: Vec<usize> = told.iter().flat_map(|l| of(l).iter().map(|(name, _)| *name)).collect();
--- /dev/null
+++ b/crates/decide/src/endpoint.rs
@@ -0,0 +1,91 @@
+//! Upstream endpoints: what discovery lists, what they report of their load, and which of them a request may use.
+//!
+//! Zones and machine kinds are known by index; their names never reach the decisions.
+
+use crate::time::Micros;
+
+/// A server that requests can be sent to.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EndpointId(pub u32);
+
+/// A backend's place in its life.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum EndpointState {
+    /// Takes requests.
+    #[default]
+    Ready,
+    /// Finishes what it has.
+    Draining,
+    /// Taken away.
+    Removed,
+}
+
+/// A backend as discovery lists it.
+#[derive(Clone, Debug, Default)]
+pub struct Endpoint {
+    /// Its id.
+    pub id: EndpointId,
+    /// Its stage.
+    pub state: EndpointState,
+    /// A size to set against the others'.
+    pub weight: f64,
+    /// Its last start; absent for the distant past.
+    pub up_since: Option<Micros>,
+    /// Its zone.
+    pub zone: usize,
+    /// Its machine kind.
+    pub machine_kind: usize,
+    /// Its cell, for deduplication.
+    pub cell: Option<u64>,
+}
+
+/// What a list from discovery holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateScope {
+    /// Only what changed.
+    Delta,
+    /// Everything.
+    Full,
+    /// Everything, as last known; maybe out of date.
+    Cached,
+    /// Nothing: asking failed, or the subscription broke.
+    Failed,
+}
+
+/// A backend's own account of its load; what a site does not report is absent.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LoadReport {
+    /// Requests it holds.
+    pub in_flight: Option<f64>,
+    /// Requests that wait there.
+    pub queued: Option<f64>,
+    /// Part of its processors in use.
+    pub utilisation: Option<f64>,
+    /// Recent service time without waiting, in milliseconds.
+    pub service_ms: Option<f64>,
+    /// Requests served a second.
+    pub requests_per_s: Option<f64>,
+    /// Errors a second.
+    pub errors_per_s: Option<f64>,
+}
+
+/// The servers that a request may go to; an empty list asks nothing.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EndpointFilter {
+    /// Any one of these zones.
+    pub zones: Vec<usize>,
+    /// Any one of these machine kinds.
+    pub machine_kinds: Vec<usize>,
+    /// Any one of these cells.
+    pub cells: Vec<u64>,
+}
+
+impl EndpointFilter {
+    /// May it go there?
+    #[must_use]
+    pub fn matches(&self, entry: &Endpoint) -> bool {
+        (self.zones.is_empty() || self.zones.contains(&entry.zone))
+            && (self.machine_kinds.is_empty() || self.machine_kinds.contains(&entry.machine_kind))
+            && (self.cells.is_empty() || entry.cell.is_some_and(|cell| self.cells.contains(&cell)))
+    }
+}
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -2,15 +2,14 @@
 //!
 //! [`Balancer`] is one proxy's decision maker: it is told what happens ([`Event`]), and says what to do
 //! ([`Action`]). It reads no clock, does no I/O and shares nothing, so equal events give equal actions.
-//! [`settings`] reads what a deployment writes into what a balancer is told.
+//! [`platform_settings`] reads the settings that a deployment writes.
 //!
 //! A proxy's life, with one server and one request:
 //!
 //! ```
-//! use decide::interface::*;
-//! use decide::Balancer;
+//! use decide::{Action, Balancer, Class, Endpoint, EndpointId, Event, NewRequest, Outcome, RequestId, Settings, UpdateScope};
 //!
-//! let class = Class { aim: 500_000, deadline: 2_000_000, gain: 1.0, ..Class::default() };
+//! let class = Class { latency_objective: 500_000, deadline: 2_000_000, priority_weight: 1.0, ..Class::default() };
 //! let settings =
 //!     Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
 //! settings.check().expect("usable settings");
@@ -18,8 +17,8 @@
 //! let mut actions = Vec::new();
 //!
 //! // The list, as discovery tells it. Times are microseconds on a clock that never runs backwards.
-//! let backend = BackendEntry { id: BackendId(40), ..BackendEntry::default() };
-//! balancer.handle(0, Event::Backends { scope: ListScope::Cached, entries: &[backend] }, &mut actions);
+//! let endpoint = Endpoint { id: EndpointId(40), ..Endpoint::default() };
+//! balancer.handle(0, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[endpoint] }, &mut actions);
 //! // The first event asks for the timer that the cursor steps by; hand it back when it is due.
 //! let Action::Timer { at, token } = actions[0] else { panic!("{actions:?}") };
 //!
@@ -27,16 +26,16 @@
 //! actions.clear();
 //! let request = NewRequest { id: RequestId(1), class: 0, time_left: 2_000_000, ..NewRequest::default() };
 //! balancer.handle(1_000, Event::Request(request), &mut actions);
-//! let Action::Send { request, backend, until } = actions[0] else { panic!("{actions:?}") };
-//! assert_eq!((backend, until), (BackendId(40), 501_000));
+//! let Action::Send { request, endpoint, deadline } = actions[0] else { panic!("{actions:?}") };
+//! assert_eq!((endpoint, deadline), (EndpointId(40), 501_000));
 //!
 //! // Its outcome. A first `Ok` answers the client, so it is final and nothing more is owed; after any other
 //! // the balancer sends again, refuses or fails.
 //! actions.clear();
-//! let ended = Event::Outcome {
+//! let ended = Event::AttemptEnded {
 //!     request,
 //!     attempt: 0,
-//!     backend,
+//!     endpoint,
 //!     outcome: Outcome::Ok,
 //!     took: 20_000,
 //!     is_final: true,
@@ -58,15 +57,25 @@
 //! # Bad input
 //!
 //! Nothing panics. [`Settings::check`] says what is wrong with settings; unusable ones are brought within
-//! bounds. Times are cut off at [`interface::TIME_LIMIT`], a clock that runs backwards stands still, reports
+//! bounds. Times are cut off at [`TIME_LIMIT`], a clock that runs backwards stands still, reports
 //! that are no finite number are passed over, and so are unknown requests, servers, peers and messages. A
 //! request of an unknown class is refused; an id that is already held is passed over.
 #![warn(missing_docs)]
 
+mod action;
 mod choice;
-pub mod interface;
+mod endpoint;
+mod event;
 pub mod learned;
-pub mod settings;
+pub mod platform_settings;
+mod request;
+mod settings;
+mod time;
 
+pub use action::Action;
 pub use choice::Balancer;
-pub use interface::{Action, Event, Settings};
+pub use endpoint::{Endpoint, EndpointFilter, EndpointId, EndpointState, LoadReport, UpdateScope};
+pub use event::Event;
+pub use request::{DownstreamConnections, NewRequest, Outcome, RequestId};
+pub use settings::{Class, DeduplicationGroup, Semantics, Settings, SettingsError, Tenant};
+pub use time::{Micros, TIME_LIMIT};
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,321 +1,217 @@
-//! The settings object as a deployment writes it, and the names that it introduces.
-//!
-//! The simulator's bridge and the real proxy are given the same JSON object. The decisions take only indexes
-//! and figures ([`Settings`]); the names stay here, and what only a real proxy needs is in [`Transport`].
-//! Unknown keys are passed over.
-
-use serde::Deserialize;
-
-use crate::interface::*;
-
-/// A settings object, read and checked.
-#[derive(Clone, Debug)]
-pub struct Site {
-    /// What the decisions are told.
-    pub settings: Settings,
-    /// The names behind the indexes.
-    pub names: Names,
-    /// What the sockets need.
-    pub transport: Transport,
-}
-
-/// The names behind the indexes of a [`Site`]'s settings and events.
-#[derive(Clone, Debug)]
-pub struct Names {
+//! What one balancer is given at its start. Classes and tenants are known by index; their names never reach the decisions.
+
+use crate::time::{Micros, TIME_LIMIT};
+
+/// Whether a request of a class may run more than once.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Semantics {
+    /// Repeats do no harm.
+    #[default]
+    Idempotent,
+    /// A group of backends discards repeats for a while.
+    Deduplicated {
+        /// Which backends share the memory of what ran.
+        group: DeduplicationGroup,
+        /// How long they remember, from the first send that may have run.
+        window: Micros,
+    },
+    /// Must never run twice.
+    AtMostOnce,
+}
+
+/// Which backends discard each other's repeats.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeduplicationGroup {
+    /// Every backend of the tier.
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, Default)]
+pub struct Class {
+    /// An answer within this time has its full worth.
+    pub latency_objective: Micros,
+    /// The longest a client waits.
+    pub deadline: Micros,
+    /// The worth of an answer.
+    pub priority_weight: f64,
+    /// The part of the worth that an answer past the aim still has.
+    pub late_answer_value: f64,
+    /// May it run again?
+    pub semantics: Semantics,
+}
+
+/// A tenant's share.
+#[derive(Clone, Debug, Default)]
+pub struct Tenant {
+    /// Requests a second over all balancers that count as within its share.
+    pub quota_per_s: f64,
+}
+
+/// What one balancer is told at its start.
+#[derive(Clone, Debug, Default)]
+pub struct Settings {
+    /// Balancers in this tier.
+    pub balancers: u32,
+    /// This balancer's number among them, from 0.
+    pub rank: u32,
+    /// The tier sent into, 0 at the front.
+    pub tier: usize,
+    /// How many tiers there are.
+    pub tiers: usize,
+    /// The zone this balancer stands in.
+    pub zone: usize,
     /// The classes, by index.
-    pub classes: Vec<String>,
+    pub classes: Vec<Class>,
     /// The tenants, by index.
-    pub tenants: Vec<String>,
-    /// The values of a load report, in the order in which the simulator writes them.
-    pub fields: Vec<Field>,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-}
-
-/// What only a real proxy needs to know.
-#[derive(Clone, Debug)]
-pub struct Transport {
-    /// A backend closes a connection that has been idle for this long.
-    pub keepalive: Micros,
-    /// A connection not made by then has failed.
-    pub connect_timeout: Micros,
-    /// Nothing new may go to a backend later than this after it was said to drain or to be gone.
-    pub drain_grace: Micros,
-}
-
-/// A value that a load report may hold.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
-    /// Requests in hand.
-    Inflight,
-    /// Requests waiting.
-    Queue,
-    /// Part of the processors in use.
-    Utilisation,
-    /// Recent service time in milliseconds.
-    Service,
-    /// Requests served a second.
-    Rate,
-    /// Errors a second.
-    Errors,
-    /// A name that this version does not know.
-    Unknown,
-}
-
-impl Field {
-    /// The field that the settings call so.
-    #[must_use]
-    pub fn named(name: &str) -> Field {
-        match name {
-            "concurrent" => Field::Inflight,
-            "depth" => Field::Queue,
-            "load_share" => Field::Utilisation,
-            "mean_ms" => Field::Service,
-            "tps" => Field::Rate,
-            "err_ps" => Field::Errors,
-            _ => Field::Unknown,
-        }
-    }
-
-    /// Puts a value into its place in a report.
-    pub fn store(self, report: &mut Report, value: f64) {
-        let place = match self {
-            Field::Inflight => &mut report.inflight,
-            Field::Queue => &mut report.queue,
-            Field::Utilisation => &mut report.utilisation,
-            Field::Service => &mut report.service_ms,
-            Field::Rate => &mut report.rate,
-            Field::Errors => &mut report.errors,
-            Field::Unknown => return,
-        };
-        *place = Some(value);
+    pub tenants: Vec<Tenant>,
+    /// The price of an attempt that crosses zones, in worth of a request.
+    pub cross_zone_price: f64,
+    /// The list of backends comes only when asked for.
+    pub poll_discovery: bool,
+    /// Without a subscription, ask again within this time.
+    pub max_poll_interval: Micros,
+    /// Attempts may be called off.
+    pub can_cancel: bool,
+    /// Two attempts of one request may be out together.
+    pub hedging_allowed: bool,
+    /// Backends may be probed.
+    pub health_checks_allowed: bool,
+    /// Balancers of a tier may send each other short messages, which may be late or lost.
+    pub gossip_allowed: bool,
+    /// Clients are told how long to wait after a refusal.
+    pub send_retry_after: bool,
+    /// The longest wait that clients obey.
+    pub max_retry_after: Micros,
+    /// Attempts a request may have.
+    pub max_attempts: usize,
+    /// The shortest gap between two moments of decision.
+    pub timer_resolution: Micros,
+    /// A fresh backend has at least this part of its capacity.
+    pub slow_start_min_capacity: f64,
+    /// And all of it after this time.
+    pub slow_start_duration: Micros,
+    /// It falls over when sent more than this multiple of what it can do
+    pub overload_multiple: f64,
+    /// for this long.
+    pub overload_window: Micros,
+}
+
+/// Why settings cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SettingsError(String);
+
+impl std::fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(&self.0)
     }
 }
 
-impl Names {
-    /// Names of classes, zones and machine kinds, by index.
-    #[must_use]
-    pub fn new(classes: Vec<String>, zones: Vec<String>, kinds: Vec<String>) -> Names {
-        Names { classes, tenants: Vec::new(), fields: Vec::new(), zones, kinds }
-    }
-
-    /// The index of a zone; one that the settings left out gets the next.
-    pub fn zone(&mut self, name: &str) -> usize {
-        intern(&mut self.zones, name)
-    }
-
-    /// The index of a machine kind; one that the settings left out gets the next.
-    pub fn kind(&mut self, name: &str) -> usize {
-        intern(&mut self.kinds, name)
-    }
-
-    /// What a zone is called.
-    #[must_use]
-    pub fn zone_name(&self, index: usize) -> Option<&str> {
-        self.zones.get(index).map(String::as_str)
-    }
-
-    /// What a machine kind is called.
-    #[must_use]
-    pub fn kind_name(&self, index: usize) -> Option<&str> {
-        self.kinds.get(index).map(String::as_str)
-    }
+impl std::error::Error for SettingsError {}
 
-    /// The index of a zone that has one.
-    #[must_use]
-    pub fn find_zone(&self, name: &str) -> Option<usize> {
-        self.zones.iter().position(|z| z == name)
-    }
+const MOST_BALANCERS: u32 = 1_000_000;
 
-    /// The index of a machine kind that has one.
-    #[must_use]
-    pub fn find_kind(&self, name: &str) -> Option<usize> {
-        self.kinds.iter().position(|k| k == name)
-    }
+/// So many balancers of a tier are away at once while they are restarted one after another: the next is told to end
+/// before the one before is back and has been noticed.
+const AWAY_AT_ONCE: u32 = 2;
 
-    /// The index of a class.
+impl Settings {
+    /// May the callers of this balancer, while it ends, have nowhere else to go? Balancers do not know of each other's
+    /// restarts, so this goes by their number alone.
     #[must_use]
-    pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|c| c == name)
+    pub fn may_end_alone(&self) -> bool {
+        self.balancers <= AWAY_AT_ONCE
     }
 
-    /// The index of a tenant.
-    #[must_use]
-    pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.iter().position(|t| t == name)
+    /// Says what makes these settings unusable, if anything does. A balancer takes any settings without a
+    /// panic; with unusable ones it refuses or decides badly.
+    ///
+    /// # Errors
+    /// The first setting found that makes no sense.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        let fault = |text: String| Err(SettingsError(text));
+        if self.classes.is_empty() {
+            return fault("no classes".to_owned());
+        }
+        for (i, class) in self.classes.iter().enumerate() {
+            if class.latency_objective <= 0 || class.latency_objective > TIME_LIMIT {
+                return fault(format!(
+                    "class {i}: the aim is no time to answer in: {} us",
+                    class.latency_objective
+                ));
+            }
+            if !class.priority_weight.is_finite() || class.priority_weight < 0.0 {
+                return fault(format!("class {i}: not a worth: {}", class.priority_weight));
+            }
+            if let Semantics::Deduplicated { window, .. } = class.semantics {
+                if window < 0 {
+                    return fault(format!("class {i}: a window of less than nothing: {window} us"));
+                }
+            }
+        }
+        if self.balancers == 0 || self.balancers > MOST_BALANCERS {
+            return fault(format!("not a number of balancers: {}", self.balancers));
+        }
+        if self.rank >= self.balancers {
+            return fault(format!("rank {} of {} balancers", self.rank, self.balancers));
+        }
+        if self.tiers == 0 || self.tier >= self.tiers {
+            return fault(format!("tier {} of {}", self.tier, self.tiers));
+        }
+        if self.max_attempts == 0 {
+            return fault("no attempt is allowed".to_owned());
+        }
+        // The names are those of the settings' keys.
+        let spans = [
+            ("must_ask_in", self.max_poll_interval),
+            ("max_retry_after", self.max_retry_after),
+            ("tick", self.timer_resolution),
+            ("cold_time", self.slow_start_duration),
+            ("fall_time", self.overload_window),
+        ];
+        if let Some((name, span)) = spans.iter().find(|(_, span)| !(0..=TIME_LIMIT).contains(span)) {
+            return fault(format!("{name}: not a span of time: {span} us"));
+        }
+        let numbers = [
+            ("cross_zone_price", self.cross_zone_price),
+            ("cold_from", self.slow_start_min_capacity),
+            ("fall_multiple", self.overload_multiple),
+        ];
+        match numbers.iter().find(|(_, x)| !x.is_finite() || *x < 0.0) {
+            Some((name, x)) => fault(format!("{name}: not a number at or above 0: {x}")),
+            None => Ok(()),
+        }
     }
-}
-
-/// Milliseconds, as the settings and the wire count, in whole microseconds.
-#[must_use]
-pub fn micros(ms: f64) -> Micros {
-    (ms * 1000.0).round() as Micros
-}
-
-/// The index of a name; a name not seen before gets the next one.
-fn intern(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|n| n == name).unwrap_or_else(|| {
-        names.push(name.to_owned());
-        names.len() - 1
-    })
-}
-
-/// Reads a settings object.
-///
-/// # Errors
-/// What in it cannot be read or used, in a line.
-pub fn parse(json: &str) -> Result<Site, String> {
-    let c: Config = serde_json::from_str(json).map_err(|e| format!("bad settings: {e}"))?;
-    let mut zones = c.zones;
-    let classes = c.request_classes.iter().map(|k| {
-        let (aim, deadline) = times(k)?;
-        Ok(Class { aim, deadline, gain: k.gain, late_value: k.late_value, semantics: semantics(k)? })
-    });
-    let settings = Settings {
-        balancers: c.balancers,
-        rank: c.rank,
-        tier: c.stage,
-        tiers: c.stages.len(),
-        zone: intern(&mut zones, &c.my_zone),
-        classes: classes.collect::<Result<_, String>>()?,
-        tenants: c.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
-        cross_zone_price: c.penalties.cross_zone,
-        ask_discovery: c.discovery == "on_request",
-        must_ask_in: micros(c.contract.must_ask_in_ms),
-        can_cancel: c.limits.cancel,
-        second_copies: c.limits.second_copies,
-        can_probe: c.limits.probes,
-        peers: c.limits.peers,
-        retry_after: c.limits.retry_after,
-        max_retry_after: micros(c.limits.max_retry_after_ms),
-        max_attempts: c.limits.max_attempts,
-        tick: micros(c.tick_ms),
-        cold_from: c.contract.cold_from,
-        cold_time: micros(c.contract.cold_ms),
-        fall_multiple: c.contract.fall_multiple,
-        fall_time: micros(c.contract.fall_ms),
-    };
-    settings.check().map_err(|e| format!("unusable settings: {e}"))?;
-    Ok(Site {
-        settings,
-        names: Names {
-            classes: c.request_classes.into_iter().map(|k| k.name).collect(),
-            tenants: c.tenants.into_iter().map(|t| t.name).collect(),
-            fields: c.telemetry.fields.iter().map(|f| Field::named(f)).collect(),
-            zones,
-            kinds: c.host_types,
-        },
-        transport: Transport {
-            keepalive: micros(c.limits.keepalive_ms),
-            connect_timeout: micros(c.limits.connect_timeout_ms),
-            drain_grace: micros(c.contract.stop_sending_within_ms),
-        },
-    })
-}
 
-/// A class's aim and deadline. Where one of them is left out it is the other.
-fn times(class: &ClassConfig) -> Result<(Micros, Micros), String> {
-    let time = |ms: f64| micros(ms).min(TIME_LIMIT);
-    match (time(class.promise_ms), time(class.deadline_ms)) {
-        (..=0, ..=0) => {
-            Err(format!("request_classes: {:?} has neither promise_ms nor deadline_ms", class.name))
+    /// These settings with every figure brought within what can be reckoned with.
+    pub(crate) fn bounded(mut self) -> Self {
+        let number = |x: &mut f64| *x = if x.is_finite() { x.clamp(0.0, 1e12) } else { 0.0 };
+        for class in &mut self.classes {
+            class.latency_objective = class.latency_objective.clamp(1, TIME_LIMIT);
+            number(&mut class.priority_weight);
+            number(&mut class.late_answer_value);
+            if let Semantics::Deduplicated { window, .. } = &mut class.semantics {
+                *window = (*window).clamp(0, TIME_LIMIT);
+            }
+        }
+        self.tenants.iter_mut().for_each(|t| number(&mut t.quota_per_s));
+        for x in [&mut self.cross_zone_price, &mut self.slow_start_min_capacity, &mut self.overload_multiple]
+        {
+            number(x);
         }
-        (aim, ..=0) => Ok((aim, aim)),
-        (..=0, deadline) => Ok((deadline, deadline)),
-        both => Ok(both),
+        let spans = [
+            &mut self.max_poll_interval,
+            &mut self.max_retry_after,
+            &mut self.timer_resolution,
+            &mut self.slow_start_duration,
+            &mut self.overload_window,
+        ];
+        spans.into_iter().for_each(|span| *span = (*span).clamp(0, TIME_LIMIT));
+        self.balancers = self.balancers.clamp(1, MOST_BALANCERS);
+        self
     }
 }
-
-fn semantics(class: &ClassConfig) -> Result<Semantics, String> {
-    Ok(match class.semantics.as_str() {
-        "idempotent" => Semantics::Idempotent,
-        "at_most_once" => Semantics::AtMostOnce,
-        "deduplicated" => Semantics::Deduplicated {
-            group: match class.group.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
-                other => return Err(format!("unknown group {other:?}")),
-            },
-            window: micros(class.dedup_window_ms),
-        },
-        other => return Err(format!("unknown semantics {other:?}")),
-    })
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct Config {
-    balancers: u32,
-    rank: u32,
-    stage: usize,
-    stages: Vec<String>,
-    my_zone: String,
-    zones: Vec<String>,
-    host_types: Vec<String>,
-    request_classes: Vec<ClassConfig>,
-    tenants: Vec<TenantConfig>,
-    discovery: String,
-    tick_ms: f64,
-    penalties: PenaltyConfig,
-    limits: LimitConfig,
-    contract: ContractConfig,
-    telemetry: TelemetryConfig,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct ClassConfig {
-    name: String,
-    promise_ms: f64,
-    deadline_ms: f64,
-    semantics: String,
-    group: String,
-    dedup_window_ms: f64,
-    gain: f64,
-    late_value: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct TenantConfig {
-    name: String,
-    quota_per_s: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct PenaltyConfig {
-    cross_zone: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct LimitConfig {
-    cancel: bool,
-    connect_timeout_ms: f64,
-    keepalive_ms: f64,
-    max_attempts: usize,
-    max_retry_after_ms: f64,
-    peers: bool,
-    probes: bool,
-    retry_after: bool,
-    second_copies: bool,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct ContractConfig {
-    cold_from: f64,
-    cold_ms: f64,
-    fall_multiple: f64,
-    fall_ms: f64,
-    must_ask_in_ms: f64,
-    stop_sending_within_ms: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct TelemetryConfig {
-    fields: Vec<String>,
-}
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use common::{settings, Proxy};
-use decide::interface::*;
+use decide::{Action, Endpoint, EndpointId, Event, Micros, Outcome, RequestId, Settings, UpdateScope};
 use fastrand::Rng;
 
 const MS: Micros = 1_000;
@@ -76,7 +76,7 @@
     case: Case,
     rng: Rng,
     processes: Vec<Proxy>,
-    servers: Vec<BackendEntry>,
+    servers: Vec<Endpoint>,
     coming: BinaryHeap<std::cmp::Reverse<(Micros, u64, What)>>,
     numbers: u64,
     /// Attempts made for each request.
@@ -97,8 +97,7 @@
 impl World {
     fn of(case: Case, count: usize, seed: u64) -> World {
         let number = (count as u32 / 4).max(12);
-        let servers =
-            (0..number).map(|id| BackendEntry { id: BackendId(id), ..BackendEntry::default() }).collect();
+        let servers = (0..number).map(|id| Endpoint { id: EndpointId(id), ..Endpoint::default() }).collect();
         let mut world = World {
             case,
             rng: Rng::with_seed(seed),
@@ -142,15 +141,15 @@
         let settings = Settings {
             balancers: count as u32,
             rank: rank as u32,
-            cold_from: COLD_FROM,
-            cold_time: COLD_TIME,
-            fall_multiple: MULTIPLE,
-            fall_time: FALL,
+            slow_start_min_capacity: COLD_FROM,
+            slow_start_duration: COLD_TIME,
+            overload_multiple: MULTIPLE,
+            overload_window: FALL,
             ..settings()
         };
         let mut proxy = Proxy::seeded(settings, &[], seed.wrapping_mul(1_000).wrapping_add(rank as u64));
         proxy.now = if self.case == Case::AllCold { START } else { 0 };
-        proxy.tell(Event::Backends { scope: ListScope::Cached, entries: &self.servers });
+        proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &self.servers });
         proxy
     }
 
@@ -179,7 +178,7 @@
 
     fn act(&mut self, process: usize, now: Micros, actions: &[Action]) {
         for action in actions {
-            if let Action::Send { request, backend, .. } = action {
+            if let Action::Send { request, endpoint: backend, .. } = action {
                 let id = backend.0;
                 let warm = 50.0 + 20.0 * self.rng.f64();
                 let slow = self.servers[id as usize].up_since.map_or(1.0, |up| 1.0 / part(now - up));
@@ -229,7 +228,7 @@
                     let proxy = &mut self.processes[process];
                     proxy.wait_until(now);
                     let actions =
-                        proxy.outcome(RequestId(request), attempt, BackendId(backend), outcome, took);
+                        proxy.outcome(RequestId(request), attempt, EndpointId(backend), outcome, took);
                     self.act(process, now, &actions);
                 }
                 What::Starts(id) => {
@@ -238,7 +237,7 @@
                     let servers = self.servers.clone();
                     for proxy in &mut self.processes {
                         proxy.wait_until(now);
-                        proxy.tell(Event::Backends { scope: ListScope::Full, entries: &servers });
+                        proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &servers });
                     }
                     if self.case == Case::Again && now == START {
                         // Killed at once and back two seconds later.
--- a/crates/decide/tests/common/event_sequence.rs
+++ b/crates/decide/tests/common/event_sequence.rs
@@ -5,9 +5,12 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-use decide::interface::*;
-use decide::learned::Learned;
+use decide::learned::LearnedState;
 use decide::Balancer;
+use decide::{
+    Action, DownstreamConnections, Endpoint, EndpointFilter, EndpointId, EndpointState, Event, LoadReport,
+    Micros, NewRequest, Outcome, RequestId, Settings, UpdateScope, TIME_LIMIT,
+};
 
 use super::digest::Digest;
 use super::recorded_form::{recorded_form, recorded_form_of_learned};
@@ -29,12 +32,12 @@
 const CELLS: u64 = 4;
 const ATTEMPT_FAILURES: [Outcome; 7] = [
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 /// What a sequence is played with.
@@ -102,7 +105,7 @@
     now: Micros,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     planned: u64,
-    servers: Vec<BackendEntry>,
+    servers: Vec<Endpoint>,
     held: Vec<u32>,
     next_request: u64,
     /// Attempts of each request so far.
@@ -111,7 +114,7 @@
     open: BTreeMap<(u64, usize), u32>,
     event_count: usize,
     digest: Digest,
-    told: Vec<Learned>,
+    told: Vec<LearnedState>,
     played: Played,
 }
 
@@ -119,15 +122,15 @@
     fn new(scenario: Scenario, seed: u64) -> Player {
         let mut random = fastrand::Rng::with_seed(seed);
         let balancer = Balancer::new(scenario.settings.clone(), random.u64(..));
-        let servers: Vec<BackendEntry> = (0..scenario.servers)
-            .map(|i| BackendEntry {
-                id: BackendId(i as u32 * 3 + 1),
+        let servers: Vec<Endpoint> = (0..scenario.servers)
+            .map(|i| Endpoint {
+                id: EndpointId(i as u32 * 3 + 1),
                 weight: random.f64() * 4.0,
                 up_since: scenario.server_restarts.then(|| START - random.i64(0..60_000_000)),
                 zone: random.usize(0..scenario.zones),
-                kind: random.usize(0..KINDS),
+                machine_kind: random.usize(0..KINDS),
                 cell: (random.f64() < 0.8).then(|| random.u64(0..CELLS)),
-                ..BackendEntry::default()
+                ..Endpoint::default()
             })
             .collect();
         let played = Played {
@@ -163,7 +166,7 @@
             // A request that comes before the first list.
             self.arrive();
         }
-        self.list_all(ListScope::Cached);
+        self.list_all(UpdateScope::Cached);
         for due in [Due::Arrive, Due::List, Due::Peer, Due::Garbage, Due::Probe] {
             self.plan(START + 1, due);
         }
@@ -208,11 +211,13 @@
             }
             Due::Timer(token) => self.tell("Timer", Event::Timer(token)),
             Due::End { request, attempt, server, failure } => self.end(request, attempt, server, failure),
-            Due::Came(request) => self.tell("Came", Event::Came(RequestId(request))),
+            Due::Came(request) => self.tell("Came", Event::BodyReceived(RequestId(request))),
             Due::StreamStarted(request) => {
                 self.tell("StreamStarted", Event::StreamStarted { request: RequestId(request) });
             }
-            Due::ClientGone(request) => self.tell("ClientGone", Event::ClientGone(RequestId(request))),
+            Due::ClientGone(request) => {
+                self.tell("ClientGone", Event::ClientDisconnected(RequestId(request)))
+            }
             Due::List => {
                 self.change_servers();
                 self.plan_again(LIST_GAP, Due::List);
@@ -247,7 +252,7 @@
             *self.played.actions.entry(word.to_owned()).or_default() += 1;
         }
         actions.into_iter().for_each(|action| self.carry_out(action));
-        let avoided = self.balancer.avoided(self.now);
+        let avoided = self.balancer.ejected_count(self.now);
         self.played.avoided += usize::from(avoided > 0);
         self.digest.write(&format!("{} avoided {avoided}\n", self.event_count));
         if self.event_count.is_multiple_of(LEARNED_EVERY) {
@@ -257,7 +262,9 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, until } => self.sent(request.0, backend.0, until),
+            Action::Send { request, endpoint: backend, deadline: until } => {
+                self.sent(request.0, backend.0, until)
+            }
             Action::Timer { at, token } => self.plan(at, Due::Timer(token)),
             Action::Cancel { request, attempt } => {
                 let cancelled = ATTEMPT_FAILURES.iter().position(|o| *o == Outcome::Cancelled);
@@ -268,11 +275,11 @@
                     Due::End { request: request.0, attempt, server, failure: cancelled },
                 );
             }
-            Action::Subscribe => {
+            Action::PollDiscovery => {
                 if self.chance(0.7) {
-                    self.list_all(ListScope::Full);
+                    self.list_all(UpdateScope::Full);
                 } else {
-                    self.tell("Failed", Event::Backends { scope: ListScope::Failed, entries: &[] });
+                    self.tell("Failed", Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
                 }
             }
             Action::Log(line) => {
@@ -340,10 +347,10 @@
             time_left,
             work: self.random.bool().then_some(20_000),
             is_retry: self.chance(0.1),
-            allowed: self.allowed(),
-            attempts: if self.chance(0.1) { self.random.usize(1..4) } else { 0 },
-            coming,
-            ways_in: self.ways_in(),
+            endpoint_filter: self.allowed(),
+            max_attempts: if self.chance(0.1) { self.random.usize(1..4) } else { 0 },
+            body_pending: coming,
+            downstream_connections: self.ways_in(),
         };
         if coming > 0 {
             let at = self.now + self.random.i64(0..coming);
@@ -352,30 +359,30 @@
         self.tell("Request", Event::Request(request));
     }
 
-    fn allowed(&mut self) -> Option<Arc<Allowed>> {
+    fn allowed(&mut self) -> Option<Arc<EndpointFilter>> {
         if !self.chance(0.12) {
             return None;
         }
-        let mut allowed = Allowed::default();
+        let mut allowed = EndpointFilter::default();
         match self.random.usize(0..5) {
             0 => allowed.zones = vec![self.random.usize(0..self.scenario.zones)],
-            1 => allowed.kinds = vec![self.random.usize(0..KINDS), KINDS],
+            1 => allowed.machine_kinds = vec![self.random.usize(0..KINDS), KINDS],
             2 => allowed.cells = vec![self.random.u64(0..CELLS), self.random.u64(0..CELLS)],
             3 => {
                 allowed.zones = vec![0];
-                allowed.kinds = vec![0, 1];
+                allowed.machine_kinds = vec![0, 1];
             }
             _ => {}
         }
         Some(Arc::new(allowed))
     }
 
-    fn ways_in(&mut self) -> Option<WaysIn> {
+    fn ways_in(&mut self) -> Option<DownstreamConnections> {
         if !self.chance(0.1) {
             return None;
         }
         let all = self.random.usize(0..40);
-        Some(WaysIn { free: self.random.usize(0..=all), all })
+        Some(DownstreamConnections { idle: self.random.usize(0..=all), open: all })
     }
 
     fn end(&mut self, request: u64, attempt: usize, server: u32, failure: Option<usize>) {
@@ -390,10 +397,10 @@
         let took = self.random.i64(0..100_000);
         self.tell(
             "Outcome",
-            Event::Outcome {
+            Event::AttemptEnded {
                 request: RequestId(request),
                 attempt,
-                backend: BackendId(server),
+                endpoint: EndpointId(server),
                 outcome,
                 took,
                 is_final,
@@ -402,25 +409,25 @@
         );
     }
 
-    fn report(&mut self, server: u32) -> Option<Report> {
+    fn report(&mut self, server: u32) -> Option<LoadReport> {
         if !self.scenario.reports || self.chance(0.2) {
             return None;
         }
         let held = f64::from(self.held[self.server_index(server)]);
         let utilisation = if self.busy() { 0.8 + 0.4 * self.random.f64() } else { 0.6 * self.random.f64() };
         let odd = [f64::NAN, -1.0, f64::INFINITY, 0.0][self.random.usize(0..4)];
-        let mut report = Report {
-            inflight: self.random.bool().then_some(held),
-            queue: self.random.bool().then_some((held - 2.0).max(0.0)),
+        let mut report = LoadReport {
+            in_flight: self.random.bool().then_some(held),
+            queued: self.random.bool().then_some((held - 2.0).max(0.0)),
             utilisation: self.chance(0.8).then_some(utilisation),
             service_ms: Some(20.0),
-            rate: Some(50.0),
-            errors: Some(0.0),
+            requests_per_s: Some(50.0),
+            errors_per_s: Some(0.0),
         };
         match self.random.usize(0..30) {
-            0 => report.inflight = Some(odd),
+            0 => report.in_flight = Some(odd),
             1 => report.utilisation = Some(odd),
-            2 => (report.inflight, report.queue) = (None, Some(odd)),
+            2 => (report.in_flight, report.queued) = (None, Some(odd)),
             _ => {}
         }
         Some(report)
@@ -431,14 +438,14 @@
         let backend = self.servers[server].id;
         let report = self.report(backend.0);
         let outcome = ATTEMPT_FAILURES[self.random.usize(0..ATTEMPT_FAILURES.len())];
-        self.tell("Probed", Event::Probed { backend, outcome, took: 1_000, report });
+        self.tell("Probed", Event::HealthChecked { endpoint: backend, outcome, took: 1_000, report });
     }
 
     // ---- Discovery and peers ----
 
-    fn list_all(&mut self, scope: ListScope) {
+    fn list_all(&mut self, scope: UpdateScope) {
         let entries = self.servers.clone();
-        self.tell(scope_name(scope), Event::Backends { scope, entries: &entries });
+        self.tell(scope_name(scope), Event::EndpointUpdate { scope, endpoints: &entries });
     }
 
     fn change_servers(&mut self) {
@@ -450,16 +457,18 @@
             changed.push(self.servers[index].clone());
         }
         match self.random.usize(0..20) {
-            0 => self.tell("Failed", Event::Backends { scope: ListScope::Failed, entries: &changed }),
-            1 => self.list_all(ListScope::Cached),
-            2..=4 => self.list_all(ListScope::Full),
+            0 => {
+                self.tell("Failed", Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &changed })
+            }
+            1 => self.list_all(UpdateScope::Cached),
+            2..=4 => self.list_all(UpdateScope::Full),
             5 => {
                 // Servers that are on no other list.
-                let id = BackendId(1_000_000 + self.random.u32(0..3));
-                let entries = [BackendEntry { id, stage: Stage::Draining, ..BackendEntry::default() }];
-                self.tell("Delta", Event::Backends { scope: ListScope::Delta, entries: &entries });
+                let id = EndpointId(1_000_000 + self.random.u32(0..3));
+                let entries = [Endpoint { id, state: EndpointState::Draining, ..Endpoint::default() }];
+                self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &entries });
             }
-            _ => self.tell("Delta", Event::Backends { scope: ListScope::Delta, entries: &changed }),
+            _ => self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &changed }),
         }
     }
 
@@ -474,12 +483,12 @@
         };
         let server = &mut self.servers[index];
         match self.random.usize(0..10) {
-            0 => server.stage = Stage::Draining,
-            1 => server.stage = Stage::Gone,
+            0 => server.state = EndpointState::Draining,
+            1 => server.state = EndpointState::Removed,
             2 => server.zone = zone,
             3 => server.weight += 1.0,
             _ => {
-                server.stage = Stage::Ready;
+                server.state = EndpointState::Ready;
                 if self.scenario.server_restarts {
                     server.up_since = up_since;
                 }
@@ -499,7 +508,7 @@
             2 | 3 => 0,
             _ => self.random.u8(if self.busy() { 60..=253 } else { 1..=20 }),
         });
-        self.tell("Told", Event::Told { from, payload: &payload });
+        self.tell("Told", Event::GossipReceived { from, payload: &payload });
     }
 
     // ---- Events that make no sense ----
@@ -508,21 +517,26 @@
         match self.random.usize(0..14) {
             0 => self.tell("Timer", Event::Timer(2)),
             1 => self.tell("Timer", Event::Timer(u64::MAX)),
-            2 => self.tell("Came", Event::Came(RequestId(u64::MAX))),
-            3 => self.tell("ClientGone", Event::ClientGone(RequestId(u64::MAX))),
+            2 => self.tell("Came", Event::BodyReceived(RequestId(u64::MAX))),
+            3 => self.tell("ClientGone", Event::ClientDisconnected(RequestId(u64::MAX))),
             4 => self.tell("StreamStarted", Event::StreamStarted { request: RequestId(u64::MAX) }),
             5 => self.unknown_outcome(),
             6 => self.repeated_request(),
             7 => self.odd_request(),
             8 => self.odd_message(),
             9 => self.clock_back(),
-            10 => self.tell("Delta", Event::Backends { scope: ListScope::Delta, entries: &[] }),
+            10 => self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[] }),
             11 => {
-                let report = Some(Report { utilisation: Some(0.5), ..Report::default() });
-                let backend = BackendId(u32::MAX);
+                let report = Some(LoadReport { utilisation: Some(0.5), ..LoadReport::default() });
+                let backend = EndpointId(u32::MAX);
                 self.tell(
                     "Probed",
-                    Event::Probed { backend, outcome: Outcome::Ok, took: Micros::MIN, report },
+                    Event::HealthChecked {
+                        endpoint: backend,
+                        outcome: Outcome::Ok,
+                        took: Micros::MIN,
+                        report,
+                    },
                 );
             }
             12 => {
@@ -531,7 +545,7 @@
             }
             _ => {
                 let request = self.random.u64(0..=self.next_request);
-                self.tell("Came", Event::Came(RequestId(request)));
+                self.tell("Came", Event::BodyReceived(RequestId(request)));
             }
         }
     }
@@ -541,12 +555,12 @@
         let request = RequestId(self.random.u64(0..=self.next_request + 1));
         let attempt = self.random.usize(5..9);
         let outcome = ATTEMPT_FAILURES[self.random.usize(0..ATTEMPT_FAILURES.len())];
-        let backend = BackendId(self.random.u32(..));
-        let report = Some(Report { inflight: Some(3.0), ..Report::default() });
+        let backend = EndpointId(self.random.u32(..));
+        let report = Some(LoadReport { in_flight: Some(3.0), ..LoadReport::default() });
         let is_final = self.random.bool();
         self.tell(
             "Outcome",
-            Event::Outcome { request, attempt, backend, outcome, took: -1, is_final, report },
+            Event::AttemptEnded { request, attempt, endpoint: backend, outcome, took: -1, is_final, report },
         );
     }
 
@@ -561,8 +575,12 @@
         let id = RequestId(self.next_request);
         let odd = match self.random.usize(0..4) {
             0 => NewRequest { id, class: usize::MAX, time_left: 1_000_000, ..NewRequest::default() },
-            1 => NewRequest { id, time_left: Micros::MAX, coming: Micros::MAX, ..NewRequest::default() },
-            2 => NewRequest { id, time_left: Micros::MIN, coming: Micros::MIN, ..NewRequest::default() },
+            1 => {
+                NewRequest { id, time_left: Micros::MAX, body_pending: Micros::MAX, ..NewRequest::default() }
+            }
+            2 => {
+                NewRequest { id, time_left: Micros::MIN, body_pending: Micros::MIN, ..NewRequest::default() }
+            }
             _ => NewRequest { id, tenant: Some(usize::MAX), time_left: 800_000, ..NewRequest::default() },
         };
         self.tell("Request", Event::Request(odd));
@@ -573,7 +591,7 @@
         let payload: Vec<u8> = (0..length).map(|_| self.random.u8(..)).collect();
         let from = self.random.u32(0..=self.scenario.settings.balancers.min(64));
         let from = if self.random.bool() { from } else { u32::MAX };
-        self.tell("Told", Event::Told { from, payload: &payload });
+        self.tell("Told", Event::GossipReceived { from, payload: &payload });
     }
 
     /// An event whose clock is behind that of the event before.
@@ -587,7 +605,7 @@
     // ---- What is learned ----
 
     fn look_at_learned(&mut self) {
-        let learned = self.balancer.learned(self.now);
+        let learned = self.balancer.learned_state(self.now);
         self.digest.write(&format!("learned {}\n", recorded_form_of_learned(&learned)));
         self.played.learned += 1;
     }
@@ -595,15 +613,15 @@
     /// A fresh balancer takes over: it knows its servers, and learns from those before it and from one that
     /// says what cannot be.
     fn hand_over(&mut self) {
-        self.told.push(self.balancer.learned(self.now));
+        self.told.push(self.balancer.learned_state(self.now));
         let seed = self.random.u64(..);
         self.balancer = Balancer::new(self.scenario.settings.clone(), seed);
         self.due = self.due.drain().filter(|Reverse((_, _, due))| !matches!(due, Due::Timer(_))).collect();
         self.attempts.clear();
         self.open.clear();
         self.now += 300_000;
-        self.list_all(ListScope::Cached);
-        let mut told: Vec<Learned> = self.told.iter().rev().take(3).cloned().collect();
+        self.list_all(UpdateScope::Cached);
+        let mut told: Vec<LearnedState> = self.told.iter().rev().take(3).cloned().collect();
         told.iter_mut().for_each(|learned| learned.age = 300_000);
         if let Some(first) = told.first().cloned() {
             match self.told.len() {
@@ -613,25 +631,25 @@
             }
         }
         let now = self.now;
-        self.balancer.learn(now, &[]);
-        self.balancer.learn(now, &told);
+        self.balancer.import_learned_state(now, &[]);
+        self.balancer.import_learned_state(now, &told);
         self.look_at_learned();
     }
 }
 
 /// A telling with figures that cannot be.
-fn nonsense(mut learned: Learned) -> Learned {
+fn nonsense(mut learned: LearnedState) -> LearnedState {
     learned.age = -5;
-    learned.cursor = f64::NAN;
-    learned.baseline = Some(f64::INFINITY);
-    learned.threshold = 1e9;
-    learned.pool.sum = f64::NAN;
-    for server in &mut learned.servers {
-        server.out_for = Micros::MAX;
-        server.up_for = server.up_for.map(|_| Micros::MAX);
+    learned.cursor_position = f64::NAN;
+    learned.baseline_latency = Some(f64::INFINITY);
+    learned.threshold_per_endpoint = 1e9;
+    learned.pool_latency.sum = f64::NAN;
+    for server in &mut learned.endpoints {
+        server.ejected_for = Micros::MAX;
+        server.uptime = server.uptime.map(|_| Micros::MAX);
         server.classes.iter_mut().for_each(|mean| mean.weight = -1.0);
     }
-    learned.kinds.push((usize::MAX, learned.pool));
+    learned.latency_by_machine_kind.push((usize::MAX, learned.pool_latency));
     learned
 }
 
@@ -639,20 +657,20 @@
     match outcome {
         Outcome::Ok => "Ok",
         Outcome::Error => "Error",
-        Outcome::Full => "Full",
+        Outcome::Rejected => "Full",
         Outcome::Timeout => "Timeout",
         Outcome::ConnectFailed => "ConnectFailed",
         Outcome::Reset => "Reset",
         Outcome::Cancelled => "Cancelled",
-        Outcome::Moot => "Moot",
+        Outcome::NotSent => "Moot",
     }
 }
 
-fn scope_name(scope: ListScope) -> &'static str {
+fn scope_name(scope: UpdateScope) -> &'static str {
     match scope {
-        ListScope::Delta => "Delta",
-        ListScope::Full => "FullList",
-        ListScope::Cached => "Cached",
-        ListScope::Failed => "Failed",
+        UpdateScope::Delta => "Delta",
+        UpdateScope::Full => "FullList",
+        UpdateScope::Cached => "Cached",
+        UpdateScope::Failed => "Failed",
     }
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -5,18 +5,21 @@
 pub mod recorded_form;
 pub mod world;
 
-use decide::interface::*;
 use decide::Balancer;
+use decide::{
+    Action, Class, Endpoint, EndpointId, Event, Micros, NewRequest, Outcome, RequestId, Settings, UpdateScope,
+};
 
 /// One class that may be repeated, one tier, one balancer.
 pub fn settings() -> Settings {
-    let class = Class { aim: 500_000, deadline: 2_000_000, gain: 1.0, ..Class::default() };
+    let class =
+        Class { latency_objective: 500_000, deadline: 2_000_000, priority_weight: 1.0, ..Class::default() };
     Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() }
 }
 
 /// A ready server of a zone.
-pub fn server(id: u32, zone: usize) -> BackendEntry {
-    BackendEntry { id: BackendId(id), zone, ..BackendEntry::default() }
+pub fn server(id: u32, zone: usize) -> Endpoint {
+    Endpoint { id: EndpointId(id), zone, ..Endpoint::default() }
 }
 
 /// What a test drives.
@@ -28,14 +31,14 @@
 }
 
 impl Proxy {
-    pub fn new(settings: Settings, servers: &[BackendEntry]) -> Self {
+    pub fn new(settings: Settings, servers: &[Endpoint]) -> Self {
         Self::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: &[BackendEntry], seed: u64) -> Self {
+    pub fn seeded(settings: Settings, servers: &[Endpoint], seed: u64) -> Self {
         let mut proxy =
             Proxy { balancer: Balancer::new(settings, seed), now: 1_000_000, next: 0, timers: Vec::new() };
-        proxy.tell(Event::Backends { scope: ListScope::Cached, entries: servers });
+        proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: servers });
         proxy
     }
 
@@ -85,24 +88,32 @@
         &mut self,
         request: RequestId,
         attempt: usize,
-        backend: BackendId,
+        backend: EndpointId,
         outcome: Outcome,
         took: Micros,
     ) -> Vec<Action> {
         let is_final = outcome == Outcome::Ok;
-        self.tell(Event::Outcome { request, attempt, backend, outcome, took, is_final, report: None })
+        self.tell(Event::AttemptEnded {
+            request,
+            attempt,
+            endpoint: backend,
+            outcome,
+            took,
+            is_final,
+            report: None,
+        })
     }
 }
 
 /// Where the actions send a request.
-pub fn sent(actions: &[Action]) -> Vec<BackendId> {
+pub fn sent(actions: &[Action]) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
-        Action::Send { backend, .. } => Some(*backend),
+        Action::Send { endpoint: backend, .. } => Some(*backend),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
--- a/crates/decide/tests/common/world.rs
+++ b/crates/decide/tests/common/world.rs
@@ -3,8 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use decide::interface::*;
 use decide::Balancer;
+use decide::{
+    Action, Endpoint, EndpointId, Event, Micros, NewRequest, Outcome, RequestId, Settings, UpdateScope,
+};
 
 use super::digest::Digest;
 use super::recorded_form::recorded_form;
@@ -97,8 +99,8 @@
     }
 
     fn list(&mut self, b: usize) {
-        let entries: Vec<BackendEntry> = (0..self.servers.len()).map(|i| server(i as u32, 0)).collect();
-        self.tell(b, Event::Backends { scope: ListScope::Full, entries: &entries });
+        let entries: Vec<Endpoint> = (0..self.servers.len()).map(|i| server(i as u32, 0)).collect();
+        self.tell(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &entries });
     }
 
     /// A balancer's process ends, and another takes its place: what it had open is nobody's.
@@ -188,15 +190,23 @@
         let is_final = outcome == Outcome::Ok;
         if is_final {
             if let Some(asked) = self.asked.remove(&(balancer, request)) {
-                if self.now - asked <= self.settings.classes[0].aim {
+                if self.now - asked <= self.settings.classes[0].latency_objective {
                     self.served[balancer].push(asked);
                 }
             }
         }
-        let (backend, took) = (BackendId(server as u32), self.now - sent);
+        let (backend, took) = (EndpointId(server as u32), self.now - sent);
         self.tell(
             balancer,
-            Event::Outcome { request, attempt, backend, outcome, took, is_final, report: None },
+            Event::AttemptEnded {
+                request,
+                attempt,
+                endpoint: backend,
+                outcome,
+                took,
+                is_final,
+                report: None,
+            },
         );
     }
 
@@ -206,7 +216,7 @@
         for action in out {
             self.digest.write(&format!("{b} {}", recorded_form(&action)));
             match action {
-                Action::Send { request, backend, until } => {
+                Action::Send { request, endpoint: backend, deadline: until } => {
                     let server = backend.0 as usize;
                     self.count += 1;
                     let call = self.count;
@@ -225,7 +235,7 @@
                     }
                 }
                 Action::Timer { at, token } => self.plan(at, Due::Timer(b, token)),
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     self.asked.remove(&(b, request));
                 }
                 _ => {}
--- a/crates/decide/tests/decisions.rs
+++ b/crates/decide/tests/decisions.rs
@@ -1,10 +1,13 @@
 //! One small test for each failure found, named after it.
 mod common;
 use common::*;
-use decide::interface::*;
+use decide::{
+    Action, Class, DownstreamConnections, Endpoint, EndpointFilter, EndpointId, EndpointState, Event,
+    LoadReport, Micros, NewRequest, Outcome, RequestId, Settings, Tenant, UpdateScope,
+};
 
 /// Ready servers of one zone.
-fn pool(count: u32) -> Vec<BackendEntry> {
+fn pool(count: u32) -> Vec<Endpoint> {
     (0..count).map(|id| server(id, 0)).collect()
 }
 
@@ -39,7 +42,7 @@
 
 #[test]
 fn a_zone_that_is_cut_off_is_left_before_each_of_its_servers_has_failed() {
-    let servers: Vec<BackendEntry> = (0..48).map(|id| server(id, 1 + id as usize % 2)).collect();
+    let servers: Vec<Endpoint> = (0..48).map(|id| server(id, 1 + id as usize % 2)).collect();
     let mut proxy = Proxy::new(Settings { max_attempts: 9, ..settings() }, &servers);
     // Zone 1 is cut off: it never connects. Zone 2 answers.
     let mut failed = std::collections::BTreeSet::new();
@@ -75,7 +78,7 @@
 }
 
 fn talking() -> Settings {
-    Settings { balancers: 2, peers: true, ..settings() }
+    Settings { balancers: 2, gossip_allowed: true, ..settings() }
 }
 
 #[test]
@@ -84,13 +87,13 @@
     let mut proxy = Proxy::new(talking(), &servers);
     for _ in 0..40 {
         for crowded in 0..3u8 {
-            proxy.tell(Event::Told { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
+            proxy.tell(Event::GossipReceived { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
         }
         let (id, actions) = proxy.request(0);
-        let tells = actions.iter().filter(|a| matches!(a, Action::Tell { to: 1, .. })).count();
-        assert_eq!((sent(&actions), tells), (vec![BackendId(3)], 1));
+        let tells = actions.iter().filter(|a| matches!(a, Action::SendGossip { to: 1, .. })).count();
+        assert_eq!((sent(&actions), tells), (vec![EndpointId(3)], 1));
         proxy.wait(1_000);
-        proxy.outcome(id, 0, BackendId(3), Outcome::Ok, 1_000);
+        proxy.outcome(id, 0, EndpointId(3), Outcome::Ok, 1_000);
     }
 }
 
@@ -99,10 +102,10 @@
     let servers = pool(4);
     let mut proxy = Proxy::new(talking(), &servers);
     for crowded in 0..3u8 {
-        proxy.tell(Event::Told { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
+        proxy.tell(Event::GossipReceived { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
     }
     proxy.wait(60_000_000);
-    let used: std::collections::BTreeSet<BackendId> =
+    let used: std::collections::BTreeSet<EndpointId> =
         (0..4).flat_map(|_| sent(&proxy.request(0).1)).collect();
     assert_eq!(used.len(), 4);
 }
@@ -113,10 +116,10 @@
     let (mut plain, mut pestered) = (Proxy::new(talking(), &servers), Proxy::new(talking(), &servers));
     for _ in 0..30 {
         for payload in [&[][..], &[1], &[255; 256], &[9, 9, 9, 9, 9, 9], &[0, 0, 0, 0, 9]] {
-            assert!(pestered.tell(Event::Told { from: 1, payload }).is_empty());
+            assert!(pestered.tell(Event::GossipReceived { from: 1, payload }).is_empty());
         }
-        pestered.tell(Event::Told { from: 77, payload: &[0, 0, 0, 0, 200, 0] });
-        pestered.tell(Event::Told { from: 0, payload: &[1, 0, 0, 0, 200, 0] });
+        pestered.tell(Event::GossipReceived { from: 77, payload: &[0, 0, 0, 0, 200, 0] });
+        pestered.tell(Event::GossipReceived { from: 0, payload: &[1, 0, 0, 0, 200, 0] });
         assert_eq!(plain.request(0), pestered.request(0));
     }
 }
@@ -129,7 +132,7 @@
     assert!(!refused(&proxy.request(0).1));
     // 40 calls are more than four servers can start with; this balancer holds one of them.
     for peer in 1..40 {
-        proxy.tell(Event::Told { from: peer, payload: &[peer as u8 % 4, 0, 0, 0, 1, 0] });
+        proxy.tell(Event::GossipReceived { from: peer, payload: &[peer as u8 % 4, 0, 0, 0, 1, 0] });
     }
     assert!(refused(&proxy.request(0).1));
 }
@@ -142,7 +145,7 @@
     assert_eq!(early, [false; 4]);
     // Every period a peer tells of a call that took twice its aim; this balancer's own say nothing.
     for _ in 0..40 {
-        proxy.tell(Event::Told { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
+        proxy.tell(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
         proxy.wait(125_000);
     }
     // Four in flight meet the last threshold of the table, far under the first.
@@ -160,11 +163,11 @@
     }
     let (id, actions) = proxy.request(0);
     let full = sent(&actions)[0];
-    proxy.outcome(id, 0, full, Outcome::Full, 500);
+    proxy.outcome(id, 0, full, Outcome::Rejected, 500);
     // A peer met another full one.
-    let other = BackendId((full.0 + 1) % 4);
-    proxy.tell(Event::Told { from: 1, payload: &[other.0 as u8, 0, 0, 0, 0, 255] });
-    let busy: Vec<BackendId> = (0..8).flat_map(|_| sent(&proxy.request(0).1)).collect();
+    let other = EndpointId((full.0 + 1) % 4);
+    proxy.tell(Event::GossipReceived { from: 1, payload: &[other.0 as u8, 0, 0, 0, 0, 255] });
+    let busy: Vec<EndpointId> = (0..8).flat_map(|_| sent(&proxy.request(0).1)).collect();
     assert_eq!(busy.len(), 8);
     assert!(!busy.contains(&full) && !busy.contains(&other), "{busy:?}");
     proxy.wait(100_000);
@@ -177,7 +180,7 @@
     let mut proxy = Proxy::new(talking(), &servers);
     (0..4).for_each(|_| drop(proxy.request(0)));
     for _ in 0..40 {
-        proxy.tell(Event::Told { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
+        proxy.tell(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
         proxy.wait(125_000);
     }
     assert!(refused(&proxy.request(0).1));
@@ -187,7 +190,7 @@
 
 #[test]
 fn low_worth_is_refused_before_high() {
-    let class = |gain| Class { gain, ..settings().classes[0].clone() };
+    let class = |gain| Class { priority_weight: gain, ..settings().classes[0].clone() };
     let settings = Settings { classes: vec![class(1.0), class(3.0)], ..settings() };
     let mut proxy = Proxy::new(settings, &[server(0, 0), server(1, 0)]);
     let mut admitted = [0, 0];
@@ -199,7 +202,7 @@
 
 #[test]
 fn repeats_and_what_exceeds_a_tenants_share_stand_with_the_lowest_worth() {
-    let class = |gain| Class { gain, ..settings().classes[0].clone() };
+    let class = |gain| Class { priority_weight: gain, ..settings().classes[0].clone() };
     let tenants = vec![Tenant { quota_per_s: 10.0 }; 2];
     let settings = Settings { classes: vec![class(1.0), class(3.0)], tenants, ..settings() };
     let mut proxy = Proxy::new(settings, &pool(2));
@@ -228,24 +231,29 @@
 /// all of them. Of two, the other may be restarting as well; of three that are restarted in turn, one is there.
 #[test]
 fn the_last_connections_of_a_balancer_that_ends_stay_free_and_longest_for_high_worth() {
-    let class = |gain| Class { gain, ..settings().classes[0].clone() };
-    let two = Settings { classes: vec![class(1.0), class(3.0)], retry_after: true, ..settings() };
+    let class = |gain| Class { priority_weight: gain, ..settings().classes[0].clone() };
+    let two = Settings { classes: vec![class(1.0), class(3.0)], send_retry_after: true, ..settings() };
     let two = Settings { max_retry_after: 90_000, ..two };
     let answer = |settings: &Settings, class, ways_in| {
         let mut proxy = Proxy::new(settings.clone(), &pool(4));
-        let request =
-            NewRequest { id: RequestId(1), class, time_left: 2_000_000, ways_in, ..NewRequest::default() };
+        let request = NewRequest {
+            id: RequestId(1),
+            class,
+            time_left: 2_000_000,
+            downstream_connections: ways_in,
+            ..NewRequest::default()
+        };
         proxy.tell(Event::Request(request))
     };
     let least_free = |settings: &Settings, class, all| {
-        let ways = |free| Some(WaysIn { free, all });
+        let ways = |free| Some(DownstreamConnections { idle: free, open: all });
         (0..all).find(|&free| !refused(&answer(settings, class, ways(free)))).expect("some free are enough")
     };
     assert_eq!([least_free(&two, 0, 40), least_free(&two, 1, 40)], [4, 3]);
     // A few connections are for serving most of all.
     assert_eq!([least_free(&two, 0, 8), least_free(&two, 1, 3)], [2, 0]);
-    let none_free = Some(WaysIn { free: 0, all: 40 });
-    let advice = Action::Refuse { request: RequestId(1), retry_after: 90_000 };
+    let none_free = Some(DownstreamConnections { idle: 0, open: 40 });
+    let advice = Action::Reject { request: RequestId(1), retry_after: 90_000 };
     assert_eq!(answer(&two, 1, none_free), [advice]);
     // Where callers may go elsewhere, or open more, each connection serves.
     assert!(refused(&answer(&Settings { balancers: 2, ..two.clone() }, 1, none_free)));
@@ -258,25 +266,32 @@
 fn a_request_whose_body_is_on_its_way_counts_once_it_has_come() {
     let mut proxy = Proxy::new(settings(), &pool(2));
     let begin = |proxy: &mut Proxy, id, coming| {
-        let request = NewRequest { id: RequestId(id), coming, time_left: 400_000, ..NewRequest::default() };
+        let request = NewRequest {
+            id: RequestId(id),
+            body_pending: coming,
+            time_left: 400_000,
+            ..NewRequest::default()
+        };
         proxy.tell(Event::Request(request))
     };
     let mut coming = Vec::new();
     for id in 1000..1100 {
         let actions = begin(&mut proxy, id, 30_000_000);
-        let [Action::Send { backend, until, .. }] = actions[..] else { panic!("{actions:?}") };
+        let [Action::Send { endpoint: backend, deadline: until, .. }] = actions[..] else {
+            panic!("{actions:?}")
+        };
         assert_eq!(until, proxy.now + 30_400_000, "its time counts from when it has come");
         coming.push((RequestId(id), backend));
     }
     assert!(!refused(&begin(&mut proxy, 2000, 0)), "nobody has more to do for them");
     for (id, _) in &coming[..50] {
-        assert!(proxy.tell(Event::Came(*id)).is_empty());
-        proxy.tell(Event::Came(*id));
+        assert!(proxy.tell(Event::BodyReceived(*id)).is_empty());
+        proxy.tell(Event::BodyReceived(*id));
     }
     assert!(refused(&begin(&mut proxy, 2001, 0)), "fifty are over any first threshold of two servers");
     // However they end, each is counted out as it was counted in.
     for (i, (id, backend)) in coming.into_iter().enumerate() {
-        let outcome = if i % 2 == 0 { Outcome::Ok } else { Outcome::Moot };
+        let outcome = if i % 2 == 0 { Outcome::Ok } else { Outcome::NotSent };
         proxy.outcome(id, 0, backend, outcome, 1000);
     }
     // A first T1 of 10, of which the one that came in between still holds one.
@@ -287,10 +302,10 @@
 fn cold_settings() -> Settings {
     Settings {
         balancers: 10,
-        cold_from: 0.2,
-        cold_time: 10_000_000,
-        fall_multiple: 3.0,
-        fall_time: 2_000_000,
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: 10_000_000,
+        overload_multiple: 3.0,
+        overload_window: 2_000_000,
         ..settings()
     }
 }
@@ -303,16 +318,16 @@
     for n in 0..400 {
         if n == 200 {
             servers[3].up_since = Some(proxy.now);
-            proxy.tell(Event::Backends { scope: ListScope::Full, entries: &servers });
+            proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &servers });
             sends = [0.0; 4];
         }
-        let calls: Vec<(RequestId, Vec<BackendId>)> =
+        let calls: Vec<(RequestId, Vec<EndpointId>)> =
             (0..36).map(|_| proxy.request(0)).map(|(id, actions)| (id, sent(&actions))).collect();
         proxy.wait(10_000);
         for (id, to) in calls {
             for backend in to {
                 // Warm servers are slow enough for a cold one to look good.
-                let took = if backend == BackendId(3) { 1_000 } else { 10_000 };
+                let took = if backend == EndpointId(3) { 1_000 } else { 10_000 };
                 sends[backend.0 as usize] += 1.0;
                 proxy.outcome(id, 0, backend, Outcome::Ok, took);
             }
@@ -336,7 +351,7 @@
             proxy.wait(50_000);
             for (id, actions) in open {
                 for backend in sent(&actions) {
-                    to_cold += usize::from(backend == BackendId(0));
+                    to_cold += usize::from(backend == EndpointId(0));
                     proxy.outcome(id, 0, backend, Outcome::Ok, 50_000);
                 }
             }
@@ -345,7 +360,7 @@
     };
     serve(&mut proxy, 200, 500_000);
     servers[0].up_since = Some(proxy.now);
-    proxy.tell(Event::Backends { scope: ListScope::Full, entries: &servers });
+    proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &servers });
     // A cold server needs 250 ms at first, and whoever cannot wait for so long is not sent there.
     assert_eq!(serve(&mut proxy, 40, 100_000), 0);
     // Two seconds, each with a call a second at most.
@@ -355,8 +370,8 @@
 
 #[test]
 fn a_new_balancer_gives_cold_servers_next_to_nothing() {
-    let servers: Vec<BackendEntry> =
-        (0..4).map(|id| BackendEntry { up_since: Some(1_000_000), ..server(id, 0) }).collect();
+    let servers: Vec<Endpoint> =
+        (0..4).map(|id| Endpoint { up_since: Some(1_000_000), ..server(id, 0) }).collect();
     let mut proxy = Proxy::new(cold_settings(), &servers);
     let sends: usize = (0..100).map(|_| sent(&proxy.request(0).1).len()).sum();
     assert!(sends <= 4, "{sends} sends to four cold servers");
@@ -370,7 +385,7 @@
     let early: Vec<bool> = (0..18).map(|_| refused(&proxy.request(0).1)).collect();
     assert_eq!(early, [false; 18]);
     let period = |proxy: &mut Proxy, figure| {
-        proxy.tell(Event::Told { from: 1, payload: &[0, 0, 0, 0, 3, figure] });
+        proxy.tell(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, figure] });
         proxy.wait(125_000);
     };
     (0..8).for_each(|_| period(&mut proxy, 128));
@@ -389,8 +404,8 @@
     for n in 0..60 {
         let (id, actions) = proxy.request(0);
         let Some(&backend) = sent(&actions).first() else { continue };
-        got += usize::from(n >= 30 && backend == BackendId(0));
-        let odd = backend == BackendId(0);
+        got += usize::from(n >= 30 && backend == EndpointId(0));
+        let odd = backend == EndpointId(0);
         let (outcome, took) = if odd { (outcome, took) } else { (Outcome::Ok, 10_000) };
         proxy.wait(took);
         proxy.outcome(id, 0, backend, outcome, took);
@@ -407,7 +422,7 @@
         let backend = sent(&actions)[0];
         proxy.wait(10_000);
         // In a row, once both are known.
-        let odd = backend == BackendId(0) && left > 0 && proxy.now > 1_500_000;
+        let odd = backend == EndpointId(0) && left > 0 && proxy.now > 1_500_000;
         left -= usize::from(odd);
         let outcome = if odd { Outcome::Reset } else { Outcome::Ok };
         proxy.outcome(id, 0, backend, outcome, 10_000);
@@ -416,7 +431,7 @@
         }
     }
     assert_eq!(left, 0);
-    (0..80).filter(|_| sent(&proxy.request(0).1).first() == Some(&BackendId(0))).count()
+    (0..80).filter(|_| sent(&proxy.request(0).1).first() == Some(&EndpointId(0))).count()
 }
 
 #[test]
@@ -484,7 +499,7 @@
         proxy.wait(20_000);
         for (class, (id, actions)) in calls {
             let Some(&backend) = sent(&actions).first() else { continue };
-            let odd = backend == BackendId(0);
+            let odd = backend == EndpointId(0);
             got[class] += usize::from(odd && round >= 20);
             let outcome = if odd && class == 1 { Outcome::Error } else { Outcome::Ok };
             proxy.outcome(id, 0, backend, outcome, 20_000);
@@ -498,7 +513,7 @@
     let mut proxy = Proxy::new(Settings { max_attempts: 1, ..settings() }, &pool(2));
     let (id, actions) = proxy.request(0);
     let backend = sent(&actions)[0];
-    proxy.tell(Event::ClientGone(id));
+    proxy.tell(Event::ClientDisconnected(id));
     proxy.outcome(id, 0, backend, Outcome::Cancelled, 1_000);
     // One call is out again; a repeat of the other's end must not make its server look idle.
     let (_, actions) = proxy.request(0);
@@ -527,15 +542,15 @@
 
 #[test]
 fn clients_that_leave_early_move_the_cursor_as_late_answers_do() {
-    let low = Class { gain: 1.0, ..settings().classes[0].clone() };
-    let high = Class { gain: 9.0, ..low.clone() };
+    let low = Class { priority_weight: 1.0, ..settings().classes[0].clone() };
+    let high = Class { priority_weight: 9.0, ..low.clone() };
     let mut proxy = Proxy::new(Settings { classes: vec![low, high], ..settings() }, &pool(4));
     // Each client leaves after a tenth of the aim; no answer ever says that this was late.
     let mut low_refused = 0;
     for _ in 0..30 {
         let ids: Vec<RequestId> = (0..4).map(|_| proxy.request(1).0).collect();
         proxy.wait(50_000);
-        ids.into_iter().for_each(|id| drop(proxy.tell(Event::ClientGone(id))));
+        ids.into_iter().for_each(|id| drop(proxy.tell(Event::ClientDisconnected(id))));
         proxy.wait(75_000);
         low_refused += usize::from(refused(&proxy.request(0).1));
     }
@@ -545,7 +560,7 @@
 #[test]
 fn calls_that_are_out_for_longer_than_their_aim_move_the_cursor() {
     // A first T1 of 4, and room for chance while the cursor is in the first slots. Nothing has an answer yet.
-    let class = Class { late_value: 0.5, ..settings().classes[0].clone() };
+    let class = Class { late_answer_value: 0.5, ..settings().classes[0].clone() };
     let mut proxy = Proxy::new(Settings { balancers: 10, classes: vec![class], ..settings() }, &pool(4));
     let admitted = (0..4).filter(|_| !refused(&proxy.request(0).1)).count();
     assert_eq!(admitted, 4);
@@ -564,8 +579,9 @@
         let mut proxy = Proxy::new(settings(), &pool(4));
         (0..held).for_each(|_| drop(proxy.request(0)));
         for _ in 0..20 {
-            let report = Some(Report { utilisation: Some(0.99), ..Report::default() });
-            let probed = Event::Probed { backend: BackendId(0), outcome: Outcome::Ok, took: 1000, report };
+            let report = Some(LoadReport { utilisation: Some(0.99), ..LoadReport::default() });
+            let probed =
+                Event::HealthChecked { endpoint: EndpointId(0), outcome: Outcome::Ok, took: 1000, report };
             proxy.tell(probed);
             proxy.wait(125_000);
         }
@@ -582,8 +598,13 @@
     let mut sends = 0;
     for rank in 0..300 {
         let mut servers = pool(2);
-        let settings =
-            Settings { balancers: 300, rank, fall_multiple: 2.0, fall_time: 1_000_000, ..cold_settings() };
+        let settings = Settings {
+            balancers: 300,
+            rank,
+            overload_multiple: 2.0,
+            overload_window: 1_000_000,
+            ..cold_settings()
+        };
         let mut proxy = Proxy::seeded(settings, &servers[..1], u64::from(rank));
         for _ in 0..4 {
             let (id, actions) = proxy.request(0);
@@ -591,9 +612,9 @@
             sent(&actions).into_iter().for_each(|b| drop(proxy.outcome(id, 0, b, Outcome::Ok, 500_000)));
         }
         servers[1].up_since = Some(proxy.now);
-        servers[0].stage = Stage::Draining;
+        servers[0].state = EndpointState::Draining;
         proxy.wait(3_000_000);
-        proxy.tell(Event::Backends { scope: ListScope::Full, entries: &servers });
+        proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &servers });
         sends += (0..2).flat_map(|_| sent(&proxy.request(0).1)).count();
     }
     // One server carried 600 calls a second: a burst of a quarter of a second's worth is the most to bear.
@@ -605,17 +626,18 @@
 fn a_request_that_names_its_servers_goes_nowhere_else() {
     for count in [4, 100] {
         let entries: Vec<_> = (0..count)
-            .map(|id| BackendEntry {
-                kind: id as usize % 2,
+            .map(|id| Endpoint {
+                machine_kind: id as usize % 2,
                 cell: Some(id.into()),
                 ..server(id, id as usize % 4)
             })
             .collect();
         let mut proxy = Proxy::new(settings(), &entries);
-        let mut to = |allowed: Allowed, id: u64| {
+        let mut to = |allowed: EndpointFilter, id: u64| {
             let allowed = Some(std::sync::Arc::new(allowed));
             let id = RequestId(id);
-            let request = NewRequest { id, time_left: 2_000_000, allowed, ..NewRequest::default() };
+            let request =
+                NewRequest { id, time_left: 2_000_000, endpoint_filter: allowed, ..NewRequest::default() };
             let actions = proxy.tell(Event::Request(request));
             let chosen = sent(&actions).first().copied();
             if let Some(backend) = chosen {
@@ -631,13 +653,13 @@
             Vec::new()
         };
         for id in 0..40 {
-            let zone = Allowed { zones: vec![3], ..Allowed::default() };
+            let zone = EndpointFilter { zones: vec![3], ..EndpointFilter::default() };
             let got = to(zone, 3 * id + 1);
             assert!(!got.is_empty() && got.iter().all(|b| b % 4 == 3), "{got:?}");
-            let cell = Allowed { cells: vec![2], ..Allowed::default() };
+            let cell = EndpointFilter { cells: vec![2], ..EndpointFilter::default() };
             assert!(to(cell, 3 * id + 2).iter().all(|b| *b == 2));
             // Zone 1 has no machine of kind 0.
-            let none = Allowed { zones: vec![1], kinds: vec![0], ..Allowed::default() };
+            let none = EndpointFilter { zones: vec![1], machine_kinds: vec![0], ..EndpointFilter::default() };
             assert!(to(none, 3 * id + 3).is_empty());
         }
     }
--- a/crates/decide/tests/equality.rs
+++ b/crates/decide/tests/equality.rs
@@ -8,7 +8,7 @@
 
 use common::event_sequence::{play, Played, Scenario};
 use common::recorded_form::recorded_form;
-use decide::interface::*;
+use decide::{Action, Class, DeduplicationGroup, EndpointId, Micros, RequestId, Semantics, Settings, Tenant};
 
 const SEEDS: [u64; 2] = [11, 12];
 const EVENTS: usize = 6_000;
@@ -115,10 +115,16 @@
 ];
 
 fn class(aim: Micros, gain: f64, late_value: f64, semantics: Semantics) -> Class {
-    Class { aim, deadline: 2_000_000, gain, late_value, semantics }
+    Class {
+        latency_objective: aim,
+        deadline: 2_000_000,
+        priority_weight: gain,
+        late_answer_value: late_value,
+        semantics,
+    }
 }
 
-fn deduplicated(group: Group) -> Semantics {
+fn deduplicated(group: DeduplicationGroup) -> Semantics {
     Semantics::Deduplicated { group, window: 400_000 }
 }
 
@@ -126,9 +132,9 @@
     vec![
         class(500_000, 1.0, 0.0, Semantics::Idempotent),
         class(500_000, 4.0, 0.0, Semantics::AtMostOnce),
-        class(800_000, 2.0, 0.5, deduplicated(Group::All)),
-        class(600_000, 2.0, 0.0, deduplicated(Group::Zone)),
-        class(400_000, 3.0, 0.2, deduplicated(Group::Cell)),
+        class(800_000, 2.0, 0.5, deduplicated(DeduplicationGroup::All)),
+        class(600_000, 2.0, 0.0, deduplicated(DeduplicationGroup::Zone)),
+        class(400_000, 3.0, 0.2, deduplicated(DeduplicationGroup::Cell)),
     ]
 }
 
@@ -158,7 +164,7 @@
         classes,
         max_attempts: 2,
         can_cancel: true,
-        retry_after: true,
+        send_retry_after: true,
         max_retry_after: 900_000,
         ..common::settings()
     };
@@ -171,8 +177,8 @@
         classes: every_class(),
         cross_zone_price: 0.02,
         can_cancel: true,
-        second_copies: true,
-        retry_after: true,
+        hedging_allowed: true,
+        send_retry_after: true,
         max_retry_after: 500_000,
         ..common::settings()
     };
@@ -186,12 +192,12 @@
         class(500_000, 1.0, 0.5, Semantics::Idempotent),
         class(300_000, 5.0, 0.0, Semantics::Idempotent),
     ];
-    let settings = Settings { classes, tenants, retry_after: true, ..common::settings() };
+    let settings = Settings { classes, tenants, send_retry_after: true, ..common::settings() };
     Scenario { settings, ..single() }
 }
 
 fn load_reports() -> Scenario {
-    let settings = Settings { balancers: 2, can_probe: true, ..common::settings() };
+    let settings = Settings { balancers: 2, health_checks_allowed: true, ..common::settings() };
     Scenario { settings, zones: 2, reports: true, ..single() }
 }
 
@@ -199,10 +205,10 @@
     let settings = Settings {
         balancers: 10,
         rank: 3,
-        ask_discovery: true,
-        must_ask_in: 2_000_000,
+        poll_discovery: true,
+        max_poll_interval: 2_000_000,
         classes: every_class(),
-        tick: 1_000,
+        timer_resolution: 1_000,
         ..common::settings()
     };
     Scenario { settings, servers: 40, zones: 2, failures: 0.1, ..single() }
@@ -214,9 +220,9 @@
         tier: 1,
         tiers: 3,
         classes: every_class(),
-        retry_after: true,
+        send_retry_after: true,
         max_retry_after: 900_000,
-        second_copies: true,
+        hedging_allowed: true,
         ..common::settings()
     };
     Scenario { settings, zones: 2, reports: true, failures: 0.1, service: 15_000, ..single() }
@@ -226,7 +232,7 @@
     let settings = Settings {
         balancers: 8,
         rank: 5,
-        peers: true,
+        gossip_allowed: true,
         tier: 1,
         tiers: 2,
         classes: every_class(),
@@ -240,7 +246,7 @@
     let settings = Settings {
         balancers: 60,
         rank: 59,
-        peers: true,
+        gossip_allowed: true,
         classes: every_class(),
         cross_zone_price: 0.1,
         ..common::settings()
@@ -252,10 +258,10 @@
     let settings = Settings {
         balancers: 60,
         rank: 17,
-        ask_discovery: true,
-        must_ask_in: 3_000_000,
+        poll_discovery: true,
+        max_poll_interval: 3_000_000,
         classes: every_class(),
-        second_copies: true,
+        hedging_allowed: true,
         cross_zone_price: 0.05,
         zone: 1,
         ..common::settings()
@@ -265,10 +271,10 @@
 
 fn cold_settings() -> Settings {
     Settings {
-        cold_from: 0.1,
-        cold_time: 10_000_000,
-        fall_multiple: 1.5,
-        fall_time: 1_000_000,
+        slow_start_min_capacity: 0.1,
+        slow_start_duration: 10_000_000,
+        overload_multiple: 1.5,
+        overload_window: 1_000_000,
         ..common::settings()
     }
 }
@@ -279,7 +285,7 @@
 }
 
 fn cold_large_pool() -> Scenario {
-    let settings = Settings { balancers: 8, rank: 2, peers: true, ..cold_settings() };
+    let settings = Settings { balancers: 8, rank: 2, gossip_allowed: true, ..cold_settings() };
     Scenario { settings, servers: 200, zones: 2, server_restarts: true, request_gap: 4_000, ..single() }
 }
 
@@ -310,7 +316,7 @@
 /// Figures that no check lets pass; the balancer brings them within bounds.
 fn unusable_settings() -> Scenario {
     let classes = vec![
-        class(Micros::MAX, f64::NAN, -1.0, deduplicated(Group::Zone)),
+        class(Micros::MAX, f64::NAN, -1.0, deduplicated(DeduplicationGroup::Zone)),
         class(0, f64::INFINITY, f64::NAN, Semantics::Idempotent),
         class(400_000, -3.0, 1.0, Semantics::AtMostOnce),
     ];
@@ -320,10 +326,10 @@
         tier: 4,
         tiers: 0,
         max_attempts: 0,
-        tick: 20_000,
+        timer_resolution: 20_000,
         cross_zone_price: f64::NAN,
-        cold_time: Micros::MIN,
-        fall_time: Micros::MAX,
+        slow_start_duration: Micros::MIN,
+        overload_window: Micros::MAX,
         classes,
         ..common::settings()
     };
@@ -397,19 +403,19 @@
 
 #[test]
 fn the_recorded_form_is_literal() {
-    let (request, backend) = (RequestId(1), BackendId(2));
+    let (request, backend) = (RequestId(1), EndpointId(2));
     let forms = [
         (
-            Action::Send { request, backend, until: -3 },
+            Action::Send { request, endpoint: backend, deadline: -3 },
             "Send { request: RequestId(1), backend: BackendId(2), until: -3 }",
         ),
-        (Action::Refuse { request, retry_after: 4 }, "Refuse { request: RequestId(1), retry_after: 4 }"),
+        (Action::Reject { request, retry_after: 4 }, "Refuse { request: RequestId(1), retry_after: 4 }"),
         (Action::Fail(request), "Fail(RequestId(1))"),
         (Action::Cancel { request, attempt: 5 }, "Cancel { request: RequestId(1), attempt: 5 }"),
         (Action::Timer { at: 6, token: 7 }, "Timer { at: 6, token: 7 }"),
-        (Action::Subscribe, "Subscribe"),
-        (Action::Probe(backend), "Probe(BackendId(2))"),
-        (Action::Tell { to: 8, payload: vec![9, 255] }, "Tell { to: 8, payload: [9, 255] }"),
+        (Action::PollDiscovery, "Subscribe"),
+        (Action::HealthCheck(backend), "Probe(BackendId(2))"),
+        (Action::SendGossip { to: 8, payload: vec![9, 255] }, "Tell { to: 8, payload: [9, 255] }"),
         (Action::Log("a \"line\"\n".to_owned()), "Log(\"a \\\"line\\\"\\n\")"),
     ];
     for (action, form) in forms {
--- a/crates/decide/tests/learned.rs
+++ b/crates/decide/tests/learned.rs
@@ -3,9 +3,9 @@
 
 use common::world::{Server, World};
 use common::{sent, server, settings, Proxy};
-use decide::interface::*;
-use decide::learned::{self, Learned, Mean};
+use decide::learned::{self, DecayedMean, LearnedState};
 use decide::Balancer;
+use decide::{Class, Endpoint, EndpointId, EndpointState, Micros, Outcome, Semantics, Settings};
 
 const SECOND: Micros = 1_000_000;
 
@@ -19,8 +19,8 @@
 }
 
 /// What each balancer knows, so long ago.
-fn told(world: &World, age: Micros) -> Vec<Learned> {
-    let one = |b: &Balancer| Learned { age, ..b.learned(world.now) };
+fn told(world: &World, age: Micros) -> Vec<LearnedState> {
+    let one = |b: &Balancer| LearnedState { age, ..b.learned_state(world.now) };
     world.balancers.iter().map(one).collect()
 }
 
@@ -35,7 +35,7 @@
 }
 
 /// What is done with a balancer at its start, given what all of them knew, and when it is.
-type Teach<'a> = &'a dyn Fn(&[Learned], &mut Balancer, Micros);
+type Teach<'a> = &'a dyn Fn(&[LearnedState], &mut Balancer, Micros);
 
 const SPANS: [Micros; 3] = [SECOND, 3 * SECOND, 10 * SECOND];
 
@@ -67,8 +67,8 @@
     const SEEDS: u64 = 4;
     let steady = after(SEEDS, None);
     let cold = after(SEEDS, Some(&|_, _, _| {}));
-    let warm = after(SEEDS, Some(&|told, b, now| b.learn(now, &told[..1])));
-    let taught = after(SEEDS, Some(&|told, b, now| b.learn(now, &told[1..])));
+    let warm = after(SEEDS, Some(&|told, b, now| b.import_learned_state(now, &told[..1])));
+    let taught = after(SEEDS, Some(&|told, b, now| b.import_learned_state(now, &told[1..])));
     for at in 0..SPANS.len() {
         let (steady, cold, warm, taught) = (steady[at], cold[at], warm[at], taught[at]);
         println!(
@@ -90,10 +90,10 @@
 fn figures_of_hours_ago_say_nothing() {
     let blind = after(2, Some(&|_, _, _| {}))[1];
     for age in [3_600 * SECOND, Micros::MAX] {
-        let old = |told: &[Learned]| -> Vec<Learned> {
-            told.iter().map(|l| Learned { age, ..l.clone() }).collect()
+        let old = |told: &[LearnedState]| -> Vec<LearnedState> {
+            told.iter().map(|l| LearnedState { age, ..l.clone() }).collect()
         };
-        let stale = after(2, Some(&|told, b, now| b.learn(now, &old(told))))[1];
+        let stale = after(2, Some(&|told, b, now| b.import_learned_state(now, &old(told))))[1];
         let apart = stale.served.abs_diff(blind.served) as f64 / blind.served as f64;
         assert!(apart < 0.1, "{age}: {stale:?} {blind:?}");
     }
@@ -114,7 +114,7 @@
         world.run(10 * SECOND);
         world.restart(0, seed + 3);
         let now = world.now;
-        world.balancers[0].learn(now, &told[..1]);
+        world.balancers[0].import_learned_state(now, &told[..1]);
         world.run(10 * SECOND);
         let calls = |server: usize| {
             world.sent[0].iter().filter(|(at, s)| *at > now + 5 * SECOND && *s == server).count() as f64
@@ -131,17 +131,21 @@
 }
 
 /// A telling by which all servers but one are dead, as figures and as servers that are out.
-fn all_dead_but(one: u32, servers: u32, classes: usize) -> Learned {
-    let dead = Mean { sum: 1e12, weight: 1e6, age: 0 };
-    let quick = Mean { sum: 1e-6, weight: 1e6, age: 0 };
-    let server = |id: u32| learned::Server {
-        id: BackendId(id),
+fn all_dead_but(one: u32, servers: u32, classes: usize) -> LearnedState {
+    let dead = DecayedMean { sum: 1e12, weight: 1e6, age: 0 };
+    let quick = DecayedMean { sum: 1e-6, weight: 1e6, age: 0 };
+    let server = |id: u32| learned::LearnedEndpoint {
+        id: EndpointId(id),
         classes: vec![if id == one { quick } else { dead }; classes],
-        fails: if id == one { 0 } else { 99 },
-        out_for: if id == one { 0 } else { 3_600 * SECOND },
-        ..learned::Server::default()
+        consecutive_failures: if id == one { 0 } else { 99 },
+        ejected_for: if id == one { 0 } else { 3_600 * SECOND },
+        ..learned::LearnedEndpoint::default()
     };
-    Learned { up_for: 3_600 * SECOND, servers: (0..servers).map(server).collect(), ..Learned::default() }
+    LearnedState {
+        uptime: 3_600 * SECOND,
+        endpoints: (0..servers).map(server).collect(),
+        ..LearnedState::default()
+    }
 }
 
 #[test]
@@ -152,9 +156,9 @@
         let mut world = World::new(&settings, servers, 400.0, 5);
         world.rate = vec![0.0];
         world.run(SECOND / 10);
-        let mad: Vec<Learned> = (0..tellers).map(|_| all_dead_but(3, 10, 1)).collect();
+        let mad: Vec<LearnedState> = (0..tellers).map(|_| all_dead_but(3, 10, 1)).collect();
         let now = world.now;
-        world.balancers[0].learn(now, &mad);
+        world.balancers[0].import_learned_state(now, &mad);
         world.rate = vec![400.0];
         world.run(4 * SECOND);
         let to_it = world.sent[0].iter().filter(|(_, s)| *s == 3).count();
@@ -170,15 +174,15 @@
 #[test]
 fn one_wrong_telling_among_three_is_outvoted() {
     let told = |wrong: bool| {
-        let good = |b: &Balancer, now| Learned { age: SECOND, ..b.learned(now) };
+        let good = |b: &Balancer, now| LearnedState { age: SECOND, ..b.learned_state(now) };
         let mut world = world(1);
-        let mut all: Vec<Learned> = world.balancers[1..].iter().map(|b| good(b, world.now)).collect();
+        let mut all: Vec<LearnedState> = world.balancers[1..].iter().map(|b| good(b, world.now)).collect();
         if wrong {
             all.push(all_dead_but(0, 10, 1));
         }
         world.restart(0, 9);
         let now = world.now;
-        world.balancers[0].learn(now, &all);
+        world.balancers[0].import_learned_state(now, &all);
         world.run(2 * SECOND);
         world.sent[0].iter().filter(|(at, s)| *at >= now && *s < 2).count()
     };
@@ -189,38 +193,42 @@
 #[test]
 fn what_is_told_touches_no_rule() {
     // A drain, a server that is cold, and a class that must not run twice, with the best of recommendations.
-    let cold = BackendEntry { up_since: Some(1_000_000), ..server(2, 0) };
-    let draining = BackendEntry { stage: Stage::Draining, ..server(1, 0) };
+    let cold = Endpoint { up_since: Some(1_000_000), ..server(2, 0) };
+    let draining = Endpoint { state: EndpointState::Draining, ..server(1, 0) };
     let class = Class { semantics: Semantics::AtMostOnce, ..settings().classes[0].clone() };
     let settings = Settings {
         classes: vec![class],
-        cold_time: 10 * SECOND,
-        cold_from: 0.1,
-        fall_multiple: 2.0,
-        fall_time: SECOND,
+        slow_start_duration: 10 * SECOND,
+        slow_start_min_capacity: 0.1,
+        overload_multiple: 2.0,
+        overload_window: SECOND,
         ..settings()
     };
     let list = [server(0, 0), draining, cold];
     let recommend = |ids: &[u32]| {
-        let quick = Mean { sum: 0.1, weight: 1e6, age: 0 };
-        let of = |id: &u32| learned::Server {
-            id: BackendId(*id),
-            up_for: (*id == 2).then_some(0),
+        let quick = DecayedMean { sum: 0.1, weight: 1e6, age: 0 };
+        let of = |id: &u32| learned::LearnedEndpoint {
+            id: EndpointId(*id),
+            uptime: (*id == 2).then_some(0),
             classes: vec![quick],
-            cold_tokens: 1e9,
-            ..learned::Server::default()
+            slow_start_tokens: 1e9,
+            ..learned::LearnedEndpoint::default()
         };
-        Learned { up_for: 3_600 * SECOND, servers: ids.iter().map(of).collect(), ..Learned::default() }
+        LearnedState {
+            uptime: 3_600 * SECOND,
+            endpoints: ids.iter().map(of).collect(),
+            ..LearnedState::default()
+        }
     };
     let (mut told, mut untold) = (Proxy::new(settings.clone(), &list), Proxy::new(settings, &list));
-    told.balancer.learn(told.now, &[recommend(&[1, 2])]);
+    told.balancer.import_learned_state(told.now, &[recommend(&[1, 2])]);
     let mut to_cold = [0, 0];
     for (proxy, count) in [&mut told, &mut untold].into_iter().zip(&mut to_cold) {
         for _ in 0..40 {
             let (id, actions) = proxy.request(0);
             for to in sent(&actions) {
-                assert_ne!(to, BackendId(1), "a drain is kept");
-                *count += usize::from(to == BackendId(2));
+                assert_ne!(to, EndpointId(1), "a drain is kept");
+                *count += usize::from(to == EndpointId(2));
                 let again = proxy.outcome(id, 0, to, Outcome::Reset, 1_000);
                 assert!(sent(&again).is_empty(), "it may have run");
             }
@@ -232,25 +240,25 @@
 
 #[test]
 fn another_process_of_a_server_has_nothing_of_the_former() {
-    let list = |up: Micros| [BackendEntry { up_since: Some(up), ..server(0, 0) }, server(1, 0)];
+    let list = |up: Micros| [Endpoint { up_since: Some(up), ..server(0, 0) }, server(1, 0)];
     let slow = |up_for: Micros| {
-        let out = learned::Server {
-            id: BackendId(0),
-            up_for: Some(up_for),
-            classes: vec![Mean { sum: 600.0, weight: 100.0, age: 0 }],
-            ..learned::Server::default()
+        let out = learned::LearnedEndpoint {
+            id: EndpointId(0),
+            uptime: Some(up_for),
+            classes: vec![DecayedMean { sum: 600.0, weight: 100.0, age: 0 }],
+            ..learned::LearnedEndpoint::default()
         };
-        Learned { up_for: 3_600 * SECOND, servers: vec![out], ..Learned::default() }
+        LearnedState { uptime: 3_600 * SECOND, endpoints: vec![out], ..LearnedState::default() }
     };
-    let calls = |told: Option<Learned>| {
+    let calls = |told: Option<LearnedState>| {
         let mut proxy = Proxy::new(settings(), &list(-500 * SECOND));
-        proxy.balancer.learn(proxy.now, &told.into_iter().collect::<Vec<_>>());
-        (0..20).filter(|_| sent(&proxy.request(0).1) == [BackendId(0)]).count()
+        proxy.balancer.import_learned_state(proxy.now, &told.into_iter().collect::<Vec<_>>());
+        (0..20).filter(|_| sent(&proxy.request(0).1) == [EndpointId(0)]).count()
     };
     // At 1 s of its clock the process has been up for 501 s.
     assert!(calls(Some(slow(501 * SECOND))) < calls(None) / 2);
     assert_eq!(calls(Some(slow(400 * SECOND))), calls(None), "another start");
-    let aged = Learned { age: 100 * SECOND, ..slow(401 * SECOND) };
+    let aged = LearnedState { age: 100 * SECOND, ..slow(401 * SECOND) };
     assert!(calls(Some(aged)) < calls(None), "the same start, told a while ago");
 }
 
@@ -260,37 +268,40 @@
     let times = [Micros::MIN, -1, 0, 1, SECOND, Micros::MAX];
     let mut random = fastrand::Rng::with_seed(3);
     for round in 0..2_000 {
-        let mut mean = || Mean {
+        let mut mean = || DecayedMean {
             sum: odd[random.usize(..odd.len())],
             weight: odd[random.usize(..odd.len())],
             age: times[random.usize(..times.len())],
         };
-        let servers = (0..5).map(|id| learned::Server {
-            id: BackendId(id),
-            up_for: Some(mean().age).filter(|t| *t > 0),
+        let servers = (0..5).map(|id| learned::LearnedEndpoint {
+            id: EndpointId(id),
+            uptime: Some(mean().age).filter(|t| *t > 0),
             classes: vec![mean(), mean()],
-            fails: u32::MAX,
-            out_for: mean().age,
-            cold_tokens: mean().sum,
+            consecutive_failures: u32::MAX,
+            ejected_for: mean().age,
+            slow_start_tokens: mean().sum,
         });
         let servers = servers.collect();
-        let mad = Learned {
+        let mad = LearnedState {
             age: mean().age,
-            up_for: mean().age,
-            servers,
-            kinds: vec![(0, mean()), (usize::MAX, mean())],
-            zones: vec![(0, mean()), (9, mean())],
-            usual: vec![mean(), mean(), mean()],
-            pool: mean(),
-            threshold: mean().sum,
-            cursor: mean().sum,
-            baseline: Some(mean().sum),
+            uptime: mean().age,
+            endpoints: servers,
+            latency_by_machine_kind: vec![(0, mean()), (usize::MAX, mean())],
+            loss_by_zone: vec![(0, mean()), (9, mean())],
+            typical_latency: vec![mean(), mean(), mean()],
+            pool_latency: mean(),
+            threshold_per_endpoint: mean().sum,
+            cursor_position: mean().sum,
+            baseline_latency: Some(mean().sum),
         };
         let mut proxy = Proxy::seeded(settings(), &[server(0, 0), server(1, 0), server(2, 0)], round);
-        proxy.balancer.learn(proxy.now, &[mad.clone(), mad]);
+        proxy.balancer.import_learned_state(proxy.now, &[mad.clone(), mad]);
         proxy.wait(SECOND);
-        let stated = proxy.balancer.learned(proxy.now);
-        assert!(stated.threshold.is_finite() && (0.0..=1.0).contains(&stated.cursor), "{round}: {stated:?}");
+        let stated = proxy.balancer.learned_state(proxy.now);
+        assert!(
+            stated.threshold_per_endpoint.is_finite() && (0.0..=1.0).contains(&stated.cursor_position),
+            "{round}: {stated:?}"
+        );
         // Ten seconds later it serves as any other.
         proxy.wait(10 * SECOND);
         for _ in 0..5 {
@@ -307,12 +318,13 @@
 fn those_who_read_the_same_act_each_a_little_otherwise() {
     let mut world = world(4);
     world.run(SECOND);
-    let known = Learned { age: SECOND, cursor: 0.9, ..world.balancers[1].learned(world.now) };
+    let known =
+        LearnedState { age: SECOND, cursor_position: 0.9, ..world.balancers[1].learned_state(world.now) };
     let places: std::collections::BTreeSet<u64> = (0..20)
         .map(|seed| {
             let mut proxy = Proxy::seeded(settings(), &[server(0, 0), server(1, 0)], seed);
-            proxy.balancer.learn(proxy.now, std::slice::from_ref(&known));
-            (proxy.balancer.learned(proxy.now).cursor * 1e6) as u64
+            proxy.balancer.import_learned_state(proxy.now, std::slice::from_ref(&known));
+            (proxy.balancer.learned_state(proxy.now).cursor_position * 1e6) as u64
         })
         .collect();
     assert!(places.len() >= 3, "{places:?}");
--- a/crates/decide/tests/replay.rs
+++ b/crates/decide/tests/replay.rs
@@ -4,19 +4,24 @@
 
 use common::settings;
 use common::world::{Server, World};
-use decide::interface::*;
+use decide::{Class, DeduplicationGroup, Semantics, Settings};
 
 /// A world of three balancers and ten servers, of which two are slow, from a calm into an overload and back.
 fn digest(seed: u64) -> u64 {
-    let class =
-        |aim, gain, semantics| Class { aim, deadline: 2_000_000, gain, semantics, ..Class::default() };
+    let class = |aim, gain, semantics| Class {
+        latency_objective: aim,
+        deadline: 2_000_000,
+        priority_weight: gain,
+        semantics,
+        ..Class::default()
+    };
     let classes = vec![
         class(500_000, 1.0, Semantics::Idempotent),
         class(500_000, 4.0, Semantics::AtMostOnce),
-        class(800_000, 2.0, Semantics::Deduplicated { group: Group::Zone, window: 5_000_000 }),
+        class(800_000, 2.0, Semantics::Deduplicated { group: DeduplicationGroup::Zone, window: 5_000_000 }),
     ];
     let settings =
-        Settings { balancers: 3, classes, retry_after: true, max_retry_after: 900_000, ..settings() };
+        Settings { balancers: 3, classes, send_retry_after: true, max_retry_after: 900_000, ..settings() };
     let servers = (0..10).map(|i| Server { slots: 4, takes: if i < 2 { 300_000 } else { 20_000 } }).collect();
     let mut world = World::new(&settings, servers, 300.0, seed);
     world.run(4_000_000);
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -4,25 +4,33 @@
 use std::collections::BTreeMap;
 
 use common::server;
-use decide::interface::*;
 use decide::Balancer;
+use decide::{
+    Action, Class, DeduplicationGroup, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros,
+    NewRequest, Outcome, RequestId, Semantics, Settings, UpdateScope,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 const WINDOW: Micros = 300_000;
 
 fn classes() -> Vec<Class> {
-    let class =
-        |semantics| Class { aim: 400_000, deadline: 2_000_000, gain: 1.0, late_value: 0.3, semantics };
+    let class = |semantics| Class {
+        latency_objective: 400_000,
+        deadline: 2_000_000,
+        priority_weight: 1.0,
+        late_answer_value: 0.3,
+        semantics,
+    };
     let mut all = vec![class(Semantics::Idempotent), class(Semantics::AtMostOnce)];
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [DeduplicationGroup::All, DeduplicationGroup::Zone, DeduplicationGroup::Cell] {
         all.push(class(Semantics::Deduplicated { group, window: WINDOW }));
     }
     all
 }
 
 struct Attempt {
-    server: BackendId,
+    server: EndpointId,
     sent: Micros,
     until: Micros,
     running: bool,
@@ -40,9 +48,9 @@
     settings: Settings,
     balancer: Balancer,
     now: Micros,
-    listed: BTreeMap<u32, BackendEntry>,
+    listed: BTreeMap<u32, Endpoint>,
     held: BTreeMap<RequestId, Held>,
-    ended: BTreeMap<RequestId, Vec<BackendId>>,
+    ended: BTreeMap<RequestId, Vec<EndpointId>>,
     timers: Vec<(Micros, u64)>,
     next: u64,
 }
@@ -75,14 +83,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, until } => {
+            Action::Send { request, endpoint: backend, deadline: until } => {
                 let held = self.held.get_mut(&request).expect("sent for a request that is not held");
                 let entry = &self.listed[&backend.0];
-                assert_eq!(entry.stage, Stage::Ready, "sent to a server that drains or is gone");
+                assert_eq!(entry.state, EndpointState::Ready, "sent to a server that drains or is gone");
                 assert!(!held.streaming && until <= held.deadline && until > self.now);
                 assert!(held.attempts.len() < self.settings.max_attempts);
                 let running = held.attempts.iter().any(|a| a.running);
-                assert!(self.settings.second_copies || !running, "two at once");
+                assert!(self.settings.hedging_allowed || !running, "two at once");
                 for earlier in held.attempts.iter().filter(|a| a.running || a.may_have_run) {
                     let other = &self.listed[&earlier.server.0];
                     match self.settings.classes[held.class].semantics {
@@ -91,9 +99,9 @@
                         Semantics::Deduplicated { group, window } => {
                             assert!(self.now < earlier.sent + window, "after its window");
                             assert!(match group {
-                                Group::All => true,
-                                Group::Zone => other.zone == entry.zone,
-                                Group::Cell => other.cell.is_some() && other.cell == entry.cell,
+                                DeduplicationGroup::All => true,
+                                DeduplicationGroup::Zone => other.zone == entry.zone,
+                                DeduplicationGroup::Cell => other.cell.is_some() && other.cell == entry.cell,
                             });
                         }
                     }
@@ -106,11 +114,12 @@
                     may_have_run: true,
                 });
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let held = self.held.remove(&request).expect("a second answer");
                 let may_have_run = held.attempts.iter().any(|a| a.running || a.may_have_run);
                 match self.settings.classes[held.class].semantics {
-                    Semantics::Idempotent | Semantics::Deduplicated { group: Group::All, .. } => {}
+                    Semantics::Idempotent
+                    | Semantics::Deduplicated { group: DeduplicationGroup::All, .. } => {}
                     _ => assert!(!may_have_run, "refused though it may have run"),
                 }
                 self.end(request, &held);
@@ -126,9 +135,11 @@
                 assert!(known.is_some_and(|n| attempt < n), "cancelled what was never sent");
             }
             Action::Timer { at, token } => self.timers.push((at, token)),
-            Action::Probe(_) | Action::Subscribe | Action::Log(_) => {}
-            Action::Tell { to, payload } => {
-                assert!(self.settings.peers && to != self.settings.rank && to < self.settings.balancers);
+            Action::HealthCheck(_) | Action::PollDiscovery | Action::Log(_) => {}
+            Action::SendGossip { to, payload } => {
+                assert!(
+                    self.settings.gossip_allowed && to != self.settings.rank && to < self.settings.balancers
+                );
                 assert!(payload.len() <= 256);
             }
         }
@@ -157,21 +168,35 @@
             .filter(|(_, _, running)| *running)
             .map(|(id, n, _)| (id, n))
             .collect();
-        let report = Some(Report { queue: Some(f64::from(a % 7)), ..Report::default() });
+        let report = Some(LoadReport { queued: Some(f64::from(a % 7)), ..LoadReport::default() });
         if out.is_empty() || a.is_multiple_of(9) {
             let Some((id, servers)) = self.ended.iter().nth(a as usize % self.ended.len().max(1)) else {
                 return;
             };
             let Some(&backend) = servers.first() else { return };
             let (request, took) = (*id, 1_000);
-            self.tell(Event::Outcome { request, attempt: 0, backend, outcome, took, is_final: true, report });
+            self.tell(Event::AttemptEnded {
+                request,
+                attempt: 0,
+                endpoint: backend,
+                outcome,
+                took,
+                is_final: true,
+                report,
+            });
             return;
         }
         let (request, attempt) = out[a as usize % out.len()];
         self.finish_attempt(request, attempt, outcome, report);
     }
 
-    fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome, report: Option<Report>) {
+    fn finish_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         let held = self.held.get_mut(&id).expect("held");
         let known = &mut held.attempts[attempt];
         (known.running, known.may_have_run) = (false, !outcome.never_ran());
@@ -181,7 +206,15 @@
             let held = self.held.remove(&id).expect("held");
             self.end(id, &held);
         }
-        self.tell(Event::Outcome { request: id, attempt, backend, outcome, took, is_final, report });
+        self.tell(Event::AttemptEnded {
+            request: id,
+            attempt,
+            endpoint: backend,
+            outcome,
+            took,
+            is_final,
+            report,
+        });
     }
 
     /// The clock moves on; attempts whose time is up end, and timers fall due.
@@ -206,25 +239,25 @@
 
     fn list(&mut self, a: u32, b: u32, full: bool) {
         let count = if full { a % 8 } else { 1 + a % 3 };
-        let entries: Vec<BackendEntry> = (0..count)
+        let entries: Vec<Endpoint> = (0..count)
             .map(|i| {
                 let id = if full { i } else { b.wrapping_add(i) % 8 };
                 let stage = match b.wrapping_shr(3 * i) % 5 {
-                    0 => Stage::Draining,
-                    1 if !full => Stage::Gone,
-                    _ => Stage::Ready,
+                    0 => EndpointState::Draining,
+                    1 if !full => EndpointState::Removed,
+                    _ => EndpointState::Ready,
                 };
                 let cell = (id % 3 > 0).then_some(u64::from(id % 3));
                 let up_since = b.is_multiple_of(4).then_some(self.now - 200_000);
-                BackendEntry { stage, cell, up_since, ..server(id, id as usize % 2) }
+                Endpoint { state: stage, cell, up_since, ..server(id, id as usize % 2) }
             })
             .collect();
         if full {
-            self.listed.values_mut().for_each(|e| e.stage = Stage::Gone);
+            self.listed.values_mut().for_each(|e| e.state = EndpointState::Removed);
         }
         self.listed.extend(entries.iter().map(|e| (e.id.0, e.clone())));
-        let scope = if full { ListScope::Full } else { ListScope::Delta };
-        self.tell(Event::Backends { scope, entries: &entries });
+        let scope = if full { UpdateScope::Full } else { UpdateScope::Delta };
+        self.tell(Event::EndpointUpdate { scope, endpoints: &entries });
     }
 
     fn step(&mut self, (kind, a, b): (u8, u32, u32)) {
@@ -232,7 +265,7 @@
             0..=5 => self.request(a, b),
             6 | 7 => self.wait(Micros::from(a % 500_000)),
             8 => self.outcome(a, Outcome::Ok),
-            9 => self.outcome(a, Outcome::Full),
+            9 => self.outcome(a, Outcome::Rejected),
             10 => self.outcome(a, Outcome::ConnectFailed),
             11 => self.outcome(a, Outcome::Error),
             12 => self.outcome(a, Outcome::Reset),
@@ -244,7 +277,7 @@
                 };
                 let held = self.held.remove(&id).expect("held");
                 self.end(id, &held);
-                self.tell(Event::ClientGone(id));
+                self.tell(Event::ClientDisconnected(id));
             }
             16 => {
                 let out = |h: &Held| !h.streaming && h.attempts.iter().filter(|a| a.running).count() == 1;
@@ -252,11 +285,12 @@
                 held.streaming = true;
                 self.tell(Event::StreamStarted { request });
             }
-            17 => {
-                self.tell(Event::Told { from: a % 4, payload: &u64::from(b).to_le_bytes()[..a as usize % 7] })
-            }
+            17 => self.tell(Event::GossipReceived {
+                from: a % 4,
+                payload: &u64::from(b).to_le_bytes()[..a as usize % 7],
+            }),
             18 => self.tell(Event::Timer(u64::from(a))),
-            _ => self.tell(Event::Backends { scope: ListScope::Failed, entries: &[] }),
+            _ => self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] }),
         }
     }
 }
@@ -283,15 +317,15 @@
         tiers: 2,
         classes: classes(),
         max_attempts: 3,
-        second_copies: true,
+        hedging_allowed: true,
         can_cancel: true,
-        tick: 1_000,
-        cold_from: 0.2,
-        cold_time: 5_000_000,
-        fall_multiple: 3.0,
-        fall_time: 2_000_000,
-        must_ask_in: 10_000_000,
-        retry_after: true,
+        timer_resolution: 1_000,
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: 5_000_000,
+        overload_multiple: 3.0,
+        overload_window: 2_000_000,
+        max_poll_interval: 10_000_000,
+        send_retry_after: true,
         max_retry_after: 1_000_000,
         ..Settings::default()
     }
@@ -304,21 +338,25 @@
 
 #[test]
 fn rules_hold_where_balancers_talk_and_copies_are_forbidden() {
-    run(&Settings { peers: true, second_copies: false, can_cancel: false, ..settings() });
+    run(&Settings { gossip_allowed: true, hedging_allowed: false, can_cancel: false, ..settings() });
 }
 
 #[test]
 fn rules_hold_deep_in_the_chain_with_a_list_that_must_be_asked_for() {
-    run(&Settings { ask_discovery: true, tier: 1, max_attempts: 2, ..settings() });
+    run(&Settings { poll_discovery: true, tier: 1, max_attempts: 2, ..settings() });
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
     let play = || {
         let mut balancer = Balancer::new(settings(), 11);
-        let servers: Vec<BackendEntry> = (0..20).map(|id| server(id, id as usize % 3)).collect();
+        let servers: Vec<Endpoint> = (0..20).map(|id| server(id, id as usize % 3)).collect();
         let mut out = Vec::new();
-        balancer.handle(0, Event::Backends { scope: ListScope::Cached, entries: &servers }, &mut out);
+        balancer.handle(
+            0,
+            Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &servers },
+            &mut out,
+        );
         for id in 0..300u64 {
             let request = NewRequest { id: RequestId(id), time_left: 1_000_000, ..NewRequest::default() };
             balancer.handle(id as Micros * 500, Event::Request(request), &mut out);
@@ -335,13 +373,16 @@
         balancers: 0,
         rank: 9,
         tier: 7,
-        classes: vec![Class { aim: far, gain: odd, ..Class::default() }, Class::default()],
+        classes: vec![
+            Class { latency_objective: far, priority_weight: odd, ..Class::default() },
+            Class::default(),
+        ],
         cross_zone_price: f64::INFINITY,
-        tick: far,
-        cold_time: Micros::MIN,
-        fall_time: far,
-        must_ask_in: far,
-        ask_discovery: true,
+        timer_resolution: far,
+        slow_start_duration: Micros::MIN,
+        overload_window: far,
+        max_poll_interval: far,
+        poll_discovery: true,
         ..settings()
     };
     assert!(wild.check().is_err() && settings().check().is_ok());
@@ -349,8 +390,12 @@
         let mut balancer = Balancer::new(settings, 3);
         let mut out = Vec::new();
         for now in [0, far, Micros::MIN, 0, 5] {
-            let entry = BackendEntry { up_since: Some(far - now.max(0)), ..server(3, usize::MAX) };
-            balancer.handle(now, Event::Backends { scope: ListScope::Delta, entries: &[entry] }, &mut out);
+            let entry = Endpoint { up_since: Some(far - now.max(0)), ..server(3, usize::MAX) };
+            balancer.handle(
+                now,
+                Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[entry] },
+                &mut out,
+            );
             for (id, class) in [(1, 0), (1, 0), (2, usize::MAX), (u64::MAX, 1)] {
                 let request = NewRequest {
                     id: RequestId(id),
@@ -361,14 +406,15 @@
                 };
                 balancer.handle(now, Event::Request(request), &mut out);
             }
-            let report = Report { inflight: Some(odd), utilisation: Some(-1.0), ..Report::default() };
+            let report =
+                LoadReport { in_flight: Some(odd), utilisation: Some(-1.0), ..LoadReport::default() };
             for (request, attempt, backend) in [(1, usize::MAX, 3), (77, 0, 99), (1, 0, 3)] {
                 balancer.handle(
                     now,
-                    Event::Outcome {
+                    Event::AttemptEnded {
                         request: RequestId(request),
                         attempt,
-                        backend: BackendId(backend),
+                        endpoint: EndpointId(backend),
                         outcome: Outcome::Reset,
                         took: Micros::MIN,
                         is_final: false,
@@ -381,7 +427,7 @@
         }
         // The request of an unknown class got its one answer, each time it came.
         let answers =
-            |id| out.iter().filter(move |a| matches!(a, Action::Refuse { request, .. } if request.0 == id));
+            |id| out.iter().filter(move |a| matches!(a, Action::Reject { request, .. } if request.0 == id));
         assert_eq!(answers(2).count(), 5);
     }
 }
--- a/crates/emulate/src/discovery.rs
+++ b/crates/emulate/src/discovery.rs
@@ -1,7 +1,7 @@
 //! One discovery for all proxies: it takes calls in turn, turns away what would wait for too long, and may break off or
 //! fall silent. What it begins to write counts as told two seconds later at the latest, whether it arrives or not.
 
-use decide::interface::{BackendId, Micros, Stage};
+use decide::{EndpointId, EndpointState, Micros};
 
 use crate::{Fleet, MS, S};
 
@@ -27,7 +27,7 @@
 
 pub struct Discovery {
     /// What changes over the whole run, in order, and when discovery knows.
-    pub changes: Vec<(Micros, BackendId, Stage)>,
+    pub changes: Vec<(Micros, EndpointId, EndpointState)>,
     free: Micros,
     pub in_turn: u64,
     pub turned_away: u64,
@@ -40,8 +40,8 @@
         if let Some((from, every, until)) = fleet.release {
             let times = (0..).map(|step| from + every * step).take_while(|at| *at < until.max(from + 1));
             for (at, old) in times.zip(0_u32..) {
-                changes.push((at, BackendId(old + fleet.nodes as u32), Stage::Ready));
-                changes.push((at, BackendId(old), Stage::Draining));
+                changes.push((at, EndpointId(old + fleet.nodes as u32), EndpointState::Ready));
+                changes.push((at, EndpointId(old), EndpointState::Draining));
             }
         }
         Discovery { changes, free: 0, in_turn: 0, turned_away: 0 }
--- a/crates/emulate/src/lib.rs
+++ b/crates/emulate/src/lib.rs
@@ -11,7 +11,7 @@
 mod restart;
 mod world;
 
-use decide::interface::Micros;
+use decide::Micros;
 
 /// A millisecond.
 pub const MS: Micros = 1_000;
--- a/crates/emulate/src/node.rs
+++ b/crates/emulate/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use decide::interface::Micros;
+use decide::Micros;
 
 use crate::Fleet;
 
--- a/crates/emulate/src/notification.rs
+++ b/crates/emulate/src/notification.rs
@@ -3,7 +3,7 @@
 //!
 //! Nothing of what the process's own watch believes goes in here.
 
-use decide::interface::{BackendId, Micros, Stage};
+use decide::{EndpointId, EndpointState, Micros};
 
 use crate::{Fleet, S};
 
@@ -14,12 +14,12 @@
 /// is in use.
 pub fn latest(
     fleet: &Fleet,
-    changes: &[(Micros, BackendId, Stage)],
-    node: BackendId,
+    changes: &[(Micros, EndpointId, EndpointState)],
+    node: EndpointId,
     started: Option<Micros>,
 ) -> Option<Micros> {
     let (made, _, stage) = changes.iter().rev().find(|(_, id, _)| *id == node)?;
-    (*stage != Stage::Ready).then(|| counts_from(fleet, *made).max(started.unwrap_or(0)))
+    (*stage != EndpointState::Ready).then(|| counts_from(fleet, *made).max(started.unwrap_or(0)))
 }
 
 /// An outage has the time count anew from its end.
--- a/crates/emulate/src/restart.rs
+++ b/crates/emulate/src/restart.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use decide::interface::*;
 use decide::Balancer;
+use decide::{Class, EndpointId, EndpointState, Event, Micros, Semantics, Settings, UpdateScope};
 use membership::{InitialList, LeaseTerms, Policy, Watch};
 
 use crate::node::FALL;
@@ -16,23 +16,28 @@
 const MARGIN: Micros = 150 * MS;
 
 fn settings(fleet: &Fleet, rank: usize) -> Settings {
-    let class =
-        |gain: f64, semantics| Class { aim: AIM, deadline: DEADLINE, gain, late_value: 0.0, semantics };
+    let class = |gain: f64, semantics| Class {
+        latency_objective: AIM,
+        deadline: DEADLINE,
+        priority_weight: gain,
+        late_answer_value: 0.0,
+        semantics,
+    };
     Settings {
         balancers: fleet.proxies as u32,
         rank: rank as u32,
         tiers: 1,
         classes: vec![class(12.0, Semantics::Idempotent), class(1.0, Semantics::AtMostOnce)],
-        ask_discovery: true,
-        must_ask_in: MUST_ASK,
+        poll_discovery: true,
+        max_poll_interval: MUST_ASK,
         can_cancel: true,
-        second_copies: true,
+        hedging_allowed: true,
         max_attempts: 3,
-        tick: 5 * MS,
-        cold_from: fleet.cold_from,
-        cold_time: fleet.cold,
-        fall_multiple: FALL.0,
-        fall_time: FALL.1,
+        timer_resolution: 5 * MS,
+        slow_start_min_capacity: fleet.cold_from,
+        slow_start_duration: fleet.cold,
+        overload_multiple: FALL.0,
+        overload_window: FALL.1,
         ..Settings::default()
     }
 }
@@ -91,13 +96,13 @@
 impl World<'_> {
     /// A process takes up the list that it was given.
     pub fn begin(&mut self, p: usize) {
-        let mut stages: BTreeMap<BackendId, Stage> =
-            (0..self.fleet.nodes as u32).map(|id| (BackendId(id), Stage::Ready)).collect();
+        let mut stages: BTreeMap<EndpointId, EndpointState> =
+            (0..self.fleet.nodes as u32).map(|id| (EndpointId(id), EndpointState::Ready)).collect();
         for (_, id, stage) in &self.discovery.changes[..self.proxies[p].seen] {
             stages.insert(*id, *stage);
         }
         let entries: Vec<_> = stages.iter().map(|(id, stage)| self.entry(id.0, *stage)).collect();
-        self.decide(p, Event::Backends { scope: ListScope::Cached, entries: &entries });
+        self.decide(p, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &entries });
         self.plan_wake(p);
     }
 
--- a/crates/emulate/src/world.rs
+++ b/crates/emulate/src/world.rs
@@ -2,8 +2,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use decide::interface::*;
 use decide::Balancer;
+use decide::{
+    Action, Endpoint, EndpointId, EndpointState, Event, Micros, NewRequest, Outcome, RequestId, UpdateScope,
+};
 use fastrand::Rng;
 use membership::{CallId, Watch};
 
@@ -65,7 +67,7 @@
 pub struct Open {
     asked: Asked,
     /// Nodes of the attempts, and when they were sent; None once ended.
-    attempts: Vec<(BackendId, Option<Micros>)>,
+    attempts: Vec<(EndpointId, Option<Micros>)>,
     answered: bool,
 }
 
@@ -172,9 +174,9 @@
         Asked { first: self.now, class, tries: 0, work: self.exponential(WORK as f64).clamp(MS, 8 * WORK) }
     }
 
-    pub fn entry(&self, id: u32, stage: Stage) -> BackendEntry {
+    pub fn entry(&self, id: u32, stage: EndpointState) -> Endpoint {
         let up_since = self.nodes.get(&id).and_then(|n| n.started);
-        BackendEntry { id: BackendId(id), stage, weight: 1.0, up_since, ..BackendEntry::default() }
+        Endpoint { id: EndpointId(id), state: stage, weight: 1.0, up_since, ..Endpoint::default() }
     }
 
     fn take(&mut self, what: What) {
@@ -262,7 +264,7 @@
 
     // ---- Attempts ----
 
-    fn send(&mut self, p: usize, id: u64, to: BackendId, until: Micros) {
+    fn send(&mut self, p: usize, id: u64, to: EndpointId, until: Micros) {
         let now = self.now;
         let proxy = &mut self.proxies[p];
         let Some(open) = proxy.open.get_mut(&id) else { return };
@@ -271,12 +273,12 @@
         if proxy.watch.expiry().is_some_and(|expiry| expiry.from <= now && now < expiry.until) {
             // The request is refused by whoever decides: nothing was sent.
             self.report.withheld += 1;
-            return self.ends(p, id, nth, Outcome::Moot);
+            return self.ends(p, id, nth, Outcome::NotSent);
         }
         proxy.unheard.retain(|(at, version)| {
             let due = *at <= now;
             if due {
-                let left = self.discovery.changes[..*version].iter().filter(|c| c.2 != Stage::Ready);
+                let left = self.discovery.changes[..*version].iter().filter(|c| c.2 != EndpointState::Ready);
                 left.for_each(|(_, id, _)| {
                     proxy.told.entry(id.0).or_insert(*at);
                 });
@@ -297,7 +299,7 @@
         let node = self.nodes.get_mut(&to.0).filter(|n| !n.gone);
         let (ends, outcome) = match node.map(|n| n.take(self.fleet, there, work)) {
             None => (there, Outcome::ConnectFailed),
-            Some(None) => (there + WAY, Outcome::Full),
+            Some(None) => (there + WAY, Outcome::Rejected),
             Some(Some(done)) if done.saturating_add(WAY) <= until => (done + WAY, Outcome::Ok),
             Some(Some(_)) => (until, Outcome::Timeout),
         };
@@ -324,10 +326,10 @@
         }
         self.decide(
             p,
-            Event::Outcome {
+            Event::AttemptEnded {
                 request: RequestId(id),
                 attempt: nth,
-                backend: node,
+                endpoint: node,
                 outcome,
                 took: now - sent,
                 is_final,
@@ -343,14 +345,16 @@
         self.proxies[p].balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, backend, until } => self.send(p, request.0, backend, until),
-                Action::Refuse { request, .. } => self.refused(p, request.0),
+                Action::Send { request, endpoint: backend, deadline: until } => {
+                    self.send(p, request.0, backend, until)
+                }
+                Action::Reject { request, .. } => self.refused(p, request.0),
                 Action::Fail(request) => drop(self.answer(p, request.0, false)),
                 Action::Cancel { request, attempt } => self.ends(p, request.0, attempt, Outcome::Cancelled),
                 Action::Timer { at, token } => {
                     self.at(at.max(self.now), What::Timer(p, self.proxies[p].life, token))
                 }
-                Action::Subscribe => self.watch(p, membership::Event::Begin),
+                Action::PollDiscovery => self.watch(p, membership::Event::Begin),
                 _ => {}
             }
         }
@@ -365,7 +369,7 @@
                 // Its end is passed over by the watch.
                 membership::Action::Drop(_) => {}
                 membership::Action::Ended => {
-                    self.decide(p, Event::Backends { scope: ListScope::Failed, entries: &[] });
+                    self.decide(p, Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
                 }
             }
         }
@@ -411,13 +415,13 @@
         if version > seen {
             let changes = self.discovery.changes[seen..version].to_vec();
             for (_, id, stage) in &changes {
-                if *stage != Stage::Ready {
+                if *stage != EndpointState::Ready {
                     self.proxies[p].told.entry(id.0).or_insert(self.now);
                 }
             }
             let entries: Vec<_> = changes.iter().map(|(_, id, stage)| self.entry(id.0, *stage)).collect();
             self.proxies[p].seen = version;
-            self.decide(p, Event::Backends { scope: ListScope::Delta, entries: &entries });
+            self.decide(p, Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &entries });
         }
         self.watch(p, membership::Event::Answered(id, version > seen));
     }
--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/backend/mod.rs
@@ -11,8 +11,8 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use decide::interface::*;
-use decide::settings::{Field, Transport};
+use decide::platform_settings::{LoadReportField, Transport};
+use decide::{Endpoint, EndpointId, EndpointState, LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -52,7 +52,7 @@
 
 /// An attempt to make.
 pub struct Order {
-    pub backend: BackendId,
+    pub backend: EndpointId,
     pub message: Rc<Message>,
     /// Whom it is for.
     pub client: Client,
@@ -85,7 +85,7 @@
     /// Told that no configuration has it any more.
     retired: Cell<bool>,
     links: Rc<Cell<usize>>,
-    all: RefCell<BTreeMap<BackendId, Backend>>,
+    all: RefCell<BTreeMap<EndpointId, Backend>>,
     /// When the list is older than it may be, and nothing new is sent to any of them.
     list_expiry: Cell<Option<ListExpiry>>,
     /// A request has met that, and it was logged.
@@ -97,7 +97,7 @@
 }
 
 struct Backend {
-    entry: BackendEntry,
+    entry: Endpoint,
     address: SocketAddr,
     /// When it was said to drain or to be gone.
     left: Option<Instant>,
@@ -209,7 +209,8 @@
             tokio::time::sleep(pause).await;
             // Guards against growth: backends that are replaced come under ever new ids.
             self.all.borrow_mut().retain(|_, b| {
-                b.entry.stage != Stage::Gone || b.left.is_none_or(|at| at.elapsed() < self.drain_grace())
+                b.entry.state != EndpointState::Removed
+                    || b.left.is_none_or(|at| at.elapsed() < self.drain_grace())
             });
             for backend in self.all.borrow_mut().values_mut() {
                 backend.idle.retain(|i| i.since.elapsed() < kept && i.link.sender.is_ready());
@@ -221,7 +222,7 @@
     // ---- The list ----
 
     /// Takes in what discovery says of one backend.
-    pub fn update(&self, entry: &BackendEntry, address: SocketAddr) {
+    pub fn update(&self, entry: &Endpoint, address: SocketAddr) {
         let mut all = self.all.borrow_mut();
         let backend = all.entry(entry.id).or_insert_with(|| Backend {
             entry: entry.clone(),
@@ -237,7 +238,7 @@
         }
         backend.address = address;
         backend.entry = entry.clone();
-        if entry.stage == Stage::Ready {
+        if entry.state == EndpointState::Ready {
             backend.left = None;
         } else {
             backend.left.get_or_insert_with(Instant::now);
@@ -246,10 +247,10 @@
     }
 
     /// What a whole list leaves out is gone.
-    pub fn retain(&self, listed: impl Fn(BackendId) -> bool) {
+    pub fn retain(&self, listed: impl Fn(EndpointId) -> bool) {
         for (id, backend) in self.all.borrow_mut().iter_mut() {
             if !listed(*id) {
-                backend.entry.stage = Stage::Gone;
+                backend.entry.state = EndpointState::Removed;
                 backend.left.get_or_insert_with(Instant::now);
                 backend.let_go();
             }
@@ -257,7 +258,7 @@
     }
 
     /// Each backend that is known, also those that have gone, and where it listens.
-    pub fn each(&self, mut look: impl FnMut(&BackendEntry, SocketAddr)) {
+    pub fn each(&self, mut look: impl FnMut(&Endpoint, SocketAddr)) {
         self.all.borrow().values().for_each(|b| look(&b.entry, b.address));
     }
 
@@ -275,14 +276,14 @@
         self.all.borrow_mut().values_mut().for_each(Backend::let_go);
     }
 
-    pub fn entries(&self) -> Vec<BackendEntry> {
+    pub fn entries(&self) -> Vec<Endpoint> {
         let all = self.all.borrow();
-        all.values().filter(|b| b.entry.stage != Stage::Gone).map(|b| b.entry.clone()).collect()
+        all.values().filter(|b| b.entry.state != EndpointState::Removed).map(|b| b.entry.clone()).collect()
     }
 
     // ---- Connections ----
 
-    fn idle(&self, id: BackendId) -> Option<Link> {
+    fn idle(&self, id: EndpointId) -> Option<Link> {
         let kept = self.kept_idle();
         let mut all = self.all.borrow_mut();
         let backend = all.get_mut(&id)?;
@@ -294,7 +295,7 @@
         None
     }
 
-    fn keep(&self, id: BackendId, link: Link) {
+    fn keep(&self, id: EndpointId, link: Link) {
         if self.retired.get() {
             return;
         }
@@ -304,7 +305,7 @@
     }
 
     /// A new connection for HTTP, or why there is none.
-    async fn connect(&self, id: BackendId) -> Result<Link, Outcome> {
+    async fn connect(&self, id: EndpointId) -> Result<Link, Outcome> {
         let socket = self.dial(id).await?;
         let io = TokioIo::new(socket.clone());
         let handshake = http1::Builder::new().max_buf_size(MOST_BUFFER).handshake(io);
@@ -317,7 +318,7 @@
     /// One that carries many calls: an open one with room, or a new one.
     async fn shared_link(
         &self,
-        id: BackendId,
+        id: EndpointId,
         speech: &Speech,
         fresh: &mut bool,
     ) -> Result<Rc<RpcLink>, Outcome> {
@@ -351,14 +352,14 @@
     }
 
     /// A new connection, or why there is none.
-    async fn dial(&self, id: BackendId) -> Result<Socket, Outcome> {
-        let address = self.all.borrow().get(&id).map(|b| b.address).ok_or(Outcome::Moot)?;
+    async fn dial(&self, id: EndpointId) -> Result<Socket, Outcome> {
+        let address = self.all.borrow().get(&id).map(|b| b.address).ok_or(Outcome::NotSent)?;
         if self.links.get() >= self.most_links.get() && !self.close_oldest_idle() {
             if !self.complained_of_links.replace(true) {
                 say(format_args!("all {} sockets for backends are in use", self.most_links.get()));
             }
             // The want is this proxy's own and tells nothing of the backend.
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let slot = Slot::new(&self.links);
         let limit = Instant::now() + Duration::from_micros(self.transport.connect_timeout as u64);
@@ -402,7 +403,7 @@
     }
 
     /// May something still be sent there?
-    fn may_write(&self, id: BackendId) -> bool {
+    fn may_write(&self, id: EndpointId) -> bool {
         if self.is_list_expired() {
             return false;
         }
@@ -418,7 +419,7 @@
         if let Some(speech) = &self.speech {
             let progress = Rc::new(Cell::new(0));
             let ended = timeout_at(order.until, self.call(order, speech, &progress)).await;
-            let late = if progress.get() == 0 { Outcome::Moot } else { Outcome::Timeout };
+            let late = if progress.get() == 0 { Outcome::NotSent } else { Outcome::Timeout };
             return (ended.unwrap_or_else(|_| late.into()), None);
         }
         let flow = order.message.body().flow();
@@ -436,15 +437,15 @@
         match result {
             Some(result) => result,
             // Nothing was sent, so nothing ran: the time went in connecting.
-            None if !order.begun.get() => (Outcome::Moot.into(), None),
+            None if !order.begun.get() => (Outcome::NotSent.into(), None),
             // A backend begins once it has the last byte.
-            None if flow.is_some_and(|f| f.ended().is_none()) => (Outcome::Moot.into(), None),
+            None if flow.is_some_and(|f| f.ended().is_none()) => (Outcome::NotSent.into(), None),
             None => (Outcome::Timeout.into(), None),
         }
     }
 
     /// Keeps a connection for the next request, once it is free for one.
-    pub async fn reuse(&self, id: BackendId, link: Option<Link>) {
+    pub async fn reuse(&self, id: EndpointId, link: Option<Link>) {
         if let Some(mut link) = link {
             if link.sender.ready().await.is_ok() {
                 self.keep(id, link);
@@ -456,7 +457,7 @@
         loop {
             // A connection costs the backend work.
             if self.is_list_expired() || order.client.has_left() {
-                return (Outcome::Moot.into(), None);
+                return (Outcome::NotSent.into(), None);
             }
             let idle = self.idle(order.backend);
             let fresh = idle.is_none();
@@ -470,7 +471,7 @@
             // Connecting took time: look again before anything is written.
             let left = order.until.saturating_duration_since(Instant::now());
             if left.is_zero() || order.client.has_left() || !self.may_write(order.backend) {
-                return (Outcome::Moot.into(), Some(link));
+                return (Outcome::NotSent.into(), Some(link));
             }
             let mut message = (*order.message).clone();
             let left = HeaderValue::from(left.as_millis().max(1) as u64);
@@ -491,7 +492,7 @@
                     if let Some(flow) = order.message.body().flow().filter(|flow| flow.is_begun()) {
                         // Without its last byte a backend begins nothing; and what was read is gone.
                         let whole = flow.ended().is_some();
-                        return (if whole { Outcome::Reset } else { Outcome::Moot }.into(), None);
+                        return (if whole { Outcome::Reset } else { Outcome::NotSent }.into(), None);
                     }
                     // Given back, or not a byte of it taken by the kernel: it cannot have run.
                     if e.take_message().is_none() && link.socket.written() > before {
@@ -521,7 +522,7 @@
             // Connecting took time: look again before anything is written.
             let left = order.until.saturating_duration_since(Instant::now());
             if left.is_zero() || order.client.has_left() || !self.may_write(order.backend) {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
             let left = left.as_millis().max(1) as u64;
             order.begun.set(true);
@@ -537,7 +538,7 @@
                     let answer = Some((headers, body.into()));
                     Ended { outcome: Outcome::Ok, report: None, answer }
                 }
-                End::Error(jsonrpc::code::NOT_PROCESSED) => Outcome::Full.into(),
+                End::Error(jsonrpc::code::NOT_PROCESSED) => Outcome::Rejected.into(),
                 End::Error(_) => Outcome::Error.into(),
                 End::Broken => Outcome::Reset.into(),
                 // One that was open had just closed, and the next may serve.
@@ -574,7 +575,7 @@
         let outcome = match head.status {
             StatusCode::OK if body.is_err() => Outcome::Reset,
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
             _ => Outcome::Error,
         };
         let Ok(body) = body else {
@@ -606,7 +607,7 @@
 
     /// A load report: an object of numbers. A malformed one is passed over, and so is one with an absurd figure,
     /// which would keep requests from a sound backend.
-    fn report(&self, json: &[u8]) -> Option<Report> {
+    fn report(&self, json: &[u8]) -> Option<LoadReport> {
         let read = serde_json::from_slice::<BTreeMap<String, f64>>(json).ok();
         let Some(values) = read.filter(|values| values.values().all(|v| (0.0..=MOST_FIGURE).contains(v)))
         else {
@@ -618,17 +619,17 @@
             }
             return None;
         };
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (name, value) in values {
-            Field::named(&name).store(&mut report, value);
+            LoadReportField::named(&name).store(&mut report, value);
         }
         Some(report)
     }
 
-    pub async fn probe(&self, id: BackendId) -> Ended {
+    pub async fn probe(&self, id: EndpointId) -> Ended {
         if self.speech.is_some() {
             // No call asks for load.
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let mut link = match self.connect(id).await {
             Ok(link) => link,
@@ -651,7 +652,7 @@
             let json = header.as_ref().map_or(&body[..], HeaderValue::as_bytes);
             let outcome = match status {
                 StatusCode::OK => Outcome::Ok,
-                StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+                StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
                 _ => Outcome::Error,
             };
             Ended { outcome, report: self.report(json), answer: None }
@@ -675,7 +676,7 @@
         for bad in ["{\"depth\":1e300}", "{\"depth\":-1}", "{\"depth\":1e999}", "=,=", "[1]", ""] {
             assert!(backends.report(bad.as_bytes()).is_none(), "{bad}");
         }
-        assert_eq!(backends.report(b"{\"depth\":3}").and_then(|r| r.queue), Some(3.0));
+        assert_eq!(backends.report(b"{\"depth\":3}").and_then(|r| r.queued), Some(3.0));
     }
 
     #[test]
@@ -685,13 +686,13 @@
             let transport = Transport { keepalive: 100_000, connect_timeout: 0, drain_grace: 50_000 };
             let backends = Backends::new(transport, 9);
             let address = "127.0.0.1:9".parse().expect("an address");
-            let entry = |id, stage| BackendEntry { id: BackendId(id), stage, ..BackendEntry::default() };
+            let entry = |id, stage| Endpoint { id: EndpointId(id), state: stage, ..Endpoint::default() };
             for id in 0..300 {
-                backends.update(&entry(id, Stage::Ready), address);
-                backends.update(&entry(id, Stage::Gone), address);
+                backends.update(&entry(id, EndpointState::Ready), address);
+                backends.update(&entry(id, EndpointState::Removed), address);
             }
-            backends.update(&entry(300, Stage::Draining), address);
-            backends.update(&entry(301, Stage::Ready), address);
+            backends.update(&entry(300, EndpointState::Draining), address);
+            backends.update(&entry(301, EndpointState::Ready), address);
             assert_eq!(backends.all.borrow().len(), 302, "none before its time");
             let few = async {
                 while backends.all.borrow().len() > 2 {
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use decide::interface::{Micros, TIME_LIMIT};
+use decide::{Micros, TIME_LIMIT};
 use tokio::time::Instant;
 
 /// The monotonic clock of the decisions, and where Unix time stands on it.
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -8,8 +8,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 
-use decide::interface::*;
 use decide::Balancer;
+use decide::{Action, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, Settings, UpdateScope};
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::{spawn_local, AbortHandle};
 
@@ -34,7 +34,7 @@
 }
 
 struct Attempt {
-    backend: BackendId,
+    backend: EndpointId,
     sent: Micros,
     /// While it runs.
     task: Option<AbortHandle>,
@@ -48,7 +48,7 @@
         if self.begun.get() {
             Outcome::Cancelled
         } else {
-            Outcome::Moot
+            Outcome::NotSent
         }
     }
 }
@@ -104,7 +104,7 @@
             self.following.push_back(input);
             while let Some(input) = self.following.pop_front() {
                 // A new balancer that panics on the very list does not get it again.
-                let relisted = matches!(input, Input::Backends(ListScope::Cached, _));
+                let relisted = matches!(input, Input::Backends(UpdateScope::Cached, _));
                 if catch_unwind(AssertUnwindSafe(|| self.take(input))).is_err() {
                     self.start_anew(!relisted);
                 }
@@ -124,7 +124,7 @@
         self.seed = self.seed.wrapping_add(1);
         self.balancer = Balancer::new(self.settings.clone(), self.seed);
         if with_list {
-            self.following.push_back(Input::Backends(ListScope::Cached, self.backends.entries()));
+            self.following.push_back(Input::Backends(UpdateScope::Cached, self.backends.entries()));
         }
     }
 
@@ -132,7 +132,9 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Backends(scope, entries) => self.decide(Event::Backends { scope, entries: &entries }),
+            Input::Backends(scope, entries) => {
+                self.decide(Event::EndpointUpdate { scope, endpoints: &entries })
+            }
             Input::Request(new, message, client, begun, answer) => {
                 let attempts = Vec::new();
                 let open =
@@ -144,32 +146,32 @@
                 self.open.insert(new.id, open);
                 self.decide(Event::Request(new));
             }
-            Input::Came(id) => self.decide(Event::Came(id)),
+            Input::Came(id) => self.decide(Event::BodyReceived(id)),
             Input::Ended(id, nth, ended) => self.ended(id, nth, ended),
             Input::Dropped(id, nth, made, outcome) => self.outcome(id, nth, made, outcome, true, None),
             Input::ClientGone(id) => self.client_gone(id),
             // A timer of a balancer that has gone would set off a second round of them in the new one.
             Input::Timer(seed, token) if seed == self.seed => self.decide(Event::Timer(token)),
             Input::Timer(..) => {}
-            Input::Told(from, payload) => self.decide(Event::Told { from, payload: &payload }),
+            Input::Told(from, payload) => self.decide(Event::GossipReceived { from, payload: &payload }),
             Input::Probed { backend, sent, ended } => {
                 let (took, report) = (self.clock.now() - sent, ended.report);
-                self.decide(Event::Probed { backend, outcome: ended.outcome, took, report });
+                self.decide(Event::HealthChecked { endpoint: backend, outcome: ended.outcome, took, report });
             }
-            Input::Learn(told) => self.balancer.learn(self.clock.now(), &told),
+            Input::Learn(told) => self.balancer.import_learned_state(self.clock.now(), &told),
             Input::Avoided(asked) => {
-                let _ = asked.send(self.balancer.avoided(self.clock.now()));
+                let _ = asked.send(self.balancer.ejected_count(self.clock.now()));
             }
             Input::State(asked) => {
                 // Who asked may have gone.
-                let _ = asked.send(self.balancer.learned(self.clock.now()));
+                let _ = asked.send(self.balancer.learned_state(self.clock.now()));
             }
         }
     }
 
     fn client_gone(&mut self, id: RequestId) {
         if let Some(open) = self.open.remove(&id) {
-            self.decide(Event::ClientGone(id));
+            self.decide(Event::ClientDisconnected(id));
             self.drop_attempts(id, open.attempts);
         }
     }
@@ -197,13 +199,21 @@
         &mut self,
         request: RequestId,
         attempt: usize,
-        (backend, sent): (BackendId, Micros),
+        (backend, sent): (EndpointId, Micros),
         outcome: Outcome,
         is_final: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let took = self.clock.now() - sent;
-        self.decide(Event::Outcome { request, attempt, backend, outcome, took, is_final, report });
+        self.decide(Event::AttemptEnded {
+            request,
+            attempt,
+            endpoint: backend,
+            outcome,
+            took,
+            is_final,
+            report,
+        });
     }
 
     /// One event to the decisions, and their actions carried out in order.
@@ -217,8 +227,10 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, until } => self.send(request, backend, until),
-            Action::Refuse { request, retry_after } => {
+            Action::Send { request, endpoint: backend, deadline: until } => {
+                self.send(request, backend, until)
+            }
+            Action::Reject { request, retry_after } => {
                 let never_ran = self
                     .open
                     .get(&request)
@@ -244,15 +256,15 @@
                     handle.tell(Input::Timer(seed, token));
                 });
             }
-            Action::Subscribe => self.subscribe.notify_one(),
-            Action::Probe(backend) => {
+            Action::PollDiscovery => self.subscribe.notify_one(),
+            Action::HealthCheck(backend) => {
                 let (handle, backends, sent) = (self.handle(), self.backends.clone(), self.clock.now());
                 spawn_local(async move {
                     let ended = backends.probe(backend).await;
                     handle.tell(Input::Probed { backend, sent, ended });
                 });
             }
-            Action::Tell { to, payload } => {
+            Action::SendGossip { to, payload } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &payload);
                 }
@@ -261,7 +273,7 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, backend: BackendId, until: Micros) {
+    fn send(&mut self, request: RequestId, backend: EndpointId, until: Micros) {
         let Some(open) = self.open.get_mut(&request) else { return };
         let attempt = open.attempts.len();
         open.begun.begin();
@@ -335,7 +347,7 @@
     use std::future::Future;
     use std::time::Duration;
 
-    use decide::settings::Transport;
+    use decide::platform_settings::Transport;
     use tokio::task::LocalSet;
     use tokio::time::timeout;
 
@@ -347,7 +359,12 @@
     }
 
     fn driver() -> Driver {
-        let class = Class { aim: 500_000, deadline: 2_000_000, gain: 1.0, ..Class::default() };
+        let class = decide::Class {
+            latency_objective: 500_000,
+            deadline: 2_000_000,
+            priority_weight: 1.0,
+            ..decide::Class::default()
+        };
         let settings =
             Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
         let backends =
@@ -373,7 +390,7 @@
             let seed = driver.seed;
             driver.start_anew(true);
             assert!(matches!(receiver.await, Ok(Answer::Failed)));
-            let Some(list @ Input::Backends(ListScope::Cached, _)) = driver.following.pop_front() else {
+            let Some(list @ Input::Backends(UpdateScope::Cached, _)) = driver.following.pop_front() else {
                 panic!("no list")
             };
             // The new balancer starts its own timers, and those of the old one come to nothing.
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use decide::interface::*;
+use decide::{LoadReport, Micros, Outcome};
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Request};
 
@@ -105,7 +105,7 @@
 /// How an attempt or a probe ended.
 pub struct Ended {
     pub outcome: Outcome,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// With an attempt's [`Outcome::Ok`]: the answer.
     pub answer: Option<(HeaderMap, Content)>,
 }
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::interface::*;
-use decide::settings::Names;
+use decide::platform_settings::NameTable;
+use decide::{Class, EndpointFilter, Micros, Semantics, Settings};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
 use jsonrpc::Call;
@@ -121,7 +121,7 @@
     fn handle(&self) -> &Handle;
 
     /// The nodes that it may use, where not all.
-    fn allowed(&self) -> Option<Arc<Allowed>>;
+    fn allowed(&self) -> Option<Arc<EndpointFilter>>;
 
     /// The attempts that it may have from here on; 0 leaves that to the settings.
     fn attempts(&self) -> usize {
@@ -151,7 +151,7 @@
 /// The platform's one pool, whose classes stand in the path and tell the method.
 pub struct Platform {
     pub handle: Handle,
-    pub names: Names,
+    pub names: NameTable,
     pub settings: Settings,
     /// Says whether there is a list of backends.
     pub ready: Rc<std::cell::Cell<bool>>,
@@ -166,7 +166,7 @@
         &self.0
     }
 
-    fn allowed(&self) -> Option<Arc<Allowed>> {
+    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
         None
     }
 
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use decide::settings::Names;
+use decide::platform_settings::NameTable;
 use tokio::time::sleep;
 
 use crate::clock::Clock;
@@ -28,7 +28,7 @@
 const MOST_BYTES: u64 = 4 << 20;
 
 /// What the process before left in this folder, if anything.
-pub fn take_up(folder: &Path, known: &Known, clock: Clock, names: &Names, handle: &Handle) {
+pub fn take_up(folder: &Path, known: &Known, clock: Clock, names: &NameTable, handle: &Handle) {
     let path = folder.join(FILE);
     if !fs::metadata(&path).is_ok_and(|m| m.len() <= MOST_BYTES) {
         return;
@@ -46,7 +46,7 @@
     folder: &Path,
     known: &Known,
     clock: Clock,
-    names: &RefCell<Names>,
+    names: &RefCell<NameTable>,
     handle: Handle,
     ending: &Cell<bool>,
 ) {
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use config::{Listener, Setup, Shared, Source, Tenant, Tenants};
-use decide::interface::{Allowed, Micros};
+use decide::{EndpointFilter, Micros};
 use hyper::http::request::Parts;
 use hyper::{header, StatusCode};
 use jsonrpc::Call;
@@ -408,8 +408,8 @@
 /// A class's place among its tenant's by worth, from 0 to 1.
 fn rank(snapshot: &Snapshot, class: usize) -> f64 {
     let classes = &snapshot.config.classes;
-    let worth = classes[class].figures.gain;
-    let most = classes.iter().map(|c| c.figures.gain).fold(0.0, f64::max);
+    let worth = classes[class].figures.priority_weight;
+    let most = classes.iter().map(|c| c.figures.priority_weight).fold(0.0, f64::max);
     if most > 0.0 {
         worth / most
     } else {
@@ -447,7 +447,7 @@
         self.routed.handle()
     }
 
-    fn allowed(&self) -> Option<Arc<Allowed>> {
+    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
         self.routed.allowed()
     }
 
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -3,34 +3,34 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use decide::interface::*;
-use decide::learned::Learned;
+use decide::learned::LearnedState;
+use decide::{Endpoint, EndpointId, Micros, NewRequest, Outcome, RequestId, UpdateScope};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::exchange::{Answer, Attempts, Client, Ended, Message};
 
 /// Something that happened, as it waits for its turn.
 pub enum Input {
-    Backends(ListScope, Vec<BackendEntry>),
+    Backends(UpdateScope, Vec<Endpoint>),
     Request(NewRequest, Rc<Message>, Client, Attempts, oneshot::Sender<Answer>),
     /// The body of a request has come whole.
     Came(RequestId),
     Ended(RequestId, usize, Ended),
     /// An attempt of a request that is over was called off: where to, when it was sent, and as what that counts.
-    Dropped(RequestId, usize, (BackendId, Micros), Outcome),
+    Dropped(RequestId, usize, (EndpointId, Micros), Outcome),
     ClientGone(RequestId),
     /// Set by the balancer of this seed, with this token.
     Timer(u64, u64),
     Told(u32, Vec<u8>),
     Probed {
-        backend: BackendId,
+        backend: EndpointId,
         sent: Micros,
         ended: Ended,
     },
     /// What others have learned, once there is a list.
-    Learn(Vec<Learned>),
+    Learn(Vec<LearnedState>),
     /// Asks what was learned here.
-    State(oneshot::Sender<Learned>),
+    State(oneshot::Sender<LearnedState>),
     /// Asks how many listed nodes are avoided by choice.
     Avoided(oneshot::Sender<usize>),
 }
@@ -69,7 +69,7 @@
         self.tell(Input::ClientGone(id));
     }
 
-    pub fn backends(&self, scope: ListScope, entries: Vec<BackendEntry>) {
+    pub fn backends(&self, scope: UpdateScope, entries: Vec<Endpoint>) {
         self.tell(Input::Backends(scope, entries));
     }
 
@@ -79,12 +79,12 @@
     }
 
     /// What others have learned.
-    pub fn learn(&self, told: Vec<Learned>) {
+    pub fn learn(&self, told: Vec<LearnedState>) {
         self.tell(Input::Learn(told));
     }
 
     /// What was learned here; nothing where the decisions panic over it.
-    pub async fn learned(&self) -> Option<Learned> {
+    pub async fn learned(&self) -> Option<LearnedState> {
         let (sender, receiver) = oneshot::channel();
         self.tell(Input::State(sender));
         receiver.await.ok()
--- a/crates/proxy/src/membership/discovery.rs
+++ b/crates/proxy/src/membership/discovery.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use config::Told as ToldList;
-use decide::interface::*;
+use decide::{Micros, UpdateScope};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -121,11 +121,11 @@
     pub async fn run(mut self, known: Option<ToldList>) {
         let initial = match known {
             Some(list) => {
-                self.roster.hear(list, ListScope::Cached);
+                self.roster.hear(list, UpdateScope::Cached);
                 InitialList::Unconfirmed
             }
             None => {
-                self.roster.handle.backends(ListScope::Cached, Vec::new());
+                self.roster.handle.backends(UpdateScope::Cached, Vec::new());
                 InitialList::Absent
             }
         };
@@ -170,7 +170,7 @@
                 match action {
                     Action::Ask(id, wait) => calls.ask(id, *address.borrow(), self.path(wait)),
                     Action::Drop(id) => calls.drop(id),
-                    Action::Ended => self.roster.handle.backends(ListScope::Failed, Vec::new()),
+                    Action::Ended => self.roster.handle.backends(UpdateScope::Failed, Vec::new()),
                 }
             }
         }
@@ -204,7 +204,7 @@
             Told::Answered(told, connection) => {
                 calls.spare = Some(connection);
                 let news = told.list.whole || !told.list.hosts.is_empty();
-                let scope = if told.list.whole { ListScope::Full } else { ListScope::Delta };
+                let scope = if told.list.whole { UpdateScope::Full } else { UpdateScope::Delta };
                 self.roster.hear(told, scope);
                 Event::Answered(id, news)
             }
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use config::parse_list;
-use decide::interface::ListScope;
+use decide::UpdateScope;
 use tokio::time::{sleep, Instant};
 
 use crate::log::say;
@@ -78,7 +78,7 @@
         let list = parse_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
         // Checked as a whole, and applied in the form in which it came.
         let nodes = list.clone().nodes()?.len();
-        self.roster.apply(list, ListScope::Full);
+        self.roster.apply(list, UpdateScope::Full);
         say(format_args!("pool `{}`: {nodes} nodes from {}", self.pool, self.path.display()));
         Ok(())
     }
