--- a/crates/proxy/src/membership/roster.rs
+++ b/crates/proxy/src/membership/roster.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use config::{Health, Host, HostList, Told as ToldList};
-use decide::interface::*;
-use decide::learned::Learned;
-use decide::settings::Names;
+use decide::learned::LearnedState;
+use decide::platform_settings::NameTable;
+use decide::{Endpoint, EndpointId, EndpointState, UpdateScope};
 use tokio::time::Instant;
 
 use crate::backend::Backends;
@@ -26,11 +26,11 @@
 const NAME_KEPT: Duration = Duration::from_secs(60);
 /// What a host is called here.
 pub struct Named {
-    id: BackendId,
+    id: EndpointId,
     /// When it was said to be gone, or left out of a whole list.
     gone: Option<Instant>,
     /// What was listed last, and where it listens.
-    last: Option<(BackendEntry, SocketAddr)>,
+    last: Option<(Endpoint, SocketAddr)>,
 }
 
 /// Somebody who knows a node that operators speak of.
@@ -40,9 +40,9 @@
 }
 
 /// What discovery lists, or operators say where that is stricter.
-fn stricter(mut entry: BackendEntry, out: bool) -> BackendEntry {
-    if out && entry.stage == Stage::Ready {
-        entry.stage = Stage::Draining;
+fn stricter(mut entry: Endpoint, out: bool) -> Endpoint {
+    if out && entry.state == EndpointState::Ready {
+        entry.state = EndpointState::Draining;
     }
     entry
 }
@@ -72,18 +72,18 @@
         let Some((entry, dial)) = last else { return };
         let entry = stricter(entry, self.bans.is_out(name));
         self.backends.update(&entry, dial);
-        self.handle.backends(ListScope::Delta, vec![entry]);
+        self.handle.backends(UpdateScope::Delta, vec![entry]);
     }
 }
 
-fn called<'a>(ids: &'a BTreeMap<String, Named>, names: &'a Names) -> Called<'a> {
+fn called<'a>(ids: &'a BTreeMap<String, Named>, names: &'a NameTable) -> Called<'a> {
     Called { names, ids: ids.iter().map(|(name, named)| (name.as_str(), named.id)).collect() }
 }
 
 /// Takes lists in, whatever their source, and tells the decisions and the connections of them.
 pub struct Roster {
     pub clock: Clock,
-    pub names: Rc<RefCell<Names>>,
+    pub names: Rc<RefCell<NameTable>>,
     pub handle: Handle,
     pub backends: Rc<Backends>,
     /// Set once there is a list.
@@ -104,7 +104,7 @@
 pub struct Known {
     ids: RefCell<BTreeMap<String, Named>>,
     /// The ids that these have.
-    taken: RefCell<BTreeSet<BackendId>>,
+    taken: RefCell<BTreeSet<EndpointId>>,
     /// What is to be learned once there is a list.
     told: RefCell<Option<Told>>,
     /// Lists taken in.
@@ -130,13 +130,13 @@
     }
 
     /// Something to learn, at once where there is a list.
-    pub fn teach(&self, told: Told, clock: Clock, names: &Names, handle: &Handle) {
+    pub fn teach(&self, told: Told, clock: Clock, names: &NameTable, handle: &Handle) {
         *self.told.borrow_mut() = Some(told);
         self.catch_up(clock, names, handle);
     }
 
     /// Learns what waits for a list, if there is one by now.
-    fn catch_up(&self, clock: Clock, names: &Names, handle: &Handle) {
+    fn catch_up(&self, clock: Clock, names: &NameTable, handle: &Handle) {
         let ids = self.ids.borrow();
         if ids.is_empty() {
             return;
@@ -149,7 +149,13 @@
     }
 
     /// What decisions state, under names.
-    pub fn named(&self, pool: &str, learned: &Learned, clock: Clock, names: &Names) -> learned_state::Pool {
+    pub fn named(
+        &self,
+        pool: &str,
+        learned: &LearnedState,
+        clock: Clock,
+        names: &NameTable,
+    ) -> learned_state::Pool {
         let ids = self.ids.borrow();
         let now = clock.now();
         figures::named(pool, learned, &called(&ids, names), |up_for| {
@@ -161,7 +167,7 @@
 impl Roster {
     pub fn new(
         clock: Clock,
-        names: Rc<RefCell<Names>>,
+        names: Rc<RefCell<NameTable>>,
         handle: Handle,
         backends: Rc<Backends>,
         ready: Rc<Cell<bool>>,
@@ -183,7 +189,7 @@
 
     /// Takes in what discovery told, as far as it can be read. What is listed in words that cannot be may drain, so it
     /// gets nothing new.
-    pub fn hear(&mut self, told: ToldList, scope: ListScope) {
+    pub fn hear(&mut self, told: ToldList, scope: UpdateScope) {
         if let Some(fault) = told.fault.filter(|_| !std::mem::replace(&mut self.complained, true)) {
             say(format_args!("passing over a malformed entry in the list of backends: {fault}"));
         }
@@ -191,11 +197,11 @@
     }
 
     /// Takes a list in, before anything else is sent.
-    pub fn apply(&mut self, list: HostList, scope: ListScope) {
+    pub fn apply(&mut self, list: HostList, scope: UpdateScope) {
         self.take(list, &BTreeSet::new(), scope);
     }
 
-    fn take(&mut self, list: HostList, unreadable: &BTreeSet<String>, scope: ListScope) {
+    fn take(&mut self, list: HostList, unreadable: &BTreeSet<String>, scope: UpdateScope) {
         self.seq = Some(list.seq);
         self.heard.set(Instant::now());
         let mut entries = Vec::with_capacity(list.hosts.len());
@@ -213,13 +219,13 @@
             let last =
                 self.known.ids.borrow().get(name).filter(|n| n.gone.is_none()).and_then(|n| n.last.clone());
             if let Some((mut entry, dial)) = last {
-                entry.stage = Stage::Draining;
+                entry.state = EndpointState::Draining;
                 self.backends.update(&entry, dial);
                 entries.push(entry);
             }
         }
-        if scope != ListScope::Delta {
-            let listed: BTreeSet<BackendId> = entries.iter().map(|e| e.id).collect();
+        if scope != UpdateScope::Delta {
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             self.backends.retain(|id| listed.contains(&id));
             for named in self.known.ids.borrow_mut().values_mut().filter(|n| !listed.contains(&n.id)) {
                 named.gone.get_or_insert_with(Instant::now);
@@ -234,35 +240,35 @@
         drop(taken);
         self.handle.backends(scope, entries);
         // One that came with the configuration is not known to be true yet.
-        if scope != ListScope::Cached {
+        if scope != UpdateScope::Cached {
             self.ready.set(true);
         }
         self.known.lists.set(self.known.lists.get() + 1);
         self.known.catch_up(self.clock, &self.names.borrow(), &self.handle);
     }
 
-    fn entry(&mut self, host: Host) -> BackendEntry {
+    fn entry(&mut self, host: Host) -> Endpoint {
         let (zone, kind) = {
             let mut names = self.names.borrow_mut();
             (names.zone(&host.site), names.kind(&host.class))
         };
-        BackendEntry {
+        Endpoint {
             id: self.id(host.host, host.health),
-            stage: match host.health {
-                Health::Serving => Stage::Ready,
-                Health::Draining => Stage::Draining,
-                Health::Deleted => Stage::Gone,
+            state: match host.health {
+                Health::Serving => EndpointState::Ready,
+                Health::Draining => EndpointState::Draining,
+                Health::Deleted => EndpointState::Removed,
             },
             weight: host.share,
             up_since: self.clock.at_unix_ms(host.born_ms),
             zone,
-            kind,
+            machine_kind: kind,
             cell: host.block,
         }
     }
 
     /// A host's id: the same at every proxy, because all of them cut their parts out of one order of ids.
-    fn id(&mut self, host: String, health: Health) -> BackendId {
+    fn id(&mut self, host: String, health: Health) -> EndpointId {
         let gone = matches!(health, Health::Deleted).then(Instant::now);
         let mut ids = self.known.ids.borrow_mut();
         if let Some(named) = ids.get_mut(&host) {
@@ -271,10 +277,10 @@
         }
         // FNV-1a; a hash that is taken moves on to the next.
         let hash = host.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
-        let mut id = BackendId(hash);
+        let mut id = EndpointId(hash);
         let mut taken = self.known.taken.borrow_mut();
         while !taken.insert(id) {
-            id = BackendId(id.0.wrapping_add(1));
+            id = EndpointId(id.0.wrapping_add(1));
         }
         ids.insert(host, Named { id, gone, last: None });
         id
--- a/crates/proxy/src/once.rs
+++ b/crates/proxy/src/once.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use decide::interface::Micros;
+use decide::Micros;
 use hyper::{HeaderMap, StatusCode};
 use idempotency::{Begin, Bounds, Keys, Ticket};
 
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 
 use config::{parse_told, sockets_cut, Told};
-use decide::interface::Micros;
-use decide::settings::{self, Site};
+use decide::platform_settings::{self, PlatformSettings};
+use decide::Micros;
 use membership::{LeaseTerms, Policy, Refused};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -50,7 +50,7 @@
     pub known: Option<Told>,
     /// Where peers' messages arrive, and the peers' addresses by rank; only where the settings allow them.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
-    pub site: Site,
+    pub site: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -118,11 +118,11 @@
         let own = if file.mgmt.is_some() { operators::SOCKETS } else { 0 };
         let (callers, backends) = sockets_cut(file.limits.sockets.saturating_sub(own))
             .ok_or_else(|| format!("limits.sockets: too few to serve with: {}", file.limits.sockets))?;
-        let site = settings::parse(file.settings.get())?;
+        let site = platform_settings::parse(file.settings.get())?;
         // Who sent a message is told by its address.
         let mut addresses = BTreeSet::new();
         if let Some(twice) =
-            file.peers.iter().find(|peer| !addresses.insert(**peer)).filter(|_| site.settings.peers)
+            file.peers.iter().find(|peer| !addresses.insert(**peer)).filter(|_| site.settings.gossip_allowed)
         {
             return Err(format!("peers: {twice} stands in it twice"));
         }
@@ -139,7 +139,10 @@
                 .map(|known| parse_told(known.get().as_bytes()))
                 .transpose()
                 .map_err(|e| format!("known: {e}"))?,
-            peers: file.peer_listen.filter(|_| site.settings.peers).map(|listen| (listen, file.peers)),
+            peers: file
+                .peer_listen
+                .filter(|_| site.settings.gossip_allowed)
+                .map(|listen| (listen, file.peers)),
             site,
         })
     }
@@ -176,14 +179,14 @@
 /// How discovery is watched, and what bounds the use of a list: by the settings, drains are kept within a time. Four
 /// times that in which discovery must be asked is what they allow to a list after a failed call. An outage is believed
 /// in for four fifths of it: the longest that the operators name is eight seconds.
-fn watch_policy(site: &Site) -> Policy {
+fn watch_policy(site: &PlatformSettings) -> Policy {
     let terms = LeaseTerms {
         drain_grace: site.transport.drain_grace,
         margin: DRAIN_MARGIN.as_micros() as Micros,
-        longest_stop: site.settings.must_ask_in.max(MUST_ASK_IN) * 4,
-        believed_outage: site.settings.must_ask_in.max(MUST_ASK_IN) * 4 / 5,
+        longest_stop: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4,
+        believed_outage: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4 / 5,
     };
-    Policy { answers_each: site.settings.ask_discovery, lease: Some(terms) }
+    Policy { answers_each: site.settings.poll_discovery, lease: Some(terms) }
 }
 
 /// Runs until SIGTERM or SIGINT, and then until all that was taken has its answer.
@@ -259,7 +262,7 @@
     let discovery = Discovery {
         address: address_of_discovery,
         roster,
-        subscribe: site.settings.ask_discovery.then_some(subscribe),
+        subscribe: site.settings.poll_discovery.then_some(subscribe),
         policy,
         seed: config.seed,
         complained: false,
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use config::{Config, Health, Host, HostList, Node, NodeState, Operators, Protocol, Source};
-use decide::interface::*;
-use decide::settings::{Names, Transport};
+use decide::platform_settings::{NameTable, Transport};
+use decide::{EndpointFilter, EndpointState, Micros, UpdateScope};
 use membership::Policy;
 use route::{Count, Within};
 use tokio::net::TcpListener;
@@ -73,7 +73,7 @@
     pub handle: Handle,
     pub backends: Rc<Backends>,
     clock: Clock,
-    names: Rc<RefCell<Names>>,
+    names: Rc<RefCell<NameTable>>,
     known: Rc<Known>,
     ready: Rc<Cell<bool>>,
     /// When its source last spoke.
@@ -110,7 +110,7 @@
             drain_grace: limits.drain_grace,
         };
         let classes = config.classes.iter().map(|c| c.name.clone()).collect();
-        let names = Names::new(classes, config.zones.clone(), config.kinds.clone());
+        let names = NameTable::new(classes, config.zones.clone(), config.kinds.clone());
         let names = Rc::new(RefCell::new(names));
         let backends = Backends::new(transport, sockets);
         let backends = match office {
@@ -145,7 +145,7 @@
         match &pool.source {
             Source::List(nodes) => {
                 let mut roster = roster;
-                roster.apply(list(nodes), ListScope::Full);
+                roster.apply(list(nodes), UpdateScope::Full);
                 listed = Some(RefCell::new(roster));
             }
             Source::File(path) => {
@@ -177,7 +177,7 @@
     pub fn go_on(&self, config: &Config, place: usize, sockets: usize) {
         self.backends.set_most_links(sockets);
         if let (Some(roster), Source::List(nodes)) = (&self.listed, &config.pools[place].source) {
-            roster.borrow_mut().apply(list(nodes), ListScope::Full);
+            roster.borrow_mut().apply(list(nodes), UpdateScope::Full);
         }
     }
 
@@ -213,11 +213,11 @@
         let now = self.clock.now();
         let mut nodes = Vec::new();
         self.backends.each(|entry, address| {
-            if entry.stage != Stage::Gone {
+            if entry.state != EndpointState::Removed {
                 nodes.push(bgp::ListedNode {
                     address,
                     weight: entry.weight,
-                    ready: entry.stage == Stage::Ready,
+                    ready: entry.state == EndpointState::Ready,
                     warm: entry.up_since.is_none_or(|up| now - up >= cold_time),
                 });
             }
@@ -237,24 +237,24 @@
     }
 
     /// What a route leaves of it, in the terms of its decisions.
-    pub fn allowed(&self, within: &Within) -> Allowed {
+    pub fn allowed(&self, within: &Within) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
-        Allowed {
+        EndpointFilter {
             zones: within.zones.iter().map(|z| names.zone(z)).collect(),
-            kinds: within.kinds.iter().map(|k| names.kind(k)).collect(),
+            machine_kinds: within.kinds.iter().map(|k| names.kind(k)).collect(),
             cells: within.cells.clone(),
         }
     }
 
     /// The nodes that a route may use.
-    pub fn count(&self, allowed: Option<&Allowed>) -> Count {
+    pub fn count(&self, allowed: Option<&EndpointFilter>) -> Count {
         let mut count = Count::default();
         self.backends.each(|entry, _| {
-            if allowed.is_none_or(|allowed| allowed.allows(entry)) {
-                match entry.stage {
-                    Stage::Ready => count.ready += 1,
-                    Stage::Draining => count.draining += 1,
-                    Stage::Gone => {}
+            if allowed.is_none_or(|allowed| allowed.matches(entry)) {
+                match entry.state {
+                    EndpointState::Ready => count.ready += 1,
+                    EndpointState::Draining => count.draining += 1,
+                    EndpointState::Removed => {}
                 }
             }
         });
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::interface::*;
+use decide::{Micros, NewRequest, RequestId, Semantics};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
@@ -105,10 +105,10 @@
         time_left: 0,
         work: one("x-cost")?.and_then(whole).and_then(|us| us.try_into().ok()).filter(|us| *us > 0),
         is_retry: one("x-retried")? == Some("1"),
-        allowed: course.allowed(),
-        attempts: course.attempts(),
-        ways_in: None,
-        coming: 0,
+        endpoint_filter: course.allowed(),
+        max_attempts: course.attempts(),
+        downstream_connections: None,
+        body_pending: 0,
     };
     let key = key.filter(|_| keyed).map(str::to_owned);
     Ok(Opened {
@@ -149,8 +149,9 @@
         if let Some(flow) = body.flow() {
             // What has flowed cannot be sent a second time.
             let most = body.size_hint().exact().or(flows).unwrap_or(MOST_BODY as u64);
-            new.attempts = 1;
-            new.coming = if flow.ended().is_some() { 0 } else { flow::most_time(most).as_micros() as Micros };
+            new.max_attempts = 1;
+            new.body_pending =
+                if flow.ended().is_some() { 0 } else { flow::most_time(most).as_micros() as Micros };
         }
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
--- a/crates/proxy/src/routing.rs
+++ b/crates/proxy/src/routing.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use config::Listener;
-use decide::interface::{Micros, Semantics};
+use decide::{Micros, Semantics};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{header, HeaderMap, StatusCode, Uri};
--- a/crates/proxy/src/server/http.rs
+++ b/crates/proxy/src/server/http.rs
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use decide::interface::*;
+use decide::{Micros, TIME_LIMIT};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use config::Protocol;
-use decide::interface::{Micros, WaysIn};
+use decide::{DownstreamConnections, Micros};
 use shutdown::{Fate, Shutdown, Terms};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
@@ -177,10 +177,10 @@
 
 impl Callers {
     /// What is left to callers once the front has them go elsewhere; None while new connections come.
-    fn ways_in(&self) -> Option<WaysIn> {
+    fn ways_in(&self) -> Option<DownstreamConnections> {
         (self.is_ending() && !self.gate.shared).then(|| {
             let all = self.all.borrow();
-            WaysIn { free: all.values().filter(|c| !c.busy.get()).count(), all: all.len() }
+            DownstreamConnections { idle: all.values().filter(|c| !c.busy.get()).count(), open: all.len() }
         })
     }
 
@@ -362,7 +362,7 @@
 mod tests {
     use std::io::{BufRead, BufReader, Write};
 
-    use decide::settings;
+    use decide::platform_settings;
     use tokio::sync::oneshot;
     use tokio::task::LocalSet;
 
@@ -379,7 +379,7 @@
     fn what_the_decisions_leave_open_fails_before_its_time_is_up() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
-            let site = settings::parse(SETTINGS).expect("settings");
+            let site = platform_settings::parse(SETTINGS).expect("settings");
             let backends = Rc::new(Backends::new(site.transport, 9));
             // This driver never runs, so nothing is ever decided.
             let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
--- a/crates/proxy/src/server/rpc.rs
+++ b/crates/proxy/src/server/rpc.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes};
-use decide::interface::Micros;
+use decide::Micros;
 use hyper::StatusCode;
 use jsonrpc::{code, Body, Bounds, Call, Framer, Framing, Parsed, Unframed};
 use serde_json::json;
--- a/crates/proxy/src/server/serving.rs
+++ b/crates/proxy/src/server/serving.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decide::interface::*;
+use decide::{Micros, RequestId};
 use tokio::time::{sleep_until, Instant};
 
 use super::Callers;
@@ -24,11 +24,11 @@
     if callers.is_time_up() {
         return Answer::Refused { retry_after: 0, never_ran: true };
     }
-    new.ways_in = callers.ways_in();
+    new.downstream_connections = callers.ways_in();
     // What would still be open when the kill comes gets its answer before that.
     let patience = callers.time_for(received, patience);
     // Its time counts from when it has come whole.
-    let coming = Duration::from_micros(new.coming.max(0) as u64);
+    let coming = Duration::from_micros(new.body_pending.max(0) as u64);
     let backstop = received + coming + patience.saturating_sub(BACKSTOP);
     // The decisions get this much less, for the answer's way back.
     let decided = patience.saturating_sub(ANSWER_WAY.min(patience / 10));
@@ -53,8 +53,8 @@
             Next::Again if message.body().flow().is_some() => break answer,
             Next::Fail => break Answer::Failed,
             Next::Again => {
-                new.allowed = course.allowed();
-                new.attempts = course.attempts();
+                new.endpoint_filter = course.allowed();
+                new.max_attempts = course.attempts();
                 spent = received.elapsed();
             }
         }
--- a/crates/proxy/src/snapshot.rs
+++ b/crates/proxy/src/snapshot.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use config::{Config, Protocol};
-use decide::interface::{Allowed, Semantics};
+use decide::{EndpointFilter, Semantics};
 use route::{Count, PoolId, Step};
 
 use crate::clock::Clock;
@@ -25,7 +25,7 @@
     pub methods: Vec<Option<Arc<str>>>,
     pools: Vec<Rc<Pool>>,
     /// What each route leaves of each pool, by the places of both; only where that is not all.
-    allowed: Vec<Vec<Option<Arc<Allowed>>>>,
+    allowed: Vec<Vec<Option<Arc<EndpointFilter>>>>,
     /// Where the requests of each route are counted, by the places of both; nowhere if nobody reads it.
     counts: Vec<BTreeMap<usize, Rc<Counts>>>,
 }
@@ -169,7 +169,7 @@
         &self.snapshot.pools[self.step.pool.0].handle
     }
 
-    fn allowed(&self) -> Option<Arc<Allowed>> {
+    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
         self.snapshot.allowed[self.route][self.step.pool.0].clone()
     }
 
--- a/src/bin/amberlever-simulator/wire.rs
+++ b/src/bin/amberlever-simulator/wire.rs
@@ -6,9 +6,12 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::str::{FromStr, Split};
 
-use decide::interface::*;
-use decide::settings::{self, micros, Names, Site};
+use decide::platform_settings::{self, micros, NameTable, PlatformSettings};
 use decide::Balancer;
+use decide::{
+    Action, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros, NewRequest, Outcome, RequestId,
+    UpdateScope,
+};
 
 /// Why the program stopped.
 #[derive(Debug)]
@@ -43,12 +46,12 @@
 /// The names a running instance needs to read its events.
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameTable,
 }
 
 /// A list entry with its names unresolved: lists serve the whole process, names belong to an instance.
 struct Listed {
-    entry: BackendEntry,
+    entry: Endpoint,
     zone: String,
     kind: String,
 }
@@ -187,21 +190,21 @@
 fn listed(line: &str) -> Result<Listed, String> {
     let mut parts = Parts::new(line.strip_prefix("BACKEND ").ok_or("expected BACKEND")?);
     let stage = match parts.word()? {
-        "0" => Stage::Gone,
-        "1" => Stage::Ready,
-        "2" => Stage::Draining,
+        "0" => EndpointState::Removed,
+        "1" => EndpointState::Ready,
+        "2" => EndpointState::Draining,
         word => return Err(format!("unknown stage {word}")),
     };
     let weight = parts.optional::<f64>()?.unwrap_or(1.0);
     let up_since = parts.optional_time()?.filter(|&t| t != 0);
     let (zone, kind) = (parts.word()?.to_owned(), parts.word()?.to_owned());
-    let entry = BackendEntry {
-        id: BackendId(parts.number()?),
-        stage,
+    let entry = Endpoint {
+        id: EndpointId(parts.number()?),
+        state: stage,
         weight,
         up_since,
         cell: parts.optional()?,
-        ..BackendEntry::default()
+        ..Endpoint::default()
     };
     parts.done()?;
     Ok(Listed { entry, zone, kind })
@@ -221,22 +224,22 @@
     Ok(match word {
         "GOOD" => Outcome::Ok,
         "BAD" => Outcome::Error,
-        "FULL" => Outcome::Full,
+        "FULL" => Outcome::Rejected,
         "LATE" => Outcome::Timeout,
         "NOCONN" => Outcome::ConnectFailed,
         "RST" => Outcome::Reset,
         "CXL" => Outcome::Cancelled,
-        "NOP" => Outcome::Moot,
+        "NOP" => Outcome::NotSent,
         _ => return Err(format!("unknown outcome {word}")),
     })
 }
 
 impl Instance {
-    fn report(&self, word: &str) -> Result<Option<Report>, String> {
+    fn report(&self, word: &str) -> Result<Option<LoadReport>, String> {
         if word == "-" {
             return Ok(None);
         }
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (value, field) in word.split(',').zip(&self.names.fields) {
             if !matches!(value, "-" | "") {
                 let value = value.parse::<f64>().ok().filter(|x| x.is_finite());
@@ -276,22 +279,22 @@
             "ENDPOINTS" => {
                 let sheet: Option<u32> = parts.optional()?;
                 let scope = match parts.word()? {
-                    "0" => ListScope::Failed,
-                    "1" => ListScope::Full,
-                    "2" => ListScope::Cached,
-                    "4" => ListScope::Delta,
+                    "0" => UpdateScope::Failed,
+                    "1" => UpdateScope::Full,
+                    "2" => UpdateScope::Cached,
+                    "4" => UpdateScope::Delta,
                     word => return Err(format!("unknown scope {word}")),
                 };
                 parts.word()?;
-                if scope != ListScope::Failed {
+                if scope != UpdateScope::Failed {
                     let pool = sheet.and_then(|s| self.pools.get(&s)).ok_or("no such POOL")?;
-                    entries.extend(pool.iter().map(|l| BackendEntry {
+                    entries.extend(pool.iter().map(|l| Endpoint {
                         zone: instance.names.zone(&l.zone),
-                        kind: instance.names.kind(&l.kind),
+                        machine_kind: instance.names.kind(&l.kind),
                         ..l.entry.clone()
                     }));
                 }
-                Event::Backends { scope, entries: &entries }
+                Event::EndpointUpdate { scope, endpoints: &entries }
             }
             "SUBMIT" => {
                 let id = RequestId(parts.number()?);
@@ -309,10 +312,10 @@
                     time_left,
                     work: work.filter(|w| marks & 1 != 0 && w.is_finite() && *w > 0.0).map(micros),
                     is_retry: marks & 2 != 0,
-                    allowed: None,
-                    attempts: 0,
-                    ways_in: None,
-                    coming: 0,
+                    endpoint_filter: None,
+                    max_attempts: 0,
+                    downstream_connections: None,
+                    body_pending: 0,
                 })
             }
             "OPENED" => {
@@ -320,19 +323,19 @@
                 let _ = (parts.number::<u64>()?, parts.number::<u32>()?, parts.time()?);
                 Event::StreamStarted { request }
             }
-            "RESOLVED" => Event::Outcome {
+            "RESOLVED" => Event::AttemptEnded {
                 request: RequestId(parts.number()?),
                 attempt: parts.number()?,
-                backend: BackendId(parts.number()?),
+                endpoint: EndpointId(parts.number()?),
                 outcome: outcome(parts.word()?)?,
                 took: parts.time()?,
                 is_final: parts.flag()?,
                 report: instance.report(parts.word()?)?,
             },
-            "CANCELLED_BY_CLIENT" => Event::ClientGone(RequestId(parts.number()?)),
+            "CANCELLED_BY_CLIENT" => Event::ClientDisconnected(RequestId(parts.number()?)),
             "DUE" => Event::Timer(parts.number()?),
-            "HEALTH" => Event::Probed {
-                backend: BackendId(parts.number()?),
+            "HEALTH" => Event::HealthChecked {
+                endpoint: EndpointId(parts.number()?),
                 outcome: outcome(parts.word()?)?,
                 took: parts.time()?,
                 report: instance.report(parts.word()?)?,
@@ -340,7 +343,7 @@
             "HEARD" => {
                 let from = parts.number()?;
                 payload = bytes(parts.word()?)?;
-                Event::Told { from, payload: &payload }
+                Event::GossipReceived { from, payload: &payload }
             }
             _ => return Err("unknown event".to_owned()),
         };
@@ -391,18 +394,18 @@
 
 fn print(out: &mut impl Write, action: &Action) -> io::Result<()> {
     match action {
-        Action::Send { request, backend, until } => {
+        Action::Send { request, endpoint: backend, deadline: until } => {
             writeln!(out, "TRANSMIT {} {} {}", request.0, backend.0, Ms(*until))
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             writeln!(out, "DECLINE {} {}", request.0, Ms(*retry_after))
         }
         Action::Fail(request) => writeln!(out, "FAIL {}", request.0),
         Action::Cancel { request, attempt } => writeln!(out, "STOP_ATTEMPT {} {attempt}", request.0),
         Action::Timer { at, token } => writeln!(out, "REMIND {} {token}", Ms(*at)),
-        Action::Subscribe => writeln!(out, "TRACK 1"),
-        Action::Probe(backend) => writeln!(out, "SOUND_OUT {}", backend.0),
-        Action::Tell { to, payload } => {
+        Action::PollDiscovery => writeln!(out, "TRACK 1"),
+        Action::HealthCheck(backend) => writeln!(out, "SOUND_OUT {}", backend.0),
+        Action::SendGossip { to, payload } => {
             write!(out, "TELL {to} ")?;
             payload.iter().try_for_each(|byte| write!(out, "{byte:02x}"))?;
             writeln!(out)
@@ -412,6 +415,6 @@
 }
 
 fn start(seed: u64, config: &str) -> Result<Instance, String> {
-    let Site { settings, names, .. } = settings::parse(config)?;
+    let PlatformSettings { settings, names, .. } = platform_settings::parse(config)?;
     Ok(Instance { balancer: Balancer::new(settings, seed), names })
 }
