--- a/crates/proxy/src/server/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -15,13 +15,13 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::Instant;
 
-use super::{serving, Caller, Callers, Gate};
+use super::{serving, Caller, Callers, Frontend};
+use crate::body::{Content, Cut};
 use crate::exchange::{Answer, MOST_BODY, MOST_BUFFER};
-use crate::figures::{Fate, Tally};
-use crate::flow::{Content, Cut};
-use crate::gate::Turned;
-use crate::guard::caught;
-use crate::request::{self, Taken};
+use crate::metrics::{RequestOutcome, Tally};
+use crate::panic_guard::caught;
+use crate::request_reader::{self, Taken};
+use crate::router::Rejection;
 use crate::socket::Socket;
 
 /// Says which limit refused a request.
@@ -46,7 +46,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         let whole = self.content.flow().is_some_and(|flow| flow.ended().is_some());
-        self.tally.end(if whole { Fate::Served } else { Fate::Failed });
+        self.tally.end(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
         self.caller.free();
     }
 }
@@ -128,7 +128,7 @@
     }
     let gate = &callers.gate;
     let tally = Rc::<Tally>::default();
-    let read = request::read(&*gate.router, &gate.ids, &caller.socket, &caller.kept, &tally, request);
+    let read = request_reader::read(&*gate.router, &gate.ids, &caller.socket, &caller.kept, &tally, request);
     let answer = match read.await {
         // Its time counts from its last byte; one that flows brings along how long it may take to come.
         Ok(Taken::Sound(sound)) => serving::serve(callers, *sound, &caller.client(), Instant::now()).await,
@@ -166,7 +166,7 @@
     }
 }
 
-fn turned_away(gate: &Gate, turned: Turned) -> Reply {
+fn turned_away(gate: &Frontend, turned: Rejection) -> Reply {
     let mut reply = reply(turned.status);
     if let Some(cause) = turned.cause {
         reply.headers_mut().insert(CAUSE, HeaderValue::from_static(cause));
@@ -179,7 +179,7 @@
 }
 
 /// Says when to come back.
-fn advise(gate: &Gate, reply: &mut Reply, retry_after: Micros) {
+fn advise(gate: &Frontend, reply: &mut Reply, retry_after: Micros) {
     if retry_after <= 0 {
         return;
     }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -19,12 +19,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
+use crate::body::STALL;
 use crate::clock::Clock;
 use crate::exchange::{Client, MOST_BUFFER};
-use crate::flow::STALL;
-use crate::gate::{Connection, Router};
-use crate::ids::Ids;
 use crate::log::say;
+use crate::request_ids::OpenRequestIds;
+use crate::router::{Connection, Router};
 use crate::socket::{Socket, Unread};
 
 /// The head of a request has come whole within this time: from the start of the connection for its first
@@ -40,9 +40,9 @@
 const CLOSING_LOOK: Duration = Duration::from_millis(20);
 
 /// What requests are read by and handed to.
-pub struct Gate {
+pub struct Frontend {
     pub router: Rc<dyn Router>,
-    pub ids: Ids,
+    pub ids: OpenRequestIds,
     pub protocol: Protocol,
     /// The listening socket is another process's as well, which goes on with it when this one ends.
     pub shared: bool,
@@ -50,7 +50,7 @@
 
 /// The open connections of callers.
 struct Callers {
-    gate: Gate,
+    gate: Frontend,
     most: usize,
     all: RefCell<BTreeMap<u64, Rc<Caller>>>,
     /// Told when a connection has ended.
@@ -85,10 +85,10 @@
 }
 
 /// Serves callers until `stop`, and then until all that was taken has its answer.
-pub async fn run(gate: Gate, listener: TcpListener, most: usize, stop: impl Future<Output = ()>) {
+pub async fn run(gate: Frontend, listener: TcpListener, most: usize, stop: impl Future<Output = ()>) {
     let terms = Terms {
         longest_wait: gate.router.longest_wait().as_micros() as Micros,
-        is_killed: gate.router.is_killed(),
+        is_killed: gate.router.has_termination_deadline(),
         is_alone: gate.router.may_end_alone(),
         is_shared: gate.shared,
     };
@@ -367,10 +367,10 @@
     use tokio::task::LocalSet;
 
     use super::*;
-    use crate::backend::Backends;
     use crate::clock::Clock;
     use crate::driver::Driver;
-    use crate::gate::Platform;
+    use crate::router::PlatformRouter;
+    use crate::upstream::Upstreams;
 
     const SETTINGS: &str = r#"{"balancers":1,"stages":["front"],"limits":{"max_attempts":3},
         "request_classes":[{"name":"read","promise_ms":9000,"deadline_ms":9000,"semantics":"idempotent"}]}"#;
@@ -380,19 +380,19 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
             let site = platform_settings::parse(SETTINGS).expect("settings");
-            let backends = Rc::new(Backends::new(site.transport, 9));
+            let backends = Rc::new(Upstreams::new(site.transport, 9));
             // This driver never runs, so nothing is ever decided.
             let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
-            let router = Platform {
+            let router = PlatformRouter {
                 handle: driver.handle(),
                 names: site.names,
                 settings: site.settings,
                 ready: Rc::default(),
                 counts: Vec::new(),
             };
-            let gate = Gate {
+            let gate = Frontend {
                 router: Rc::new(router),
-                ids: Ids::default(),
+                ids: OpenRequestIds::default(),
                 protocol: Protocol::Http,
                 shared: false,
             };
--- a/crates/proxy/src/server/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -19,11 +19,11 @@
 
 use super::{serving, Caller, Callers};
 use crate::exchange::{Answer, Called, Client};
-use crate::figures::Tally;
-use crate::gate::Turned;
-use crate::guard::caught;
-use crate::mapping;
-use crate::request::{self, Taken};
+use crate::metrics::Tally;
+use crate::panic_guard::caught;
+use crate::request_reader::{self, Taken};
+use crate::router::Rejection;
+use crate::rpc_mapping;
 use crate::socket::{Socket, Unread};
 
 /// A caller that takes nothing of its answers for so long has gone.
@@ -255,11 +255,12 @@
         entered
     }
 
-    fn way(&self, call: &Call<'_>, frame: &Bytes, tally: &Tally) -> Result<Taken, Turned> {
+    fn way(&self, call: &Call<'_>, frame: &Bytes, tally: &Tally) -> Result<Taken, Rejection> {
         let gate = &self.callers.gate;
-        let (mut head, class) = gate.router.call(call)?;
-        let body = mapping::body_of(&head, call, frame);
-        let mut opened = request::open(&*gate.router, &self.caller.kept, &mut head, body.len() as u64)?;
+        let (mut head, class) = gate.router.route_call(call)?;
+        let body = rpc_mapping::body_of(&head, call, frame);
+        let mut opened =
+            request_reader::open(&*gate.router, &self.caller.kept, &mut head, body.len() as u64)?;
         if class.is_some_and(|class| class != opened.class) {
             // Its route is another class's: the configuration has no way for this method.
             return Err(StatusCode::NOT_FOUND.into());
@@ -390,7 +391,7 @@
         Some(match answer {
             Answer::Served(headers, body) => {
                 let body = body.whole().unwrap_or_default();
-                jsonrpc::response(id, &mapping::result_of(&headers, &body))
+                jsonrpc::response(id, &rpc_mapping::result_of(&headers, &body))
             }
             Answer::Refused { retry_after, .. } => {
                 let data = data("load", retry_after);
@@ -411,10 +412,10 @@
     data.to_string()
 }
 
-fn turned_away(id: Option<&RawValue>, turned: Turned) -> Vec<u8> {
+fn turned_away(id: Option<&RawValue>, turned: Rejection) -> Vec<u8> {
     let (code, message) = match turned.status {
         StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => (code::NO_METHOD, "no such method"),
-        StatusCode::CONFLICT if turned.cause == Some(crate::once::DONE) => {
+        StatusCode::CONFLICT if turned.cause == Some(crate::idempotency_keys::DONE) => {
             (code::OPEN, "a request with this key was served, and its answer is not held any more")
         }
         StatusCode::CONFLICT => (code::OPEN, "a request with this id or key is open"),
--- a/crates/proxy/src/server/serving.rs
+++ b/crates/proxy/src/downstream/serving.rs
@@ -8,9 +8,9 @@
 
 use super::Callers;
 use crate::exchange::{Answer, Client};
-use crate::gate::Next;
-use crate::inbox::Handle;
-use crate::request::Sound;
+use crate::inbox::DriverHandle;
+use crate::request_reader::Sound;
+use crate::router::RejectionOutcome;
 
 /// The decisions get this much less than the client's time, for the answer's way back.
 const ANSWER_WAY: Duration = Duration::from_millis(20);
@@ -35,8 +35,9 @@
     let mut spent = Duration::ZERO;
     let answer = loop {
         new.time_left = decided.saturating_sub(spent).as_micros() as Micros;
-        let handle = course.handle().clone();
-        let (id, answer) = handle.request(new.clone(), Rc::clone(&message), client.clone(), course.begun());
+        let handle = course.driver().clone();
+        let (id, answer) =
+            handle.request(new.clone(), Rc::clone(&message), client.clone(), course.attempt_counter());
         let gone = Gone(&handle, id);
         let answer = tokio::select! {
             biased;
@@ -47,14 +48,14 @@
         // Where no answer came, the request ends here, and so do its attempts.
         drop(gone);
         let Answer::Refused { never_ran, .. } = answer else { break answer };
-        match course.refused(never_ran) {
-            Next::Answer => break answer,
+        match course.on_rejected(never_ran) {
+            RejectionOutcome::Final => break answer,
             // What has flowed cannot be sent a second time, wherever.
-            Next::Again if message.body().flow().is_some() => break answer,
-            Next::Fail => break Answer::Failed,
-            Next::Again => {
-                new.endpoint_filter = course.allowed();
-                new.max_attempts = course.attempts();
+            RejectionOutcome::NextPool if message.body().flow().is_some() => break answer,
+            RejectionOutcome::Failed => break Answer::Failed,
+            RejectionOutcome::NextPool => {
+                new.endpoint_filter = course.endpoint_filter();
+                new.max_attempts = course.max_attempts();
                 spent = received.elapsed();
             }
         }
@@ -66,10 +67,10 @@
 }
 
 /// Tells the driver that nobody waits for a request any more; after its answer that changes nothing.
-struct Gone<'a>(&'a Handle, RequestId);
+struct Gone<'a>(&'a DriverHandle, RequestId);
 
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
-        self.0.client_gone(self.1);
+        self.0.client_disconnected(self.1);
     }
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -13,12 +13,12 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::{spawn_local, AbortHandle};
 
-use crate::backend::{Backends, Order};
 use crate::clock::Clock;
 use crate::exchange::{Answer, Attempts, Client, Ended, Message, Patience};
-use crate::inbox::{Handle, Input};
+use crate::gossip::GossipSocket;
+use crate::inbox::{DriverHandle, DriverInput};
 use crate::log::say;
-use crate::peers::Peers;
+use crate::upstream::{AttemptRequest, Upstreams};
 
 /// A request that is owed an answer.
 struct Open {
@@ -59,13 +59,13 @@
     seed: u64,
     balancer: Balancer,
     open: BTreeMap<RequestId, Open>,
-    backends: Rc<Backends>,
-    peers: Option<Rc<Peers>>,
+    backends: Rc<Upstreams>,
+    peers: Option<Rc<GossipSocket>>,
     subscribe: Rc<Notify>,
-    handle: Handle,
-    arriving: mpsc::UnboundedReceiver<Input>,
+    handle: DriverHandle,
+    arriving: mpsc::UnboundedReceiver<DriverInput>,
     /// What followed from the last input at once; it comes before what arrives.
-    following: VecDeque<Input>,
+    following: VecDeque<DriverInput>,
 }
 
 impl Driver {
@@ -74,11 +74,11 @@
         settings: Settings,
         seed: u64,
         clock: Clock,
-        backends: Rc<Backends>,
-        peers: Option<Rc<Peers>>,
+        backends: Rc<Upstreams>,
+        peers: Option<Rc<GossipSocket>>,
         subscribe: Rc<Notify>,
     ) -> Driver {
-        let (handle, arriving) = Handle::new();
+        let (handle, arriving) = DriverHandle::new();
         Driver {
             clock,
             balancer: Balancer::new(settings.clone(), seed),
@@ -94,7 +94,7 @@
         }
     }
 
-    pub fn handle(&self) -> Handle {
+    pub fn handle(&self) -> DriverHandle {
         self.handle.clone()
     }
 
@@ -104,7 +104,7 @@
             self.following.push_back(input);
             while let Some(input) = self.following.pop_front() {
                 // A new balancer that panics on the very list does not get it again.
-                let relisted = matches!(input, Input::Backends(UpdateScope::Cached, _));
+                let relisted = matches!(input, DriverInput::Backends(UpdateScope::Cached, _));
                 if catch_unwind(AssertUnwindSafe(|| self.take(input))).is_err() {
                     self.start_anew(!relisted);
                 }
@@ -124,45 +124,47 @@
         self.seed = self.seed.wrapping_add(1);
         self.balancer = Balancer::new(self.settings.clone(), self.seed);
         if with_list {
-            self.following.push_back(Input::Backends(UpdateScope::Cached, self.backends.entries()));
+            self.following.push_back(DriverInput::Backends(UpdateScope::Cached, self.backends.entries()));
         }
     }
 
     // ---- Events ----
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: DriverInput) {
         match input {
-            Input::Backends(scope, entries) => {
+            DriverInput::Backends(scope, entries) => {
                 self.decide(Event::EndpointUpdate { scope, endpoints: &entries })
             }
-            Input::Request(new, message, client, begun, answer) => {
+            DriverInput::Request(new, message, client, begun, answer) => {
                 let attempts = Vec::new();
                 let open =
                     Open { message, client, answer, begun, attempts, timed_out: false, may_have_run: false };
                 if let Some(flow) = open.message.body().flow() {
                     let (handle, id) = (self.handle(), new.id);
-                    flow.at_end(move || handle.tell(Input::Came(id)));
+                    flow.at_end(move || handle.tell(DriverInput::Came(id)));
                 }
                 self.open.insert(new.id, open);
                 self.decide(Event::Request(new));
             }
-            Input::Came(id) => self.decide(Event::BodyReceived(id)),
-            Input::Ended(id, nth, ended) => self.ended(id, nth, ended),
-            Input::Dropped(id, nth, made, outcome) => self.outcome(id, nth, made, outcome, true, None),
-            Input::ClientGone(id) => self.client_gone(id),
+            DriverInput::Came(id) => self.decide(Event::BodyReceived(id)),
+            DriverInput::Ended(id, nth, ended) => self.ended(id, nth, ended),
+            DriverInput::Dropped(id, nth, made, outcome) => self.outcome(id, nth, made, outcome, true, None),
+            DriverInput::ClientGone(id) => self.client_gone(id),
             // A timer of a balancer that has gone would set off a second round of them in the new one.
-            Input::Timer(seed, token) if seed == self.seed => self.decide(Event::Timer(token)),
-            Input::Timer(..) => {}
-            Input::Told(from, payload) => self.decide(Event::GossipReceived { from, payload: &payload }),
-            Input::Probed { backend, sent, ended } => {
+            DriverInput::Timer(seed, token) if seed == self.seed => self.decide(Event::Timer(token)),
+            DriverInput::Timer(..) => {}
+            DriverInput::Told(from, payload) => {
+                self.decide(Event::GossipReceived { from, payload: &payload })
+            }
+            DriverInput::Probed { backend, sent, ended } => {
                 let (took, report) = (self.clock.now() - sent, ended.report);
                 self.decide(Event::HealthChecked { endpoint: backend, outcome: ended.outcome, took, report });
             }
-            Input::Learn(told) => self.balancer.import_learned_state(self.clock.now(), &told),
-            Input::Avoided(asked) => {
+            DriverInput::Learn(told) => self.balancer.import_learned_state(self.clock.now(), &told),
+            DriverInput::Avoided(asked) => {
                 let _ = asked.send(self.balancer.ejected_count(self.clock.now()));
             }
-            Input::State(asked) => {
+            DriverInput::State(asked) => {
                 // Who asked may have gone.
                 let _ = asked.send(self.balancer.learned_state(self.clock.now()));
             }
@@ -246,22 +248,22 @@
                 if let Some((made, task)) = made.and_then(|made| Some((made, made.task.as_ref()?))) {
                     task.abort();
                     let called_off = made.called_off();
-                    self.following.push_back(Input::Ended(request, attempt, called_off.into()));
+                    self.following.push_back(DriverInput::Ended(request, attempt, called_off.into()));
                 }
             }
             Action::Timer { at, token } => {
                 let (handle, at, seed) = (self.handle(), self.clock.instant(at), self.seed);
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
-                    handle.tell(Input::Timer(seed, token));
+                    handle.tell(DriverInput::Timer(seed, token));
                 });
             }
             Action::PollDiscovery => self.subscribe.notify_one(),
             Action::HealthCheck(backend) => {
                 let (handle, backends, sent) = (self.handle(), self.backends.clone(), self.clock.now());
                 spawn_local(async move {
-                    let ended = backends.probe(backend).await;
-                    handle.tell(Input::Probed { backend, sent, ended });
+                    let ended = backends.health_check(backend).await;
+                    handle.tell(DriverInput::Probed { backend, sent, ended });
                 });
             }
             Action::SendGossip { to, payload } => {
@@ -281,7 +283,7 @@
         let patience = open.message.extensions().get::<Patience>().map(|p| p.0);
         let until = self.clock.instant(until);
         let begun = Rc::<Cell<bool>>::default();
-        let order = Order {
+        let order = AttemptRequest {
             backend,
             message: open.message.clone(),
             client: open.client.clone(),
@@ -313,7 +315,7 @@
             if let Some(task) = &attempt.task {
                 task.abort();
                 let made = (attempt.backend, attempt.sent);
-                self.following.push_back(Input::Dropped(id, nth, made, attempt.called_off()));
+                self.following.push_back(DriverInput::Dropped(id, nth, made, attempt.called_off()));
             }
         }
     }
@@ -321,7 +323,7 @@
 
 /// Sees to it that an attempt has an outcome, also if its task panics: then it may have run.
 struct Ending {
-    handle: Handle,
+    handle: DriverHandle,
     request: RequestId,
     attempt: usize,
     said: bool,
@@ -330,7 +332,7 @@
 impl Ending {
     fn say(&mut self, ended: Ended) {
         self.said = true;
-        self.handle.tell(Input::Ended(self.request, self.attempt, ended));
+        self.handle.tell(DriverInput::Ended(self.request, self.attempt, ended));
     }
 }
 
@@ -368,7 +370,7 @@
         let settings =
             Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
         let backends =
-            Rc::new(Backends::new(Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 }, 9));
+            Rc::new(Upstreams::new(Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 }, 9));
         Driver::new(settings, 7, Clock::new(), backends, None, Rc::default())
     }
 
@@ -390,17 +392,20 @@
             let seed = driver.seed;
             driver.start_anew(true);
             assert!(matches!(receiver.await, Ok(Answer::Failed)));
-            let Some(list @ Input::Backends(UpdateScope::Cached, _)) = driver.following.pop_front() else {
+            let Some(list @ DriverInput::Backends(UpdateScope::Cached, _)) = driver.following.pop_front()
+            else {
                 panic!("no list")
             };
             // The new balancer starts its own timers, and those of the old one come to nothing.
             driver.take(list);
-            let Some(Input::Timer(new, token)) = driver.arriving.recv().await else { panic!("no timer") };
+            let Some(DriverInput::Timer(new, token)) = driver.arriving.recv().await else {
+                panic!("no timer")
+            };
             assert_ne!(new, seed);
-            driver.take(Input::Timer(seed, token));
+            driver.take(DriverInput::Timer(seed, token));
             assert!(timeout(Duration::from_secs(1), driver.arriving.recv()).await.is_err());
-            driver.take(Input::Timer(new, token));
-            assert!(matches!(driver.arriving.recv().await, Some(Input::Timer(..))));
+            driver.take(DriverInput::Timer(new, token));
+            assert!(matches!(driver.arriving.recv().await, Some(DriverInput::Timer(..))));
         });
     }
 
@@ -414,7 +419,7 @@
                 panic!("on purpose");
             });
             assert!(task.await.is_err());
-            let Some(Input::Ended(RequestId(1), 2, ended)) = driver.arriving.recv().await else {
+            let Some(DriverInput::Ended(RequestId(1), 2, ended)) = driver.arriving.recv().await else {
                 panic!("no outcome")
             };
             assert_eq!(ended.outcome, Outcome::Reset);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -11,8 +11,8 @@
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Request};
 
-use crate::figures::Fate;
-use crate::flow::Content;
+use crate::body::Content;
+use crate::metrics::RequestOutcome;
 
 /// The largest body that is held whole, and so can be sent a second time; a larger one flows where it may, or is turned away.
 pub const MOST_BODY: usize = config::WHOLE_BODY_BYTES as usize;
@@ -93,11 +93,11 @@
 
 impl Answer {
     /// What it is counted as.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> RequestOutcome {
         match self {
-            Answer::Served(..) => Fate::Served,
-            Answer::Refused { .. } => Fate::Refused,
-            Answer::Failed | Answer::TimedOut => Fate::Failed,
+            Answer::Served(..) => RequestOutcome::Served,
+            Answer::Refused { .. } => RequestOutcome::Rejected,
+            Answer::Failed | Answer::TimedOut => RequestOutcome::Failed,
         }
     }
 }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -10,10 +10,10 @@
 use tokio::time::sleep;
 
 use crate::clock::Clock;
-use crate::inbox::Handle;
-use crate::learned_state::{timed, Past};
+use crate::inbox::DriverHandle;
+use crate::learned_state::{timestamped, SavedState};
 use crate::log::say;
-use crate::membership::Known;
+use crate::membership::RegisteredEndpoints;
 
 /// The names of the file, and of what will be it.
 const FILE: &str = "amberlever.learned";
@@ -28,13 +28,19 @@
 const MOST_BYTES: u64 = 4 << 20;
 
 /// What the process before left in this folder, if anything.
-pub fn take_up(folder: &Path, known: &Known, clock: Clock, names: &NameTable, handle: &Handle) {
+pub fn take_up(
+    folder: &Path,
+    known: &RegisteredEndpoints,
+    clock: Clock,
+    names: &NameTable,
+    handle: &DriverHandle,
+) {
     let path = folder.join(FILE);
     if !fs::metadata(&path).is_ok_and(|m| m.len() <= MOST_BYTES) {
         return;
     }
     let Ok(bytes) = fs::read(&path) else { return };
-    let Some(told) = Past::sound(&bytes).and_then(|past| past.pool(POOL)) else {
+    let Some(told) = SavedState::decode(&bytes).and_then(|past| past.pool(POOL)) else {
         say(format_args!("knowledge: passing over {}: not as it was written", path.display()));
         return;
     };
@@ -44,18 +50,19 @@
 /// Leaves what is learned for the next process, until this one is told to end: then the next one knows better.
 pub async fn leave(
     folder: &Path,
-    known: &Known,
+    known: &RegisteredEndpoints,
     clock: Clock,
     names: &RefCell<NameTable>,
-    handle: Handle,
+    handle: DriverHandle,
     ending: &Cell<bool>,
 ) {
     sleep(FIRST).await;
     let mut complained = false;
     while !ending.get() {
-        if let Some(learned) = handle.learned().await {
-            let pools = vec![known.named(POOL, &learned, clock, &names.borrow())];
-            let snapshot = timed(learned_state::Snapshot { pools, ..learned_state::Snapshot::default() });
+        if let Some(learned) = handle.learned_state().await {
+            let pools = vec![known.named_state(POOL, &learned, clock, &names.borrow())];
+            let snapshot =
+                timestamped(learned_state::Snapshot { pools, ..learned_state::Snapshot::default() });
             // Not synced: it is for a process that follows on this machine.
             let made = fs::write(folder.join(NEW), learned_state::write(&snapshot))
                 .and_then(|()| fs::rename(folder.join(NEW), folder.join(FILE)));
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -26,18 +26,21 @@
 
 use crate::clock::Clock;
 use crate::exchange::Attempts;
-use crate::gate::{one, Connection, Course, Next, Router, Turned, Way, TENANT};
-use crate::ids::Ids;
-use crate::inbox::Handle;
+use crate::idempotency_keys::KeyTable;
+use crate::inbox::DriverHandle;
 use crate::log::say;
-use crate::maintenance::Desk;
-use crate::mapping;
-use crate::once::Table;
+use crate::maintenance::MaintenanceStore;
 use crate::operators::{self, only, Operated};
-use crate::pool::Office;
-use crate::process::{self, Doors, Signals};
-use crate::routing::{route, Known, NewIds};
-use crate::snapshot::{Routed, Snapshot};
+use crate::pool::OperatorContext;
+use crate::process::{self, BoundListeners, Signals};
+use crate::request_ids::OpenRequestIds;
+use crate::route_lookup::{resolve, RequestIdGenerator, ResolvedRoute};
+use crate::router::{
+    single_header_value, Connection, PoolSequence, Rejection, RejectionOutcome, RouteDecision, Router,
+    TENANT_HEADER,
+};
+use crate::rpc_mapping;
+use crate::snapshot::{PoolSelection, Snapshot};
 
 /// The pools of a tenant that has asked for nothing for so long are stopped.
 const SILENT: Duration = Duration::from_secs(300);
@@ -84,10 +87,10 @@
     started: impl FnOnce(&[SocketAddr]),
 ) -> Result<(), String> {
     let (mut signals, mut hangup) = Signals::new()?;
-    let doors = Doors::bind(&setup.listeners).await?;
+    let doors = BoundListeners::bind(&setup.listeners).await?;
     let addresses = doors.addresses();
     let (callers, _) = config::sockets_cut(setup.shared.sockets).unwrap_or((1, 1));
-    let (mgmt, office) = Office::open(setup.operators.as_ref()).await?.unzip();
+    let (mgmt, office) = OperatorContext::open(setup.operators.as_ref()).await?.unzip();
     let house = Rc::new(House::new(setup.shared.clone(), seed, office));
     house.apply(number, &tenants);
     if let Some(mgmt) = mgmt {
@@ -95,7 +98,7 @@
     }
     let ending = Rc::clone(&house);
     let open = doors.open(callers, |listener, place| {
-        Rc::new(Door { house: Rc::clone(&house), listener, new_ids: NewIds::new(seed, place) })
+        Rc::new(Door { house: Rc::clone(&house), listener, new_ids: RequestIdGenerator::new(seed, place) })
     });
     let keeper = Rc::clone(&house);
     let sweeping = spawn_local(async move {
@@ -137,7 +140,7 @@
     limiter: Rc<RefCell<Limiter>>,
     state: RefCell<State>,
     /// Where operators call, if they do.
-    office: Option<Office>,
+    office: Option<OperatorContext>,
     ending: Cell<bool>,
 }
 
@@ -157,13 +160,13 @@
     snapshot: RefCell<Option<Rc<Snapshot>>>,
     asked: Cell<Instant>,
     /// The ids of its open requests: another's may be the same.
-    ids: Ids,
+    ids: OpenRequestIds,
     /// The keys of its requests, whichever protocol they come by.
-    keys: Table,
+    keys: KeyTable,
 }
 
 impl House {
-    fn new(shared: Shared, seed: u64, office: Option<Office>) -> House {
+    fn new(shared: Shared, seed: u64, office: Option<OperatorContext>) -> House {
         let limiter = Rc::new(RefCell::new(Limiter::new(shared.capacity)));
         let (clock, state, ending) = (Clock::new(), RefCell::default(), Cell::new(false));
         House { shared, clock, seed, limiter, state, office, ending }
@@ -195,8 +198,8 @@
                     sockets: Cell::new(sockets),
                     snapshot: RefCell::default(),
                     asked: Cell::new(Instant::now()),
-                    ids: Ids::default(),
-                    keys: Table::new(keys, self.clock),
+                    ids: OpenRequestIds::default(),
+                    keys: KeyTable::new(keys, self.clock),
                 })
             });
             resident.keys.set_bounds(keys);
@@ -220,7 +223,8 @@
 
     /// Starts a tenant's pools, or changes them over.
     fn start(&self, name: &str, resident: &Resident) -> Rc<Snapshot> {
-        let office = self.office.clone().map(|office| Office { tenant: Some(name.to_owned()), ..office });
+        let office =
+            self.office.clone().map(|office| OperatorContext { tenant: Some(name.to_owned()), ..office });
         let config = Arc::clone(&resident.tenant.borrow().config);
         let before = resident.snapshot.borrow().clone();
         let snapshot = Rc::new(Snapshot::start(
@@ -275,16 +279,16 @@
         Box::pin(async {
             let mut now = Vec::new();
             for snapshot in self.running() {
-                now.extend(snapshot.now().await);
+                now.extend(snapshot.gauges().await);
             }
-            self.office.as_ref().map(|office| office.figures.text(&now)).unwrap_or_default()
+            self.office.as_ref().map(|office| office.metrics.text(&now)).unwrap_or_default()
         })
     }
 
-    fn meant(&self, id: &str) -> Result<(&Desk, String), Refused> {
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
         let office = self.office.as_ref().ok_or(Refused::Unknown)?;
-        let called = self.running().iter().flat_map(|snapshot| snapshot.called(id)).collect();
-        Ok((&office.desk, only(id, called)?))
+        let called = self.running().iter().flat_map(|snapshot| snapshot.operator_names(id)).collect();
+        Ok((&office.maintenance, only(id, called)?))
     }
 }
 
@@ -301,7 +305,7 @@
 struct Door {
     house: Rc<House>,
     listener: Listener,
-    new_ids: NewIds,
+    new_ids: RequestIdGenerator,
 }
 
 /// A connection that counts as a tenant's.
@@ -316,24 +320,24 @@
     }
 }
 
-fn refused(cause: Cause, retry_after: Micros) -> Turned {
-    Turned { status: StatusCode::TOO_MANY_REQUESTS, cause: Some(cause.name()), retry_after }
+fn refused(cause: Cause, retry_after: Micros) -> Rejection {
+    Rejection { status: StatusCode::TOO_MANY_REQUESTS, cause: Some(cause.name()), retry_after }
 }
 
 impl Door {
     /// Whose a request is: the listener's tenant, or the one that has its host.
-    fn owner(&self, head: &Parts) -> Result<(String, Rc<Resident>), Turned> {
-        let host = one(&head.headers, header::HOST.as_str())?.unwrap_or_default();
+    fn owner(&self, head: &Parts) -> Result<(String, Rc<Resident>), Rejection> {
+        let host = single_header_value(&head.headers, header::HOST.as_str())?.unwrap_or_default();
         let (name, resident) = self.resident(host)?;
         // A claim to be another's is refused, never believed.
-        if one(&head.headers, TENANT)?.is_some_and(|claimed| claimed != name) {
+        if single_header_value(&head.headers, TENANT_HEADER)?.is_some_and(|claimed| claimed != name) {
             return Err(StatusCode::FORBIDDEN.into());
         }
         Ok((name, resident))
     }
 
     /// The listener's tenant, or the one that has this host.
-    fn resident(&self, host: &str) -> Result<(String, Rc<Resident>), Turned> {
+    fn resident(&self, host: &str) -> Result<(String, Rc<Resident>), Rejection> {
         let state = self.house.state.borrow();
         let host = route::normal::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
         let owner = match &self.listener.tenant {
@@ -346,7 +350,7 @@
     }
 
     /// Counts the connection as the tenant's.
-    fn charge(&self, resident: &Resident, connection: &Connection) -> Result<(), Turned> {
+    fn charge(&self, resident: &Resident, connection: &Connection) -> Result<(), Rejection> {
         let mut kept = connection.borrow_mut();
         let charged = kept.as_ref().and_then(|k| k.downcast_ref::<Charge>());
         if charged.is_none_or(|charge| charge.tenant != resident.id) {
@@ -360,14 +364,20 @@
 }
 
 impl Router for Door {
-    fn way(&self, head: &mut Parts, id: &str, body: u64, connection: &Connection) -> Result<Way, Turned> {
+    fn route(
+        &self,
+        head: &mut Parts,
+        id: &str,
+        body: u64,
+        connection: &Connection,
+    ) -> Result<RouteDecision, Rejection> {
         let house = &self.house;
         let (name, resident) = self.owner(head)?;
         self.charge(&resident, connection)?;
         resident.asked.set(Instant::now());
         let running = resident.snapshot.borrow().clone();
         let snapshot = running.unwrap_or_else(|| house.start(&name, &resident));
-        let (routed, known) = route(Rc::clone(&snapshot), &self.listener, head, id, &resident.keys)?;
+        let (routed, known) = resolve(Rc::clone(&snapshot), &self.listener, head, id, &resident.keys)?;
         let worth = rank(&snapshot, known.class);
         let counts = routed.counts();
         let admitted = house.limiter.borrow_mut().admit(house.clock.now(), resident.id, worth, body);
@@ -379,16 +389,26 @@
             admitted: Some(admitted),
             begun: Attempts::default(),
         };
-        let Known { class, semantics, deadline, method, once } = known;
+        let ResolvedRoute { class, semantics, deadline, method, key_scope: once } = known;
         let ids = Some(resident.ids.clone());
         let course = Box::new(course);
-        Ok(Way { ids, class, semantics, deadline, tenant: None, method, once, counts, course })
+        Ok(RouteDecision {
+            ids,
+            class,
+            semantics,
+            deadline,
+            tenant: None,
+            method,
+            key_scope: once,
+            counters: counts,
+            pools: course,
+        })
     }
 
-    fn call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Turned> {
+    fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         let resident = self.resident(&self.listener.host)?.1;
         let methods = &resident.tenant.borrow().config.methods;
-        Ok(mapping::head_of(methods, &self.listener.host, call)?)
+        Ok(rpc_mapping::head_of(methods, &self.listener.host, call)?)
     }
 
     fn new_id(&self) -> Option<String> {
@@ -419,7 +439,7 @@
 
 /// A request on its way, and what its tenant holds for it.
 struct Limited {
-    routed: Routed,
+    routed: PoolSelection,
     limiter: Rc<RefCell<Limiter>>,
     clock: Clock,
     admitted: Option<Admitted>,
@@ -442,27 +462,27 @@
     }
 }
 
-impl Course for Limited {
-    fn handle(&self) -> &Handle {
-        self.routed.handle()
+impl PoolSequence for Limited {
+    fn driver(&self) -> &DriverHandle {
+        self.routed.driver()
     }
 
-    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
-        self.routed.allowed()
+    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
+        self.routed.endpoint_filter()
     }
 
-    fn attempts(&self) -> usize {
+    fn max_attempts(&self) -> usize {
         self.left().unwrap_or(0)
     }
 
-    fn begun(&self) -> Attempts {
+    fn attempt_counter(&self) -> Attempts {
         self.begun.clone()
     }
 
-    fn refused(&mut self, never_ran: bool) -> Next {
+    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
         // A further attempt is one in whichever pool.
-        match self.routed.refused(never_ran) {
-            Next::Again if self.left() == Some(0) => Next::Answer,
+        match self.routed.on_rejected(never_ran) {
+            RejectionOutcome::NextPool if self.left() == Some(0) => RejectionOutcome::Final,
             next => next,
         }
     }
--- a/crates/proxy/src/once.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 use crate::exchange::Answer;
-use crate::gate::Turned;
+use crate::router::Rejection;
 
 /// The causes that refusals for a key are told by.
 pub const OPEN: &str = "key-open";
@@ -25,14 +25,14 @@
 
 /// The keys of those who share them.
 #[derive(Clone)]
-pub struct Table {
+pub struct KeyTable {
     keys: Rc<RefCell<Keys<Served>>>,
     clock: Clock,
 }
 
-impl Table {
-    pub fn new(bounds: Bounds, clock: Clock) -> Table {
-        Table { keys: Rc::new(RefCell::new(Keys::new(bounds))), clock }
+impl KeyTable {
+    pub fn new(bounds: Bounds, clock: Clock) -> KeyTable {
+        KeyTable { keys: Rc::new(RefCell::new(Keys::new(bounds))), clock }
     }
 
     pub fn set_bounds(&self, bounds: Bounds) {
@@ -41,31 +41,31 @@
 }
 
 /// Where the keys of a class are known, and for how long.
-pub struct Once {
-    pub table: Table,
+pub struct KeyScope {
+    pub table: KeyTable,
     pub class: Rc<str>,
     pub window: Micros,
 }
 
 /// What a key comes to.
-pub enum Met {
-    New(Held),
+pub enum KeyLookup {
+    Reserved(ReservedKey),
     /// It was served within its window: this is the answer again, and nothing is to be sent.
-    Again(Answer),
+    Replayed(Answer),
 }
 
-impl Once {
+impl KeyScope {
     /// A request comes with this key.
     ///
     /// # Errors
     /// What to turn it away with: another with it is open, or its answer is gone, or there is no room for it.
-    pub fn meet(self, key: &str) -> Result<Met, Turned> {
+    pub fn reserve(self, key: &str) -> Result<KeyLookup, Rejection> {
         let now = self.table.clock.now();
         let begun = self.table.keys.borrow_mut().begin(now, &self.class, key);
-        let turned = |status, cause, retry_after| Err(Turned { status, cause: Some(cause), retry_after });
+        let turned = |status, cause, retry_after| Err(Rejection { status, cause: Some(cause), retry_after });
         match begun {
-            Begin::New(ticket) => Ok(Met::New(Held { once: self, ticket, served: false })),
-            Begin::Answered((headers, body)) => Ok(Met::Again(Answer::Served(headers, body.into()))),
+            Begin::New(ticket) => Ok(KeyLookup::Reserved(ReservedKey { scope: self, ticket, served: false })),
+            Begin::Answered((headers, body)) => Ok(KeyLookup::Replayed(Answer::Served(headers, body.into()))),
             Begin::Open => turned(StatusCode::CONFLICT, OPEN, AGAIN),
             Begin::Done => turned(StatusCode::CONFLICT, DONE, 0),
             Begin::Full(until) => turned(StatusCode::TOO_MANY_REQUESTS, FULL, until),
@@ -74,13 +74,13 @@
 }
 
 /// A key whose request is open. Dropping it says that it was not served.
-pub struct Held {
-    once: Once,
+pub struct ReservedKey {
+    scope: KeyScope,
     ticket: Ticket,
     served: bool,
 }
 
-impl Held {
+impl ReservedKey {
     /// Its request has this answer.
     pub fn answered(&mut self, answer: &Answer) {
         let Answer::Served(headers, body) = answer else { return };
@@ -89,15 +89,15 @@
         self.served = true;
         let bytes =
             headers.iter().map(|(n, v)| HEADER + n.as_str().len() + v.len()).sum::<usize>() + body.len();
-        let (now, answer) = (self.once.table.clock.now(), (headers.clone(), body));
-        self.once.table.keys.borrow_mut().served(now, self.ticket, answer, bytes, self.once.window);
+        let (now, answer) = (self.scope.table.clock.now(), (headers.clone(), body));
+        self.scope.table.keys.borrow_mut().served(now, self.ticket, answer, bytes, self.scope.window);
     }
 }
 
-impl Drop for Held {
+impl Drop for ReservedKey {
     fn drop(&mut self) {
         if !self.served {
-            self.once.table.keys.borrow_mut().ended(self.ticket);
+            self.scope.table.keys.borrow_mut().ended(self.ticket);
         }
     }
 }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -10,7 +10,7 @@
 use crate::exchange::{Answer, Attempts, Client, Ended, Message};
 
 /// Something that happened, as it waits for its turn.
-pub enum Input {
+pub enum DriverInput {
     Backends(UpdateScope, Vec<Endpoint>),
     Request(NewRequest, Rc<Message>, Client, Attempts, oneshot::Sender<Answer>),
     /// The body of a request has come whole.
@@ -37,16 +37,16 @@
 
 /// What the I/O tasks tell the driver by.
 #[derive(Clone)]
-pub struct Handle {
-    inputs: mpsc::UnboundedSender<Input>,
+pub struct DriverHandle {
+    inputs: mpsc::UnboundedSender<DriverInput>,
     last_id: Rc<Cell<u64>>,
 }
 
-impl Handle {
+impl DriverHandle {
     /// A handle, and where what it is told arrives.
-    pub fn new() -> (Handle, mpsc::UnboundedReceiver<Input>) {
+    pub fn new() -> (DriverHandle, mpsc::UnboundedReceiver<DriverInput>) {
         let (inputs, arriving) = mpsc::unbounded_channel();
-        (Handle { inputs, last_id: Rc::default() }, arriving)
+        (DriverHandle { inputs, last_id: Rc::default() }, arriving)
     }
 
     /// Hands over a request. Its answer comes at once or later; a receiver that is closed means that it failed.
@@ -60,44 +60,44 @@
         new.id = RequestId(self.last_id.get() + 1);
         self.last_id.set(new.id.0);
         let (id, (sender, receiver)) = (new.id, oneshot::channel());
-        self.tell(Input::Request(new, message, client, attempts, sender));
+        self.tell(DriverInput::Request(new, message, client, attempts, sender));
         (id, receiver)
     }
 
     /// Nobody waits for this request any more: nothing is owed or sent for it from here on.
-    pub fn client_gone(&self, id: RequestId) {
-        self.tell(Input::ClientGone(id));
+    pub fn client_disconnected(&self, id: RequestId) {
+        self.tell(DriverInput::ClientGone(id));
     }
 
-    pub fn backends(&self, scope: UpdateScope, entries: Vec<Endpoint>) {
-        self.tell(Input::Backends(scope, entries));
+    pub fn endpoint_update(&self, scope: UpdateScope, entries: Vec<Endpoint>) {
+        self.tell(DriverInput::Backends(scope, entries));
     }
 
     /// A message from the peer of this rank.
-    pub fn told(&self, from: u32, message: Vec<u8>) {
-        self.tell(Input::Told(from, message));
+    pub fn gossip_received(&self, from: u32, message: Vec<u8>) {
+        self.tell(DriverInput::Told(from, message));
     }
 
     /// What others have learned.
-    pub fn learn(&self, told: Vec<LearnedState>) {
-        self.tell(Input::Learn(told));
+    pub fn import_learned_state(&self, told: Vec<LearnedState>) {
+        self.tell(DriverInput::Learn(told));
     }
 
     /// What was learned here; nothing where the decisions panic over it.
-    pub async fn learned(&self) -> Option<LearnedState> {
+    pub async fn learned_state(&self) -> Option<LearnedState> {
         let (sender, receiver) = oneshot::channel();
-        self.tell(Input::State(sender));
+        self.tell(DriverInput::State(sender));
         receiver.await.ok()
     }
 
     /// How many listed nodes the decisions avoid by choice.
-    pub async fn avoided(&self) -> usize {
+    pub async fn ejected_count(&self) -> usize {
         let (sender, receiver) = oneshot::channel();
-        self.tell(Input::Avoided(sender));
+        self.tell(DriverInput::Avoided(sender));
         receiver.await.unwrap_or_default()
     }
 
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn tell(&self, input: DriverInput) {
         // The driver ends only with the process.
         let _ = self.inputs.send(input);
     }
--- a/crates/proxy/src/learned_state/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -1,7 +1,7 @@
 //! What was learned outlives the process: written to a folder every so often and at the end by a thread of its own, and
 //! read at the start. Whatever fails here costs a line and nothing else.
 
-pub mod figures;
+pub mod names;
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -20,15 +20,15 @@
 const LAST: Duration = Duration::from_secs(2);
 
 /// What was learned before, as it was read, and how old it is.
-pub struct Past {
+pub struct SavedState {
     snapshot: Snapshot,
     age: learned_state::Micros,
     read: Instant,
 }
 
-impl Past {
+impl SavedState {
     /// The newest sound file of a folder, which another process may still hold: an ending one, say.
-    pub fn read(folder: &Path) -> Option<Past> {
+    pub fn read(folder: &Path) -> Option<SavedState> {
         let sound = |bytes: &[u8]| {
             let (snapshot, faults) = learned_state::read(bytes).ok()?;
             if faults.damaged > 0 || faults.cut {
@@ -37,7 +37,7 @@
             Some(snapshot)
         };
         match atomic_file::newest(&Folder::held(folder), sound) {
-            Ok(snapshot) => snapshot.map(Past::of),
+            Ok(snapshot) => snapshot.map(SavedState::of),
             // Nothing was kept yet.
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => None,
             Err(e) => {
@@ -48,35 +48,35 @@
     }
 
     /// What these bytes hold, as far as they are sound.
-    pub fn sound(bytes: &[u8]) -> Option<Past> {
-        learned_state::read(bytes).ok().map(|(snapshot, _)| Past::of(snapshot))
+    pub fn decode(bytes: &[u8]) -> Option<SavedState> {
+        learned_state::read(bytes).ok().map(|(snapshot, _)| SavedState::of(snapshot))
     }
 
-    fn of(snapshot: Snapshot) -> Past {
+    fn of(snapshot: Snapshot) -> SavedState {
         let age = snapshot.age(unix_ms());
         if age == learned_state::VERY_OLD {
             say(format_args!("knowledge: very old, or a clock is wrong: it counts for nothing"));
         } else {
             say(format_args!("knowledge: from {:.0} s ago", age as f64 / 1e6));
         }
-        Past { snapshot, age, read: Instant::now() }
+        SavedState { snapshot, age, read: Instant::now() }
     }
 
     /// What it says of a pool.
-    pub fn pool(&self, name: &str) -> Option<Told> {
+    pub fn pool(&self, name: &str) -> Option<SavedPool> {
         let pool = self.snapshot.pools.iter().find(|p| p.name == name)?;
-        Some(Told { pool: pool.clone(), age: self.age, since: self.read })
+        Some(SavedPool { pool: pool.clone(), age: self.age, since: self.read })
     }
 }
 
 /// What is told of a pool, and how old it was at that time.
-pub struct Told {
+pub struct SavedPool {
     pub pool: learned_state::Pool,
     age: learned_state::Micros,
     since: Instant,
 }
 
-impl Told {
+impl SavedPool {
     /// By now.
     pub fn age(&self) -> learned_state::Micros {
         self.age.saturating_add(self.since.elapsed().as_micros() as u64)
@@ -93,21 +93,21 @@
 }
 
 /// Writes what was learned. Its thread ends with it.
-pub struct Memory {
+pub struct StateWriter {
     jobs: mpsc::SyncSender<Job>,
     every: Duration,
 }
 
-impl Memory {
+impl StateWriter {
     /// Takes the folder, as soon as it can be had.
-    pub fn start(config: &Knowledge) -> Memory {
+    pub fn start(config: &Knowledge) -> StateWriter {
         let (jobs, waiting) = mpsc::sync_channel(1);
         let (folder, files) = (config.folder.clone(), config.files);
         let writer = thread::Builder::new().name("memory".to_owned());
         if let Err(e) = writer.spawn(move || write(&Writer { folder, files }, &waiting)) {
             say(format_args!("knowledge: not kept: {e}"));
         }
-        Memory { jobs, every: config.every }
+        StateWriter { jobs, every: config.every }
     }
 
     /// Writes what `state` says, every so often, for as long as it is polled.
@@ -115,14 +115,14 @@
         loop {
             tokio::time::sleep(self.every).await;
             // One that waits still is newer than none; a slow disk gets no second.
-            let _ = self.jobs.try_send(Job { snapshot: timed(state().await), done: None });
+            let _ = self.jobs.try_send(Job { snapshot: timestamped(state().await), done: None });
         }
     }
 
     /// Writes for the last time.
     pub async fn end(&self, snapshot: Snapshot) {
         let (done, written) = oneshot::channel();
-        let mut job = Job { snapshot: timed(snapshot), done: Some(done) };
+        let mut job = Job { snapshot: timestamped(snapshot), done: Some(done) };
         let until = Instant::now() + LAST;
         while let Err(mpsc::TrySendError::Full(again)) = self.jobs.try_send(job) {
             if Instant::now() >= until {
@@ -136,7 +136,7 @@
 }
 
 /// The same, as written now.
-pub fn timed(snapshot: Snapshot) -> Snapshot {
+pub fn timestamped(snapshot: Snapshot) -> Snapshot {
     Snapshot { written_ms: Some(unix_ms()), ..snapshot }
 }
 
--- a/crates/proxy/src/learned_state/figures.rs
+++ b/crates/proxy/src/learned_state/names.rs
@@ -8,7 +8,7 @@
 use learned_state::{Node, Pool, VERY_OLD};
 
 /// What the nodes and classes of a pool are called.
-pub struct Called<'a> {
+pub struct EndpointNames<'a> {
     pub names: &'a NameTable,
     /// Ids by name.
     pub ids: BTreeMap<&'a str, EndpointId>,
@@ -31,10 +31,10 @@
 }
 
 /// What decisions state, under names. `started_ms` makes a time of how long ago a node started.
-pub fn named(
+pub fn with_names(
     pool: &str,
     learned: &LearnedState,
-    called: &Called<'_>,
+    called: &EndpointNames<'_>,
     started_ms: impl Fn(Micros) -> Option<u64>,
 ) -> Pool {
     let by_id: BTreeMap<EndpointId, &str> = called.ids.iter().map(|(name, id)| (*id, *name)).collect();
@@ -68,10 +68,10 @@
 
 /// What is told under names, for decisions that call things by index, so long after it was stated. What is not known by
 /// name is left out. `started` makes of a node's start how long it is ago.
-pub fn indexed(
+pub fn with_indexes(
     pool: &Pool,
     age: learned_state::Micros,
-    called: &Called<'_>,
+    called: &EndpointNames<'_>,
     started: impl Fn(u64) -> Option<Micros>,
 ) -> LearnedState {
     let age = micros(age);
@@ -145,14 +145,14 @@
             baseline_latency: Some(0.1),
             age: 0,
         };
-        let called = Called { names: &before, ids };
-        let told = named("p", &learned, &called, |up_for| Some(1_000_000 - up_for as u64 / 1000));
+        let called = EndpointNames { names: &before, ids };
+        let told = with_names("p", &learned, &called, |up_for| Some(1_000_000 - up_for as u64 / 1000));
         assert_eq!(told.nodes.len(), 2, "one without a name says nothing");
         assert_eq!(told.nodes[0].started_ms, Some(940_000));
         // Classes changed places and one is new, a zone is not known, and so is a node.
         let after = names(&["new", "write", "read"], &["south"]);
         let ids = BTreeMap::from([("a", EndpointId(5)), ("c", EndpointId(2))]);
-        let found = indexed(&told, 1_000_000, &Called { names: &after, ids }, |ms| {
+        let found = with_indexes(&told, 1_000_000, &EndpointNames { names: &after, ids }, |ms| {
             Some((1_001_000 - ms as i64) * 1000)
         });
         assert_eq!((found.age, found.endpoints.len()), (1_000_000, 1));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,37 +1,37 @@
 //! The data plane: sockets round the decisions of `decide`. What is decided here is nothing but what outcomes
 //! prove; the driver hands events over and carries actions out.
 //!
-//! Fronts ([`server`], [`request`]) and backends ([`backend`]) know nothing of each other: between them stand the
+//! Fronts ([`downstream`], [`request_reader`]) and backends ([`upstream`]) know nothing of each other: between them stand the
 //! types of [`exchange`] and the driver's [`inbox`].
 
-pub mod backend;
+pub mod body;
 pub mod clock;
+pub mod downstream;
 pub mod driver;
 pub mod exchange;
-mod figures;
-pub mod flow;
 mod framing;
-pub mod gate;
-mod guard;
+pub mod gossip;
 mod handover;
 pub mod hosting;
-mod ids;
+mod idempotency_keys;
 pub mod inbox;
+mod inherited_socket;
 mod learned_state;
 pub mod log;
 mod maintenance;
-mod mapping;
 pub mod membership;
-mod once;
+mod metrics;
 mod operators;
-pub mod own;
-mod passed;
-pub mod peers;
+mod panic_guard;
 pub mod platform;
 mod pool;
 mod process;
-pub mod request;
-mod routing;
-pub mod server;
+mod request_ids;
+pub mod request_reader;
+mod route_lookup;
+pub mod router;
+mod rpc_mapping;
 mod snapshot;
 mod socket;
+pub mod standalone;
+pub mod upstream;
--- a/crates/proxy/src/maintenance.rs
+++ b/crates/proxy/src/maintenance.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use crate::log::say;
-use crate::membership::Listed;
+use crate::membership::RegistryObserver;
 
 /// How often the file is looked at: another process may have written it. Far less than what a drain is granted.
 const LOOK: Duration = Duration::from_millis(50);
@@ -30,20 +30,20 @@
 
 /// What operators say of the nodes of one pool.
 #[derive(Clone)]
-pub struct Bans {
-    pub desk: Rc<Desk>,
+pub struct MaintenanceOverrides {
+    pub store: Rc<MaintenanceStore>,
     /// Stands before its nodes' names, where there are several pools.
     pub pool: Option<String>,
 }
 
-impl Bans {
+impl MaintenanceOverrides {
     /// A list has this node: is it out by hand?
     pub fn listed(&self, name: &str) -> bool {
-        self.desk.listed(&self.called(name))
+        self.store.listed(&self.called(name))
     }
 
     pub fn is_out(&self, name: &str) -> bool {
-        self.desk.is_out(&self.called(name))
+        self.store.is_out(&self.called(name))
     }
 
     /// What operators call a node.
@@ -61,20 +61,20 @@
 }
 
 /// The state of this process, and where it is kept.
-pub struct Desk {
+pub struct MaintenanceStore {
     state: RefCell<Maintenance>,
     folder: Option<PathBuf>,
     mark: Cell<Option<Mark>>,
     /// Names are known that the file has not.
     unsaved: Cell<bool>,
     complained: Cell<bool>,
-    rosters: RefCell<Vec<Weak<dyn Listed>>>,
+    rosters: RefCell<Vec<Weak<dyn RegistryObserver>>>,
 }
 
-impl Desk {
+impl MaintenanceStore {
     /// Takes up what the folder has, if there is one.
-    pub fn new(folder: Option<PathBuf>) -> Desk {
-        let desk = Desk {
+    pub fn new(folder: Option<PathBuf>) -> MaintenanceStore {
+        let desk = MaintenanceStore {
             state: RefCell::default(),
             folder,
             mark: Cell::new(None),
@@ -91,7 +91,7 @@
     }
 
     /// Who is told of nodes whose state has changed, for as long as it is there.
-    pub fn tell(&self, roster: Weak<dyn Listed>) {
+    pub fn tell(&self, roster: Weak<dyn RegistryObserver>) {
         let mut rosters = self.rosters.borrow_mut();
         rosters.retain(|known| known.strong_count() > 0);
         rosters.push(roster);
--- a/crates/proxy/src/membership/discovery.rs
+++ b/crates/proxy/src/membership/discovery.rs
@@ -22,11 +22,11 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::backend::ListExpiry;
-use crate::guard::caught;
 use crate::log::say;
-use crate::membership::Roster;
+use crate::membership::EndpointRegistry;
+use crate::panic_guard::caught;
 use crate::socket::Socket;
+use crate::upstream::ListExpiry;
 
 /// A connection that is not made by then will not be. Longer than a handshake whose first packets were lost twice; a call
 /// that waits for one is late before that, and another is made beside it.
@@ -43,7 +43,7 @@
 pub struct Discovery {
     /// Where it is; changes when the configuration is read again.
     pub address: watch::Receiver<SocketAddr>,
-    pub roster: Roster,
+    pub registry: EndpointRegistry,
     /// Told when the decisions ask for the list; None where lists are pushed.
     pub subscribe: Option<Rc<Notify>>,
     pub policy: Policy,
@@ -121,19 +121,19 @@
     pub async fn run(mut self, known: Option<ToldList>) {
         let initial = match known {
             Some(list) => {
-                self.roster.hear(list, UpdateScope::Cached);
+                self.registry.hear(list, UpdateScope::Cached);
                 InitialList::Unconfirmed
             }
             None => {
-                self.roster.handle.backends(UpdateScope::Cached, Vec::new());
+                self.registry.handle.endpoint_update(UpdateScope::Cached, Vec::new());
                 InitialList::Absent
             }
         };
-        let mut watch = Watch::new(self.policy, initial, self.roster.clock.now(), self.seed);
+        let mut watch = Watch::new(self.policy, initial, self.registry.clock.now(), self.seed);
         let ready_at = Instant::now() + READY_UNCONFIRMED;
         let (told, mut tells) = mpsc::unbounded_channel();
         let mut calls = Calls { tasks: JoinSet::new(), handles: BTreeMap::new(), told, spare: None };
-        let (clock, mut address) = (self.roster.clock, self.address.clone());
+        let (clock, mut address) = (self.registry.clock, self.address.clone());
         loop {
             self.apply_lease(&watch, initial, ready_at);
             let asked = async {
@@ -156,13 +156,13 @@
                 },
                 () = changed(&mut address) => {
                     // The new one may count its versions in its own way.
-                    self.roster.seq = None;
+                    self.registry.seq = None;
                     calls.spare = None;
                     Event::Moved
                 }
                 () = asked => Event::Begin,
                 () = wake => Event::Wake,
-                () = sleep_until(ready_at), if !self.roster.ready.get() && watch.is_unconfirmed() => Event::Wake,
+                () = sleep_until(ready_at), if !self.registry.ready.get() && watch.is_unconfirmed() => Event::Wake,
             };
             let mut actions = Vec::new();
             watch.handle(clock.now(), event, &mut actions);
@@ -170,7 +170,7 @@
                 match action {
                     Action::Ask(id, wait) => calls.ask(id, *address.borrow(), self.path(wait)),
                     Action::Drop(id) => calls.drop(id),
-                    Action::Ended => self.roster.handle.backends(UpdateScope::Failed, Vec::new()),
+                    Action::Ended => self.registry.handle.endpoint_update(UpdateScope::Failed, Vec::new()),
                 }
             }
         }
@@ -179,15 +179,15 @@
     /// Passes on until when the list may be sent by. A process that started with a list says that it is ready once that is
     /// confirmed, or waiting for it has been long enough.
     fn apply_lease(&self, watch: &Watch, initial: InitialList, ready_at: Instant) {
-        let clock = self.roster.clock;
-        self.roster.backends.set_list_expiry(watch.expiry().map(|expiry| ListExpiry {
+        let clock = self.registry.clock;
+        self.registry.backends.set_list_expiry(watch.expiry().map(|expiry| ListExpiry {
             from: clock.instant(expiry.from),
             until: clock.instant(expiry.until),
             cause: expiry.cause,
         }));
         let has_list = initial != InitialList::Absent;
         if has_list && (!watch.is_unconfirmed() || Instant::now() >= ready_at) {
-            self.roster.ready.set(true);
+            self.registry.ready.set(true);
         }
     }
 
@@ -205,7 +205,7 @@
                 calls.spare = Some(connection);
                 let news = told.list.whole || !told.list.hosts.is_empty();
                 let scope = if told.list.whole { UpdateScope::Full } else { UpdateScope::Delta };
-                self.roster.hear(told, scope);
+                self.registry.hear(told, scope);
                 Event::Answered(id, news)
             }
             Told::Malformed(fault) => {
@@ -220,7 +220,7 @@
     }
 
     fn path(&self, wait: Micros) -> String {
-        match self.roster.seq.filter(|_| wait > 0) {
+        match self.registry.seq.filter(|_| wait > 0) {
             Some(seq) => format!("/v1/servers?after={seq}&wait_ms={}", wait / 1000),
             None => "/v1/servers".to_owned(),
         }
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::log::say;
-use crate::membership::Roster;
+use crate::membership::EndpointRegistry;
 
 /// How often the file is looked at.
 const LOOK: Duration = Duration::from_millis(200);
@@ -28,14 +28,14 @@
 pub struct FileWatch {
     pub pool: String,
     pub path: PathBuf,
-    pub roster: Roster,
+    pub registry: EndpointRegistry,
     mark: Option<Mark>,
     said: Option<String>,
 }
 
 impl FileWatch {
-    pub fn new(pool: String, path: PathBuf, roster: Roster) -> FileWatch {
-        FileWatch { pool, path, roster, mark: None, said: None }
+    pub fn new(pool: String, path: PathBuf, roster: EndpointRegistry) -> FileWatch {
+        FileWatch { pool, path, registry: roster, mark: None, said: None }
     }
 
     pub async fn run(mut self) {
@@ -49,7 +49,7 @@
         let mark = mark(&self.path);
         if mark.is_some() && mark == self.mark {
             if self.said.is_none() {
-                self.roster.heard.set(Instant::now());
+                self.registry.heard.set(Instant::now());
             }
             return;
         }
@@ -78,7 +78,7 @@
         let list = parse_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
         // Checked as a whole, and applied in the form in which it came.
         let nodes = list.clone().nodes()?.len();
-        self.roster.apply(list, UpdateScope::Full);
+        self.registry.apply(list, UpdateScope::Full);
         say(format_args!("pool `{}`: {nodes} nodes from {}", self.pool, self.path.display()));
         Ok(())
     }
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,10 +1,10 @@
 //! Where the nodes of a pool are told: by discovery's protocol, or in a file that is watched. Each source keeps a
-//! [`Roster`]; none decides what follows from it.
+//! [`EndpointRegistry`]; none decides what follows from it.
 
 mod discovery;
 mod file;
-mod roster;
+mod registry;
 
 pub use discovery::Discovery;
 pub use file::FileWatch;
-pub use roster::{Known, Listed, Retold, Roster};
+pub use registry::{EndpointRegistry, RegisteredEndpoints, RegistryObserver, RegistryView};
--- a/crates/proxy/src/membership/roster.rs
+++ b/crates/proxy/src/membership/registry.rs
@@ -12,20 +12,20 @@
 use decide::{Endpoint, EndpointId, EndpointState, UpdateScope};
 use tokio::time::Instant;
 
-use crate::backend::Backends;
 use crate::clock::Clock;
-use crate::figures::{Labels, PoolNow};
-use crate::inbox::Handle;
-use crate::learned_state::figures::{self, Called};
-use crate::learned_state::Told;
+use crate::inbox::DriverHandle;
+use crate::learned_state::names::{self, EndpointNames};
+use crate::learned_state::SavedPool;
 use crate::log::say;
-use crate::maintenance::Bans;
+use crate::maintenance::MaintenanceOverrides;
+use crate::metrics::{Labels, PoolGauges};
+use crate::upstream::Upstreams;
 
 /// The name of a host that has gone is kept for this long: by then nothing is open that went there, so that
 /// whoever gets its id is not taken for it.
 const NAME_KEPT: Duration = Duration::from_secs(60);
 /// What a host is called here.
-pub struct Named {
+pub struct NamedEndpoint {
     id: EndpointId,
     /// When it was said to be gone, or left out of a whole list.
     gone: Option<Instant>,
@@ -34,7 +34,7 @@
 }
 
 /// Somebody who knows a node that operators speak of.
-pub trait Listed {
+pub trait RegistryObserver {
     /// What operators say of this node has changed.
     fn changed(&self, name: &str);
 }
@@ -48,77 +48,77 @@
 }
 
 /// What it takes to tell of a node again.
-pub struct Retold {
-    pub known: Rc<Known>,
-    pub handle: Handle,
-    pub backends: Rc<Backends>,
-    pub bans: Bans,
+pub struct RegistryView {
+    pub known: Rc<RegisteredEndpoints>,
+    pub handle: DriverHandle,
+    pub backends: Rc<Upstreams>,
+    pub overrides: MaintenanceOverrides,
 }
 
-impl Retold {
+impl RegistryView {
     /// What its pool is now.
-    pub async fn now(&self, place: Labels) -> PoolNow {
-        let by_choice = self.handle.avoided().await;
-        let (listed, by_hand) = self.known.counts(&self.bans);
-        PoolNow { place, listed, avoided: by_hand + by_choice }
+    pub async fn now(&self, place: Labels) -> PoolGauges {
+        let by_choice = self.handle.ejected_count().await;
+        let (listed, by_hand) = self.known.counts(&self.overrides);
+        PoolGauges { place, listed, ejected: by_hand + by_choice }
     }
 }
 
-impl Listed for Retold {
+impl RegistryObserver for RegistryView {
     fn changed(&self, called: &str) {
-        let Some(name) = self.bans.node(called) else { return };
+        let Some(name) = self.overrides.node(called) else { return };
         let last =
             self.known.ids.borrow().get(name).filter(|n| n.gone.is_none()).and_then(|n| n.last.clone());
         let Some((entry, dial)) = last else { return };
-        let entry = stricter(entry, self.bans.is_out(name));
+        let entry = stricter(entry, self.overrides.is_out(name));
         self.backends.update(&entry, dial);
-        self.handle.backends(UpdateScope::Delta, vec![entry]);
+        self.handle.endpoint_update(UpdateScope::Delta, vec![entry]);
     }
 }
 
-fn called<'a>(ids: &'a BTreeMap<String, Named>, names: &'a NameTable) -> Called<'a> {
-    Called { names, ids: ids.iter().map(|(name, named)| (name.as_str(), named.id)).collect() }
+fn called<'a>(ids: &'a BTreeMap<String, NamedEndpoint>, names: &'a NameTable) -> EndpointNames<'a> {
+    EndpointNames { names, ids: ids.iter().map(|(name, named)| (name.as_str(), named.id)).collect() }
 }
 
 /// Takes lists in, whatever their source, and tells the decisions and the connections of them.
-pub struct Roster {
+pub struct EndpointRegistry {
     pub clock: Clock,
     pub names: Rc<RefCell<NameTable>>,
-    pub handle: Handle,
-    pub backends: Rc<Backends>,
+    pub handle: DriverHandle,
+    pub backends: Rc<Upstreams>,
     /// Set once there is a list.
     pub ready: Rc<Cell<bool>>,
     /// When the source last spoke.
     pub heard: Rc<Cell<Instant>>,
     /// The version of the list.
     pub seq: Option<u64>,
-    pub known: Rc<Known>,
+    pub known: Rc<RegisteredEndpoints>,
     /// What operators say of nodes, where they are asked.
-    pub bans: Option<Bans>,
+    pub overrides: Option<MaintenanceOverrides>,
     /// A malformed entry has been told of.
     complained: bool,
 }
 
 /// What is known of a pool's nodes beside the list.
 #[derive(Default)]
-pub struct Known {
-    ids: RefCell<BTreeMap<String, Named>>,
+pub struct RegisteredEndpoints {
+    ids: RefCell<BTreeMap<String, NamedEndpoint>>,
     /// The ids that these have.
     taken: RefCell<BTreeSet<EndpointId>>,
     /// What is to be learned once there is a list.
-    told: RefCell<Option<Told>>,
+    told: RefCell<Option<SavedPool>>,
     /// Lists taken in.
     lists: Cell<u64>,
 }
 
-impl Known {
+impl RegisteredEndpoints {
     /// How many lists were taken in.
     pub fn lists(&self) -> u64 {
         self.lists.get()
     }
 
     /// How many nodes are listed, and how many of them are out by hand.
-    pub fn counts(&self, bans: &Bans) -> (usize, usize) {
+    pub fn counts(&self, bans: &MaintenanceOverrides) -> (usize, usize) {
         let ids = self.ids.borrow();
         let listed = ids.iter().filter(|(_, n)| n.gone.is_none());
         (listed.clone().count(), listed.filter(|(name, _)| bans.is_out(name)).count())
@@ -130,13 +130,13 @@
     }
 
     /// Something to learn, at once where there is a list.
-    pub fn teach(&self, told: Told, clock: Clock, names: &NameTable, handle: &Handle) {
+    pub fn teach(&self, told: SavedPool, clock: Clock, names: &NameTable, handle: &DriverHandle) {
         *self.told.borrow_mut() = Some(told);
         self.catch_up(clock, names, handle);
     }
 
     /// Learns what waits for a list, if there is one by now.
-    fn catch_up(&self, clock: Clock, names: &NameTable, handle: &Handle) {
+    fn catch_up(&self, clock: Clock, names: &NameTable, handle: &DriverHandle) {
         let ids = self.ids.borrow();
         if ids.is_empty() {
             return;
@@ -145,11 +145,11 @@
         let called = called(&ids, names);
         let now = clock.now();
         let started = |ms: u64| clock.at_unix_ms(ms as f64).map(|at| now.saturating_sub(at));
-        handle.learn(vec![figures::indexed(&told.pool, told.age(), &called, started)]);
+        handle.import_learned_state(vec![names::with_indexes(&told.pool, told.age(), &called, started)]);
     }
 
     /// What decisions state, under names.
-    pub fn named(
+    pub fn named_state(
         &self,
         pool: &str,
         learned: &LearnedState,
@@ -158,22 +158,22 @@
     ) -> learned_state::Pool {
         let ids = self.ids.borrow();
         let now = clock.now();
-        figures::named(pool, learned, &called(&ids, names), |up_for| {
+        names::with_names(pool, learned, &called(&ids, names), |up_for| {
             clock.unix_ms(now.saturating_sub(up_for))
         })
     }
 }
 
-impl Roster {
+impl EndpointRegistry {
     pub fn new(
         clock: Clock,
         names: Rc<RefCell<NameTable>>,
-        handle: Handle,
-        backends: Rc<Backends>,
+        handle: DriverHandle,
+        backends: Rc<Upstreams>,
         ready: Rc<Cell<bool>>,
-    ) -> Roster {
+    ) -> EndpointRegistry {
         let heard = Rc::new(Cell::new(Instant::now()));
-        Roster {
+        EndpointRegistry {
             clock,
             names,
             handle,
@@ -182,7 +182,7 @@
             heard,
             seq: None,
             known: Rc::default(),
-            bans: None,
+            overrides: None,
             complained: false,
         }
     }
@@ -211,7 +211,7 @@
             if let Some(named) = self.known.ids.borrow_mut().get_mut(&name) {
                 named.last = Some((entry.clone(), dial));
             }
-            let entry = stricter(entry, self.bans.as_ref().is_some_and(|bans| bans.listed(&name)));
+            let entry = stricter(entry, self.overrides.as_ref().is_some_and(|bans| bans.listed(&name)));
             self.backends.update(&entry, dial);
             entries.push(entry);
         }
@@ -238,7 +238,7 @@
             stays || !taken.remove(&named.id)
         });
         drop(taken);
-        self.handle.backends(scope, entries);
+        self.handle.endpoint_update(scope, entries);
         // One that came with the configuration is not known to be true yet.
         if scope != UpdateScope::Cached {
             self.ready.set(true);
@@ -282,7 +282,7 @@
         while !taken.insert(id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
-        ids.insert(host, Named { id, gone, last: None });
+        ids.insert(host, NamedEndpoint { id, gone, last: None });
         id
     }
 }
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/metrics.rs
@@ -23,18 +23,18 @@
 
 /// How a request ended, for whoever asked for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// A backend's answer.
     Served,
     /// 429 or 503: trying again is harmless.
-    Refused,
+    Rejected,
     /// Anything else.
     Failed,
 }
 
 /// The counts of one class, or of one class in one pool.
 #[derive(Default)]
-pub struct Counts {
+pub struct RequestCounters {
     ok: Counter,
     shed: Counter,
     errors: Counter,
@@ -70,17 +70,17 @@
 }
 
 /// What a pool is now.
-pub struct PoolNow {
+pub struct PoolGauges {
     /// Which one, where there are several.
     pub place: Labels,
     /// Nodes in its list.
     pub listed: usize,
     /// Of these, the ones that are avoided.
-    pub avoided: usize,
+    pub ejected: usize,
 }
 
 /// The figures of a process.
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     ok: Family<Labels, Counter>,
     shed: Family<Labels, Counter>,
@@ -90,14 +90,14 @@
     size: ByPool<Gauge>,
     ejected: ByPool<Gauge>,
     /// By class, and by pool where there are several.
-    counts: RefCell<BTreeMap<(String, Labels), Rc<Counts>>>,
+    counts: RefCell<BTreeMap<(String, Labels), Rc<RequestCounters>>>,
     /// Pools whose attempts are told apart.
     tried: RefCell<BTreeSet<Labels>>,
 }
 
-impl Figures {
+impl Metrics {
     /// Of a process with one pool, which they do not name, or with several.
-    pub fn new(several_pools: bool) -> Figures {
+    pub fn new(several_pools: bool) -> Metrics {
         let mut registry = Registry::with_prefix("edge_lb");
         let mut family = |name: &str, help: &str| {
             let family = Family::<Labels, Counter>::default();
@@ -115,11 +115,11 @@
         let help = "Listed backends that are avoided, by hand or by choice";
         let ejected = ByPool::register(&mut registry, several_pools, "pool_ejected", help);
         let (counts, tried) = (RefCell::default(), RefCell::default());
-        Figures { registry, ok, shed, errors, active, tries, size, ejected, counts, tried }
+        Metrics { registry, ok, shed, errors, active, tries, size, ejected, counts, tried }
     }
 
     /// Where requests of a class are counted, by its pool where there are several.
-    pub fn counts(&self, class: &str, place: &Labels) -> Rc<Counts> {
+    pub fn request_counters(&self, class: &str, place: &Labels) -> Rc<RequestCounters> {
         let mut counts = self.counts.borrow_mut();
         let mut key = (class.to_owned(), place.clone());
         if counts.len() >= MOST_SETS && !counts.contains_key(&key) {
@@ -130,13 +130,13 @@
             labels.extend(place.iter().cloned());
             let of = |family: &Family<Labels, Counter>| family.get_or_create(&labels).clone();
             let (ok, shed, errors) = (of(&self.ok), of(&self.shed), of(&self.errors));
-            Rc::new(Counts { ok, shed, errors, active: self.active.clone() })
+            Rc::new(RequestCounters { ok, shed, errors, active: self.active.clone() })
         });
         Rc::clone(made)
     }
 
-    /// Counts attempts written whole to nodes of a pool, which may start more than once.
-    pub fn tries(&self, place: &Labels) -> Counter {
+    /// RequestCounters attempts written whole to nodes of a pool, which may start more than once.
+    pub fn attempts(&self, place: &Labels) -> Counter {
         let mut tried = self.tried.borrow_mut();
         if tried.len() >= MOST_SETS && !tried.contains(place) {
             return self.tries.of(&other(place));
@@ -146,7 +146,7 @@
     }
 
     /// All of them as text; the state of the pools is told here.
-    pub fn text(&self, pools: &[PoolNow]) -> String {
+    pub fn text(&self, pools: &[PoolGauges]) -> String {
         for by_pool in [&self.size, &self.ejected] {
             if let ByPool::Each(family) = by_pool {
                 // Pools that a reload took away.
@@ -155,7 +155,7 @@
         }
         for pool in pools.iter().take(MOST_SETS) {
             self.size.of(&pool.place).set(pool.listed as i64);
-            self.ejected.of(&pool.place).set(pool.avoided as i64);
+            self.ejected.of(&pool.place).set(pool.ejected as i64);
         }
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -173,13 +173,13 @@
 /// that is dropped without a fate has failed.
 #[derive(Default)]
 pub struct Tally {
-    counts: RefCell<Option<Rc<Counts>>>,
+    counts: RefCell<Option<Rc<RequestCounters>>>,
     active: Cell<bool>,
 }
 
 impl Tally {
     /// It is one that counts here.
-    pub fn is(&self, counts: Option<Rc<Counts>>) {
+    pub fn is(&self, counts: Option<Rc<RequestCounters>>) {
         *self.counts.borrow_mut() = counts;
     }
 
@@ -191,12 +191,12 @@
     }
 
     /// That was its end; what is said after the first time is passed over.
-    pub fn end(&self, fate: Fate) {
+    pub fn end(&self, fate: RequestOutcome) {
         let Some(counts) = self.counts.take() else { return };
         let count = match fate {
-            Fate::Served => &counts.ok,
-            Fate::Refused => &counts.shed,
-            Fate::Failed => &counts.errors,
+            RequestOutcome::Served => &counts.ok,
+            RequestOutcome::Rejected => &counts.shed,
+            RequestOutcome::Failed => &counts.errors,
         };
         count.inc();
         if self.active.take() {
@@ -207,11 +207,11 @@
 
 impl Drop for Tally {
     fn drop(&mut self) {
-        self.end(Fate::Failed);
+        self.end(RequestOutcome::Failed);
     }
 }
 
-/// Counts a message once its last byte is with the kernel.
+/// RequestCounters a message once its last byte is with the kernel.
 #[derive(Default)]
 pub struct Written(RefCell<Option<Counter>>);
 
@@ -240,8 +240,8 @@
 
     #[test]
     fn every_way_out_is_counted_once_and_what_is_open_in_between() {
-        let figures = Figures::new(false);
-        let classes = ["C", "D"].map(|class| figures.counts(class, &vec![]));
+        let figures = Metrics::new(false);
+        let classes = ["C", "D"].map(|class| figures.request_counters(class, &vec![]));
         let mut rng = fastrand::Rng::with_seed(11);
         let (mut open, mut taken, mut known) = (Vec::new(), 0, 0);
         for _ in 0..10_000 {
@@ -261,9 +261,10 @@
                 }
                 1 if !open.is_empty() => {
                     let tally = open.swap_remove(rng.usize(0..open.len()));
-                    let fate = [Fate::Served, Fate::Refused, Fate::Failed][rng.usize(0..3)];
+                    let fate = [RequestOutcome::Served, RequestOutcome::Rejected, RequestOutcome::Failed]
+                        [rng.usize(0..3)];
                     tally.end(fate);
-                    tally.end(Fate::Served);
+                    tally.end(RequestOutcome::Served);
                 }
                 2 if !open.is_empty() => drop(open.swap_remove(rng.usize(0..open.len()))),
                 _ => {}
@@ -283,14 +284,14 @@
 
     #[test]
     fn the_text_has_the_names_and_forms_that_operators_read() {
-        let figures = Figures::new(false);
+        let figures = Metrics::new(false);
         let tally = Tally::default();
-        tally.is(Some(figures.counts("C", &vec![])));
+        tally.is(Some(figures.request_counters("C", &vec![])));
         tally.taken();
-        tally.end(Fate::Served);
-        figures.tries(&vec![]).inc();
+        tally.end(RequestOutcome::Served);
+        figures.attempts(&vec![]).inc();
         is_told(
-            &figures.text(&[PoolNow { place: vec![], listed: 7, avoided: 2 }]),
+            &figures.text(&[PoolGauges { place: vec![], listed: 7, ejected: 2 }]),
             &[
                 "edge_lb_ok_total{kind=\"C\"} 1",
                 "edge_lb_shed_total{kind=\"C\"} 0",
@@ -305,11 +306,11 @@
 
     #[test]
     fn several_pools_are_told_apart_for_as_long_as_they_are_there_and_up_to_a_bound() {
-        let figures = Figures::new(true);
+        let figures = Metrics::new(true);
         let place = |pool: &str| vec![("pool", pool.to_owned())];
-        figures.counts("C", &place("p")).ok.inc();
-        figures.tries(&place("p")).inc();
-        let now = |name: &str| PoolNow { place: place(name), listed: 3, avoided: 1 };
+        figures.request_counters("C", &place("p")).ok.inc();
+        figures.attempts(&place("p")).inc();
+        let now = |name: &str| PoolGauges { place: place(name), listed: 3, ejected: 1 };
         is_told(
             &figures.text(&[now("p"), now("q")]),
             &[
@@ -321,11 +322,11 @@
         assert!(!figures.text(&[now("q")]).contains("pool_size{pool=\"p\"}"), "it has gone");
         // A pool that starts time and again is one.
         for _ in 0..2 * MOST_SETS {
-            figures.tries(&place("p")).inc();
+            figures.attempts(&place("p")).inc();
         }
         is_told(&figures.text(&[]), &[&format!("edge_lb_tries_total{{pool=\"p\"}} {}", 2 * MOST_SETS + 1)]);
         for class in 0..2 * MOST_SETS {
-            figures.counts(&class.to_string(), &place("p")).ok.inc();
+            figures.request_counters(&class.to_string(), &place("p")).ok.inc();
         }
         let text = figures.text(&[]);
         assert_eq!(text.matches("\nedge_lb_ok_total").count(), MOST_SETS + 1);
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -21,9 +21,9 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-use crate::guard::caught;
 use crate::log;
-use crate::maintenance::Desk;
+use crate::maintenance::MaintenanceStore;
+use crate::panic_guard::caught;
 
 /// Connections that are open at once; the oldest gives way to one more.
 const MOST: usize = SOCKETS - 2;
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// Several have that name.
-    fn meant(&self, id: &str) -> Result<(&Desk, String), Refused>;
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused>;
 }
 
 type Reply = Response<Full<Bytes>>;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -19,20 +19,20 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 
-use crate::backend::{Backends, DRAIN_MARGIN};
 use crate::clock::Clock;
+use crate::downstream::{self, Frontend};
 use crate::driver::Driver;
-use crate::figures::{Figures, Labels};
-use crate::gate::Platform;
-use crate::ids::Ids;
+use crate::gossip::GossipSocket;
 use crate::log::say;
-use crate::maintenance::{Bans, Desk};
-use crate::membership::{Discovery, Listed, Retold, Roster};
+use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
+use crate::membership::{Discovery, EndpointRegistry, RegistryObserver, RegistryView};
+use crate::metrics::{Labels, Metrics};
 use crate::operators::Operated;
-use crate::peers::Peers;
 use crate::process::{self, Signals};
-use crate::server::{self, Gate};
-use crate::{handover, operators, passed};
+use crate::request_ids::OpenRequestIds;
+use crate::router::PlatformRouter;
+use crate::upstream::{Upstreams, DRAIN_MARGIN};
+use crate::{handover, inherited_socket, operators};
 
 /// Taken for the time in which discovery must be asked where the settings say less, or nothing.
 const MUST_ASK_IN: Micros = 10_000_000;
@@ -47,9 +47,9 @@
     pub callers: usize,
     /// Sockets for backends.
     pub backends: usize,
-    pub known: Option<Told>,
+    pub initial_list: Option<Told>,
     /// Where peers' messages arrive, and the peers' addresses by rank; only where the settings allow them.
-    pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
+    pub gossip: Option<(SocketAddr, Vec<SocketAddr>)>,
     pub site: PlatformSettings,
 }
 
@@ -84,9 +84,9 @@
 
 /// What operators call.
 struct Operations {
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// Told of what operators say for as long as it is here.
-    retold: Rc<Retold>,
+    retold: Rc<RegistryView>,
     ready: Rc<Cell<bool>>,
     ending: Rc<Cell<bool>>,
 }
@@ -100,8 +100,8 @@
         Box::pin(async { self.figures.text(&[self.retold.now(Labels::new()).await]) })
     }
 
-    fn meant(&self, id: &str) -> Result<(&Desk, String), Refused> {
-        Ok((&self.retold.bans.desk, id.to_owned()))
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
+        Ok((&self.retold.overrides.store, id.to_owned()))
     }
 }
 
@@ -134,12 +134,12 @@
                 .map_err(|_| format!("seed: not a 64-bit number in hex digits: {:?}", file.seed))?,
             callers,
             backends,
-            known: file
+            initial_list: file
                 .known
                 .map(|known| parse_told(known.get().as_bytes()))
                 .transpose()
                 .map_err(|e| format!("known: {e}"))?,
-            peers: file
+            gossip: file
                 .peer_listen
                 .filter(|_| site.settings.gossip_allowed)
                 .map(|listen| (listen, file.peers)),
@@ -154,7 +154,7 @@
 /// Why it could not start, in a line.
 pub fn run() -> Result<(), String> {
     let config = Config::from_env()?;
-    let passed = passed::listener()?;
+    let passed = inherited_socket::listener()?;
     // A proxy has one core: more threads would only pass work between caches.
     process::block_on(serve(config, passed))
 }
@@ -207,13 +207,13 @@
     let site = config.site;
     let clock = Clock::new();
     let policy = watch_policy(&site);
-    let figures = Rc::new(Figures::new(false));
+    let figures = Rc::new(Metrics::new(false));
     let backends =
-        Rc::new(Backends::new(site.transport, config.backends).counting(figures.tries(&Labels::new())));
+        Rc::new(Upstreams::new(site.transport, config.backends).counting(figures.attempts(&Labels::new())));
     let subscribe = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
-    let peers = match config.peers {
-        Some((listen, addresses)) => Some(Rc::new(Peers::bind(listen, addresses).await?)),
+    let peers = match config.gossip {
+        Some((listen, addresses)) => Some(Rc::new(GossipSocket::bind(listen, addresses).await?)),
         None => None,
     };
     let driver = Driver::new(
@@ -231,7 +231,8 @@
     }
     let (moved, address_of_discovery) = watch::channel(config.discovery);
     let names = Rc::new(RefCell::new(site.names.clone()));
-    let mut roster = Roster::new(clock, names, handle.clone(), Rc::clone(&backends), Rc::clone(&ready));
+    let mut roster =
+        EndpointRegistry::new(clock, names, handle.clone(), Rc::clone(&backends), Rc::clone(&ready));
     let ending = Rc::new(Cell::new(false));
     // Only one who shares its socket has a successor.
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
@@ -244,12 +245,12 @@
         });
     }
     if let Some(mgmt) = mgmt {
-        let desk = Rc::new(Desk::new(folder));
-        let bans = Bans { desk: Rc::clone(&desk), pool: None };
-        roster.bans = Some(bans.clone());
+        let desk = Rc::new(MaintenanceStore::new(folder));
+        let bans = MaintenanceOverrides { store: Rc::clone(&desk), pool: None };
+        roster.overrides = Some(bans.clone());
         let (known, handle, backends) = (Rc::clone(&roster.known), handle.clone(), Rc::clone(&backends));
-        let retold = Rc::new(Retold { known, handle, backends, bans });
-        desk.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn Listed>)));
+        let retold = Rc::new(RegistryView { known, handle, backends, overrides: bans });
+        desk.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
         let operations = Operations {
             figures: Rc::clone(&figures),
             retold,
@@ -261,25 +262,30 @@
     }
     let discovery = Discovery {
         address: address_of_discovery,
-        roster,
+        registry: roster,
         subscribe: site.settings.poll_discovery.then_some(subscribe),
         policy,
         seed: config.seed,
         complained: false,
     };
     spawn_local(driver.run());
-    spawn_local(discovery.run(config.known));
+    spawn_local(discovery.run(config.initial_list));
     spawn_local(async move { backends.sweep().await });
     spawn_local(reload(hangup, moved));
     say(format_args!("listening on {address}"));
-    let counts = site.names.classes.iter().map(|class| figures.counts(class, &Labels::new())).collect();
-    let router = Platform { handle, names: site.names, settings: site.settings, ready, counts };
-    let gate =
-        Gate { router: Rc::new(router), ids: Ids::default(), protocol: config::Protocol::Http, shared };
+    let counts =
+        site.names.classes.iter().map(|class| figures.request_counters(class, &Labels::new())).collect();
+    let router = PlatformRouter { handle, names: site.names, settings: site.settings, ready, counts };
+    let gate = Frontend {
+        router: Rc::new(router),
+        ids: OpenRequestIds::default(),
+        protocol: config::Protocol::Http,
+        shared,
+    };
     let stop = async move {
         signals.end().await;
         ending.set(true);
     };
-    server::run(gate, listener, config.callers, stop).await;
+    downstream::run(gate, listener, config.callers, stop).await;
     Ok(())
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -14,44 +14,51 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, Instant};
 
-use crate::backend::{Backends, Speech};
 use crate::clock::Clock;
 use crate::driver::Driver;
-use crate::figures::{Figures, Labels, PoolNow};
-use crate::inbox::Handle;
-use crate::learned_state::Told;
+use crate::inbox::DriverHandle;
+use crate::learned_state::SavedPool;
 use crate::log::say;
-use crate::maintenance::{Bans, Desk};
-use crate::membership::{Discovery, FileWatch, Known, Listed, Retold, Roster};
+use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
+use crate::membership::{
+    Discovery, EndpointRegistry, FileWatch, RegisteredEndpoints, RegistryObserver, RegistryView,
+};
+use crate::metrics::{Labels, Metrics, PoolGauges};
 use crate::operators;
+use crate::upstream::{RpcSettings, Upstreams};
 
 /// A source that says nothing for this long is told of, and again each time that doubles.
 const SILENT: Duration = Duration::from_secs(10);
 
 /// Where operators call, and what they read.
 #[derive(Clone)]
-pub struct Office {
-    pub figures: Rc<Figures>,
-    pub desk: Rc<Desk>,
+pub struct OperatorContext {
+    pub metrics: Rc<Metrics>,
+    pub maintenance: Rc<MaintenanceStore>,
     /// Whose pools these are, in a hosted service.
     pub tenant: Option<String>,
 }
 
-impl Office {
+impl OperatorContext {
     /// Opens the address that a configuration names, if it does, with what is out by hand from before.
     ///
     /// # Errors
     /// It is not to be had, in a line.
-    pub async fn open(operators: Option<&Operators>) -> Result<Option<(TcpListener, Office)>, String> {
+    pub async fn open(
+        operators: Option<&Operators>,
+    ) -> Result<Option<(TcpListener, OperatorContext)>, String> {
         let Some(Operators { listen, folder }) = operators else { return Ok(None) };
         let listener = operators::bind(*listen).await?;
         if let Some(folder) = folder {
             std::fs::create_dir_all(folder).map_err(|e| format!("[operators] {}: {e}", folder.display()))?;
         }
-        let desk = Rc::new(Desk::new(folder.clone()));
+        let desk = Rc::new(MaintenanceStore::new(folder.clone()));
         let followed = Rc::clone(&desk);
         spawn_local(async move { followed.follow().await });
-        Ok(Some((listener, Office { figures: Rc::new(Figures::new(true)), desk, tenant: None })))
+        Ok(Some((
+            listener,
+            OperatorContext { metrics: Rc::new(Metrics::new(true)), maintenance: desk, tenant: None },
+        )))
     }
 
     /// Where the figures of a pool stand.
@@ -61,27 +68,27 @@
     }
 
     /// What operators say of a pool's nodes, which they call `POOL/NAME` or `TENANT/POOL/NAME`.
-    fn bans(&self, pool: &str) -> Bans {
+    fn bans(&self, pool: &str) -> MaintenanceOverrides {
         let named = self.tenant.as_ref().map_or_else(|| pool.to_owned(), |tenant| format!("{tenant}/{pool}"));
-        Bans { desk: Rc::clone(&self.desk), pool: Some(named) }
+        MaintenanceOverrides { store: Rc::clone(&self.maintenance), pool: Some(named) }
     }
 }
 
 /// A pool. Dropping it ends all that runs for it: nothing of it may be open then.
 pub struct Pool {
     pub name: String,
-    pub handle: Handle,
-    pub backends: Rc<Backends>,
+    pub handle: DriverHandle,
+    pub backends: Rc<Upstreams>,
     clock: Clock,
     names: Rc<RefCell<NameTable>>,
-    known: Rc<Known>,
+    known: Rc<RegisteredEndpoints>,
     ready: Rc<Cell<bool>>,
     /// When its source last spoke.
     heard: Rc<Cell<Instant>>,
     /// Where the configuration lists its nodes.
-    listed: Option<RefCell<Roster>>,
+    listed: Option<RefCell<EndpointRegistry>>,
     /// Told of what operators say, for as long as the pool is there.
-    retold: Option<(Rc<Retold>, Labels)>,
+    retold: Option<(Rc<RegistryView>, Labels)>,
     tasks: Vec<AbortHandle>,
 }
 
@@ -99,7 +106,7 @@
         sockets: usize,
         clock: Clock,
         seed: u64,
-        office: Option<&Office>,
+        office: Option<&OperatorContext>,
     ) -> Pool {
         let pool = &config.pools[place];
         let settings = config.settings(pool);
@@ -112,29 +119,35 @@
         let classes = config.classes.iter().map(|c| c.name.clone()).collect();
         let names = NameTable::new(classes, config.zones.clone(), config.kinds.clone());
         let names = Rc::new(RefCell::new(names));
-        let backends = Backends::new(transport, sockets);
+        let backends = Upstreams::new(transport, sockets);
         let backends = match office {
-            Some(office) => backends.counting(office.figures.tries(&office.place(&pool.name))),
+            Some(office) => backends.counting(office.metrics.attempts(&office.place(&pool.name))),
             None => backends,
         };
         let backends = Rc::new(match pool.protocol {
             Protocol::Http => backends,
             Protocol::JsonRpc { framing, calls } => {
-                backends.speaking(Speech { framing, calls, cancel: pool.cancel.clone() })
+                backends.speaking(RpcSettings { framing, calls, cancel: pool.cancel.clone() })
             }
         });
         let subscribe = Rc::new(Notify::new());
         let driver = Driver::new(settings, seed, clock, Rc::clone(&backends), None, Rc::clone(&subscribe));
         let handle = driver.handle();
         let ready = Rc::new(Cell::new(false));
-        let mut roster =
-            Roster::new(clock, Rc::clone(&names), handle.clone(), Rc::clone(&backends), Rc::clone(&ready));
+        let mut roster = EndpointRegistry::new(
+            clock,
+            Rc::clone(&names),
+            handle.clone(),
+            Rc::clone(&backends),
+            Rc::clone(&ready),
+        );
         let retold = office.map(|office| {
             let bans = office.bans(&pool.name);
-            roster.bans = Some(bans.clone());
+            roster.overrides = Some(bans.clone());
             let (known, handle) = (Rc::clone(&roster.known), handle.clone());
-            let retold = Rc::new(Retold { known, handle, backends: Rc::clone(&backends), bans });
-            office.desk.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn Listed>)));
+            let retold =
+                Rc::new(RegistryView { known, handle, backends: Rc::clone(&backends), overrides: bans });
+            office.maintenance.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
             (retold, office.place(&pool.name))
         });
         let sweeper = Rc::clone(&backends);
@@ -158,7 +171,8 @@
                 // Nothing says in which time drains must be kept, so the list is relied on while discovery is away.
                 let policy = Policy { answers_each: true, lease: None };
                 let subscribe = Some(subscribe);
-                let discovery = Discovery { address, roster, subscribe, policy, seed, complained: false };
+                let discovery =
+                    Discovery { address, registry: roster, subscribe, policy, seed, complained: false };
                 tasks.push(spawn_local(async move {
                     let _moves = moves;
                     discovery.run(None).await;
@@ -174,7 +188,7 @@
     }
 
     /// Goes on under another configuration that keeps it.
-    pub fn go_on(&self, config: &Config, place: usize, sockets: usize) {
+    pub fn reconfigure(&self, config: &Config, place: usize, sockets: usize) {
         self.backends.set_most_links(sockets);
         if let (Some(roster), Source::List(nodes)) = (&self.listed, &config.pools[place].source) {
             roster.borrow_mut().apply(list(nodes), UpdateScope::Full);
@@ -182,34 +196,34 @@
     }
 
     /// What others have learned of it, or a process before.
-    pub fn teach(&self, told: Told) {
+    pub fn import_learned_state(&self, told: SavedPool) {
         self.known.teach(told, self.clock, &self.names.borrow(), &self.handle);
     }
 
     /// What it has learned.
-    pub async fn learned(&self) -> Option<learned_state::Pool> {
-        let learned = self.handle.learned().await?;
-        Some(self.known.named(&self.name, &learned, self.clock, &self.names.borrow()))
+    pub async fn learned_state(&self) -> Option<learned_state::Pool> {
+        let learned = self.handle.learned_state().await?;
+        Some(self.known.named_state(&self.name, &learned, self.clock, &self.names.borrow()))
     }
 
     /// What operators call a node of this name, if it lists one.
-    pub fn called(&self, name: &str) -> Option<String> {
-        self.retold.as_ref().filter(|_| self.known.has(name)).map(|(retold, _)| retold.bans.called(name))
+    pub fn operator_name(&self, name: &str) -> Option<String> {
+        self.retold.as_ref().filter(|_| self.known.has(name)).map(|(retold, _)| retold.overrides.called(name))
     }
 
     /// What it is now, as operators read it.
-    pub async fn now(&self) -> Option<PoolNow> {
+    pub async fn gauges(&self) -> Option<PoolGauges> {
         let (retold, place) = self.retold.as_ref()?;
         Some(retold.now(place.clone()).await)
     }
 
     /// How many lists of nodes it has had.
-    pub fn lists(&self) -> u64 {
+    pub fn list_count(&self) -> u64 {
         self.known.lists()
     }
 
     /// Its nodes, for whoever announces what they serve.
-    pub fn facts(&self, cold_time: Micros) -> bgp::Listed {
+    pub fn announced_endpoints(&self, cold_time: Micros) -> bgp::Listed {
         let now = self.clock.now();
         let mut nodes = Vec::new();
         self.backends.each(|entry, address| {
@@ -237,7 +251,7 @@
     }
 
     /// What a route leaves of it, in the terms of its decisions.
-    pub fn allowed(&self, within: &Within) -> EndpointFilter {
+    pub fn endpoint_filter(&self, within: &Within) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
         EndpointFilter {
             zones: within.zones.iter().map(|z| names.zone(z)).collect(),
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 use tokio::task::{JoinSet, LocalSet};
 
-use crate::gate::Router;
-use crate::ids::Ids;
+use crate::downstream::{self, Frontend};
+use crate::inherited_socket;
 use crate::log::say;
-use crate::passed;
-use crate::server::{self, Gate};
+use crate::request_ids::OpenRequestIds;
+use crate::router::Router;
 
 /// Runs something on one thread to its end.
 ///
@@ -53,17 +53,17 @@
 }
 
 /// Listeners that are bound, in their order.
-pub struct Doors {
+pub struct BoundListeners {
     bound: Vec<(Listener, TcpListener, SocketAddr)>,
     /// Somebody else holds them as well, and the next process has them.
     shared: bool,
 }
 
-impl Doors {
-    pub async fn bind(listeners: &[Listener]) -> Result<Doors, String> {
+impl BoundListeners {
+    pub async fn bind(listeners: &[Listener]) -> Result<BoundListeners, String> {
         let mut bound = Vec::new();
         let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.address).collect();
-        let passed = passed::listeners(&addresses)?;
+        let passed = inherited_socket::listeners(&addresses)?;
         let shared = passed.is_some();
         let mut passed = passed.into_iter().flatten();
         for listener in listeners {
@@ -75,7 +75,7 @@
             let address = socket.local_addr().map_err(fault)?;
             bound.push((listener.clone(), socket, address));
         }
-        Ok(Doors { bound, shared })
+        Ok(BoundListeners { bound, shared })
     }
 
     pub fn addresses(&self) -> Vec<SocketAddr> {
@@ -83,31 +83,31 @@
     }
 
     /// Serves at each, with a router made for it, and an even part of the callers' sockets.
-    pub fn open(self, callers: usize, router: impl Fn(Listener, usize) -> Rc<dyn Router>) -> Open {
+    pub fn open(self, callers: usize, router: impl Fn(Listener, usize) -> Rc<dyn Router>) -> OpenListeners {
         let callers = (callers / self.bound.len().max(1)).max(1);
         let (stop, stopped) = watch::channel(());
-        let (ids, mut serving) = (Ids::default(), JoinSet::new());
+        let (ids, mut serving) = (OpenRequestIds::default(), JoinSet::new());
         for (place, (listener, socket, address)) in self.bound.into_iter().enumerate() {
             let protocol = listener.protocol;
             let router = router(listener, place);
-            let gate = Gate { router, ids: ids.clone(), protocol, shared: self.shared };
+            let gate = Frontend { router, ids: ids.clone(), protocol, shared: self.shared };
             let mut stopped = stopped.clone();
-            serving.spawn_local(server::run(gate, socket, callers, async move {
+            serving.spawn_local(downstream::run(gate, socket, callers, async move {
                 let _ = stopped.changed().await;
             }));
             say(format_args!("listening on {address}"));
         }
-        Open { stop, serving }
+        OpenListeners { stop, serving }
     }
 }
 
 /// Fronts that serve.
-pub struct Open {
+pub struct OpenListeners {
     stop: watch::Sender<()>,
     serving: JoinSet<()>,
 }
 
-impl Open {
+impl OpenListeners {
     /// Takes nothing new, and waits until all that was taken has its answer.
     pub async fn close(mut self) {
         drop(self.stop);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -11,13 +11,13 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::time::Instant;
 
+use crate::body::{self, Content, Flow, Gathered, MayFlow};
 use crate::exchange::{remove_hop_by_hop, Answer, Called, Message, Patience, ID, KEY, MOST_BODY, TIMEOUT};
-use crate::figures::{Counts, Tally};
-use crate::flow::{self, Content, Flow, Gathered, MayFlow};
 use crate::framing;
-use crate::gate::{one, Connection, Course, Router, Turned, Way};
-use crate::ids::{Claim, Ids};
-use crate::once::{Held, Met, Once};
+use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
+use crate::metrics::{RequestCounters, Tally};
+use crate::request_ids::{OpenRequestIds, RequestIdClaim};
+use crate::router::{single_header_value, Connection, PoolSequence, Rejection, RouteDecision, Router};
 use crate::socket::{Socket, Unread};
 
 /// The longest wait that makes sense, in milliseconds.
@@ -33,13 +33,13 @@
     pub new: NewRequest,
     pub message: Rc<Message>,
     /// Where it goes.
-    pub course: Box<dyn Course>,
+    pub course: Box<dyn PoolSequence>,
     /// How long the client waits.
     pub patience: Duration,
     /// Its key, while it is open.
-    pub held: Option<Held>,
+    pub held: Option<ReservedKey>,
     /// Keeps its id from being used a second time for as long as it is open.
-    pub claim: Claim,
+    pub claim: RequestIdClaim,
 }
 
 /// What a request comes to that is well-formed.
@@ -54,13 +54,13 @@
     new: NewRequest,
     id: String,
     key: Option<String>,
-    ids: Option<Ids>,
-    once: Option<Once>,
+    ids: Option<OpenRequestIds>,
+    once: Option<KeyScope>,
     method: Option<Arc<str>>,
-    course: Box<dyn Course>,
+    course: Box<dyn PoolSequence>,
     pub class: usize,
     /// Where it is counted.
-    pub counts: Option<Rc<Counts>>,
+    pub counts: Option<Rc<RequestCounters>>,
     /// How long the client waits.
     pub patience: Duration,
     /// The largest body of it and of its answer, where they may flow.
@@ -76,19 +76,32 @@
     connection: &Connection,
     head: &mut Parts,
     body_most: u64,
-) -> Result<Opened, Turned> {
-    if one(&head.headers, ID)?.is_none() {
+) -> Result<Opened, Rejection> {
+    if single_header_value(&head.headers, ID)?.is_none() {
         if let Some(id) = router.new_id().and_then(|id| HeaderValue::try_from(id).ok()) {
             head.headers.insert(ID, id);
         }
     }
-    let id = one(&head.headers, ID)?.filter(|id| is_name(id)).ok_or(StatusCode::BAD_REQUEST)?.to_owned();
+    let id = single_header_value(&head.headers, ID)?
+        .filter(|id| is_name(id))
+        .ok_or(StatusCode::BAD_REQUEST)?
+        .to_owned();
     if body_most > router.largest_body() {
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
-    let way = router.way(head, &id, body_most, connection)?;
-    let Way { ids, class, semantics, deadline, tenant, method, once, counts, course } = way;
-    let one = |name: &str| one(&head.headers, name);
+    let way = router.route(head, &id, body_most, connection)?;
+    let RouteDecision {
+        ids,
+        class,
+        semantics,
+        deadline,
+        tenant,
+        method,
+        key_scope: once,
+        counters: counts,
+        pools: course,
+    } = way;
+    let one = |name: &str| single_header_value(&head.headers, name);
     let key = one(KEY)?;
     let keyed = matches!(semantics, Semantics::Deduplicated { .. });
     if key.map_or(keyed, |key| !is_name(key)) {
@@ -105,8 +118,8 @@
         time_left: 0,
         work: one("x-cost")?.and_then(whole).and_then(|us| us.try_into().ok()).filter(|us| *us > 0),
         is_retry: one("x-retried")? == Some("1"),
-        endpoint_filter: course.allowed(),
-        max_attempts: course.attempts(),
+        endpoint_filter: course.endpoint_filter(),
+        max_attempts: course.max_attempts(),
         downstream_connections: None,
         body_pending: 0,
     };
@@ -136,13 +149,13 @@
         mut head: Parts,
         body: Content,
         called: Option<Called>,
-        ids: &Ids,
-    ) -> Result<Taken, Turned> {
+        ids: &OpenRequestIds,
+    ) -> Result<Taken, Rejection> {
         let Opened { new, id, key, ids: own, once, method, course, patience, flows, .. } = self;
         let claim = own.as_ref().unwrap_or(ids).claim(&id).ok_or(StatusCode::CONFLICT)?;
-        let held = match once.zip(key).map(|(once, key)| once.meet(&key)).transpose()? {
-            Some(Met::New(held)) => Some(held),
-            Some(Met::Again(answer)) => return Ok(Taken::Known(answer)),
+        let held = match once.zip(key).map(|(once, key)| once.reserve(&key)).transpose()? {
+            Some(KeyLookup::Reserved(held)) => Some(held),
+            Some(KeyLookup::Replayed(answer)) => return Ok(Taken::Known(answer)),
             None => None,
         };
         let mut new = new;
@@ -151,7 +164,7 @@
             let most = body.size_hint().exact().or(flows).unwrap_or(MOST_BODY as u64);
             new.max_attempts = 1;
             new.body_pending =
-                if flow.ended().is_some() { 0 } else { flow::most_time(most).as_micros() as Micros };
+                if flow.ended().is_some() { 0 } else { body::most_time(most).as_micros() as Micros };
         }
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
@@ -175,12 +188,12 @@
 /// Reads a request over HTTP whole, or says with which status to turn it away.
 pub async fn read(
     router: &dyn Router,
-    ids: &Ids,
+    ids: &OpenRequestIds,
     socket: &Socket,
     connection: &Connection,
     tally: &Rc<Tally>,
     request: Request<Incoming>,
-) -> Result<Taken, Turned> {
+) -> Result<Taken, Rejection> {
     let began = socket.since().unwrap_or_else(Instant::now);
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let raw = socket.take_head();
@@ -204,8 +217,8 @@
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
     let most = body_most.min(MOST_BODY as u64);
-    let until = began + if flows.is_some() { flow::most_time(most) } else { WHOLE.min(opened.patience) };
-    let body = match flow::gather(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
+    let until = began + if flows.is_some() { body::most_time(most) } else { WHOLE.min(opened.patience) };
+    let body = match body::gather(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
         Gathered::Whole(body) => body,
         Gathered::Part(first, rest) if flows.is_some() && (Instant::now() < until || first.is_empty()) => {
             let flow = Rc::new(Flow::of_request(rest, first, router.largest_body()));
--- a/crates/proxy/src/routing.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -11,9 +11,9 @@
 use hyper::{header, HeaderMap, StatusCode, Uri};
 use route::{Fields, Sent};
 
-use crate::gate::{one, Turned, CLASS, TENANT};
-use crate::once::{Once, Table};
-use crate::snapshot::{Routed, Snapshot};
+use crate::idempotency_keys::{KeyScope, KeyTable};
+use crate::router::{single_header_value, Rejection, CLASS_HEADER, TENANT_HEADER};
+use crate::snapshot::{PoolSelection, Snapshot};
 
 struct HeaderFields<'a>(&'a HeaderMap);
 
@@ -24,11 +24,11 @@
 }
 
 /// Ids for requests that come without one.
-pub struct NewIds(Cell<u64>);
+pub struct RequestIdGenerator(Cell<u64>);
 
-impl NewIds {
-    pub fn new(seed: u64, listener: usize) -> NewIds {
-        NewIds(Cell::new(seed.wrapping_add((listener as u64) << 48)))
+impl RequestIdGenerator {
+    pub fn new(seed: u64, listener: usize) -> RequestIdGenerator {
+        RequestIdGenerator(Cell::new(seed.wrapping_add((listener as u64) << 48)))
     }
 
     pub fn next(&self) -> String {
@@ -40,36 +40,36 @@
 }
 
 /// What is known of a request once it has its route.
-pub struct Known {
+pub struct ResolvedRoute {
     pub class: usize,
     pub semantics: Semantics,
     pub deadline: Micros,
     /// What it is called in JSON-RPC, where a pool speaks that.
     pub method: Option<Arc<str>>,
     /// Where its key is known.
-    pub once: Option<Once>,
+    pub key_scope: Option<KeyScope>,
 }
 
 /// Finds the route of a request, and brings its head into the form that was routed by.
 ///
 /// # Errors
 /// What to turn it away with.
-pub fn route(
+pub fn resolve(
     snapshot: Rc<Snapshot>,
     listener: &Listener,
     head: &mut Parts,
     id: &str,
-    keys: &Table,
-) -> Result<(Routed, Known), Turned> {
+    keys: &KeyTable,
+) -> Result<(PoolSelection, ResolvedRoute), Rejection> {
     let config = &snapshot.config;
     let fields = HeaderFields(&head.headers);
-    let tenant = one(&head.headers, TENANT)?;
+    let tenant = single_header_value(&head.headers, TENANT_HEADER)?;
     let zone = listener.zone_header.as_deref().and_then(|name| fields.get(name));
     let sent = Sent {
-        host: one(&head.headers, header::HOST.as_str())?.unwrap_or_default(),
+        host: single_header_value(&head.headers, header::HOST.as_str())?.unwrap_or_default(),
         method: head.method.as_str(),
         path: head.uri.path(),
-        class: one(&head.headers, CLASS)?,
+        class: single_header_value(&head.headers, CLASS_HEADER)?,
         tenant,
         zone: zone.unwrap_or(&listener.zone),
         fields: &fields,
@@ -106,10 +106,10 @@
     let once = match semantics {
         Semantics::Deduplicated { window, .. } => {
             let class = config.classes[class].name.as_str().into();
-            Some(Once { table: keys.clone(), class, window })
+            Some(KeyScope { table: keys.clone(), class, window })
         }
         Semantics::Idempotent | Semantics::AtMostOnce => None,
     };
-    let known = Known { class, semantics, deadline, method, once };
-    Ok((Routed::new(snapshot, place, preferred), known))
+    let known = ResolvedRoute { class, semantics, deadline, method, key_scope: once };
+    Ok((PoolSelection::new(snapshot, place, preferred), known))
 }
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/router.rs
@@ -12,12 +12,12 @@
 use hyper::{Method, StatusCode};
 use jsonrpc::Call;
 
+use crate::body::MOST_FLOW;
 use crate::exchange::{Attempts, MOST_BODY};
-use crate::figures::{Counts, Fate};
-use crate::flow::MOST_FLOW;
-use crate::ids::Ids;
-use crate::inbox::Handle;
-use crate::once::Once;
+use crate::idempotency_keys::KeyScope;
+use crate::inbox::DriverHandle;
+use crate::metrics::{RequestCounters, RequestOutcome};
+use crate::request_ids::OpenRequestIds;
 
 /// Says where requests go.
 pub trait Router {
@@ -27,14 +27,20 @@
     ///
     /// # Errors
     /// What to turn it away with.
-    fn way(&self, head: &mut Parts, id: &str, body: u64, connection: &Connection) -> Result<Way, Turned>;
+    fn route(
+        &self,
+        head: &mut Parts,
+        id: &str,
+        body: u64,
+        connection: &Connection,
+    ) -> Result<RouteDecision, Rejection>;
 
     /// A call in the form of HTTP, by whose head it then has its way; and the class, by index, if the method alone says
     /// it.
     ///
     /// # Errors
     /// There is no such method, or its `params` cannot be read.
-    fn call(&self, _call: &Call<'_>) -> Result<(Parts, Option<usize>), Turned> {
+    fn route_call(&self, _call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         Err(StatusCode::NOT_FOUND.into())
     }
 
@@ -50,7 +56,7 @@
     }
 
     /// Is that all that counts, and does a kill follow the word to end that soon?
-    fn is_killed(&self) -> bool {
+    fn has_termination_deadline(&self) -> bool {
         false
     }
 
@@ -73,7 +79,7 @@
 
 /// What a request is turned away with, before anything is sent on for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turned {
+pub struct Rejection {
     pub status: StatusCode,
     /// Why, where that is a limit.
     pub cause: Option<&'static str>,
@@ -81,27 +87,27 @@
     pub retry_after: Micros,
 }
 
-impl Turned {
+impl Rejection {
     /// What it is counted as.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> RequestOutcome {
         if self.status == StatusCode::TOO_MANY_REQUESTS {
-            Fate::Refused
+            RequestOutcome::Rejected
         } else {
-            Fate::Failed
+            RequestOutcome::Failed
         }
     }
 }
 
-impl From<StatusCode> for Turned {
+impl From<StatusCode> for Rejection {
     fn from(status: StatusCode) -> Self {
-        Turned { status, cause: None, retry_after: 0 }
+        Rejection { status, cause: None, retry_after: 0 }
     }
 }
 
 /// Where a request goes, and what is then known of it.
-pub struct Way {
+pub struct RouteDecision {
     /// The ids of open requests that its own must differ from, where these are not all of the front's.
-    pub ids: Option<Ids>,
+    pub ids: Option<OpenRequestIds>,
     pub class: usize,
     pub semantics: Semantics,
     pub deadline: Micros,
@@ -109,76 +115,76 @@
     /// What it is called in JSON-RPC, where a pool speaks that.
     pub method: Option<Arc<str>>,
     /// Where its key is known, if it has one.
-    pub once: Option<Once>,
+    pub key_scope: Option<KeyScope>,
     /// Where it is counted, if it is.
-    pub counts: Option<Rc<Counts>>,
-    pub course: Box<dyn Course>,
+    pub counters: Option<Rc<RequestCounters>>,
+    pub pools: Box<dyn PoolSequence>,
 }
 
 /// The pools that a request passes through, from one to the next where it is refused.
-pub trait Course {
+pub trait PoolSequence {
     /// The decisions that it is handed to.
-    fn handle(&self) -> &Handle;
+    fn driver(&self) -> &DriverHandle;
 
     /// The nodes that it may use, where not all.
-    fn allowed(&self) -> Option<Arc<EndpointFilter>>;
+    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>>;
 
     /// The attempts that it may have from here on; 0 leaves that to the settings.
-    fn attempts(&self) -> usize {
+    fn max_attempts(&self) -> usize {
         0
     }
 
     /// Counts those that are begun.
-    fn begun(&self) -> Attempts {
+    fn attempt_counter(&self) -> Attempts {
         Attempts::default()
     }
 
     /// What a refusal there comes to; `never_ran` where no attempt can have run.
-    fn refused(&mut self, never_ran: bool) -> Next;
+    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome;
 }
 
 /// What a refusal comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RejectionOutcome {
     /// That is the answer.
-    Answer,
+    Final,
     /// It goes on to the next pool.
-    Again,
+    NextPool,
     /// It may have run, and would be tried elsewhere: a refusal would promise too much.
-    Fail,
+    Failed,
 }
 
 /// The platform's one pool, whose classes stand in the path and tell the method.
-pub struct Platform {
-    pub handle: Handle,
+pub struct PlatformRouter {
+    pub handle: DriverHandle,
     pub names: NameTable,
     pub settings: Settings,
     /// Says whether there is a list of backends.
     pub ready: Rc<std::cell::Cell<bool>>,
     /// Where its classes are counted.
-    pub counts: Vec<Rc<Counts>>,
+    pub counts: Vec<Rc<RequestCounters>>,
 }
 
-struct Only(Handle);
+struct SinglePool(DriverHandle);
 
-impl Course for Only {
-    fn handle(&self) -> &Handle {
+impl PoolSequence for SinglePool {
+    fn driver(&self) -> &DriverHandle {
         &self.0
     }
 
-    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
+    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
         None
     }
 
-    fn refused(&mut self, _: bool) -> Next {
-        Next::Answer
+    fn on_rejected(&mut self, _: bool) -> RejectionOutcome {
+        RejectionOutcome::Final
     }
 }
 
-impl Router for Platform {
-    fn way(&self, head: &mut Parts, _: &str, _: u64, _: &Connection) -> Result<Way, Turned> {
+impl Router for PlatformRouter {
+    fn route(&self, head: &mut Parts, _: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
         let first = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let named = one(&head.headers, CLASS)?.unwrap_or(first);
+        let named = single_header_value(&head.headers, CLASS_HEADER)?.unwrap_or(first);
         let class = self.names.class(named).ok_or(StatusCode::NOT_FOUND)?;
         if self.names.class(first).is_some_and(|of_path| of_path != class) {
             return Err(StatusCode::BAD_REQUEST.into());
@@ -191,16 +197,26 @@
         if head.method != method {
             return Err(StatusCode::METHOD_NOT_ALLOWED.into());
         }
-        let tenant = match one(&head.headers, TENANT)? {
+        let tenant = match single_header_value(&head.headers, TENANT_HEADER)? {
             // Where there are no tenants the name says nothing.
             Some(name) if !self.settings.tenants.is_empty() => {
                 Some(self.names.tenant(name).ok_or(StatusCode::BAD_REQUEST)?)
             }
             _ => None,
         };
-        let course = Box::new(Only(self.handle.clone()));
+        let course = Box::new(SinglePool(self.handle.clone()));
         let counts = self.counts.get(class).cloned();
-        Ok(Way { ids: None, class, semantics, deadline, tenant, method: None, once: None, counts, course })
+        Ok(RouteDecision {
+            ids: None,
+            class,
+            semantics,
+            deadline,
+            tenant,
+            method: None,
+            key_scope: None,
+            counters: counts,
+            pools: course,
+        })
     }
 
     fn new_id(&self) -> Option<String> {
@@ -216,7 +232,7 @@
         Duration::from_micros(longest.unwrap_or_default().max(0) as u64)
     }
 
-    fn is_killed(&self) -> bool {
+    fn has_termination_deadline(&self) -> bool {
         true
     }
 
@@ -234,12 +250,15 @@
 }
 
 /// The class that a caller names.
-pub const CLASS: &str = "x-priority-class";
+pub const CLASS_HEADER: &str = "x-priority-class";
 /// The tenant.
-pub const TENANT: &str = "x-tenant-id";
+pub const TENANT_HEADER: &str = "x-tenant-id";
 
 /// The one value of a header, if it is there; repeated ones could be read in two ways.
-pub fn one<'a>(headers: &'a hyper::HeaderMap, name: &str) -> Result<Option<&'a str>, StatusCode> {
+pub fn single_header_value<'a>(
+    headers: &'a hyper::HeaderMap,
+    name: &str,
+) -> Result<Option<&'a str>, StatusCode> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
--- a/crates/proxy/src/mapping.rs
+++ b/crates/proxy/src/rpc_mapping.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 
 use crate::exchange::{Called, Message, ID, KEY, TIMEOUT};
-use crate::gate::{one, CLASS, TENANT};
+use crate::router::{single_header_value, CLASS_HEADER, TENANT_HEADER};
 
 /// The longest query that carries a call's `params`, in bytes as encoded.
 const MOST_QUERY: usize = 8 << 10;
@@ -54,9 +54,9 @@
     let names = &methods.members;
     says(&names.key, KEY)?;
     says(&names.timeout_ms, TIMEOUT)?;
-    says(&names.tenant, TENANT)?;
+    says(&names.tenant, TENANT_HEADER)?;
     says(&names.id, ID)?;
-    let class = if says(&names.class, CLASS)? { None } else { Some(method.class) };
+    let class = if says(&names.class, CLASS_HEADER)? { None } else { Some(method.class) };
     if method.verb == Verb::Post && call.params.is_some() {
         head.headers.insert(header::CONTENT_TYPE, JSON);
     }
@@ -142,7 +142,7 @@
         },
     };
     let given = given.unwrap_or_else(|other| other.to_string());
-    let header = |name: &str| one(message.headers(), name).ok().flatten();
+    let header = |name: &str| single_header_value(message.headers(), name).ok().flatten();
     let mut own: Vec<(&str, Value)> = vec![("timeoutMs", left_ms.into())];
     own.extend(header(ID).map(|id| ("requestId", id.into())));
     own.extend(header(KEY).map(|key| ("key", key.into())));
@@ -220,7 +220,7 @@
                 (field("host"), field(KEY), field(TIMEOUT)),
                 (Some("club.example"), Some("k 1"), Some("900"))
             );
-            assert_eq!((field(TENANT), field(ID), field(CLASS)), (Some("a"), Some("r"), None));
+            assert_eq!((field(TENANT_HEADER), field(ID), field(CLASS_HEADER)), (Some("a"), Some("r"), None));
             let frame = Bytes::copy_from_slice(json.as_bytes());
             let Ok(Parsed::One(Ok(Body::Call(call)))) = parse(&frame, &Bounds::default()) else {
                 panic!("no call")
--- a/crates/proxy/src/snapshot.rs
+++ b/crates/proxy/src/snapshot.rs
@@ -10,11 +10,11 @@
 use route::{Count, PoolId, Step};
 
 use crate::clock::Clock;
-use crate::figures::{Counts, PoolNow};
-use crate::gate::{Course, Next};
-use crate::inbox::Handle;
-use crate::learned_state::Past;
-use crate::pool::{Office, Pool};
+use crate::inbox::DriverHandle;
+use crate::learned_state::SavedState;
+use crate::metrics::{PoolGauges, RequestCounters};
+use crate::pool::{OperatorContext, Pool};
+use crate::router::{PoolSequence, RejectionOutcome};
 
 /// A configuration that serves.
 pub struct Snapshot {
@@ -27,7 +27,7 @@
     /// What each route leaves of each pool, by the places of both; only where that is not all.
     allowed: Vec<Vec<Option<Arc<EndpointFilter>>>>,
     /// Where the requests of each route are counted, by the places of both; nowhere if nobody reads it.
-    counts: Vec<BTreeMap<usize, Rc<Counts>>>,
+    counts: Vec<BTreeMap<usize, Rc<RequestCounters>>>,
 }
 
 impl Snapshot {
@@ -39,7 +39,7 @@
         before: Option<&Snapshot>,
         clock: Clock,
         seed: u64,
-        office: Option<&Office>,
+        office: Option<&OperatorContext>,
     ) -> Snapshot {
         let number = before.map_or(0, |b| b.number) + 1;
         let parts = config.pool_parts(sockets);
@@ -49,7 +49,7 @@
             let kept = kept.and_then(|b| b.pools.iter().find(|p| p.name == pool.name));
             pools.push(match kept {
                 Some(kept) => {
-                    kept.go_on(&config, place, parts[place]);
+                    kept.reconfigure(&config, place, parts[place]);
                     Rc::clone(kept)
                 }
                 None => {
@@ -64,8 +64,9 @@
             }
         }
         let allowed = |route: &route::Route| {
-            let of =
-                |pool: &Rc<Pool>| (!route.within.is_all()).then(|| Arc::new(pool.allowed(&route.within)));
+            let of = |pool: &Rc<Pool>| {
+                (!route.within.is_all()).then(|| Arc::new(pool.endpoint_filter(&route.within)))
+            };
             pools.iter().map(of).collect()
         };
         let allowed = config.table.routes().iter().map(allowed).collect();
@@ -77,7 +78,7 @@
             let of = |pool: PoolId| {
                 let office = office?;
                 let place = office.place(&config.pools[pool.0].name);
-                Some((pool.0, office.figures.counts(class, &place)))
+                Some((pool.0, office.metrics.request_counters(class, &place)))
             };
             route.pools().filter_map(of).collect()
         };
@@ -86,48 +87,48 @@
     }
 
     /// What a process before has learned.
-    pub fn teach(&self, past: &Past) {
+    pub fn import_learned_state(&self, past: &SavedState) {
         for pool in &self.pools {
             if let Some(told) = past.pool(&pool.name) {
-                pool.teach(told);
+                pool.import_learned_state(told);
             }
         }
     }
 
     /// What its pools have learned.
-    pub async fn learned(&self) -> learned_state::Snapshot {
+    pub async fn learned_state(&self) -> learned_state::Snapshot {
         let mut learned = learned_state::Snapshot::default();
         for pool in &self.pools {
-            learned.pools.extend(pool.learned().await);
+            learned.pools.extend(pool.learned_state().await);
         }
         learned
     }
 
     /// What operators call nodes of this name, in whichever pool.
-    pub fn called(&self, name: &str) -> Vec<String> {
-        self.pools.iter().filter_map(|p| p.called(name)).collect()
+    pub fn operator_names(&self, name: &str) -> Vec<String> {
+        self.pools.iter().filter_map(|p| p.operator_name(name)).collect()
     }
 
     /// What its pools are now, as operators read it.
-    pub async fn now(&self) -> Vec<PoolNow> {
+    pub async fn gauges(&self) -> Vec<PoolGauges> {
         let mut now = Vec::with_capacity(self.pools.len());
         for pool in &self.pools {
-            now.extend(pool.now().await);
+            now.extend(pool.gauges().await);
         }
         now
     }
 
     /// What changes with each list of nodes that one of its pools is told.
-    pub fn lists(&self) -> (u64, u64) {
-        (self.number, self.pools.iter().map(|p| p.lists()).sum())
+    pub fn list_version(&self) -> (u64, u64) {
+        (self.number, self.pools.iter().map(|p| p.list_count()).sum())
     }
 
     /// The nodes of the pools that stand behind addresses.
-    pub fn facts(&self) -> BTreeMap<String, bgp::Listed> {
+    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::Listed> {
         let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
         let behind: BTreeSet<&String> = addresses.flat_map(|a| &a.pools).collect();
         let pools = self.pools.iter().filter(|p| behind.contains(&p.name));
-        pools.map(|p| (p.name.clone(), p.facts(self.config.limits.cold_time))).collect()
+        pools.map(|p| (p.name.clone(), p.announced_endpoints(self.config.limits.cold_time))).collect()
     }
 
     /// No configuration has its pools any more; what they hold open ends by itself.
@@ -146,48 +147,52 @@
 }
 
 /// A request on its way along a route.
-pub struct Routed {
+pub struct PoolSelection {
     snapshot: Rc<Snapshot>,
     route: usize,
     step: Step,
 }
 
-impl Routed {
-    pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> Routed {
+impl PoolSelection {
+    pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
         let step = snapshot.config.table.routes()[route].first(preferred, |pool| snapshot.count(route, pool));
-        Routed { snapshot, route, step }
+        PoolSelection { snapshot, route, step }
     }
 
     /// Where it is counted, if it is: by the pool that it begins with.
-    pub fn counts(&self) -> Option<Rc<Counts>> {
+    pub fn counts(&self) -> Option<Rc<RequestCounters>> {
         self.snapshot.counts[self.route].get(&self.step.pool.0).cloned()
     }
 }
 
-impl Course for Routed {
-    fn handle(&self) -> &Handle {
+impl PoolSequence for PoolSelection {
+    fn driver(&self) -> &DriverHandle {
         &self.snapshot.pools[self.step.pool.0].handle
     }
 
-    fn allowed(&self) -> Option<Arc<EndpointFilter>> {
+    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
         self.snapshot.allowed[self.route][self.step.pool.0].clone()
     }
 
-    fn refused(&mut self, never_ran: bool) -> Next {
+    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
         let config = &self.snapshot.config;
         let route = &config.table.routes()[self.route];
         let repeatable = config.classes[route.class].figures.semantics == Semantics::Idempotent;
         if !never_ran && !repeatable {
             // A pool drops its own repeats only. Where the client's next try could go to another, a refusal
             // would promise more than is known.
-            return if route.pools().nth(1).is_some() { Next::Fail } else { Next::Answer };
+            return if route.pools().nth(1).is_some() {
+                RejectionOutcome::Failed
+            } else {
+                RejectionOutcome::Final
+            };
         }
         match route.after_refusal(self.step, |pool| self.snapshot.count(self.route, pool)) {
             Some(step) => {
                 self.step = step;
-                Next::Again
+                RejectionOutcome::NextPool
             }
-            None => Next::Answer,
+            None => RejectionOutcome::Final,
         }
     }
 }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::figures::Written;
+use crate::metrics::Written;
 
 /// Read at a time by [`Socket::read_some`].
 const READ: usize = 16 << 10;
--- a/crates/proxy/src/own.rs
+++ b/crates/proxy/src/standalone.rs
@@ -18,16 +18,16 @@
 use tokio::time::sleep;
 
 use crate::clock::Clock;
-use crate::gate::{one, Connection, Router, Turned, Way, TENANT};
-use crate::learned_state::{Memory, Past};
+use crate::idempotency_keys::KeyTable;
+use crate::learned_state::{SavedState, StateWriter};
 use crate::log::say;
-use crate::maintenance::Desk;
-use crate::mapping;
-use crate::once::Table;
+use crate::maintenance::MaintenanceStore;
 use crate::operators::{self, only, Operated};
-use crate::pool::Office;
-use crate::process::{self, Doors, Signals};
-use crate::routing::{route, Known, NewIds};
+use crate::pool::OperatorContext;
+use crate::process::{self, BoundListeners, Signals};
+use crate::route_lookup::{resolve, RequestIdGenerator, ResolvedRoute};
+use crate::router::{single_header_value, Connection, Rejection, RouteDecision, Router, TENANT_HEADER};
+use crate::rpc_mapping;
 use crate::snapshot::Snapshot;
 
 /// Whoever announces the addresses at which this serves.
@@ -75,12 +75,12 @@
     started: impl FnOnce(&[SocketAddr]),
 ) -> Result<(), String> {
     let (mut signals, mut hangup) = Signals::new()?;
-    let doors = Doors::bind(&config.listeners).await?;
+    let doors = BoundListeners::bind(&config.listeners).await?;
     let addresses = doors.addresses();
     let clock = Clock::new();
     let (callers, nodes) = config.sockets_cut();
-    let keys = Table::new(config.keys, clock);
-    let (mgmt, office) = Office::open(config.operators.as_ref()).await?.unzip();
+    let keys = KeyTable::new(config.keys, clock);
+    let (mgmt, office) = OperatorContext::open(config.operators.as_ref()).await?.unzip();
     let first = Snapshot::start(Arc::new(config), nodes, None, clock, seed, office.as_ref());
     let current = Rc::new(RefCell::new(Rc::new(first)));
     let told_to_end = Rc::<Cell<bool>>::default();
@@ -89,10 +89,10 @@
         spawn_local(operators::serve(mgmt, Rc::new(Operations { office, current, ending })));
     }
     let memory = current.borrow().config.knowledge.as_ref().map(|knowledge| {
-        if let Some(past) = Past::read(&knowledge.folder) {
-            current.borrow().teach(&past);
+        if let Some(past) = SavedState::read(&knowledge.folder) {
+            current.borrow().import_learned_state(&past);
         }
-        Rc::new(Memory::start(knowledge))
+        Rc::new(StateWriter::start(knowledge))
     });
     let keeping = memory.clone().map(|memory| {
         let current = Rc::clone(&current);
@@ -101,7 +101,7 @@
     let ending = Rc::clone(&current);
     let open = doors.open(callers, |listener, place| {
         let (current, keys) = (Rc::clone(&current), keys.clone());
-        Rc::new(Own { current, listener, new_ids: NewIds::new(seed, place), keys })
+        Rc::new(Own { current, listener, new_ids: RequestIdGenerator::new(seed, place), keys })
     });
     let table = keys.clone();
     let beating = announces.clone().map(|announces| {
@@ -146,10 +146,10 @@
     let mut lists = None;
     for beat in 0u32.. {
         let snapshot = Rc::clone(&current.borrow());
-        let now = Some(snapshot.lists());
+        let now = Some(snapshot.list_version());
         let changed = lists != now || beat % BEATS_PER_LOOK == 0;
         lists = now;
-        announces.tell(Facts { accepting: true, pools: changed.then(|| snapshot.facts()) });
+        announces.tell(Facts { accepting: true, pools: changed.then(|| snapshot.announced_endpoints()) });
         drop(snapshot);
         sleep(BEAT).await;
     }
@@ -157,11 +157,17 @@
 
 async fn learned(current: &RefCell<Rc<Snapshot>>) -> learned_state::Snapshot {
     let snapshot = Rc::clone(&current.borrow());
-    snapshot.learned().await
+    snapshot.learned_state().await
 }
 
 /// Puts another configuration in place of the current one, or says in a line why that one stays.
-fn swap(current: &RefCell<Rc<Snapshot>>, reload: &Reload, clock: Clock, seed: u64, office: Option<&Office>) {
+fn swap(
+    current: &RefCell<Rc<Snapshot>>,
+    reload: &Reload,
+    clock: Clock,
+    seed: u64,
+    office: Option<&OperatorContext>,
+) {
     let before = Rc::clone(&current.borrow());
     let config = reload().and_then(|config| match takes_restart(&before.config, &config) {
         Some(key) => Err(format!("another `{key}` takes a restart")),
@@ -206,7 +212,7 @@
 
 /// What operators call.
 struct Operations {
-    office: Office,
+    office: OperatorContext,
     current: Rc<RefCell<Rc<Snapshot>>>,
     ending: Rc<Cell<bool>>,
 }
@@ -218,11 +224,11 @@
 
     fn figures(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
         let snapshot = Rc::clone(&self.current.borrow());
-        Box::pin(async move { self.office.figures.text(&snapshot.now().await) })
+        Box::pin(async move { self.office.metrics.text(&snapshot.gauges().await) })
     }
 
-    fn meant(&self, id: &str) -> Result<(&Desk, String), Refused> {
-        Ok((&self.office.desk, only(id, self.current.borrow().called(id))?))
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
+        Ok((&self.office.maintenance, only(id, self.current.borrow().operator_names(id))?))
     }
 }
 
@@ -230,35 +236,37 @@
 struct Own {
     current: Rc<RefCell<Rc<Snapshot>>>,
     listener: Listener,
-    new_ids: NewIds,
-    keys: Table,
+    new_ids: RequestIdGenerator,
+    keys: KeyTable,
 }
 
 impl Router for Own {
-    fn way(&self, head: &mut Parts, id: &str, _: u64, _: &Connection) -> Result<Way, Turned> {
+    fn route(&self, head: &mut Parts, id: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
         let snapshot = Rc::clone(&self.current.borrow());
         let known = &snapshot.config.tenants;
-        if one(&head.headers, TENANT)?.is_some_and(|t| !known.is_empty() && !known.iter().any(|k| k == t)) {
+        if single_header_value(&head.headers, TENANT_HEADER)?
+            .is_some_and(|t| !known.is_empty() && !known.iter().any(|k| k == t))
+        {
             return Err(StatusCode::BAD_REQUEST.into());
         }
-        let (routed, known) = route(snapshot, &self.listener, head, id, &self.keys)?;
-        let Known { class, semantics, deadline, method, once } = known;
-        Ok(Way {
+        let (routed, known) = resolve(snapshot, &self.listener, head, id, &self.keys)?;
+        let ResolvedRoute { class, semantics, deadline, method, key_scope: once } = known;
+        Ok(RouteDecision {
             ids: None,
             class,
             semantics,
             deadline,
             tenant: None,
             method,
-            once,
-            counts: routed.counts(),
-            course: Box::new(routed),
+            key_scope: once,
+            counters: routed.counts(),
+            pools: Box::new(routed),
         })
     }
 
-    fn call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Turned> {
+    fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         let snapshot = self.current.borrow();
-        Ok(mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
+        Ok(rpc_mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
     }
 
     fn new_id(&self) -> Option<String> {
--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! Backends: connections, attempts and probes, and what their outcomes prove.
+//! Upstreams: connections, attempts and probes, and what their outcomes prove.
 
-mod link;
+mod rpc_connection;
 
-pub use link::Speech;
+pub use rpc_connection::RpcSettings;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,11 +26,11 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use self::link::{is_over, End, RpcLink};
+use self::rpc_connection::{is_over, End, RpcLink};
+use crate::body::{self, Content, Cut, Flow, Gathered, MayFlow};
 use crate::exchange::{remove_hop_by_hop, Client, Ended, Message, MOST_BODY, MOST_BUFFER, TIMEOUT};
-use crate::flow::{self, Content, Cut, Flow, Gathered, MayFlow};
 use crate::log::say;
-use crate::mapping;
+use crate::rpc_mapping;
 use crate::socket::{Slot, Socket, Unread};
 
 /// The part of the backends' keep-alive time for which an idle connection is kept: well before the backend
@@ -51,7 +51,7 @@
 const NOT_PROCESSED: &str = "x-not-processed";
 
 /// An attempt to make.
-pub struct Order {
+pub struct AttemptRequest {
     pub backend: EndpointId,
     pub message: Rc<Message>,
     /// Whom it is for.
@@ -77,10 +77,10 @@
     }
 }
 
-pub struct Backends {
+pub struct Upstreams {
     transport: Transport,
     /// How its nodes speak JSON-RPC; None where they speak HTTP.
-    speech: Option<Speech>,
+    speech: Option<RpcSettings>,
     most_links: Cell<usize>,
     /// Told that no configuration has it any more.
     retired: Cell<bool>,
@@ -163,9 +163,9 @@
     }
 }
 
-impl Backends {
-    pub fn new(transport: Transport, most_links: usize) -> Backends {
-        Backends {
+impl Upstreams {
+    pub fn new(transport: Transport, most_links: usize) -> Upstreams {
+        Upstreams {
             transport,
             speech: None,
             most_links: Cell::new(most_links),
@@ -181,13 +181,13 @@
     }
 
     /// Counts attempts that are written whole here.
-    pub fn counting(mut self, tries: Counter) -> Backends {
+    pub fn counting(mut self, tries: Counter) -> Upstreams {
         self.tries = tries;
         self
     }
 
     /// Its nodes speak JSON-RPC.
-    pub fn speaking(mut self, speech: Speech) -> Backends {
+    pub fn speaking(mut self, speech: RpcSettings) -> Upstreams {
         self.speech = Some(speech);
         self
     }
@@ -319,7 +319,7 @@
     async fn shared_link(
         &self,
         id: EndpointId,
-        speech: &Speech,
+        speech: &RpcSettings,
         fresh: &mut bool,
     ) -> Result<Rc<RpcLink>, Outcome> {
         let open =
@@ -415,7 +415,7 @@
     // ---- Attempts ----
 
     /// Makes an attempt: how it ended, and the connection if that can serve again.
-    pub async fn attempt(self: &Rc<Self>, order: &Order) -> (Ended, Option<Link>) {
+    pub async fn attempt(self: &Rc<Self>, order: &AttemptRequest) -> (Ended, Option<Link>) {
         if let Some(speech) = &self.speech {
             let progress = Rc::new(Cell::new(0));
             let ended = timeout_at(order.until, self.call(order, speech, &progress)).await;
@@ -453,7 +453,7 @@
         }
     }
 
-    async fn exchange(self: &Rc<Self>, order: &Order) -> (Ended, Option<Link>) {
+    async fn exchange(self: &Rc<Self>, order: &AttemptRequest) -> (Ended, Option<Link>) {
         loop {
             // A connection costs the backend work.
             if self.is_list_expired() || order.client.has_left() {
@@ -511,8 +511,8 @@
     }
 
     /// An attempt as a call. `progress` counts its bytes that the kernel has taken.
-    async fn call(&self, order: &Order, speech: &Speech, progress: &Rc<Cell<usize>>) -> Ended {
-        let body = mapping::body(&order.message);
+    async fn call(&self, order: &AttemptRequest, speech: &RpcSettings, progress: &Rc<Cell<usize>>) -> Ended {
+        let body = rpc_mapping::body(&order.message);
         let mut fresh = false;
         loop {
             let link = match self.shared_link(order.backend, speech, &mut fresh).await {
@@ -526,7 +526,8 @@
             }
             let left = left.as_millis().max(1) as u64;
             order.begun.set(true);
-            let sent = link.send(Rc::clone(progress), |id| mapping::call_of(&order.message, &body, id, left));
+            let sent =
+                link.send(Rc::clone(progress), |id| rpc_mapping::call_of(&order.message, &body, id, left));
             drop(link);
             let end = sent.end().await;
             if !matches!(end, End::Never) {
@@ -534,7 +535,7 @@
             }
             return match end {
                 End::Result(result) => {
-                    let (headers, body) = mapping::answer_of(&result);
+                    let (headers, body) = rpc_mapping::answer_of(&result);
                     let answer = Some((headers, body.into()));
                     Ended { outcome: Outcome::Ok, report: None, answer }
                 }
@@ -554,7 +555,7 @@
 
     async fn read(
         self: &Rc<Self>,
-        order: &Order,
+        order: &AttemptRequest,
         response: Response<Incoming>,
         link: Link,
     ) -> (Ended, Option<Link>) {
@@ -564,10 +565,10 @@
         // Small ones are owed whole, and held whole may be asked for again should they break off.
         let may_flow = order.message.extensions().get();
         let may_flow =
-            may_flow.filter(|_| head.status == StatusCode::OK && !flow::is_owed_whole(&body)).copied();
+            may_flow.filter(|_| head.status == StatusCode::OK && !body::is_owed_whole(&body)).copied();
         let body = if may_flow.is_some() {
             // Those of unknown length are gathered for a while, and go on as they come if that is not enough.
-            flow::gather(body, MOST_BODY, Instant::now() + GATHERED).await
+            body::gather(body, MOST_BODY, Instant::now() + GATHERED).await
         } else {
             let whole = Limited::new(body, MOST_BODY).collect().await;
             whole.map(|b| Gathered::Whole(b.to_bytes())).map_err(|_| Cut::Broken)
@@ -626,7 +627,7 @@
         Some(report)
     }
 
-    pub async fn probe(&self, id: EndpointId) -> Ended {
+    pub async fn health_check(&self, id: EndpointId) -> Ended {
         if self.speech.is_some() {
             // No call asks for load.
             return Outcome::NotSent.into();
@@ -672,7 +673,7 @@
     #[test]
     fn absurd_load_reports_are_passed_over() {
         let transport = Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 };
-        let backends = Backends::new(transport, 9);
+        let backends = Upstreams::new(transport, 9);
         for bad in ["{\"depth\":1e300}", "{\"depth\":-1}", "{\"depth\":1e999}", "=,=", "[1]", ""] {
             assert!(backends.report(bad.as_bytes()).is_none(), "{bad}");
         }
@@ -684,7 +685,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
             let transport = Transport { keepalive: 100_000, connect_timeout: 0, drain_grace: 50_000 };
-            let backends = Backends::new(transport, 9);
+            let backends = Upstreams::new(transport, 9);
             let address = "127.0.0.1:9".parse().expect("an address");
             let entry = |id, stage| Endpoint { id: EndpointId(id), state: stage, ..Endpoint::default() };
             for id in 0..300 {
--- a/crates/proxy/src/backend/link.rs
+++ b/crates/proxy/src/upstream/rpc_connection.rs
@@ -30,7 +30,7 @@
 
 /// How a pool's nodes speak.
 #[derive(Clone, Debug)]
-pub struct Speech {
+pub struct RpcSettings {
     pub framing: Framing,
     /// Calls that a connection may have open.
     pub calls: usize,
@@ -57,7 +57,7 @@
 }
 
 struct Shared {
-    speech: Speech,
+    speech: RpcSettings,
     pending: RefCell<HashMap<String, Pending>>,
     queue: RefCell<VecDeque<Order>>,
     /// There is more to write.
@@ -85,7 +85,7 @@
 
 impl RpcLink {
     /// Speaks on a socket from now on.
-    pub fn new(socket: Socket, speech: Speech) -> RpcLink {
+    pub fn new(socket: Socket, speech: RpcSettings) -> RpcLink {
         let shared = Rc::new(Shared {
             speech,
             pending: RefCell::default(),
@@ -102,7 +102,7 @@
 
     /// May another call go on it?
     pub fn has_room(&self) -> bool {
-        let Speech { calls, .. } = self.shared.speech;
+        let RpcSettings { calls, .. } = self.shared.speech;
         self.is_usable()
             && self.shared.pending.borrow().len() < calls
             && self.shared.queue.borrow().len() < 2 * calls
@@ -325,8 +325,8 @@
 
     use super::*;
 
-    fn speech(framing: Framing) -> Speech {
-        Speech { framing, calls: 100, cancel: Some("$/cancel".to_owned()) }
+    fn speech(framing: Framing) -> RpcSettings {
+        RpcSettings { framing, calls: 100, cancel: Some("$/cancel".to_owned()) }
     }
 
     /// A link whose writes stop after some kilobytes that the other side does not read, and the other side.
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -13,7 +13,7 @@
 use bgp_speaker::Speaker;
 use config::{Bgp, Config};
 use proxy::log::say;
-use proxy::own::Announces;
+use proxy::standalone::Announces;
 use serde_json::{json, Value};
 
 use crate::cli::{BgpCommand, Format};
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -91,7 +91,7 @@
         Ok(announces) => announces,
         Err(fault) => return failed(&fault, 1),
     };
-    ended(proxy::own::run(config, seed(), reload, announces, |_| {}))
+    ended(proxy::standalone::run(config, seed(), reload, announces, |_| {}))
 }
 
 /// New with each start; what hangs on it is nobody's secret.
