--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -18,7 +18,9 @@
 use crate::fleet::{Node, NodeState};
 use crate::hosted::{Role, Setup, Shared, Token};
 use crate::method::{Member, Members, Method, Methods, Protocol, Template, Verb};
-use crate::model::{sockets_cut, sockets_suffice, Class, Config, Knowledge, Limits, Listener, Pool, Source};
+use crate::model::{
+    sockets_suffice, split_sockets, Class, Config, LearnedStateSettings, Limits, Listener, Pool, Source,
+};
 use crate::model::{MOST_BODY_BYTES, WHOLE_BODY_BYTES};
 use crate::operators::{self, Operators};
 
@@ -104,8 +106,8 @@
         sockets,
         proxies,
         limits,
-        keys,
-        knowledge,
+        idempotency_keys: keys,
+        learned_state: knowledge,
         operators,
         bgp,
         methods,
@@ -155,7 +157,7 @@
         check.fault(bgp.asn.span(), "[bgp]: a hosted service does not announce addresses", Some(help));
     }
     let called = Operators::sockets(operators.as_ref());
-    if called > 0 && sockets_cut(sockets.saturating_sub(called)).is_none() {
+    if called > 0 && split_sockets(sockets.saturating_sub(called)).is_none() {
         let message = format!("`sockets`: {sockets} are too few beside {called} for [operators]");
         check.fault(server.sockets.span(), message, None);
     }
@@ -177,7 +179,7 @@
     let zones = check.zones;
     (faults.all().len() == before).then(|| Setup {
         listeners,
-        shared: Shared { zone: server.zone, proxies, sockets, capacity, keys, zones },
+        shared: Shared { zone: server.zone, proxies, sockets, capacity, idempotency_keys: keys, zones },
         operators,
         admin: listen,
         state: beside(admin.state.get_ref()),
@@ -402,12 +404,16 @@
     }
 
     /// Where what was learned is kept.
-    fn knowledge(&mut self, written: &file::Knowledge, beside: &dyn Fn(&str) -> PathBuf) -> Knowledge {
+    fn knowledge(
+        &mut self,
+        written: &file::Knowledge,
+        beside: &dyn Fn(&str) -> PathBuf,
+    ) -> LearnedStateSettings {
         if written.folder.get_ref().is_empty() {
             self.fault(written.folder.span(), "`folder`: names none", None);
         }
         let every = self.bounded("every_s", &written.every_s, 10, 3600);
-        Knowledge {
+        LearnedStateSettings {
             folder: beside(written.folder.get_ref()),
             every: Duration::from_secs(every as u64),
             files: self.bounded("files", &written.files, 4, 100),
@@ -453,7 +459,7 @@
             id: member("id", &members.id, usual.id),
         };
         self.names("method", written.iter().map(|m| &m.name));
-        let verb_of = |class: usize| match classes[class].figures.semantics {
+        let verb_of = |class: usize| match classes[class].parameters.semantics {
             Semantics::Idempotent => Verb::Get,
             Semantics::Deduplicated { .. } | Semantics::AtMostOnce => Verb::Post,
         };
@@ -524,13 +530,13 @@
             self.fault(limits.attempts.span(), format!("`attempts`: {attempts} is not from 1 to 10"), None);
         }
         Limits {
-            attempts,
+            max_attempts: attempts,
             connect_timeout: self.ms("connect_timeout_ms", &limits.connect_timeout_ms, 1),
             keep_alive: self.ms("keep_alive_ms", &limits.keep_alive_ms, 100),
             drain_grace: self.ms("drain_grace_ms", &limits.drain_grace_ms, 200),
             retry_after: self.ms("retry_after_ms", &limits.retry_after_ms, 0),
-            cold_time: self.ms("cold_ms", &limits.cold_ms, 0),
-            cold_from: self.number("cold_from", &limits.cold_from, 0.0..=1.0),
+            slow_start_duration: self.ms("cold_ms", &limits.cold_ms, 0),
+            slow_start_min_capacity: self.number("cold_from", &limits.cold_from, 0.0..=1.0),
             cross_zone_price: self.number("cross_zone_price", &limits.cross_zone_price, 0.0..=10.0),
             body_bytes,
         }
@@ -577,7 +583,7 @@
             late_answer_value: self.number("late_worth", &class.late_worth, 0.0..=1.0),
             semantics,
         };
-        Class { name: class.name.get_ref().clone(), figures }
+        Class { name: class.name.get_ref().clone(), parameters: figures }
     }
 
     fn pool(&mut self, pool: &file::Pool, home: &str, beside: &dyn Fn(&str) -> PathBuf) -> Pool {
@@ -630,7 +636,7 @@
                     file::State::Ready => NodeState::Ready,
                     file::State::Draining => NodeState::Draining,
                 },
-                born_ms: 0.0,
+                started_unix_ms: 0.0,
             });
         }
         checked
--- a/crates/config/src/expect.rs
+++ b/crates/config/src/expect.rs
@@ -245,7 +245,7 @@
                 cell: raw.cell,
                 weight: 1.0,
                 state: NodeState::Ready,
-                born_ms: 0.0,
+                started_unix_ms: 0.0,
             });
         }
         fleet
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -41,7 +41,7 @@
     /// Its state.
     pub state: NodeState,
     /// When it started, in Unix milliseconds; 0 for long ago.
-    pub born_ms: f64,
+    pub started_unix_ms: f64,
 }
 
 /// What is known of the nodes of each pool, by the pool's index.
@@ -59,7 +59,7 @@
                 Source::List(nodes) => nodes.clone(),
                 Source::Discovery(_) => Vec::new(),
                 Source::File(path) => {
-                    let nodes = read(path).and_then(|json| parse_list(&json)?.nodes());
+                    let nodes = read(path).and_then(|json| parse_full_list(&json)?.nodes());
                     nodes.unwrap_or_else(|e| {
                         let message = format!("pool `{}`: {}: {e}", pool.name, path.display());
                         let quoted = format!("{:?}", path.file_name().unwrap_or_default().to_string_lossy());
@@ -75,39 +75,48 @@
     }
 }
 
-/// A list of nodes, in discovery's form. JSON that has been cut off anywhere is no JSON, so a half-written list is
+/// A list of endpoints, in discovery's form. JSON that has been cut off anywhere is no JSON, so a half-written list is
 /// never taken for a short one.
 #[derive(Clone, Debug, Deserialize)]
-pub struct HostList {
+pub struct EndpointList {
     /// Its version.
-    pub seq: u64,
-    /// All nodes, and not only those that changed.
-    pub whole: bool,
-    /// The nodes.
-    pub hosts: Vec<Host>,
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// It holds all endpoints, and not only those that changed.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// The endpoints.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// A node in discovery's form.
+/// An endpoint in discovery's form.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     /// Its name.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Where it listens.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its kind of machine.
-    pub class: String,
-    /// Its cell.
-    pub block: Option<u64>,
+    #[serde(rename = "class")]
+    pub machine_kind: String,
+    /// Its cell, for deduplication.
+    #[serde(rename = "block")]
+    pub cell: Option<u64>,
     /// Its state.
-    pub health: Health,
-    /// A size to set against the others'.
-    #[serde(default = "one")]
-    pub share: f64,
+    #[serde(rename = "health")]
+    pub state: ListedState,
+    /// Its capacity relative to the others'.
+    #[serde(rename = "share", default = "one")]
+    pub weight: f64,
     /// When it started, in Unix milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(rename = "born_ms", default)]
+    pub started_unix_ms: f64,
 }
 
 fn one() -> f64 {
@@ -117,7 +126,7 @@
 /// A node's state in discovery's words.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Health {
+pub enum ListedState {
     /// Takes requests.
     Serving,
     /// Finishes what it has.
@@ -130,15 +139,15 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn parse_list(json: &str) -> Result<HostList, String> {
+pub fn parse_full_list(json: &str) -> Result<EndpointList, String> {
     serde_json::from_str(json).map_err(|e| e.to_string())
 }
 
 /// A list as discovery tells it, entry by entry: one that cannot be read costs that node, and not the list.
 #[derive(Debug)]
-pub struct Told {
+pub struct ParsedEndpointList {
     /// What could be read. A node that was told of twice counts as it was told last.
-    pub list: HostList,
+    pub list: EndpointList,
     /// Nodes of which something was told that cannot be read. Nobody knows whether that was a drain.
     pub unreadable: BTreeSet<String>,
     /// What is wrong with it, in a line, if anything is.
@@ -162,7 +171,7 @@
 ///
 /// # Errors
 /// It is no list.
-pub fn parse_told(json: &[u8]) -> Result<Told, String> {
+pub fn parse_endpoint_list(json: &[u8]) -> Result<ParsedEndpointList, String> {
     let raw: RawList<'_> = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let mut unreadable = BTreeSet::new();
     let (mut fault, mut more) = (None, 0);
@@ -171,17 +180,19 @@
         Some(_) => more += 1,
     };
     let mut places = BTreeMap::new();
-    let mut hosts: Vec<Host> = Vec::with_capacity(raw.hosts.len());
+    let mut hosts: Vec<ListedEndpoint> = Vec::with_capacity(raw.hosts.len());
     for entry in raw.hosts {
         let read = serde_json::from_str(entry.get()).map_err(|e| e.to_string());
-        match read.and_then(|h: Host| if h.host.is_empty() { Err("no name".to_owned()) } else { Ok(h) }) {
-            Ok(host) => match places.entry(host.host.clone()) {
+        match read
+            .and_then(|h: ListedEndpoint| if h.name.is_empty() { Err("no name".to_owned()) } else { Ok(h) })
+        {
+            Ok(host) => match places.entry(host.name.clone()) {
                 Entry::Vacant(place) => {
                     place.insert(hosts.len());
                     hosts.push(host);
                 }
                 Entry::Occupied(place) => {
-                    wrong(format!("{:?} stands in it twice", host.host));
+                    wrong(format!("{:?} stands in it twice", host.name));
                     hosts[*place.get()] = host;
                 }
             },
@@ -193,39 +204,43 @@
         }
     }
     // What was told readably of the same node does not outweigh what was not.
-    hosts.retain(|host| !unreadable.contains(&host.host));
+    hosts.retain(|host| !unreadable.contains(&host.name));
     let fault = fault.map(|first| if more == 0 { first } else { format!("{first}, and {more} more") });
-    Ok(Told { list: HostList { seq: raw.seq, whole: raw.whole, hosts }, unreadable, fault })
+    Ok(ParsedEndpointList {
+        list: EndpointList { version: raw.seq, is_full: raw.whole, endpoints: hosts },
+        unreadable,
+        fault,
+    })
 }
 
-impl HostList {
+impl EndpointList {
     /// The nodes of a whole list.
     ///
     /// # Errors
     /// What keeps it from being one.
     pub fn nodes(self) -> Result<Vec<Node>, String> {
-        if !self.whole {
+        if !self.is_full {
             return Err("not a whole list: `whole` is false".to_owned());
         }
-        let mut nodes: Vec<Node> = Vec::with_capacity(self.hosts.len());
+        let mut nodes: Vec<Node> = Vec::with_capacity(self.endpoints.len());
         let mut names = std::collections::BTreeSet::new();
-        for host in self.hosts {
-            if !names.insert(host.host.clone()) {
-                return Err(format!("two hosts are named {:?}", host.host));
+        for host in self.endpoints {
+            if !names.insert(host.name.clone()) {
+                return Err(format!("two hosts are named {:?}", host.name));
             }
             nodes.push(Node {
-                name: host.host,
-                address: host.dial,
-                zone: host.site,
-                kind: host.class,
-                cell: host.block,
-                weight: host.share,
-                state: match host.health {
-                    Health::Serving => NodeState::Ready,
-                    Health::Draining => NodeState::Draining,
-                    Health::Deleted => NodeState::Gone,
+                name: host.name,
+                address: host.address,
+                zone: host.zone,
+                kind: host.machine_kind,
+                cell: host.cell,
+                weight: host.weight,
+                state: match host.state {
+                    ListedState::Serving => NodeState::Ready,
+                    ListedState::Draining => NodeState::Draining,
+                    ListedState::Deleted => NodeState::Gone,
                 },
-                born_ms: host.born_ms,
+                started_unix_ms: host.started_unix_ms,
             });
         }
         Ok(nodes)
@@ -242,9 +257,9 @@
         )
     }
 
-    fn told(entries: &[String]) -> Told {
+    fn told(entries: &[String]) -> ParsedEndpointList {
         let json = format!("{{\"seq\": 7,\n \"whole\": true, \"hosts\": [\n{}]}}", entries.join(",\n"));
-        parse_told(json.as_bytes()).expect("a list")
+        parse_endpoint_list(json.as_bytes()).expect("a list")
     }
 
     #[test]
@@ -258,8 +273,8 @@
             entry("a", "DRAINING"),
             entry("b", "SERVING"),
         ]);
-        let names: Vec<_> = told.list.hosts.iter().map(|h| (h.host.as_str(), h.health)).collect();
-        assert!(matches!(names[..], [("a", Health::Draining)]), "{names:?}");
+        let names: Vec<_> = told.list.endpoints.iter().map(|h| (h.name.as_str(), h.state)).collect();
+        assert!(matches!(names[..], [("a", ListedState::Draining)]), "{names:?}");
         assert_eq!(told.unreadable, ["b", "c"].map(str::to_owned).into());
         let fault = told.fault.expect("told of");
         assert!(fault.starts_with("\"b\": ") && fault.ends_with(", and 4 more"), "{fault}");
@@ -275,15 +290,15 @@
             "{\"seq\":1,\"whole\":7,\"hosts\":[]}",
             "{\"seq\":1,\"whole\":true,\"hosts\":[",
         ] {
-            assert!(parse_told(bad.as_bytes()).is_err(), "{bad}");
+            assert!(parse_endpoint_list(bad.as_bytes()).is_err(), "{bad}");
         }
-        assert!(parse_told(b"\xff\xfe").is_err());
+        assert!(parse_endpoint_list(b"\xff\xfe").is_err());
     }
 
     #[test]
     fn a_list_full_of_rubbish_takes_no_more_than_itself() {
         let told = told(&vec!["0".to_owned(); 200_000]);
-        assert!(told.list.hosts.is_empty() && told.unreadable.is_empty());
+        assert!(told.list.endpoints.is_empty() && told.unreadable.is_empty());
         assert!(told.fault.is_some_and(|fault| fault.len() < 200));
     }
 }
--- a/crates/config/src/hosted.rs
+++ b/crates/config/src/hosted.rs
@@ -84,7 +84,7 @@
     /// What the whole program can bear.
     pub capacity: Capacity,
     /// Keys that are known at once, and bytes of their answers, of all tenants together.
-    pub keys: idempotency::Bounds,
+    pub idempotency_keys: idempotency::Bounds,
     /// Zones of callers, as listeners name them.
     pub zones: Vec<String>,
 }
@@ -301,7 +301,7 @@
     /// The sockets that a tenant's pools have together: its part by weight.
     #[must_use]
     pub fn sockets(&self, shared: &Shared, tenant: &Tenant) -> usize {
-        let (_, nodes) = crate::sockets_cut(shared.sockets).unwrap_or((0, 0));
+        let (_, nodes) = crate::split_sockets(shared.sockets).unwrap_or((0, 0));
         (nodes as u64 * u64::from(tenant.doc.limits.weight()) / self.weights()) as usize
     }
 
@@ -310,14 +310,17 @@
     pub fn keys(&self, shared: &Shared, tenant: &Tenant) -> idempotency::Bounds {
         let (weight, all) = (u64::from(tenant.doc.limits.weight()), self.weights());
         let part = |whole: usize| (whole as u64 / all).saturating_mul(weight).max(1) as usize;
-        idempotency::Bounds { entries: part(shared.keys.entries), bytes: part(shared.keys.bytes) }
+        idempotency::Bounds {
+            entries: part(shared.idempotency_keys.entries),
+            bytes: part(shared.idempotency_keys.bytes),
+        }
     }
 
     /// A tenant's limits.
     #[must_use]
     pub fn limits(&self, shared: &Shared, tenant: &Tenant) -> Limits {
         let written = &tenant.doc.limits;
-        let (callers, _) = crate::sockets_cut(shared.sockets).unwrap_or((0, 0));
+        let (callers, _) = crate::split_sockets(shared.sockets).unwrap_or((0, 0));
         let own = callers as u64 * u64::from(written.weight()) / self.weights();
         let requests_per_s = written.requests_per_s.unwrap_or(f64::INFINITY);
         Limits {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,10 +18,13 @@
 
 pub use announce::{Bgp, BgpPeer, MOST_OPERATORS};
 pub use fault::{Fault, Faults};
-pub use fleet::{parse_list, parse_told, Fleet, Health, Host, HostList, Node, NodeState, Told};
+pub use fleet::{
+    parse_endpoint_list, parse_full_list, EndpointList, Fleet, ListedEndpoint, ListedState, Node, NodeState,
+    ParsedEndpointList,
+};
 pub use hosted::{Document, Refused, Role, Setup, Shared, Tenant, TenantDoc, TenantLimits, Tenants, Token};
 pub use method::{escape, Member, Members, Method, Methods, Protocol, Template, Verb};
-pub use model::{sockets_cut, Class, Config, Knowledge, Limits, Listener, Pool, Source};
+pub use model::{split_sockets, Class, Config, LearnedStateSettings, Limits, Listener, Pool, Source};
 pub use model::{MOST_BODY_BYTES, WHOLE_BODY_BYTES};
 pub use operators::{Operators, OPERATORS_SOCKETS};
 pub use play::{Failure, Report, Verdict};
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -26,9 +26,9 @@
     /// Times and bounds for all pools.
     pub limits: Limits,
     /// Keys that are known at once, and bytes of their answers.
-    pub keys: idempotency::Bounds,
+    pub idempotency_keys: idempotency::Bounds,
     /// Where what was learned is kept, if it is.
-    pub knowledge: Option<Knowledge>,
+    pub learned_state: Option<LearnedStateSettings>,
     /// Where operators call, if they do.
     pub operators: Option<Operators>,
     /// What is announced to routers, if anything is.
@@ -53,7 +53,7 @@
 
 /// Where what was learned outlives the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct LearnedStateSettings {
     /// The folder, which one process writes at a time.
     pub folder: PathBuf,
     /// Written so often, and at the end.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts that a request may have.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// A connection not made by then has failed.
     pub connect_timeout: Micros,
     /// Nodes close connections that are idle for so long.
@@ -93,9 +93,9 @@
     /// The longest time to come back after that callers are told; 0 tells none.
     pub retry_after: Micros,
     /// How long a node takes to warm up after its start.
-    pub cold_time: Micros,
+    pub slow_start_duration: Micros,
     /// The part of its capacity that it starts with.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// The price of an attempt that crosses zones, in worth of a request.
     pub cross_zone_price: f64,
     /// The largest body of a request or an answer over HTTP. What is over [`WHOLE_BODY_BYTES`] flows, and is tried once.
@@ -113,13 +113,13 @@
     /// Its name.
     pub name: String,
     /// What the decisions are told of it.
-    pub figures: decide::Class,
+    pub parameters: decide::Class,
 }
 
 impl PartialEq for Class {
     fn eq(&self, other: &Self) -> bool {
         let figures = |c: &Class| {
-            let f = &c.figures;
+            let f = &c.parameters;
             (
                 f.latency_objective,
                 f.deadline,
@@ -159,10 +159,10 @@
 }
 
 /// A node that just started falls over when sent more than this multiple of what it can do, for this long.
-const FALL_MULTIPLE: f64 = 2.0;
-const FALL_TIME: Micros = 1_000_000;
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+const OVERLOAD_WINDOW: Micros = 1_000_000;
 /// Discovery is asked again within this time.
-const MUST_ASK_IN: Micros = 2_000_000;
+const MAX_POLL_INTERVAL: Micros = 2_000_000;
 
 /// Descriptors kept free for listeners, discovery, the runtime and standard streams (14 in all with one listener,
 /// as measured), with some to spare.
@@ -177,35 +177,37 @@
 
 /// The sockets of a process as cut up for callers and all pools together. None where they are too few.
 #[must_use]
-pub fn sockets_cut(sockets: usize) -> Option<(usize, usize)> {
+pub fn split_sockets(sockets: usize) -> Option<(usize, usize)> {
     let sockets = sockets.checked_sub(RESERVED_SOCKETS).filter(|s| *s >= LEAST_SOCKETS)?;
     let callers = (sockets as f64 * CALLERS_PART) as usize;
     Some((callers, sockets - callers))
 }
 
-fn parts(sockets: usize, pools: &[Pool]) -> Vec<usize> {
+fn shares_of(sockets: usize, pools: &[Pool]) -> Vec<usize> {
     let all: u64 = pools.iter().map(|p| u64::from(p.share)).sum();
     pools.iter().map(|p| (sockets as u64 * u64::from(p.share) / all.max(1)) as usize).collect()
 }
 
 /// Has a process with so many sockets enough for each of these pools?
 pub(crate) fn sockets_suffice(sockets: usize, pools: &[Pool]) -> bool {
-    sockets_cut(sockets).is_some_and(|(_, nodes)| parts(nodes, pools).iter().all(|part| *part >= LEAST_PART))
+    split_sockets(sockets)
+        .is_some_and(|(_, nodes)| shares_of(nodes, pools).iter().all(|part| *part >= LEAST_PART))
 }
 
 impl Config {
     /// The sockets for callers, and for all pools together.
     #[must_use]
-    pub fn sockets_cut(&self) -> (usize, usize) {
+    pub fn socket_budget(&self) -> (usize, usize) {
         let speaking = self.bgp.as_ref().map_or(0, Bgp::sockets);
         let called = Operators::sockets(self.operators.as_ref());
-        sockets_cut(self.sockets.saturating_sub(speaking + called)).unwrap_or((LEAST_SOCKETS, LEAST_SOCKETS))
+        split_sockets(self.sockets.saturating_sub(speaking + called))
+            .unwrap_or((LEAST_SOCKETS, LEAST_SOCKETS))
     }
 
     /// So many sockets, cut up by the pools' shares.
     #[must_use]
-    pub fn pool_parts(&self, sockets: usize) -> Vec<usize> {
-        parts(sockets, &self.pools)
+    pub fn pool_sockets(&self, sockets: usize) -> Vec<usize> {
+        shares_of(sockets, &self.pools)
     }
 
     /// What the decisions of a pool are told.
@@ -217,30 +219,30 @@
             tier: 0,
             tiers: 1,
             zone: self.zones.iter().position(|z| *z == self.zone).unwrap_or(0),
-            classes: self.classes.iter().map(|c| c.figures.clone()).collect(),
+            classes: self.classes.iter().map(|c| c.parameters.clone()).collect(),
             tenants: Vec::new(),
             cross_zone_price: self.limits.cross_zone_price,
             poll_discovery: matches!(pool.source, Source::Discovery(_)),
-            max_poll_interval: MUST_ASK_IN,
+            max_poll_interval: MAX_POLL_INTERVAL,
             can_cancel: true,
             hedging_allowed: false,
             health_checks_allowed: false,
             gossip_allowed: false,
             send_retry_after: self.limits.retry_after > 0,
             max_retry_after: self.limits.retry_after,
-            max_attempts: self.limits.attempts,
+            max_attempts: self.limits.max_attempts,
             timer_resolution: 1_000,
-            slow_start_min_capacity: self.limits.cold_from,
-            slow_start_duration: self.limits.cold_time,
-            overload_multiple: FALL_MULTIPLE,
-            overload_window: FALL_TIME,
+            slow_start_min_capacity: self.limits.slow_start_min_capacity,
+            slow_start_duration: self.limits.slow_start_duration,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_window: OVERLOAD_WINDOW,
         }
     }
 
     /// May a pool of the same name go on from the one before with all that it learned and holds? Only where
     /// nothing that its decisions stand on has changed. A list of nodes may have.
     #[must_use]
-    pub fn keeps(&self, pool: &Pool, before: &Config) -> bool {
+    pub fn is_carried_over(&self, pool: &Pool, before: &Config) -> bool {
         let source = |pool: &Pool| match &pool.source {
             Source::List(_) => None,
             other => Some(other.clone()),
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -89,7 +89,7 @@
     let (mut signals, mut hangup) = Signals::new()?;
     let doors = BoundListeners::bind(&setup.listeners).await?;
     let addresses = doors.addresses();
-    let (callers, _) = config::sockets_cut(setup.shared.sockets).unwrap_or((1, 1));
+    let (callers, _) = config::split_sockets(setup.shared.sockets).unwrap_or((1, 1));
     let (mgmt, office) = OperatorContext::open(setup.operators.as_ref()).await?.unzip();
     let house = Rc::new(House::new(setup.shared.clone(), seed, office));
     house.apply(number, &tenants);
@@ -428,8 +428,8 @@
 /// A class's place among its tenant's by worth, from 0 to 1.
 fn rank(snapshot: &Snapshot, class: usize) -> f64 {
     let classes = &snapshot.config.classes;
-    let worth = classes[class].figures.priority_weight;
-    let most = classes.iter().map(|c| c.figures.priority_weight).fold(0.0, f64::max);
+    let worth = classes[class].parameters.priority_weight;
+    let most = classes.iter().map(|c| c.parameters.priority_weight).fold(0.0, f64::max);
     if most > 0.0 {
         worth / most
     } else {
--- a/crates/proxy/src/learned_state/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use atomic_file::{Folder, Keeper};
-use config::Knowledge;
+use config::LearnedStateSettings;
 use learned_state::Snapshot;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
@@ -100,7 +100,7 @@
 
 impl StateWriter {
     /// Takes the folder, as soon as it can be had.
-    pub fn start(config: &Knowledge) -> StateWriter {
+    pub fn start(config: &LearnedStateSettings) -> StateWriter {
         let (jobs, waiting) = mpsc::sync_channel(1);
         let (folder, files) = (config.folder.clone(), config.files);
         let writer = thread::Builder::new().name("memory".to_owned());
--- a/crates/proxy/src/membership/discovery.rs
+++ b/crates/proxy/src/membership/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use config::Told as ToldList;
+use config::ParsedEndpointList as ToldList;
 use decide::{Micros, UpdateScope};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
@@ -203,8 +203,8 @@
             Told::Heard => Event::Heard(id),
             Told::Answered(told, connection) => {
                 calls.spare = Some(connection);
-                let news = told.list.whole || !told.list.hosts.is_empty();
-                let scope = if told.list.whole { UpdateScope::Full } else { UpdateScope::Delta };
+                let news = told.list.is_full || !told.list.endpoints.is_empty();
+                let scope = if told.list.is_full { UpdateScope::Full } else { UpdateScope::Delta };
                 self.registry.hear(told, scope);
                 Event::Answered(id, news)
             }
@@ -280,7 +280,7 @@
 
 async fn read(response: Response<Incoming>, connection: Connection) -> Told {
     let Ok(body) = Limited::new(response.into_body(), MOST_LIST).collect().await else { return Told::Broke };
-    match config::parse_told(&body.to_bytes()) {
+    match config::parse_endpoint_list(&body.to_bytes()) {
         Ok(told) => Told::Answered(told, connection),
         Err(fault) => Told::Malformed(fault),
     }
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use config::parse_list;
+use config::parse_full_list;
 use decide::UpdateScope;
 use tokio::time::{sleep, Instant};
 
@@ -75,7 +75,7 @@
         if size > MOST_LIST {
             return Err(format!("{size} bytes are too many for a list"));
         }
-        let list = parse_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
+        let list = parse_full_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
         // Checked as a whole, and applied in the form in which it came.
         let nodes = list.clone().nodes()?.len();
         self.registry.apply(list, UpdateScope::Full);
--- a/crates/proxy/src/membership/registry.rs
+++ b/crates/proxy/src/membership/registry.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use config::{Health, Host, HostList, Told as ToldList};
+use config::{EndpointList, ListedEndpoint, ListedState, ParsedEndpointList as ToldList};
 use decide::learned::LearnedState;
 use decide::platform_settings::NameTable;
 use decide::{Endpoint, EndpointId, EndpointState, UpdateScope};
@@ -197,16 +197,16 @@
     }
 
     /// Takes a list in, before anything else is sent.
-    pub fn apply(&mut self, list: HostList, scope: UpdateScope) {
+    pub fn apply(&mut self, list: EndpointList, scope: UpdateScope) {
         self.take(list, &BTreeSet::new(), scope);
     }
 
-    fn take(&mut self, list: HostList, unreadable: &BTreeSet<String>, scope: UpdateScope) {
-        self.seq = Some(list.seq);
+    fn take(&mut self, list: EndpointList, unreadable: &BTreeSet<String>, scope: UpdateScope) {
+        self.seq = Some(list.version);
         self.heard.set(Instant::now());
-        let mut entries = Vec::with_capacity(list.hosts.len());
-        for host in list.hosts {
-            let (dial, name) = (host.dial, host.host.clone());
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for host in list.endpoints {
+            let (dial, name) = (host.address, host.name.clone());
             let entry = self.entry(host);
             if let Some(named) = self.known.ids.borrow_mut().get_mut(&name) {
                 named.last = Some((entry.clone(), dial));
@@ -247,29 +247,29 @@
         self.known.catch_up(self.clock, &self.names.borrow(), &self.handle);
     }
 
-    fn entry(&mut self, host: Host) -> Endpoint {
+    fn entry(&mut self, host: ListedEndpoint) -> Endpoint {
         let (zone, kind) = {
             let mut names = self.names.borrow_mut();
-            (names.zone(&host.site), names.kind(&host.class))
+            (names.zone(&host.zone), names.kind(&host.machine_kind))
         };
         Endpoint {
-            id: self.id(host.host, host.health),
-            state: match host.health {
-                Health::Serving => EndpointState::Ready,
-                Health::Draining => EndpointState::Draining,
-                Health::Deleted => EndpointState::Removed,
+            id: self.id(host.name, host.state),
+            state: match host.state {
+                ListedState::Serving => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Deleted => EndpointState::Removed,
             },
-            weight: host.share,
-            up_since: self.clock.at_unix_ms(host.born_ms),
+            weight: host.weight,
+            up_since: self.clock.at_unix_ms(host.started_unix_ms),
             zone,
             machine_kind: kind,
-            cell: host.block,
+            cell: host.cell,
         }
     }
 
     /// A host's id: the same at every proxy, because all of them cut their parts out of one order of ids.
-    fn id(&mut self, host: String, health: Health) -> EndpointId {
-        let gone = matches!(health, Health::Deleted).then(Instant::now);
+    fn id(&mut self, host: String, health: ListedState) -> EndpointId {
+        let gone = matches!(health, ListedState::Deleted).then(Instant::now);
         let mut ids = self.known.ids.borrow_mut();
         if let Some(named) = ids.get_mut(&host) {
             named.gone = gone.map(|now| named.gone.unwrap_or(now));
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use config::{parse_told, sockets_cut, Told};
+use config::{parse_endpoint_list, split_sockets, ParsedEndpointList};
 use decide::platform_settings::{self, PlatformSettings};
 use decide::Micros;
 use membership::{LeaseTerms, Policy, Refused};
@@ -47,7 +47,7 @@
     pub callers: usize,
     /// Sockets for backends.
     pub backends: usize,
-    pub initial_list: Option<Told>,
+    pub initial_list: Option<ParsedEndpointList>,
     /// Where peers' messages arrive, and the peers' addresses by rank; only where the settings allow them.
     pub gossip: Option<(SocketAddr, Vec<SocketAddr>)>,
     pub site: PlatformSettings,
@@ -116,7 +116,7 @@
     fn parse(text: &str) -> Result<Config, String> {
         let file: File = serde_json::from_str(text).map_err(|e| format!("bad configuration: {e}"))?;
         let own = if file.mgmt.is_some() { operators::SOCKETS } else { 0 };
-        let (callers, backends) = sockets_cut(file.limits.sockets.saturating_sub(own))
+        let (callers, backends) = split_sockets(file.limits.sockets.saturating_sub(own))
             .ok_or_else(|| format!("limits.sockets: too few to serve with: {}", file.limits.sockets))?;
         let site = platform_settings::parse(file.settings.get())?;
         // Who sent a message is told by its address.
@@ -136,7 +136,7 @@
             backends,
             initial_list: file
                 .known
-                .map(|known| parse_told(known.get().as_bytes()))
+                .map(|known| parse_endpoint_list(known.get().as_bytes()))
                 .transpose()
                 .map_err(|e| format!("known: {e}"))?,
             gossip: file
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use config::{Config, Health, Host, HostList, Node, NodeState, Operators, Protocol, Source};
+use config::{
+    Config, EndpointList, ListedEndpoint, ListedState, Node, NodeState, Operators, Protocol, Source,
+};
 use decide::platform_settings::{NameTable, Transport};
 use decide::{EndpointFilter, EndpointState, Micros, UpdateScope};
 use membership::Policy;
@@ -277,22 +279,22 @@
 }
 
 /// Nodes of the configuration in discovery's form.
-fn list(nodes: &[Node]) -> HostList {
-    let host = |node: &Node| Host {
-        host: node.name.clone(),
-        dial: node.address,
-        site: node.zone.clone(),
-        class: node.kind.clone(),
-        block: node.cell,
-        health: match node.state {
-            NodeState::Ready => Health::Serving,
-            NodeState::Draining => Health::Draining,
-            NodeState::Gone => Health::Deleted,
+fn list(nodes: &[Node]) -> EndpointList {
+    let host = |node: &Node| ListedEndpoint {
+        name: node.name.clone(),
+        address: node.address,
+        zone: node.zone.clone(),
+        machine_kind: node.kind.clone(),
+        cell: node.cell,
+        state: match node.state {
+            NodeState::Ready => ListedState::Serving,
+            NodeState::Draining => ListedState::Draining,
+            NodeState::Gone => ListedState::Deleted,
         },
-        share: node.weight,
-        born_ms: node.born_ms,
+        weight: node.weight,
+        started_unix_ms: node.started_unix_ms,
     };
-    HostList { seq: 0, whole: true, hosts: nodes.iter().map(host).collect() }
+    EndpointList { version: 0, is_full: true, endpoints: nodes.iter().map(host).collect() }
 }
 
 /// Tells of a source that has gone silent, for as long as it is polled. Its last list stays.
--- a/crates/proxy/src/route_lookup.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -100,7 +100,7 @@
         let host = header::HeaderValue::try_from(host).map_err(|_| StatusCode::BAD_REQUEST)?;
         head.headers.insert(header::HOST, host);
     }
-    let figures = &config.classes[class].figures;
+    let figures = &config.classes[class].parameters;
     let (semantics, deadline) = (figures.semantics, figures.deadline);
     let method = snapshot.methods[class].clone();
     let once = match semantics {
--- a/crates/proxy/src/snapshot.rs
+++ b/crates/proxy/src/snapshot.rs
@@ -42,10 +42,10 @@
         office: Option<&OperatorContext>,
     ) -> Snapshot {
         let number = before.map_or(0, |b| b.number) + 1;
-        let parts = config.pool_parts(sockets);
+        let parts = config.pool_sockets(sockets);
         let mut pools = Vec::with_capacity(config.pools.len());
         for (place, pool) in config.pools.iter().enumerate() {
-            let kept = before.filter(|b| config.keeps(pool, &b.config));
+            let kept = before.filter(|b| config.is_carried_over(pool, &b.config));
             let kept = kept.and_then(|b| b.pools.iter().find(|p| p.name == pool.name));
             pools.push(match kept {
                 Some(kept) => {
@@ -128,7 +128,9 @@
         let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
         let behind: BTreeSet<&String> = addresses.flat_map(|a| &a.pools).collect();
         let pools = self.pools.iter().filter(|p| behind.contains(&p.name));
-        pools.map(|p| (p.name.clone(), p.announced_endpoints(self.config.limits.cold_time))).collect()
+        pools
+            .map(|p| (p.name.clone(), p.announced_endpoints(self.config.limits.slow_start_duration)))
+            .collect()
     }
 
     /// No configuration has its pools any more; what they hold open ends by itself.
@@ -177,7 +179,7 @@
     fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
         let config = &self.snapshot.config;
         let route = &config.table.routes()[self.route];
-        let repeatable = config.classes[route.class].figures.semantics == Semantics::Idempotent;
+        let repeatable = config.classes[route.class].parameters.semantics == Semantics::Idempotent;
         if !never_ran && !repeatable {
             // A pool drops its own repeats only. Where the client's next try could go to another, a refusal
             // would promise more than is known.
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -78,8 +78,8 @@
     let doors = BoundListeners::bind(&config.listeners).await?;
     let addresses = doors.addresses();
     let clock = Clock::new();
-    let (callers, nodes) = config.sockets_cut();
-    let keys = KeyTable::new(config.keys, clock);
+    let (callers, nodes) = config.socket_budget();
+    let keys = KeyTable::new(config.idempotency_keys, clock);
     let (mgmt, office) = OperatorContext::open(config.operators.as_ref()).await?.unzip();
     let first = Snapshot::start(Arc::new(config), nodes, None, clock, seed, office.as_ref());
     let current = Rc::new(RefCell::new(Rc::new(first)));
@@ -88,7 +88,7 @@
         let (current, ending) = (Rc::clone(&current), Rc::clone(&told_to_end));
         spawn_local(operators::serve(mgmt, Rc::new(Operations { office, current, ending })));
     }
-    let memory = current.borrow().config.knowledge.as_ref().map(|knowledge| {
+    let memory = current.borrow().config.learned_state.as_ref().map(|knowledge| {
         if let Some(past) = SavedState::read(&knowledge.folder) {
             current.borrow().import_learned_state(&past);
         }
@@ -112,7 +112,7 @@
     let reloading = spawn_local(async move {
         while hangup.recv().await.is_some() {
             swap(&current, &reload, clock, seed, office.as_ref());
-            table.set_bounds(current.borrow().config.keys);
+            table.set_bounds(current.borrow().config.idempotency_keys);
             if let (Some(announces), Some(bgp)) = (&told, &current.borrow().config.bgp) {
                 announces.reload(bgp);
             }
@@ -175,7 +175,7 @@
     });
     match config {
         Ok(config) => {
-            let (_, nodes) = config.sockets_cut();
+            let (_, nodes) = config.socket_budget();
             let after = Snapshot::start(Arc::new(config), nodes, Some(&before), clock, seed, office);
             let (number, routes) = (after.number, after.config.table.routes().len());
             let pools = after.config.pools.len();
@@ -192,7 +192,7 @@
         Some("server.listen")
     } else if before.sockets != after.sockets {
         Some("server.sockets")
-    } else if before.knowledge != after.knowledge {
+    } else if before.learned_state != after.learned_state {
         Some("knowledge")
     } else if before.operators != after.operators {
         Some("operators")
