--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -18,7 +18,7 @@
 use super::{serving, Caller, Callers, Frontend};
 use crate::body::{Content, Cut};
 use crate::exchange::{Answer, MOST_BODY, MOST_BUFFER};
-use crate::metrics::{RequestOutcome, Tally};
+use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::panic_guard::caught;
 use crate::request_reader::{self, Taken};
 use crate::router::Rejection;
@@ -39,14 +39,14 @@
 /// A request whose answer is on its way.
 struct Open {
     caller: Rc<Caller>,
-    tally: Rc<Tally>,
+    tally: Rc<RequestRecorder>,
     content: Content,
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
         let whole = self.content.flow().is_some_and(|flow| flow.ended().is_some());
-        self.tally.end(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
+        self.tally.record(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
         self.caller.free();
     }
 }
@@ -127,20 +127,20 @@
         return reply(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
     }
     let gate = &callers.gate;
-    let tally = Rc::<Tally>::default();
+    let tally = Rc::<RequestRecorder>::default();
     let read = request_reader::read(&*gate.router, &gate.ids, &caller.socket, &caller.kept, &tally, request);
     let answer = match read.await {
         // Its time counts from its last byte; one that flows brings along how long it may take to come.
         Ok(Taken::Sound(sound)) => serving::serve(callers, *sound, &caller.client(), Instant::now()).await,
         Ok(Taken::Known(answer)) => answer,
         Err(turned) => {
-            tally.end(turned.fate());
+            tally.record(turned.fate());
             return turned_away(gate, turned);
         }
     };
     // One that flows ends with its last byte.
     if !matches!(answer, Answer::Served(_, Content::Flowing(_))) {
-        tally.end(answer.fate());
+        tally.record(answer.fate());
     }
     match answer {
         Answer::Served(headers, body) => {
--- a/crates/proxy/src/downstream/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -19,7 +19,7 @@
 
 use super::{serving, Caller, Callers};
 use crate::exchange::{Answer, Called, Client};
-use crate::metrics::Tally;
+use crate::metrics::RequestRecorder;
 use crate::panic_guard::caught;
 use crate::request_reader::{self, Taken};
 use crate::router::Rejection;
@@ -248,14 +248,14 @@
         }
         let taken = self.way(&call, frame, &entered.tally);
         entered.taken = taken.map_err(|turned| {
-            entered.tally.end(turned.fate());
+            entered.tally.record(turned.fate());
             self.unwanted |= turned.cause == Some(limit::Cause::Connections.name());
             Some(turned_away(entered.id.as_deref(), turned))
         });
         entered
     }
 
-    fn way(&self, call: &Call<'_>, frame: &Bytes, tally: &Tally) -> Result<Taken, Rejection> {
+    fn way(&self, call: &Call<'_>, frame: &Bytes, tally: &RequestRecorder) -> Result<Taken, Rejection> {
         let gate = &self.callers.gate;
         let (mut head, class) = gate.router.route_call(call)?;
         let body = rpc_mapping::body_of(&head, call, frame);
@@ -265,8 +265,8 @@
             // Its route is another class's: the configuration has no way for this method.
             return Err(StatusCode::NOT_FOUND.into());
         }
-        tally.is(opened.counts.take());
-        tally.taken();
+        tally.set_counters(opened.counts.take());
+        tally.on_received();
         let params = call.params.map(|p| frame.slice_ref(p.get().as_bytes()));
         let called = Called { method: (*call.method).into(), params, by_http: false };
         opened.close(head, body.into(), Some(called), &gate.ids)
@@ -358,13 +358,13 @@
     /// Its id, as it is held open.
     open: Option<String>,
     taken: Result<Taken, Option<Vec<u8>>>,
-    tally: Tally,
+    tally: RequestRecorder,
 }
 
 impl Entered {
     /// One of which nothing is known yet, and nothing is said.
     fn new(id: Id, quiet: bool) -> Entered {
-        Entered { id, quiet, open: None, taken: Err(None), tally: Tally::default() }
+        Entered { id, quiet, open: None, taken: Err(None), tally: RequestRecorder::default() }
     }
 
     fn patience(&self) -> Option<Duration> {
@@ -387,7 +387,7 @@
             Ok(Taken::Known(answer)) => answer,
             Err(error) => return error,
         };
-        tally.end(answer.fate());
+        tally.record(answer.fate());
         Some(match answer {
             Answer::Served(headers, body) => {
                 let body = body.whole().unwrap_or_default();
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -281,7 +281,7 @@
             for snapshot in self.running() {
                 now.extend(snapshot.gauges().await);
             }
-            self.office.as_ref().map(|office| office.metrics.text(&now)).unwrap_or_default()
+            self.office.as_ref().map(|office| office.metrics.encode(&now)).unwrap_or_default()
         })
     }
 
--- a/crates/proxy/src/membership/registry.rs
+++ b/crates/proxy/src/membership/registry.rs
@@ -60,7 +60,7 @@
     pub async fn now(&self, place: Labels) -> PoolGauges {
         let by_choice = self.handle.ejected_count().await;
         let (listed, by_hand) = self.known.counts(&self.overrides);
-        PoolGauges { place, listed, ejected: by_hand + by_choice }
+        PoolGauges { labels: place, endpoints: listed, ejected: by_hand + by_choice }
     }
 }
 
--- /dev/null
+++ b/crates/proxy/src/metrics/attempt_write.rs
@@ -0,0 +1,28 @@
+//! Counting of attempts at the moment their last byte is written.
+
+use std::cell::RefCell;
+
+use prometheus_client::metrics::counter::Counter;
+
+/// Counts a message once the kernel has accepted its last byte.
+#[derive(Default)]
+pub struct WriteCompletionCounter(RefCell<Option<Counter>>);
+
+impl WriteCompletionCounter {
+    /// The next write is the last one of a message that `counter` counts.
+    pub fn count_next_write(&self, counter: &Counter) {
+        *self.0.borrow_mut() = Some(counter.clone());
+    }
+
+    /// The message is not counted after all.
+    pub fn cancel(&self) {
+        self.0.take();
+    }
+
+    /// The kernel has accepted bytes.
+    pub fn on_write(&self) {
+        if let Some(counter) = self.0.take() {
+            counter.inc();
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/metrics/mod.rs
@@ -0,0 +1,151 @@
+//! Metrics of the process: requests by outcome, attempts, requests in flight and the size of each pool.
+//!
+//! One [`Metrics`] registry a process, exposed in the OpenMetrics text format. Label sets are bounded by
+//! [`MAX_LABEL_SETS`]; whatever comes beyond that is counted under the label value [`OVERFLOW_LABEL`].
+
+mod attempt_write;
+mod pool_metric;
+mod request;
+#[cfg(test)]
+mod tests;
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use prometheus_client::encoding::text::encode;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+
+pub use attempt_write::WriteCompletionCounter;
+use pool_metric::PoolMetric;
+pub use request::{RequestCounters, RequestOutcome, RequestRecorder};
+
+/// The largest number of label sets of one metric, over all reloads.
+const MAX_LABEL_SETS: usize = 2000;
+/// The label value of all label sets beyond [`MAX_LABEL_SETS`].
+const OVERFLOW_LABEL: &str = "_other";
+
+/// Label names and values of one time series.
+pub type Labels = Vec<(&'static str, String)>;
+
+/// The state of one pool at the time of a scrape.
+pub struct PoolGauges {
+    /// Identifies the pool; empty in a process with a single pool.
+    pub labels: Labels,
+    /// Endpoints in the current list.
+    pub endpoints: usize,
+    /// Listed endpoints that are ejected, by outlier detection or by an operator.
+    pub ejected: usize,
+}
+
+/// A class, and the pool that its requests go to first.
+type RequestCounterKey = (String, Labels);
+
+/// The metrics registry of a process.
+pub struct Metrics {
+    registry: Registry,
+    ok: Family<Labels, Counter>,
+    shed: Family<Labels, Counter>,
+    errors: Family<Labels, Counter>,
+    active: Gauge,
+    attempts: PoolMetric<Counter>,
+    pool_size: PoolMetric<Gauge>,
+    pool_ejected: PoolMetric<Gauge>,
+    request_counters: RefCell<BTreeMap<RequestCounterKey, Rc<RequestCounters>>>,
+    /// Pools whose attempts have a time series of their own.
+    pools_with_attempts: RefCell<BTreeSet<Labels>>,
+}
+
+impl Metrics {
+    /// Registers all metrics. With `labeled_by_pool` each pool has its own time series, otherwise the only pool of the
+    /// process has no label.
+    pub fn new(labeled_by_pool: bool) -> Metrics {
+        let mut registry = Registry::with_prefix("edge_lb");
+        let ok = register_request_counter(&mut registry, "ok", "Requests served");
+        let shed = register_request_counter(&mut registry, "shed", "Requests refused");
+        let errors = register_request_counter(&mut registry, "errors", "Requests failed");
+        let attempts_help = "Attempts written whole to backends";
+        let attempts = PoolMetric::register(&mut registry, labeled_by_pool, "tries", attempts_help);
+        let active = Gauge::default();
+        registry.register("active", "Requests taken and not ended", active.clone());
+        let size_help = "Backends in the list";
+        let pool_size = PoolMetric::register(&mut registry, labeled_by_pool, "pool_size", size_help);
+        let ejected_help = "Listed backends that are avoided, by hand or by choice";
+        let pool_ejected = PoolMetric::register(&mut registry, labeled_by_pool, "pool_ejected", ejected_help);
+        Metrics {
+            registry,
+            ok,
+            shed,
+            errors,
+            active,
+            attempts,
+            pool_size,
+            pool_ejected,
+            request_counters: RefCell::default(),
+            pools_with_attempts: RefCell::default(),
+        }
+    }
+
+    /// The counters of a class within a pool.
+    pub fn request_counters(&self, class: &str, pool: &Labels) -> Rc<RequestCounters> {
+        let mut all = self.request_counters.borrow_mut();
+        let mut key = (class.to_owned(), pool.clone());
+        if all.len() >= MAX_LABEL_SETS && !all.contains_key(&key) {
+            key = (OVERFLOW_LABEL.to_owned(), overflow_labels(pool));
+        }
+        let counters =
+            all.entry(key).or_insert_with_key(|(class, pool)| Rc::new(self.new_counters(class, pool)));
+        Rc::clone(counters)
+    }
+
+    fn new_counters(&self, class: &str, pool: &Labels) -> RequestCounters {
+        let mut labels = vec![("kind", class.to_owned())];
+        labels.extend(pool.iter().cloned());
+        RequestCounters {
+            ok: self.ok.get_or_create(&labels).clone(),
+            shed: self.shed.get_or_create(&labels).clone(),
+            errors: self.errors.get_or_create(&labels).clone(),
+            active: self.active.clone(),
+        }
+    }
+
+    /// The counter of attempts that were written completely to endpoints of a pool. A pool that is started again gets
+    /// the same counter.
+    pub fn attempts(&self, pool: &Labels) -> Counter {
+        let mut known = self.pools_with_attempts.borrow_mut();
+        if known.len() >= MAX_LABEL_SETS && !known.contains(pool) {
+            return self.attempts.with_labels(&overflow_labels(pool));
+        }
+        known.insert(pool.clone());
+        self.attempts.with_labels(pool)
+    }
+
+    /// Encodes all metrics in the OpenMetrics text format, with these pools' gauges.
+    pub fn encode(&self, pools: &[PoolGauges]) -> String {
+        // Pools that a reload has removed must not be exposed any more.
+        self.pool_size.clear();
+        self.pool_ejected.clear();
+        for pool in pools.iter().take(MAX_LABEL_SETS) {
+            self.pool_size.with_labels(&pool.labels).set(pool.endpoints as i64);
+            self.pool_ejected.with_labels(&pool.labels).set(pool.ejected as i64);
+        }
+        let mut text = String::new();
+        // Writing to a string does not fail.
+        let _ = encode(&mut text, &self.registry);
+        text
+    }
+}
+
+fn register_request_counter(registry: &mut Registry, name: &str, help: &str) -> Family<Labels, Counter> {
+    let family = Family::default();
+    registry.register(name, help, family.clone());
+    family
+}
+
+/// The label set that stands for all pools beyond [`MAX_LABEL_SETS`].
+fn overflow_labels(pool: &Labels) -> Labels {
+    pool.iter().map(|(name, _)| (*name, OVERFLOW_LABEL.to_owned())).collect()
+}
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -97,7 +97,7 @@
     }
 
     fn figures(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
-        Box::pin(async { self.figures.text(&[self.retold.now(Labels::new()).await]) })
+        Box::pin(async { self.figures.encode(&[self.retold.now(Labels::new()).await]) })
     }
 
     fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
--- a/crates/proxy/src/request_reader.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -15,7 +15,7 @@
 use crate::exchange::{remove_hop_by_hop, Answer, Called, Message, Patience, ID, KEY, MOST_BODY, TIMEOUT};
 use crate::framing;
 use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
-use crate::metrics::{RequestCounters, Tally};
+use crate::metrics::{RequestCounters, RequestRecorder};
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
 use crate::router::{single_header_value, Connection, PoolSequence, Rejection, RouteDecision, Router};
 use crate::socket::{Socket, Unread};
@@ -191,7 +191,7 @@
     ids: &OpenRequestIds,
     socket: &Socket,
     connection: &Connection,
-    tally: &Rc<Tally>,
+    tally: &Rc<RequestRecorder>,
     request: Request<Incoming>,
 ) -> Result<Taken, Rejection> {
     let began = socket.since().unwrap_or_else(Instant::now);
@@ -205,7 +205,7 @@
     // One of unknown length is over the bound once it is.
     let body_most = body.size_hint().exact().unwrap_or(MOST_BODY as u64);
     let mut opened = open(router, connection, &mut head, body_most)?;
-    tally.is(opened.counts.take());
+    tally.set_counters(opened.counts.take());
     if head.method == Method::GET && body.size_hint().exact() != Some(0) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
@@ -223,13 +223,13 @@
         Gathered::Part(first, rest) if flows.is_some() && (Instant::now() < until || first.is_empty()) => {
             let flow = Rc::new(Flow::of_request(rest, first, router.largest_body()));
             let tally = Rc::clone(tally);
-            flow.at_end(move || tally.taken());
+            flow.at_end(move || tally.on_received());
             return opened.close(head, Content::Flowing(flow), None, ids);
         }
         Gathered::Part(..) if Instant::now() < until => return Err(StatusCode::PAYLOAD_TOO_LARGE.into()),
         Gathered::Part(..) => return Err(StatusCode::REQUEST_TIMEOUT.into()),
     };
-    tally.taken();
+    tally.on_received();
     // A caller sends one request at a time: what comes along with this one was miscounted or is hidden in it.
     let counted = (head_length + body.len()) as u64;
     if !chunked && socket.bytes_in() > counted || socket.unread() == Unread::Data {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::metrics::Written;
+use crate::metrics::WriteCompletionCounter;
 
 /// Read at a time by [`Socket::read_some`].
 const READ: usize = 16 << 10;
@@ -26,7 +26,7 @@
     stream: TcpStream,
     written: Cell<u64>,
     /// Told of what is written.
-    counted: Written,
+    counted: WriteCompletionCounter,
     /// What has come of the message that is being read; only where it is kept.
     incoming: Option<RefCell<Incoming>>,
     /// Held for as long as the descriptor is.
@@ -75,7 +75,7 @@
         Socket(Rc::new(Shared {
             stream,
             written: Cell::new(0),
-            counted: Written::default(),
+            counted: WriteCompletionCounter::default(),
             incoming: None,
             _slot: slot,
         }))
@@ -88,7 +88,7 @@
         Socket(Rc::new(Shared {
             stream,
             written: Cell::new(0),
-            counted: Written::default(),
+            counted: WriteCompletionCounter::default(),
             incoming,
             _slot: None,
         }))
@@ -134,7 +134,7 @@
     }
 
     /// Counts messages as they are written.
-    pub fn counted(&self) -> &Written {
+    pub fn counted(&self) -> &WriteCompletionCounter {
         &self.0.counted
     }
 
@@ -209,7 +209,7 @@
             match self.0.stream.try_write_vectored(parts) {
                 Ok(n) => {
                     self.0.written.set(self.0.written.get() + n as u64);
-                    self.0.counted.wrote();
+                    self.0.counted.on_write();
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -224,7 +224,7 @@
 
     fn figures(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
         let snapshot = Rc::clone(&self.current.borrow());
-        Box::pin(async move { self.office.metrics.text(&snapshot.gauges().await) })
+        Box::pin(async move { self.office.metrics.encode(&snapshot.gauges().await) })
     }
 
     fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -479,16 +479,16 @@
             order.begun.set(true);
             let before = link.socket.written();
             match order.message.body().flow() {
-                None => link.socket.counted().at_next_write(&self.tries),
+                None => link.socket.counted().count_next_write(&self.tries),
                 Some(flow) => {
                     let (socket, tries) = (link.socket.clone(), self.tries.clone());
-                    flow.at_end(move || socket.counted().at_next_write(&tries));
+                    flow.at_end(move || socket.counted().count_next_write(&tries));
                 }
             }
             let response = match link.sender.try_send_request(message).await {
                 Ok(response) => response,
                 Err(mut e) => {
-                    link.socket.counted().not();
+                    link.socket.counted().cancel();
                     if let Some(flow) = order.message.body().flow().filter(|flow| flow.is_begun()) {
                         // Without its last byte a backend begins nothing; and what was read is gone.
                         let whole = flow.ended().is_some();
