--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -11,7 +11,7 @@
 use axum::routing::{get, post, put};
 use axum::{Json, Router};
 use config::{Role, TenantDoc, TenantLimits};
-use limit::Cause;
+use limit::RejectReason;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use utoipa::{OpenApi, ToSchema};
@@ -481,7 +481,7 @@
 fn status(tenant: String, status: &TenantStatus) -> Status {
     let usage = status.usage;
     let refused =
-        Cause::ALL.iter().zip(usage.refused).map(|(cause, n)| (cause.name().to_owned(), n)).collect();
+        RejectReason::ALL.iter().map(|reason| (reason.name().to_owned(), usage.rejected[*reason])).collect();
     Status {
         tenant,
         version: status.version,
--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use config::{Role, Token};
-use limit::Bucket;
+use limit::TokenBucket;
 use sha2::{Digest, Sha256};
 use subtle::{Choice, ConditionallySelectable, ConstantTimeEq};
 
@@ -90,7 +90,7 @@
     tokens: Vec<Token>,
     /// With no token at all everybody on this machine is the operator.
     open: bool,
-    failed: BTreeMap<IpAddr, (Bucket, i64)>,
+    failed: BTreeMap<IpAddr, (TokenBucket, i64)>,
     began: Option<Instant>,
 }
 
@@ -129,7 +129,7 @@
             return Ok(Who { name: "local".to_owned(), role: Role::Operator });
         }
         if let Some((bucket, _)) = self.failed.get_mut(&from) {
-            if bucket.fill(now, TRIES_PER_S, TRIES) < 1.0 {
+            if bucket.refill(now, TRIES_PER_S, TRIES) < 1.0 {
                 return Err(Denied::TooMany);
             }
         }
@@ -150,7 +150,7 @@
             let oldest = self.failed.iter().min_by_key(|(_, (_, at))| *at).map(|(ip, _)| *ip);
             oldest.and_then(|ip| self.failed.remove(&ip));
         }
-        let (bucket, at) = self.failed.entry(from).or_insert_with(|| (Bucket::full(now, TRIES), now));
+        let (bucket, at) = self.failed.entry(from).or_insert_with(|| (TokenBucket::full(now, TRIES), now));
         bucket.take(1.0);
         *at = now;
         Err(Denied::Unknown)
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -166,7 +166,7 @@
     let given = &server.capacity;
     let most = |x: &Option<u64>, least: u64| x.unwrap_or(least).max(1);
     let capacity = limit::Capacity {
-        work_per_s: given.requests_per_s.filter(|x| *x > 0.0).unwrap_or(f64::INFINITY),
+        requests_per_s: given.requests_per_s.filter(|x| *x > 0.0).unwrap_or(f64::INFINITY),
         in_flight: most(&given.in_flight, 10_000),
         body_bytes: most(&given.body_bytes, 64 << 20),
     };
--- a/crates/limit/benches/admit.rs
+++ b/crates/limit/benches/admit.rs
@@ -1,4 +1,4 @@
-//! What the limiter costs a request, by the number of tenants; ten of them ask in turn.
+//! What the limiter costs a request, by the number of tenants; ten of them send requests in turn.
 
 use limit::{Capacity, Limiter, Limits};
 
@@ -7,16 +7,16 @@
 }
 
 #[divan::bench(args = [1, 10, 1_000], sample_size = 1000)]
-fn admit_and_done(bencher: divan::Bencher<'_, '_>, tenants: usize) {
-    let mut limiter = Limiter::new(Capacity { work_per_s: 1e7, in_flight: 10_000, body_bytes: 1 << 30 });
+fn admit_and_release(bencher: divan::Bencher<'_, '_>, tenants: usize) {
+    let mut limiter = Limiter::new(Capacity { requests_per_s: 1e7, in_flight: 10_000, body_bytes: 1 << 30 });
     let limits = Limits { requests_per_s: 1e7, burst: 1e6, retries_per_s: 1e5, ..Limits::default() };
-    let ids: Vec<_> = (0..tenants).map(|_| limiter.add(0, limits)).collect();
+    let ids: Vec<_> = (0..tenants).map(|_| limiter.add_tenant(0, limits)).collect();
     let (mut now, mut next) = (0, 0);
     bencher.bench_local(|| {
         now += 10;
         next = (next + 1) % tenants.min(10);
-        if let Ok(admitted) = limiter.admit(now, ids[next], 1.0, 100) {
-            limiter.done(now, admitted, 1);
+        if let Ok(permit) = limiter.admit(now, ids[next], 1.0, 100) {
+            limiter.release(now, permit, 1);
         }
     });
 }
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,37 +1,45 @@
-//! What each tenant may use of the program, so that none feels another's bad Saturday.
+//! Limits of the tenants of one process, so that no tenant suffers from another's load.
 //!
-//! Pure: no I/O, no clock, no randomness; times come in as microseconds. A [`Limiter`] stands before the decision
-//! module: what to refuse for the load of the nodes stays the module's. Nothing waits here: a request that may not go
-//! on is refused at once, with a [`Cause`] and the time after which there is room.
+//! Pure: no I/O, no clock, no randomness; times come in as microseconds. A [`Limiter`] stands before the load balancing
+//! decisions, which shed load for the endpoints' sake. Nothing waits here: a request over a limit is rejected at once,
+//! with a [`RejectReason`] and the time after which a retry may be admitted.
 //!
-//! Three sorts of bounds:
+//! Three kinds of limits:
 //!
-//! - **Caps** are a tenant's own: requests a second with a burst ([`Bucket`], a token bucket), requests in flight,
-//!   connections, bytes of bodies, and further attempts a second.
-//! - **Work** (requests a second of the whole program) is shared by weighted max-min fairness, filled progressively
-//!   (Bertsekas and Gallager, "Data Networks", section 6.5.2) over what each tenant asked for in the last period. What
-//!   one does not use is lent to the others. A tenant that comes back has its guaranteed part at once and its full
-//!   share after one period ([`PERIOD`]).
-//! - **Holdings** (requests in flight, bytes of bodies) can't be taken back before they end. Beyond its guaranteed part
-//!   a tenant may borrow only what is left when every tenant that is active could still fill its own.
+//! - **A tenant's own limits**: requests a second with a burst ([`TokenBucket`]), requests in flight, connections, bytes
+//!   of bodies, and retries a second.
+//! - **The request rate of the process** is shared by weighted max-min fairness, filled progressively (Bertsekas and
+//!   Gallager, "Data Networks", section 6.5.2) over the demand of the last period. Unused shares are lent to other
+//!   tenants. A tenant that becomes active has its guaranteed share at once and its fair share after one period
+//!   ([`SHARE_PERIOD`]).
+//! - **Quotas** (requests in flight, bytes of bodies) cannot be reclaimed before the requests end. Beyond its guaranteed
+//!   quota a tenant may borrow only what is left when every active tenant could still use all of its own.
 //!
-//! Inside a tenant worth goes first, by reservation: the less a request is worth, the more credit it has to leave
-//! untouched.
+//! Within a tenant requests of low priority are rejected first: they must leave a part of the tenant's credit unused.
 #![warn(missing_docs)]
 
-mod bucket;
-mod holding;
+mod fair_share;
 mod limiter;
-mod share;
+mod limits;
+mod quota;
+mod rejection;
+mod tenant;
+mod tenant_table;
+mod token_bucket;
+mod usage;
 
-pub use bucket::Bucket;
-pub use limiter::{Admitted, Capacity, Cause, Limiter, Limits, Refusal, TenantId, Usage};
-pub use share::fill;
+pub use fair_share::{max_min_fair_shares, Demand};
+pub use limiter::{Limiter, Permit, ResourcesInUse};
+pub use limits::{Capacity, Limits};
+pub use rejection::{RejectReason, Rejection};
+pub use tenant_table::TenantId;
+pub use token_bucket::TokenBucket;
+pub use usage::{RejectionCounts, Usage};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = i64;
 
-/// How often shares are worked out anew.
-pub const PERIOD: Micros = 100_000;
-/// A tenant that asked for nothing and holds nothing for so long is idle: it costs no work at all.
-pub const IDLE: Micros = 10_000_000;
+/// How often fair shares are recomputed, in microseconds.
+pub const SHARE_PERIOD: Micros = 100_000;
+/// A tenant without requests for this long, in microseconds, and with none in flight is inactive: it has no share.
+pub const IDLE_TIMEOUT: Micros = 10_000_000;
--- a/crates/limit/tests/fairness.rs
+++ b/crates/limit/tests/fairness.rs
@@ -1,20 +1,23 @@
 //! The limiter under simulated time: against ideal fair shares, over many seeds, and in the bad cases.
 
-use limit::{fill, Admitted, Capacity, Cause, Limiter, Limits, Micros, TenantId, IDLE, PERIOD};
+use limit::{
+    max_min_fair_shares, Capacity, Demand, Limiter, Limits, Micros, Permit, RejectReason, ResourcesInUse,
+    TenantId, IDLE_TIMEOUT, SHARE_PERIOD,
+};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
 
-fn capacity(work_per_s: f64) -> Capacity {
-    Capacity { work_per_s, in_flight: 1_000_000, body_bytes: u64::MAX / 2 }
+fn capacity(requests_per_s: f64) -> Capacity {
+    Capacity { requests_per_s, in_flight: 1_000_000, body_bytes: u64::MAX / 2 }
 }
 
-fn weighing(weight: u32) -> Limits {
+fn with_weight(weight: u32) -> Limits {
     Limits { weight, ..Limits::default() }
 }
 
-/// Asks at these rates (a second) from `from` on for some time; what each got.
-fn play(
+/// Sends requests at these rates (a second) from `from` on for some time; returns how many of each tenant were admitted.
+fn simulate(
     limiter: &mut Limiter,
     ids: &[TenantId],
     rates: &[f64],
@@ -31,34 +34,35 @@
         }
     };
     let mut next: Vec<Micros> = rates.iter().map(|r| from + gap(&mut rng, *r)).collect();
-    let mut got = vec![0; ids.len()];
+    let mut admitted = vec![0; ids.len()];
     loop {
         let (i, now) = next.iter().copied().enumerate().min_by_key(|(_, at)| *at).expect("tenants");
         if now >= from + time {
-            return got;
+            return admitted;
         }
         next[i] = now + gap(&mut rng, rates[i]);
-        if let Ok(admitted) = limiter.admit(now, ids[i], 1.0, 0) {
-            got[i] += 1;
-            limiter.done(now, admitted, 1);
+        if let Ok(permit) = limiter.admit(now, ids[i], 1.0, 0) {
+            admitted[i] += 1;
+            limiter.release(now, permit, 1);
         }
     }
 }
 
-/// What was got after a second of settling, second by second, against the ideal; the worst deviation over all seconds
+/// What was admitted after a second of settling, second by second, against the ideal; the worst deviation over all seconds
 /// and over the whole, as a part of the capacity.
 fn deviation(work: f64, weights: &[u32], rates: &[f64], seed: u64) -> (f64, f64) {
     let mut limiter = Limiter::new(capacity(work));
-    let ids: Vec<TenantId> = weights.iter().map(|w| limiter.add(0, weighing(*w))).collect();
-    play(&mut limiter, &ids, rates, 0, SECOND, seed);
-    let asks: Vec<(f64, f64)> = rates.iter().zip(weights).map(|(r, w)| (*r, f64::from(*w))).collect();
-    let ideal = fill(work, &asks);
+    let ids: Vec<TenantId> = weights.iter().map(|w| limiter.add_tenant(0, with_weight(*w))).collect();
+    simulate(&mut limiter, &ids, rates, 0, SECOND, seed);
+    let demand = |(rate, weight): (&f64, &u32)| Demand { amount: *rate, weight: f64::from(*weight) };
+    let demands: Vec<Demand> = rates.iter().zip(weights).map(demand).collect();
+    let ideal = max_min_fair_shares(work, &demands);
     let (mut worst, mut sums) = (0.0_f64, vec![0.0; ids.len()]);
     for second in 1..=10 {
-        let got = play(&mut limiter, &ids, rates, second * SECOND, SECOND, seed + second as u64);
+        let admitted = simulate(&mut limiter, &ids, rates, second * SECOND, SECOND, seed + second as u64);
         for i in 0..ids.len() {
-            sums[i] += got[i] as f64;
-            worst = worst.max((got[i] as f64 - ideal[i]).abs() / work);
+            sums[i] += admitted[i] as f64;
+            worst = worst.max((admitted[i] as f64 - ideal[i]).abs() / work);
         }
     }
     let whole = sums.iter().zip(&ideal).map(|(sum, ideal)| (sum / 10.0 - ideal).abs() / work);
@@ -67,7 +71,7 @@
 
 /// Demands are drawn by chance, so that an ideal share differs from what is there to be shared by some itself.
 #[test]
-fn shares_stay_near_the_ideal() {
+fn shares_stay_near_ideal_fair_shares() {
     let (mut worst, mut worst_whole) = (0.0_f64, 0.0_f64);
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -83,50 +87,50 @@
 }
 
 #[test]
-fn a_share_that_is_lent_is_taken_back_within_a_period() {
+fn a_lent_share_is_reclaimed_within_a_period() {
     let mut limiter = Limiter::new(capacity(1000.0));
-    let ids = [limiter.add(0, weighing(1)), limiter.add(0, weighing(1))];
+    let ids = [limiter.add_tenant(0, with_weight(1)), limiter.add_tenant(0, with_weight(1))];
     // One alone gets all of it.
-    let got = play(&mut limiter, &ids, &[5000.0, 0.0], 0, 3 * SECOND, 1);
-    assert!(got[0] > 2700, "{got:?}");
+    let admitted = simulate(&mut limiter, &ids, &[5000.0, 0.0], 0, 3 * SECOND, 1);
+    assert!(admitted[0] > 2700, "{admitted:?}");
     // The other comes back. Its guaranteed half is there at once, also within the very first period.
-    let got = play(&mut limiter, &ids, &[5000.0, 5000.0], 3 * SECOND, PERIOD, 2);
-    assert!(got[1] >= 40, "{got:?}");
-    let got = play(&mut limiter, &ids, &[5000.0, 5000.0], 3 * SECOND + 2 * PERIOD, SECOND, 3);
-    assert!(got[0].abs_diff(got[1]) < 60, "{got:?}");
+    let admitted = simulate(&mut limiter, &ids, &[5000.0, 5000.0], 3 * SECOND, SHARE_PERIOD, 2);
+    assert!(admitted[1] >= 40, "{admitted:?}");
+    let admitted = simulate(&mut limiter, &ids, &[5000.0, 5000.0], 3 * SECOND + 2 * SHARE_PERIOD, SECOND, 3);
+    assert!(admitted[0].abs_diff(admitted[1]) < 60, "{admitted:?}");
 }
 
 #[test]
-fn a_storm_is_paid_by_the_tenant_that_makes_it() {
+fn overload_by_one_tenant_rejects_only_its_requests() {
     let mut limiter = Limiter::new(capacity(1000.0));
-    let ids: Vec<TenantId> = (0..3).map(|_| limiter.add(0, weighing(1))).collect();
-    let got = play(&mut limiter, &ids, &[5.0 * 333.0, 200.0, 300.0], 0, 60 * SECOND, 7);
+    let ids: Vec<TenantId> = (0..3).map(|_| limiter.add_tenant(0, with_weight(1))).collect();
+    let admitted = simulate(&mut limiter, &ids, &[5.0 * 333.0, 200.0, 300.0], 0, 60 * SECOND, 7);
     for (i, asked) in [(1, 200.0 * 60.0), (2, 300.0 * 60.0)] {
-        let part = got[i] as f64 / asked;
+        let part = admitted[i] as f64 / asked;
         assert!(part > 0.97, "tenant {i} got {part:.3} of what it asked for");
     }
-    assert!(limiter.usage(ids[0]).expect("there").refused[Cause::Share as usize] > 50_000);
+    assert!(limiter.usage(ids[0]).expect("there").rejected[RejectReason::Share] > 50_000);
 }
 
 #[test]
-fn inside_a_tenant_worth_goes_first() {
+fn high_priority_is_admitted_first_within_a_tenant() {
     let mut limiter = Limiter::new(capacity(100.0));
-    let id = limiter.add(0, weighing(1));
-    let mut got = [0, 0];
+    let id = limiter.add_tenant(0, with_weight(1));
+    let mut admitted = [0, 0];
     for i in 0..4000 {
-        // Half is worth nothing, half much, together twice the share: 50 a second of worth are asked for 50 more.
-        let worth = i % 2;
-        if let Ok(admitted) = limiter.admit(i * 5_000, id, worth as f64, 0) {
-            got[worth as usize] += 1;
-            limiter.done(i * 5_000, admitted, 1);
+        // Half has the lowest priority, half the highest, together twice the share.
+        let priority = i % 2;
+        if let Ok(permit) = limiter.admit(i * 5_000, id, priority as f64, 0) {
+            admitted[priority as usize] += 1;
+            limiter.release(i * 5_000, permit, 1);
         }
     }
-    assert!(got[1] > 1900, "{got:?} of 2000 each");
-    assert!(got[0] < 200, "{got:?}");
+    assert!(admitted[1] > 1900, "{admitted:?} of 2000 each");
+    assert!(admitted[0] < 200, "{admitted:?}");
 }
 
 #[test]
-fn each_cap_holds_and_names_its_cause() {
+fn each_limit_rejects_with_its_reason() {
     let mut limiter = Limiter::new(capacity(f64::INFINITY));
     let limits = Limits {
         requests_per_s: 10.0,
@@ -136,38 +140,38 @@
         body_bytes: 100,
         ..Limits::default()
     };
-    let id = limiter.add(0, limits);
-    let held: Vec<Admitted> = (0..3).map(|_| limiter.admit(0, id, 1.0, 20).expect("room")).collect();
-    let cause =
-        |limiter: &mut Limiter, now, body| limiter.admit(now, id, 1.0, body).expect_err("refused").cause;
-    assert_eq!(cause(&mut limiter, 0, 0), Cause::InFlight);
-    held.into_iter().for_each(|a| limiter.done(0, a, 1));
-    assert_eq!(cause(&mut limiter, 0, 101), Cause::Bodies);
+    let id = limiter.add_tenant(0, limits);
+    let permits: Vec<Permit> = (0..3).map(|_| limiter.admit(0, id, 1.0, 20).expect("room")).collect();
+    let reason =
+        |limiter: &mut Limiter, now, body| limiter.admit(now, id, 1.0, body).expect_err("rejected").reason;
+    assert_eq!(reason(&mut limiter, 0, 0), RejectReason::InFlight);
+    permits.into_iter().for_each(|a| limiter.release(0, a, 1));
+    assert_eq!(reason(&mut limiter, 0, 101), RejectReason::Bodies);
     for _ in 0..2 {
-        let admitted = limiter.admit(0, id, 1.0, 0).expect("burst");
-        limiter.done(0, admitted, 1);
+        let permit = limiter.admit(0, id, 1.0, 0).expect("burst");
+        limiter.release(0, permit, 1);
     }
-    let refusal = limiter.admit(0, id, 1.0, 0).expect_err("refused");
-    assert_eq!((refusal.cause, refusal.retry_after), (Cause::Rate, 100_000));
-    let admitted = limiter.admit(100_000, id, 1.0, 0).expect("who comes when told is served");
-    limiter.done(100_000, admitted, 1);
+    let rejection = limiter.admit(0, id, 1.0, 0).expect_err("rejected");
+    assert_eq!((rejection.reason, rejection.retry_after), (RejectReason::Rate, 100_000));
+    let permit = limiter.admit(100_000, id, 1.0, 0).expect("a retry after the given time is admitted");
+    limiter.release(100_000, permit, 1);
     assert!(limiter.connect(id).is_ok() && limiter.connect(id).is_ok());
-    assert_eq!(limiter.connect(id).expect_err("refused").cause, Cause::Connections);
+    assert_eq!(limiter.connect(id).expect_err("rejected").reason, RejectReason::Connections);
     limiter.disconnect(id);
     assert!(limiter.connect(id).is_ok());
     let usage = limiter.usage(id).expect("there");
-    assert_eq!(usage.refused, [1, 0, 1, 1, 1]);
+    assert_eq!(usage.rejected, [1, 0, 1, 1, 1].into());
     assert_eq!((usage.admitted, usage.in_flight, usage.body_bytes, usage.connections), (6, 0, 0, 2));
 }
 
 #[test]
-fn further_attempts_are_paid_for() {
+fn retries_are_limited() {
     let mut limiter = Limiter::new(capacity(f64::INFINITY));
-    let id = limiter.add(0, Limits { retries_per_s: 2.0, ..Limits::default() });
+    let id = limiter.add_tenant(0, Limits { retries_per_s: 2.0, ..Limits::default() });
     let mut attempts = |now: Micros, made: usize| {
-        let admitted = limiter.admit(now, id, 1.0, 0).expect("room");
-        let allowed = admitted.attempts;
-        limiter.done(now, admitted, made.min(allowed));
+        let permit = limiter.admit(now, id, 1.0, 0).expect("room");
+        let allowed = permit.max_attempts.unwrap_or(usize::MAX);
+        limiter.release(now, permit, made.min(allowed));
         allowed
     };
     assert!(attempts(0, 3) > 1, "two are saved up");
@@ -176,12 +180,12 @@
     assert!(attempts(600_000, 1) > 1, "half a second brings one");
 }
 
-/// Nodes that never answer: what their tenant holds stays held, and the others' guaranteed parts stay free.
+/// Endpoints never answer: their tenant's requests stay in flight, and the others' guaranteed quotas stay free.
 #[test]
-fn a_tenant_that_holds_all_it_can_leaves_the_others_their_part() {
-    let bounds = Capacity { work_per_s: f64::INFINITY, in_flight: 90, body_bytes: 9000 };
+fn a_tenant_that_borrows_all_it_can_leaves_the_others_their_guaranteed_quota() {
+    let bounds = Capacity { requests_per_s: f64::INFINITY, in_flight: 90, body_bytes: 9000 };
     let mut limiter = Limiter::new(bounds);
-    let ids: Vec<TenantId> = (0..3).map(|_| limiter.add(0, weighing(1))).collect();
+    let ids: Vec<TenantId> = (0..3).map(|_| limiter.add_tenant(0, with_weight(1))).collect();
     // The second is active, the third has been idle all along.
     let first = limiter.admit(0, ids[1], 1.0, 100).expect("room");
     let mut stuck = Vec::new();
@@ -189,114 +193,119 @@
         stuck.extend(limiter.admit(now, ids[0], 1.0, 100));
     }
     assert!((30..=60).contains(&stuck.len()), "it may borrow, and not all: {}", stuck.len());
-    let others: Vec<Admitted> =
+    let others: Vec<Permit> =
         (0..29).map(|_| limiter.admit(300, ids[1], 1.0, 100).expect("its part")).collect();
     assert!(limiter.admit(300, ids[2], 1.0, 100).is_ok(), "one that comes back finds room");
-    stuck.into_iter().chain(others).chain([first]).for_each(|a| limiter.done(400, a, 1));
-    assert_eq!(limiter.held(), (1, 100), "all but the one that was dropped on purpose");
+    stuck.into_iter().chain(others).chain([first]).for_each(|a| limiter.release(400, a, 1));
+    assert_eq!(
+        limiter.in_use(),
+        ResourcesInUse { in_flight: 1, body_bytes: 100 },
+        "all but the one that was dropped on purpose"
+    );
 }
 
 #[test]
-fn a_tenant_that_comes_back_under_its_name_has_nothing_of_the_former() {
+fn a_tenant_added_again_takes_over_nothing_from_the_removed_one() {
     let mut limiter = Limiter::new(capacity(1000.0));
-    let old = limiter.add(0, Limits { in_flight: 1, connections: 1, ..Limits::default() });
-    let held = limiter.admit(0, old, 1.0, 10).expect("room");
+    let old = limiter.add_tenant(0, Limits { in_flight: 1, connections: 1, ..Limits::default() });
+    let permit = limiter.admit(0, old, 1.0, 10).expect("room");
     limiter.connect(old).expect("room");
-    limiter.remove(old);
+    limiter.remove_tenant(old);
     assert!(limiter.admit(0, old, 1.0, 0).is_err() && limiter.usage(old).is_none());
-    let new = limiter.add(0, Limits { in_flight: 1, connections: 1, ..Limits::default() });
+    let new = limiter.add_tenant(0, Limits { in_flight: 1, connections: 1, ..Limits::default() });
     assert_eq!(limiter.usage(new), Some(limit::Usage::default()));
     let own = limiter.admit(0, new, 1.0, 0).expect("its own");
-    // What the former held ends, and is not taken from what the new one holds.
-    limiter.done(0, held, 1);
+    // The former's request ends, and is not subtracted from what the new one uses.
+    limiter.release(0, permit, 1);
     limiter.disconnect(old);
     assert_eq!(limiter.usage(new).expect("there").in_flight, 1);
-    limiter.done(0, own, 1);
-    assert_eq!(limiter.held(), (0, 0));
+    limiter.release(0, own, 1);
+    assert_eq!(limiter.in_use(), ResourcesInUse { in_flight: 0, body_bytes: 0 });
 }
 
 #[test]
-fn the_idle_cost_nothing_to_the_busy() {
+fn idle_tenants_have_no_share() {
     let mut limiter = Limiter::new(capacity(1000.0));
-    let ids: Vec<TenantId> = (0..1000).map(|_| limiter.add(0, weighing(1))).collect();
+    let ids: Vec<TenantId> = (0..1000).map(|_| limiter.add_tenant(0, with_weight(1))).collect();
     let rates: Vec<f64> = (0..10).map(|_| 300.0).collect();
     // The first periods know of no demand yet.
-    play(&mut limiter, &ids[..10], &rates, 0, SECOND, 5);
-    let got = play(&mut limiter, &ids[..10], &rates, SECOND, 10 * SECOND, 5);
-    assert!(got.iter().all(|g| (900..=1100).contains(g)), "{got:?}");
+    simulate(&mut limiter, &ids[..10], &rates, 0, SECOND, 5);
+    let admitted = simulate(&mut limiter, &ids[..10], &rates, SECOND, 10 * SECOND, 5);
+    assert!(admitted.iter().all(|count| (900..=1100).contains(count)), "{admitted:?}");
     // After a pause all are idle, and the first that comes is served.
-    assert!(limiter.admit(11 * SECOND + 2 * IDLE, ids[999], 1.0, 0).is_ok());
+    assert!(limiter.admit(11 * SECOND + 2 * IDLE_TIMEOUT, ids[999], 1.0, 0).is_ok());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
-    /// Whatever the others do, a tenant that asks for no more than its guaranteed part is served.
+    /// Whatever the others do, a tenant that demands no more than its guaranteed share is served.
     #[test]
-    fn no_tenant_with_demand_starves(
+    fn a_tenant_within_its_guaranteed_share_is_not_starved(
         weights in prop::collection::vec(1..20_u32, 2..8),
-        storms in prop::collection::vec(0.0..8000.0_f64, 8),
+        other_rates in prop::collection::vec(0.0..8000.0_f64, 8),
         seed in any::<u32>(),
     ) {
         let mut limiter = Limiter::new(capacity(2000.0));
-        let ids: Vec<TenantId> = weights.iter().map(|w| limiter.add(0, weighing(*w))).collect();
+        let ids: Vec<TenantId> = weights.iter().map(|w| limiter.add_tenant(0, with_weight(*w))).collect();
         let all: u32 = weights.iter().sum();
         let own = 0.8 * 2000.0 * f64::from(weights[0]) / f64::from(all);
-        let mut rates: Vec<f64> = storms[..weights.len()].to_vec();
+        let mut rates: Vec<f64> = other_rates[..weights.len()].to_vec();
         rates[0] = own;
-        play(&mut limiter, &ids, &rates, 0, SECOND, seed.into());
+        simulate(&mut limiter, &ids, &rates, 0, SECOND, seed.into());
         let before = limiter.usage(ids[0]).expect("there");
-        play(&mut limiter, &ids, &rates, SECOND, 4 * SECOND, u64::from(seed) + 1);
+        simulate(&mut limiter, &ids, &rates, SECOND, 4 * SECOND, u64::from(seed) + 1);
         let after = limiter.usage(ids[0]).expect("there");
-        let refused = after.refused.iter().sum::<u64>() - before.refused.iter().sum::<u64>();
+        let refused = after.rejected.total() - before.rejected.total();
         let asked = after.admitted - before.admitted + refused;
         prop_assert!(refused as f64 <= 0.10 * asked as f64 + 5.0, "{refused} of {asked}");
     }
 
-    /// Shares add up to what is asked for or to the capacity, none gets more than it asks for, and none could get
-    /// more without one that has less for its weight getting less.
+    /// Shares add up to the demand or to the capacity, none exceeds its demand, and none could grow without one that
+    /// is smaller for its weight shrinking.
     #[test]
-    fn filling_is_fair(asks in prop::collection::vec((0.0..1000.0_f64, 1.0..20.0_f64), 1..20), work in 0.0..4000.0_f64) {
-        let shares = fill(work, &asks);
-        let (sum, demand): (f64, f64) = (shares.iter().sum(), asks.iter().map(|(d, _)| d).sum());
+    fn max_min_shares_are_fair(asks in prop::collection::vec((0.0..1000.0_f64, 1.0..20.0_f64), 1..20), work in 0.0..4000.0_f64) {
+        let demands: Vec<Demand> = asks.iter().map(|(amount, weight)| Demand { amount: *amount, weight: *weight }).collect();
+        let shares = max_min_fair_shares(work, &demands);
+        let (sum, demand): (f64, f64) = (shares.iter().sum(), demands.iter().map(|demand| demand.amount).sum());
         prop_assert!((sum - work.min(demand)).abs() < 1e-6 * (1.0 + work));
-        let level = |i: usize| shares[i] / asks[i].1;
-        for i in 0..asks.len() {
-            prop_assert!(shares[i] <= asks[i].0 + 1e-9);
-            if shares[i] < asks[i].0 - 1e-6 {
-                prop_assert!((0..asks.len()).all(|j| level(j) <= level(i) + 1e-6));
+        let level = |i: usize| shares[i] / demands[i].weight;
+        for i in 0..demands.len() {
+            prop_assert!(shares[i] <= demands[i].amount + 1e-9);
+            if shares[i] < demands[i].amount - 1e-6 {
+                prop_assert!((0..demands.len()).all(|j| level(j) <= level(i) + 1e-6));
             }
         }
     }
 
-    /// Nothing that is held is lost or held twice, in any order of events.
+    /// Nothing is leaked or released twice, in any order of events.
     #[test]
-    fn what_is_taken_is_given_back(events in prop::collection::vec((0..6_u8, 0..4_usize, 0..500_u64), 0..200)) {
-        let bounds = Capacity { work_per_s: 500.0, in_flight: 20, body_bytes: 3000 };
+    fn acquired_resources_are_released(events in prop::collection::vec((0..6_u8, 0..4_usize, 0..500_u64), 0..200)) {
+        let bounds = Capacity { requests_per_s: 500.0, in_flight: 20, body_bytes: 3000 };
         let mut limiter = Limiter::new(bounds);
-        let mut ids: Vec<TenantId> = (0..4).map(|i| limiter.add(0, weighing(i + 1))).collect();
-        let mut open: Vec<Admitted> = Vec::new();
+        let mut ids: Vec<TenantId> = (0..4).map(|i| limiter.add_tenant(0, with_weight(i + 1))).collect();
+        let mut open: Vec<Permit> = Vec::new();
         let mut now = 0;
         for (event, i, amount) in events {
             now += amount as Micros * 100;
             match event {
                 0..=2 => open.extend(limiter.admit(now, ids[i], 0.5, amount)),
                 3 if !open.is_empty() => {
-                    let admitted = open.swap_remove(i % open.len());
-                    limiter.done(now, admitted, i);
+                    let permit = open.swap_remove(i % open.len());
+                    limiter.release(now, permit, i);
                 }
                 4 => {
-                    limiter.remove(ids[i]);
-                    ids[i] = limiter.add(now, weighing(1));
+                    limiter.remove_tenant(ids[i]);
+                    ids[i] = limiter.add_tenant(now, with_weight(1));
                 }
-                5 => limiter.set(now, ids[i], Limits { in_flight: amount % 10, ..weighing(2) }),
+                5 => limiter.set_limits(now, ids[i], Limits { in_flight: amount % 10, ..with_weight(2) }),
                 _ => {}
             }
-            let (in_flight, bytes) = limiter.held();
+            let ResourcesInUse { in_flight, body_bytes } = limiter.in_use();
             prop_assert_eq!(in_flight, open.len() as u64);
-            prop_assert!(in_flight <= bounds.in_flight && bytes <= bounds.body_bytes);
+            prop_assert!(in_flight <= bounds.in_flight && body_bytes <= bounds.body_bytes);
         }
-        open.into_iter().for_each(|a| limiter.done(now, a, 1));
-        prop_assert_eq!(limiter.held(), (0, 0));
+        open.into_iter().for_each(|a| limiter.release(now, a, 1));
+        prop_assert_eq!(limiter.in_use(), ResourcesInUse { in_flight: 0, body_bytes: 0 });
     }
 }
--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -170,7 +170,7 @@
     let mut reply = reply(turned.status);
     if let Some(cause) = turned.cause {
         reply.headers_mut().insert(CAUSE, HeaderValue::from_static(cause));
-        if cause == limit::Cause::Connections.name() {
+        if cause == limit::RejectReason::Connections.name() {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
     }
--- a/crates/proxy/src/downstream/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -249,7 +249,7 @@
         let taken = self.way(&call, frame, &entered.tally);
         entered.taken = taken.map_err(|turned| {
             entered.tally.record(turned.fate());
-            self.unwanted |= turned.cause == Some(limit::Cause::Connections.name());
+            self.unwanted |= turned.cause == Some(limit::RejectReason::Connections.name());
             Some(turned_away(entered.id.as_deref(), turned))
         });
         entered
--- a/crates/proxy/src/inherited_socket.rs
+++ b/crates/proxy/src/inherited_socket.rs
@@ -1,64 +1,150 @@
-//! Listening sockets that whoever started the process holds, and passes on to the next one: one that the platform names,
-//! or as many as there are listeners, in their order, as systemd passes them.
+//! Listening sockets inherited from the process that started this one, so that a successor accepts on the same sockets.
+//!
+//! Two conventions: the platform names one descriptor in `LB_PASSED_SOCKET`; systemd's socket activation (`LISTEN_FDS`,
+//! `LISTEN_PID`) passes one socket for each configured listener, in their order.
 
+use std::fmt;
 use std::net::{SocketAddr, TcpListener};
 
 use listenfd::ListenFd;
 
-/// Names the descriptor.
-const PASSED: &str = "LB_PASSED_SOCKET";
-/// The first descriptor that can be passed on, as systemd counts them.
-const FIRST: usize = 3;
-/// Far more than anybody passes on.
-const MOST: usize = 64;
+/// The variable that names the platform's descriptor.
+const DESCRIPTOR_VARIABLE: &str = "LB_PASSED_SOCKET";
+/// The first descriptor of systemd's socket activation (`SD_LISTEN_FDS_START`).
+const FIRST_DESCRIPTOR: usize = 3;
+/// The largest number of descriptors that can be passed on.
+const MAX_DESCRIPTORS: usize = 64;
 
-/// The socket that was passed on, if one was. To be asked for once, before there is another thread.
+/// Why an inherited socket cannot be used.
+#[derive(Debug)]
+pub enum InheritedSocketError {
+    /// The descriptor named in `LB_PASSED_SOCKET` cannot be used.
+    Descriptor { value: String, reason: SocketFault },
+    /// The number of sockets differs from that of the configured listeners.
+    Count { passed: usize, configured: usize },
+    /// The socket of one listener cannot be used.
+    Socket { index: usize, reason: SocketFault },
+}
+
+/// What is wrong with one inherited socket.
+#[derive(Debug)]
+pub enum SocketFault {
+    /// Not a number within the range of descriptors that can be passed on.
+    BadDescriptor,
+    /// There is no socket at this descriptor.
+    Missing,
+    /// The socket was taken before.
+    AlreadyTaken,
+    /// The socket listens on another address than the configured one.
+    Address {
+        bound: SocketAddr,
+        configured: SocketAddr,
+    },
+    Io(std::io::Error),
+}
+
+impl fmt::Display for SocketFault {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SocketFault::BadDescriptor => f.write_str("not a descriptor that can be passed on"),
+            SocketFault::Missing => f.write_str("nothing was passed on"),
+            SocketFault::AlreadyTaken => f.write_str("taken before"),
+            SocketFault::Address { bound, configured } => {
+                write!(f, "listens on {bound}, and `listen` says {configured}")
+            }
+            SocketFault::Io(source) => source.fmt(f),
+        }
+    }
+}
+
+impl fmt::Display for InheritedSocketError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            InheritedSocketError::Descriptor { value, reason } => {
+                write!(f, "{DESCRIPTOR_VARIABLE}={value:?}: {reason}")
+            }
+            InheritedSocketError::Count { passed, configured } => {
+                write!(f, "LISTEN_FDS: {passed} sockets were passed on, and `listen` has {configured}")
+            }
+            InheritedSocketError::Socket { index, reason } => {
+                write!(f, "LISTEN_FDS: socket {}: {reason}", index + 1)
+            }
+        }
+    }
+}
+
+impl std::error::Error for InheritedSocketError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            InheritedSocketError::Descriptor { reason: SocketFault::Io(source), .. }
+            | InheritedSocketError::Socket { reason: SocketFault::Io(source), .. } => Some(source),
+            _ => None,
+        }
+    }
+}
+
+/// The platform's inherited socket, if there is one. To be called once, before another thread is started: it sets
+/// environment variables.
 ///
 /// # Errors
-/// What was named is no listening socket, in a line.
-pub fn listener() -> Result<Option<TcpListener>, String> {
-    let Some(named) = std::env::var_os(PASSED) else { return Ok(None) };
-    let named = named.to_string_lossy().into_owned();
-    let fault = |e: String| format!("{PASSED}={named:?}: {e}");
-    let number = named.trim().parse().ok().filter(|n| (FIRST..FIRST + MOST).contains(n));
-    let number = number.ok_or_else(|| fault("not a descriptor that can be passed on".to_owned()))?;
-    // As systemd would have said it; the library takes no other word.
+/// The named descriptor is no listening socket.
+pub fn platform_listener() -> Result<Option<TcpListener>, InheritedSocketError> {
+    let Some(value) = std::env::var_os(DESCRIPTOR_VARIABLE) else { return Ok(None) };
+    let value = value.to_string_lossy().into_owned();
+    match take_descriptor(&value) {
+        Ok(listener) => Ok(Some(listener)),
+        Err(reason) => Err(InheritedSocketError::Descriptor { value, reason }),
+    }
+}
+
+fn take_descriptor(value: &str) -> Result<TcpListener, SocketFault> {
+    let range = FIRST_DESCRIPTOR..FIRST_DESCRIPTOR + MAX_DESCRIPTORS;
+    let descriptor = value.trim().parse().ok().filter(|number| range.contains(number));
+    let index = descriptor.ok_or(SocketFault::BadDescriptor)? - FIRST_DESCRIPTOR;
+    // The library reads nothing but systemd's variables.
     std::env::remove_var("LISTEN_PID");
-    std::env::set_var("LISTEN_FDS", (number - FIRST + 1).to_string());
-    let listener =
-        ListenFd::from_env().take_tcp_listener(number - FIRST).map_err(|e| fault(e.to_string()))?;
-    let listener = listener.ok_or_else(|| fault("nothing was passed on".to_owned()))?;
-    listener.set_nonblocking(true).map_err(|e| fault(e.to_string()))?;
-    Ok(Some(listener))
+    std::env::set_var("LISTEN_FDS", (index + 1).to_string());
+    let listener = ListenFd::from_env().take_tcp_listener(index).map_err(SocketFault::Io)?;
+    let listener = listener.ok_or(SocketFault::Missing)?;
+    listener.set_nonblocking(true).map_err(SocketFault::Io)?;
+    Ok(listener)
 }
 
-/// The sockets that were passed on as systemd does it (`LISTEN_FDS`, `LISTEN_PID`), for listeners at these addresses in
-/// their order; none were if there is nothing of the kind.
+/// The sockets passed on by systemd's socket activation for listeners at these addresses, in their order. None where
+/// no socket was passed on.
 ///
 /// # Errors
-/// They are others, or no listening sockets, in a line.
-pub fn listeners(wanted: &[SocketAddr]) -> Result<Option<Vec<TcpListener>>, String> {
+/// Their number or an address differs from the configured ones, or one is no listening socket.
+pub fn systemd_listeners(
+    configured: &[SocketAddr],
+) -> Result<Option<Vec<TcpListener>>, InheritedSocketError> {
     let mut passed = ListenFd::from_env();
     if passed.len() == 0 {
         return Ok(None);
     }
-    if passed.len() != wanted.len() {
-        return Err(format!(
-            "LISTEN_FDS: {} sockets were passed on, and `listen` has {}",
-            passed.len(),
-            wanted.len()
-        ));
+    if passed.len() != configured.len() {
+        return Err(InheritedSocketError::Count { passed: passed.len(), configured: configured.len() });
     }
-    let take = |(place, wanted): (usize, &SocketAddr)| {
-        let fault = |e: String| format!("LISTEN_FDS: socket {}: {e}", place + 1);
-        let listener = passed.take_tcp_listener(place).map_err(|e| fault(e.to_string()))?;
-        let listener = listener.ok_or_else(|| fault("taken before".to_owned()))?;
-        let address = listener.local_addr().map_err(|e| fault(e.to_string()))?;
-        if address != *wanted && wanted.port() != 0 {
-            return Err(fault(format!("listens on {address}, and `listen` says {wanted}")));
-        }
-        listener.set_nonblocking(true).map_err(|e| fault(e.to_string()))?;
-        Ok(listener)
-    };
-    wanted.iter().enumerate().map(take).collect::<Result<_, _>>().map(Some)
+    let mut listeners = Vec::with_capacity(configured.len());
+    for (index, address) in configured.iter().enumerate() {
+        let listener = take_listener(&mut passed, index, *address)
+            .map_err(|reason| InheritedSocketError::Socket { index, reason })?;
+        listeners.push(listener);
+    }
+    Ok(Some(listeners))
+}
+
+fn take_listener(
+    passed: &mut ListenFd,
+    index: usize,
+    configured: SocketAddr,
+) -> Result<TcpListener, SocketFault> {
+    let listener = passed.take_tcp_listener(index).map_err(SocketFault::Io)?;
+    let listener = listener.ok_or(SocketFault::AlreadyTaken)?;
+    let bound = listener.local_addr().map_err(SocketFault::Io)?;
+    if bound != configured && configured.port() != 0 {
+        return Err(SocketFault::Address { bound, configured });
+    }
+    listener.set_nonblocking(true).map_err(SocketFault::Io)?;
+    Ok(listener)
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -34,4 +34,5 @@
 mod snapshot;
 mod socket;
 pub mod standalone;
+pub mod start_error;
 pub mod upstream;
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,8 +1,8 @@
-//! Lines for the operators, on standard error.
+//! Log lines on standard error.
 
 use std::io::Write;
 
-/// A line for the operators. Unlike `eprintln!` it does not panic when nobody reads the log any more.
+/// Writes one line. Unlike `eprintln!` it does not panic when standard error is closed.
 pub fn say(line: std::fmt::Arguments<'_>) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
--- /dev/null
+++ b/crates/proxy/src/operators/context.rs
@@ -0,0 +1,84 @@
+//! What pools need of the operators' address: metrics to count in, and the maintenance store.
+
+use std::rc::Rc;
+
+use config::Operators;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
+use crate::membership::{EndpointRegistry, RegistryObserver, RegistryView};
+use crate::metrics::{Labels, Metrics};
+use crate::operators::server;
+use crate::start_error::StartError;
+
+/// The metrics and the maintenance state of a process that has an operators' address.
+#[derive(Clone)]
+pub struct OperatorContext {
+    pub metrics: Rc<Metrics>,
+    pub maintenance: Rc<MaintenanceStore>,
+    /// The tenant whose pools are started; only in a hosted service.
+    pub tenant: Option<String>,
+}
+
+/// The operators' address, bound but not served yet.
+pub struct OperatorEndpoint {
+    pub listener: TcpListener,
+    pub context: OperatorContext,
+}
+
+impl OperatorEndpoint {
+    /// Binds the configured address and loads the maintenance state of earlier processes.
+    ///
+    /// # Errors
+    /// The address cannot be bound or the folder cannot be created.
+    pub async fn open(settings: &Operators) -> Result<OperatorEndpoint, StartError> {
+        let Operators { listen, folder } = settings;
+        let listener = server::bind(*listen).await?;
+        if let Some(path) = folder {
+            std::fs::create_dir_all(path)
+                .map_err(|source| StartError::OperatorsFolder { path: path.clone(), source })?;
+        }
+        let maintenance = Rc::new(MaintenanceStore::new(folder.clone()));
+        let followed = Rc::clone(&maintenance);
+        spawn_local(async move { followed.follow().await });
+        let context = OperatorContext { metrics: Rc::new(Metrics::new(true)), maintenance, tenant: None };
+        Ok(OperatorEndpoint { listener, context })
+    }
+}
+
+impl OperatorContext {
+    /// The same for the pools of one tenant.
+    pub fn for_tenant(&self, tenant: &str) -> OperatorContext {
+        OperatorContext { tenant: Some(tenant.to_owned()), ..self.clone() }
+    }
+
+    /// The metric labels of a pool.
+    pub fn labels(&self, pool: &str) -> Labels {
+        let mut labels = vec![("pool", pool.to_owned())];
+        labels.extend(self.tenant.iter().map(|tenant| ("tenant", tenant.clone())));
+        labels
+    }
+
+    /// Maintenance of a pool's endpoints, which operators call `POOL/NAME` or `TENANT/POOL/NAME`.
+    pub fn overrides(&self, pool: &str) -> MaintenanceOverrides {
+        let qualified_pool = match &self.tenant {
+            Some(tenant) => format!("{tenant}/{pool}"),
+            None => pool.to_owned(),
+        };
+        MaintenanceOverrides { store: Rc::clone(&self.maintenance), pool: Some(qualified_pool) }
+    }
+}
+
+/// A view of the registry that observes the maintenance store for as long as the view exists.
+pub fn observe_maintenance(registry: &EndpointRegistry, overrides: MaintenanceOverrides) -> Rc<RegistryView> {
+    let store = Rc::clone(&overrides.store);
+    let view = Rc::new(RegistryView {
+        known: Rc::clone(&registry.known),
+        handle: registry.handle.clone(),
+        backends: Rc::clone(&registry.backends),
+        overrides,
+    });
+    store.tell(Rc::downgrade(&(Rc::clone(&view) as Rc<dyn RegistryObserver>)));
+    view
+}
--- /dev/null
+++ b/crates/proxy/src/platform/config_file.rs
@@ -0,0 +1,205 @@
+//! The platform's configuration file: its JSON form, checks and errors.
+
+use std::collections::BTreeSet;
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+
+use config::{parse_endpoint_list, split_sockets, ParsedEndpointList};
+use decide::platform_settings::{self, PlatformSettings};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use crate::operators;
+
+/// Names the configuration file.
+const PATH_VARIABLE: &str = "LB_CONFIG";
+/// Sockets of the process where the configuration does not say.
+const DEFAULT_SOCKETS: usize = 1024;
+
+/// The configuration of a process in the platform's mode.
+pub struct Config {
+    pub listen: SocketAddr,
+    pub discovery: SocketAddr,
+    /// The operators' address, if there is one.
+    pub operators: Option<SocketAddr>,
+    pub seed: u64,
+    pub max_downstream_connections: usize,
+    pub max_upstream_connections: usize,
+    /// The endpoints known before discovery has answered.
+    pub initial_list: Option<ParsedEndpointList>,
+    /// Set only where the settings allow gossip.
+    pub gossip: Option<GossipConfig>,
+    pub platform: PlatformSettings,
+}
+
+/// The gossip between the proxies of a tier.
+pub struct GossipConfig {
+    pub listen: SocketAddr,
+    /// By rank.
+    pub peers: Vec<SocketAddr>,
+}
+
+/// Why the configuration cannot be used.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// `LB_CONFIG` is not set.
+    NoPath,
+    /// The file cannot be read.
+    Read { path: String, source: io::Error },
+    /// The content of the file is invalid.
+    Invalid { path: String, source: InvalidConfig },
+}
+
+/// What is invalid in a configuration.
+#[derive(Debug)]
+pub enum InvalidConfig {
+    Json(serde_json::Error),
+    /// Too few sockets to serve with.
+    Sockets(usize),
+    Settings(String),
+    /// Peers are told apart by their addresses.
+    DuplicatePeer(SocketAddr),
+    /// The seed is no 64-bit number in hexadecimal digits.
+    Seed(String),
+    InitialList(String),
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ConfigError::NoPath => write!(f, "{PATH_VARIABLE} does not name a configuration file"),
+            ConfigError::Read { path, source } => write!(f, "cannot read {path}: {source}"),
+            ConfigError::Invalid { path, source } => write!(f, "{path}: {source}"),
+        }
+    }
+}
+
+impl std::error::Error for ConfigError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ConfigError::NoPath => None,
+            ConfigError::Read { source, .. } => Some(source),
+            ConfigError::Invalid { source, .. } => Some(source),
+        }
+    }
+}
+
+impl fmt::Display for InvalidConfig {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            InvalidConfig::Json(source) => write!(f, "bad configuration: {source}"),
+            InvalidConfig::Sockets(sockets) => {
+                write!(f, "limits.sockets: too few to serve with: {sockets}")
+            }
+            InvalidConfig::Settings(message) => f.write_str(message),
+            InvalidConfig::DuplicatePeer(address) => write!(f, "peers: {address} stands in it twice"),
+            InvalidConfig::Seed(seed) => {
+                write!(f, "seed: not a 64-bit number in hex digits: {seed:?}")
+            }
+            InvalidConfig::InitialList(message) => write!(f, "known: {message}"),
+        }
+    }
+}
+
+impl std::error::Error for InvalidConfig {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            InvalidConfig::Json(source) => Some(source),
+            _ => None,
+        }
+    }
+}
+
+/// The JSON form of the file.
+#[derive(Deserialize)]
+#[serde(expecting = "struct File")]
+struct ConfigFile<'a> {
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    #[serde(rename = "mgmt")]
+    operators: Option<SocketAddr>,
+    seed: String,
+    #[serde(default)]
+    limits: Limits,
+    #[serde(borrow, rename = "known")]
+    initial_list: Option<&'a RawValue>,
+    #[serde(rename = "peer_listen")]
+    gossip_listen: Option<SocketAddr>,
+    #[serde(default)]
+    peers: Vec<SocketAddr>,
+    #[serde(borrow)]
+    settings: &'a RawValue,
+}
+
+#[derive(Deserialize)]
+#[serde(default)]
+struct Limits {
+    sockets: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits { sockets: DEFAULT_SOCKETS }
+    }
+}
+
+impl Config {
+    /// Reads the file that `LB_CONFIG` names.
+    ///
+    /// # Errors
+    /// There is no such file, or its content is invalid.
+    pub fn from_env() -> Result<Config, ConfigError> {
+        let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::NoPath)?;
+        let shown_path = path.to_string_lossy().into_owned();
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Read { path: shown_path, source }),
+        };
+        Config::parse(&text).map_err(|source| ConfigError::Invalid { path: shown_path, source })
+    }
+
+    fn parse(text: &str) -> Result<Config, InvalidConfig> {
+        let file: ConfigFile = serde_json::from_str(text).map_err(InvalidConfig::Json)?;
+        let operator_sockets = if file.operators.is_some() { operators::server::SOCKETS } else { 0 };
+        let (max_downstream_connections, max_upstream_connections) =
+            split_sockets(file.limits.sockets.saturating_sub(operator_sockets))
+                .ok_or(InvalidConfig::Sockets(file.limits.sockets))?;
+        let platform = platform_settings::parse(file.settings.get()).map_err(InvalidConfig::Settings)?;
+        let gossip_allowed = platform.settings.gossip_allowed;
+        if gossip_allowed {
+            check_unique(&file.peers)?;
+        }
+        Ok(Config {
+            listen: file.listen,
+            discovery: file.discovery,
+            operators: file.operators,
+            seed: parse_seed(&file.seed)?,
+            max_downstream_connections,
+            max_upstream_connections,
+            initial_list: file.initial_list.map(parse_initial_list).transpose()?,
+            gossip: file
+                .gossip_listen
+                .filter(|_| gossip_allowed)
+                .map(|listen| GossipConfig { listen, peers: file.peers }),
+            platform,
+        })
+    }
+}
+
+fn parse_seed(seed: &str) -> Result<u64, InvalidConfig> {
+    u64::from_str_radix(seed, 16).map_err(|_| InvalidConfig::Seed(seed.to_owned()))
+}
+
+fn parse_initial_list(json: &RawValue) -> Result<ParsedEndpointList, InvalidConfig> {
+    parse_endpoint_list(json.get().as_bytes()).map_err(InvalidConfig::InitialList)
+}
+
+/// The sender of a gossip message is identified by its address.
+fn check_unique(peers: &[SocketAddr]) -> Result<(), InvalidConfig> {
+    let mut addresses = BTreeSet::new();
+    match peers.iter().find(|peer| !addresses.insert(**peer)) {
+        Some(duplicate) => Err(InvalidConfig::DuplicatePeer(*duplicate)),
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/platform/mod.rs
@@ -0,0 +1,227 @@
+//! The platform's mode: one pool, configured by the JSON file that `LB_CONFIG` names.
+//!
+//! [`serve`] assembles the process; its parts are below and in the sibling modules.
+
+mod config_file;
+mod operations;
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use config::{ParsedEndpointList, Protocol};
+use decide::platform_settings::PlatformSettings;
+use decide::Micros;
+use membership::{LeaseTerms, Policy};
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::{watch, Notify};
+use tokio::task::spawn_local;
+
+use crate::clock::Clock;
+use crate::downstream::{self, Frontend};
+use crate::driver::Driver;
+use crate::gossip::GossipSocket;
+use crate::log::say;
+use crate::membership::{Discovery, EndpointRegistry};
+use crate::metrics::{Labels, Metrics};
+use crate::process::{self, Signals};
+use crate::request_ids::OpenRequestIds;
+use crate::router::PlatformRouter;
+use crate::start_error::StartError;
+use crate::upstream::{Upstreams, DRAIN_MARGIN};
+use crate::{handover, inherited_socket, operators};
+
+pub use config_file::{Config, ConfigError, GossipConfig};
+
+/// The deadline for polls of discovery that is assumed where the settings have a shorter one or none, in microseconds.
+const MIN_POLL_DEADLINE: Micros = 10_000_000;
+/// A list may be used for this many poll deadlines after a failed poll.
+const LEASE_POLL_DEADLINES: Micros = 4;
+
+/// Runs the proxy configured by `LB_CONFIG` until it is asked to shut down and every accepted request has its answer.
+///
+/// # Errors
+/// The process could not start.
+pub fn run() -> Result<(), StartError> {
+    let config = Config::from_env()?;
+    let inherited = inherited_socket::platform_listener()?;
+    // A proxy has one core: further threads would only move work between caches.
+    process::block_on(serve(config, inherited))
+}
+
+async fn serve(config: Config, inherited: Option<std::net::TcpListener>) -> Result<(), StartError> {
+    let Signals { mut shutdown, hangup } = Signals::install()?;
+    let is_shared_socket = inherited.is_some();
+    let listener = bind(config.listen, inherited).await?;
+    let operator_listener = match config.operators {
+        Some(address) => Some(operators::server::bind(address).await?),
+        None => None,
+    };
+    let address = listener.local_addr().map_err(StartError::LocalAddress)?;
+    let gossip = bind_gossip(config.gossip.as_ref()).await?;
+    let metrics = Rc::new(Metrics::new(false));
+    let shutting_down = Rc::new(Cell::new(false));
+    let mut pool = PlatformPool::new(&config, &metrics, gossip.clone());
+    let frontend = Frontend {
+        router: Rc::new(pool.router(&config.platform, &metrics)),
+        ids: OpenRequestIds::default(),
+        protocol: Protocol::Http,
+        shared: is_shared_socket,
+    };
+
+    if let Some(gossip) = gossip {
+        let driver = pool.driver.handle();
+        spawn_local(async move { gossip.receive(driver).await });
+    }
+    let state_folder = std::env::var_os("TMPDIR").map(PathBuf::from);
+    // Only a process that shares its socket has a successor.
+    if let Some(folder) = state_folder.clone().filter(|_| is_shared_socket) {
+        hand_over_learned_state(folder, &pool.registry, Rc::clone(&shutting_down));
+    }
+    if let Some(listener) = operator_listener {
+        let shutting_down = Rc::clone(&shutting_down);
+        operations::serve(listener, state_folder, &mut pool.registry, metrics, shutting_down);
+    }
+    let (address_sender, discovery_address) = watch::channel(config.discovery);
+    pool.start(&config.platform, config.seed, discovery_address, config.initial_list);
+    spawn_local(reload_on_hangup(hangup, address_sender));
+
+    say(format_args!("listening on {address}"));
+    let stop = async move {
+        shutdown.received().await;
+        shutting_down.set(true);
+    };
+    downstream::run(frontend, listener, config.max_downstream_connections, stop).await;
+    Ok(())
+}
+
+/// The only pool of the process, assembled and not started yet.
+struct PlatformPool {
+    driver: Driver,
+    upstreams: Rc<Upstreams>,
+    registry: EndpointRegistry,
+    /// Notified when the decisions want discovery to be polled.
+    poll_requested: Rc<Notify>,
+}
+
+impl PlatformPool {
+    fn new(config: &Config, metrics: &Metrics, gossip: Option<Rc<GossipSocket>>) -> PlatformPool {
+        let PlatformSettings { settings, names, transport } = &config.platform;
+        let clock = Clock::new();
+        let upstreams = Upstreams::new(transport.clone(), config.max_upstream_connections);
+        let upstreams = Rc::new(upstreams.counting(metrics.attempts(&Labels::new())));
+        let poll_requested = Rc::new(Notify::new());
+        let driver = Driver::new(
+            settings.clone(),
+            config.seed,
+            clock,
+            Rc::clone(&upstreams),
+            gossip,
+            Rc::clone(&poll_requested),
+        );
+        let registry = EndpointRegistry::new(
+            clock,
+            Rc::new(RefCell::new(names.clone())),
+            driver.handle(),
+            Rc::clone(&upstreams),
+            Rc::default(),
+        );
+        PlatformPool { driver, upstreams, registry, poll_requested }
+    }
+
+    fn router(&self, platform: &PlatformSettings, metrics: &Metrics) -> PlatformRouter {
+        let counters = |class: &String| metrics.request_counters(class, &Labels::new());
+        PlatformRouter {
+            handle: self.driver.handle(),
+            names: platform.names.clone(),
+            settings: platform.settings.clone(),
+            ready: Rc::clone(&self.registry.ready),
+            counts: platform.names.classes.iter().map(counters).collect(),
+        }
+    }
+
+    /// Starts the decisions, discovery, and the maintenance of upstream connections.
+    fn start(
+        self,
+        platform: &PlatformSettings,
+        seed: u64,
+        discovery_address: watch::Receiver<SocketAddr>,
+        initial_list: Option<ParsedEndpointList>,
+    ) {
+        let PlatformPool { driver, upstreams, registry, poll_requested } = self;
+        let discovery = Discovery {
+            address: discovery_address,
+            registry,
+            subscribe: platform.settings.poll_discovery.then_some(poll_requested),
+            policy: discovery_policy(platform),
+            seed,
+            complained: false,
+        };
+        spawn_local(driver.run());
+        spawn_local(discovery.run(initial_list));
+        spawn_local(async move { upstreams.sweep().await });
+    }
+}
+
+/// Listens on the inherited socket, or binds the configured address where there is none.
+async fn bind(
+    address: SocketAddr,
+    inherited: Option<std::net::TcpListener>,
+) -> Result<TcpListener, StartError> {
+    let listener = match inherited {
+        Some(socket) => TcpListener::from_std(socket),
+        None => TcpListener::bind(address).await,
+    };
+    listener.map_err(|source| StartError::Listen { address, source })
+}
+
+async fn bind_gossip(config: Option<&GossipConfig>) -> Result<Option<Rc<GossipSocket>>, StartError> {
+    let Some(GossipConfig { listen, peers }) = config else { return Ok(None) };
+    let socket = GossipSocket::bind(*listen, peers.clone()).await.map_err(StartError::Gossip)?;
+    Ok(Some(Rc::new(socket)))
+}
+
+/// Imports what the previous process learned, and leaves this one's learned state to the next until shutdown.
+fn hand_over_learned_state(folder: PathBuf, registry: &EndpointRegistry, shutting_down: Rc<Cell<bool>>) {
+    let endpoints = Rc::clone(&registry.known);
+    let driver = registry.handle.clone();
+    let names = Rc::clone(&registry.names);
+    let clock = registry.clock;
+    handover::take_up(&folder, &endpoints, clock, &names.borrow(), &driver);
+    spawn_local(async move {
+        handover::leave(&folder, &endpoints, clock, &names, driver, &shutting_down).await;
+    });
+}
+
+/// Reloads the configuration on each SIGHUP. Only the address of discovery changes in a running proxy; everything else
+/// takes effect at the next start.
+async fn reload_on_hangup(mut hangup: Signal, discovery_address: watch::Sender<SocketAddr>) {
+    while hangup.recv().await.is_some() {
+        match Config::from_env() {
+            Ok(config) => {
+                say(format_args!("configuration read again: discovery is at {}", config.discovery));
+                discovery_address.send_if_modified(|address| {
+                    let former = std::mem::replace(address, config.discovery);
+                    former != config.discovery
+                });
+            }
+            Err(error) => say(format_args!("going on with the old configuration: {error}")),
+        }
+    }
+}
+
+/// How discovery is polled, and how long a list may be used: the settings bound the time that drains may take, so a list
+/// has a lease of [`LEASE_POLL_DEADLINES`] after a failed poll.
+fn discovery_policy(platform: &PlatformSettings) -> Policy {
+    let max_poll_interval = platform.settings.max_poll_interval.max(MIN_POLL_DEADLINE);
+    let terms = LeaseTerms {
+        drain_grace: platform.transport.drain_grace,
+        margin: DRAIN_MARGIN.as_micros() as Micros,
+        longest_stop: max_poll_interval * LEASE_POLL_DEADLINES,
+        // The longest outage of discovery that operators name is eight seconds.
+        believed_outage: max_poll_interval * 4 / 5,
+    };
+    Policy { answers_each: platform.settings.poll_discovery, lease: Some(terms) }
+}
--- /dev/null
+++ b/crates/proxy/src/platform/operations.rs
@@ -0,0 +1,60 @@
+//! What operators see and do in the platform's mode.
+
+use std::cell::Cell;
+use std::future::Future;
+use std::path::PathBuf;
+use std::pin::Pin;
+use std::rc::Rc;
+
+use membership::Refused;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
+use crate::membership::{EndpointRegistry, RegistryView};
+use crate::metrics::{Labels, Metrics};
+use crate::operators::{self, observe_maintenance, MaintenanceTarget, OperatorActions};
+
+/// The operators' actions on the platform's only pool.
+struct Operations {
+    metrics: Rc<Metrics>,
+    /// Observes the maintenance store for as long as it exists.
+    registry: Rc<RegistryView>,
+    ready: Rc<Cell<bool>>,
+    shutting_down: Rc<Cell<bool>>,
+}
+
+impl OperatorActions for Operations {
+    fn is_serving(&self) -> bool {
+        self.ready.get() && !self.shutting_down.get()
+    }
+
+    fn metrics_text(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
+        Box::pin(async { self.metrics.encode(&[self.registry.now(Labels::new()).await]) })
+    }
+
+    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, Refused> {
+        Ok(MaintenanceTarget { store: &self.registry.overrides.store, endpoint: id.to_owned() })
+    }
+}
+
+/// Serves operators, and puts the registry under the maintenance state kept in this folder.
+pub fn serve(
+    listener: TcpListener,
+    state_folder: Option<PathBuf>,
+    registry: &mut EndpointRegistry,
+    metrics: Rc<Metrics>,
+    shutting_down: Rc<Cell<bool>>,
+) {
+    let store = Rc::new(MaintenanceStore::new(state_folder));
+    let overrides = MaintenanceOverrides { store: Rc::clone(&store), pool: None };
+    registry.overrides = Some(overrides.clone());
+    let operations = Operations {
+        metrics,
+        registry: observe_maintenance(registry, overrides),
+        ready: Rc::clone(&registry.ready),
+        shutting_down,
+    };
+    spawn_local(async move { store.follow().await });
+    spawn_local(operators::server::serve(listener, Rc::new(operations)));
+}
--- /dev/null
+++ b/crates/proxy/src/pool/staleness.rs
@@ -0,0 +1,30 @@
+//! Warnings about an endpoint list whose source does not answer. The list stays in use.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{sleep, Instant};
+
+use crate::log::say;
+
+/// The first warning is logged at this age of the list, further ones whenever the age has doubled.
+const WARNING_AGE: Duration = Duration::from_secs(10);
+/// How often the age is checked.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Logs warnings for as long as it is polled.
+pub(super) async fn warn_when_stale(pool: String, last_update: Rc<Cell<Instant>>) {
+    let mut next_warning_age = WARNING_AGE;
+    loop {
+        sleep(CHECK_INTERVAL).await;
+        let age = last_update.get().elapsed();
+        if age < WARNING_AGE {
+            next_warning_age = WARNING_AGE;
+        } else if age >= next_warning_age {
+            let seconds = age.as_secs();
+            say(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
+            next_warning_age *= 2;
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/pool/start.rs
@@ -0,0 +1,139 @@
+//! Assembly of a pool: decisions, upstream connections, endpoint registry, and the source of its endpoint list.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use config::{Config, Protocol, Source};
+use decide::platform_settings::{NameTable, Transport};
+use decide::UpdateScope;
+use membership::Policy;
+use tokio::sync::{watch, Notify};
+
+use super::staleness::warn_when_stale;
+use super::tasks::TaskSet;
+use super::{endpoint_list, OperatorView, Pool, PoolContext};
+use crate::driver::Driver;
+use crate::membership::{Discovery, EndpointRegistry, FileWatch};
+use crate::operators::{observe_maintenance, OperatorContext};
+use crate::upstream::{RpcSettings, Upstreams};
+
+impl Pool {
+    /// Starts the pool at `index` of a configuration, with at most `max_connections` to its endpoints.
+    pub fn start(config: &Config, index: usize, max_connections: usize, context: &PoolContext<'_>) -> Pool {
+        let pool = &config.pools[index];
+        let PoolContext { clock, seed, operators } = *context;
+        let names = Rc::new(RefCell::new(name_table(config)));
+        let upstreams = Rc::new(new_upstreams(config, pool, max_connections, operators));
+        let poll_requested = Rc::new(Notify::new());
+        let decision_driver = Driver::new(
+            config.settings(pool),
+            seed,
+            clock,
+            Rc::clone(&upstreams),
+            None,
+            Rc::clone(&poll_requested),
+        );
+        let driver = decision_driver.handle();
+        let ready = Rc::new(Cell::new(false));
+        let mut registry = EndpointRegistry::new(
+            clock,
+            Rc::clone(&names),
+            driver.clone(),
+            Rc::clone(&upstreams),
+            Rc::clone(&ready),
+        );
+        let operator_view =
+            operators.map(|operators| OperatorView::attach(operators, &pool.name, &mut registry));
+        let endpoints = Rc::clone(&registry.known);
+        let last_update = Rc::clone(&registry.heard);
+
+        let mut tasks = TaskSet::default();
+        tasks.spawn(decision_driver.run());
+        let swept = Rc::clone(&upstreams);
+        tasks.spawn(async move { swept.sweep().await });
+        let mut static_registry = None;
+        match &pool.source {
+            Source::List(nodes) => {
+                registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
+                static_registry = Some(RefCell::new(registry));
+            }
+            Source::File(path) => {
+                tasks.spawn(FileWatch::new(pool.name.clone(), path.clone(), registry).run());
+            }
+            Source::Discovery(address) => {
+                tasks.spawn(run_discovery(*address, registry, poll_requested, seed));
+            }
+        }
+        if static_registry.is_none() {
+            tasks.spawn(warn_when_stale(pool.name.clone(), Rc::clone(&last_update)));
+        }
+        Pool {
+            _tasks: tasks,
+            name: pool.name.clone(),
+            driver,
+            upstreams,
+            clock,
+            names,
+            endpoints,
+            ready,
+            last_update,
+            static_registry,
+            operator_view,
+        }
+    }
+}
+
+impl OperatorView {
+    /// Puts a pool's registry under the operators' maintenance.
+    fn attach(operators: &OperatorContext, pool: &str, registry: &mut EndpointRegistry) -> OperatorView {
+        let overrides = operators.overrides(pool);
+        registry.overrides = Some(overrides.clone());
+        OperatorView { registry: observe_maintenance(registry, overrides), labels: operators.labels(pool) }
+    }
+}
+
+fn name_table(config: &Config) -> NameTable {
+    let classes = config.classes.iter().map(|class| class.name.clone()).collect();
+    NameTable::new(classes, config.zones.clone(), config.kinds.clone())
+}
+
+fn new_upstreams(
+    config: &Config,
+    pool: &config::Pool,
+    max_connections: usize,
+    operators: Option<&OperatorContext>,
+) -> Upstreams {
+    let limits = &config.limits;
+    let transport = Transport {
+        keepalive: limits.keep_alive,
+        connect_timeout: limits.connect_timeout,
+        drain_grace: limits.drain_grace,
+    };
+    let mut upstreams = Upstreams::new(transport, max_connections);
+    if let Some(operators) = operators {
+        upstreams = upstreams.counting(operators.metrics.attempts(&operators.labels(&pool.name)));
+    }
+    match pool.protocol {
+        Protocol::Http => upstreams,
+        Protocol::JsonRpc { framing, calls } => {
+            upstreams.speaking(RpcSettings { framing, calls, cancel: pool.cancel.clone() })
+        }
+    }
+}
+
+/// Keeps a pool's list up to date from discovery, for as long as it is polled.
+async fn run_discovery(
+    address: SocketAddr,
+    registry: EndpointRegistry,
+    poll_requested: Rc<Notify>,
+    seed: u64,
+) {
+    // The address never changes: another address is another source, and so another pool.
+    let (_address_sender, address) = watch::channel(address);
+    // The configuration has no time limit for drains, so the list may be used while discovery is down.
+    let policy = Policy { answers_each: true, lease: None };
+    let subscribe = Some(poll_requested);
+    let discovery = Discovery { address, registry, subscribe, policy, seed, complained: false };
+    discovery.run(None).await;
+}
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,5 +1,4 @@
-//! What a process of an own installation does whatever it serves: signals, listeners, one front for each, an end that
-//! answers all that was taken.
+//! What every mode of the process shares: the runtime, signals, listeners, and their graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,102 +14,133 @@
 use crate::log::say;
 use crate::request_ids::OpenRequestIds;
 use crate::router::Router;
+use crate::start_error::StartError;
 
-/// Runs something on one thread to its end.
+/// Runs a future on a single-threaded runtime until it completes.
 ///
 /// # Errors
-/// There is no runtime to be had, or what it says, in a line.
-pub fn block_on(work: impl std::future::Future<Output = Result<(), String>>) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|e| format!("no runtime: {e}"))?;
+/// The runtime cannot be created, or the future's own error.
+pub fn block_on(work: impl std::future::Future<Output = Result<(), StartError>>) -> Result<(), StartError> {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// The signals that a process obeys.
+/// The signals that the process handles. Once installed, none of them ends the process by itself.
 pub struct Signals {
-    term: Signal,
+    pub shutdown: ShutdownSignal,
+    /// SIGHUP: reload the configuration.
+    pub hangup: Signal,
+}
+
+/// SIGTERM and SIGINT.
+pub struct ShutdownSignal {
+    terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// From here on these, and the one that asks for a reload, no longer end the process by themselves.
-    pub fn new() -> Result<(Signals, Signal), String> {
-        let signal = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
-        let signals =
-            Signals { term: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? };
-        Ok((signals, signal(SignalKind::hangup())?))
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    /// A handler cannot be installed.
+    pub fn install() -> Result<Signals, StartError> {
+        let install = |kind| signal(kind).map_err(StartError::Signals);
+        let shutdown = ShutdownSignal {
+            terminate: install(SignalKind::terminate())?,
+            interrupt: install(SignalKind::interrupt())?,
+        };
+        Ok(Signals { shutdown, hangup: install(SignalKind::hangup())? })
     }
+}
 
-    /// Waits for the one to end.
-    pub async fn end(&mut self) {
+impl ShutdownSignal {
+    /// Completes when the process is asked to shut down.
+    pub async fn received(&mut self) {
         tokio::select! {
-            _ = self.term.recv() => {}
+            _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
         }
     }
 }
 
-/// Listeners that are bound, in their order.
+/// A configured listener with its socket.
+struct BoundListener {
+    config: Listener,
+    socket: TcpListener,
+    address: SocketAddr,
+}
+
+/// The configured listeners, bound in their order and not served yet.
 pub struct BoundListeners {
-    bound: Vec<(Listener, TcpListener, SocketAddr)>,
-    /// Somebody else holds them as well, and the next process has them.
+    listeners: Vec<BoundListener>,
+    /// The sockets were inherited, and the next process accepts on them as well.
     shared: bool,
 }
 
 impl BoundListeners {
-    pub async fn bind(listeners: &[Listener]) -> Result<BoundListeners, String> {
-        let mut bound = Vec::new();
-        let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.address).collect();
-        let passed = inherited_socket::listeners(&addresses)?;
-        let shared = passed.is_some();
-        let mut passed = passed.into_iter().flatten();
-        for listener in listeners {
-            let fault = |e| format!("cannot listen on {}: {e}", listener.address);
-            let socket = match passed.next() {
-                Some(socket) => TcpListener::from_std(socket).map_err(fault)?,
-                None => TcpListener::bind(listener.address).await.map_err(fault)?,
+    /// Takes the inherited sockets, or binds the configured addresses where there are none.
+    ///
+    /// # Errors
+    /// An address cannot be bound, or an inherited socket does not match.
+    pub async fn bind(configured: &[Listener]) -> Result<BoundListeners, StartError> {
+        let addresses: Vec<SocketAddr> = configured.iter().map(|listener| listener.address).collect();
+        let inherited = inherited_socket::systemd_listeners(&addresses)?;
+        let shared = inherited.is_some();
+        let mut inherited = inherited.into_iter().flatten();
+        let mut listeners = Vec::with_capacity(configured.len());
+        for config in configured {
+            let listen_error = |source| StartError::Listen { address: config.address, source };
+            let socket = match inherited.next() {
+                Some(socket) => TcpListener::from_std(socket).map_err(listen_error)?,
+                None => TcpListener::bind(config.address).await.map_err(listen_error)?,
             };
-            let address = socket.local_addr().map_err(fault)?;
-            bound.push((listener.clone(), socket, address));
+            let address = socket.local_addr().map_err(listen_error)?;
+            listeners.push(BoundListener { config: config.clone(), socket, address });
         }
-        Ok(BoundListeners { bound, shared })
+        Ok(BoundListeners { listeners, shared })
     }
 
+    /// The addresses in use.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.bound.iter().map(|(_, _, address)| *address).collect()
+        self.listeners.iter().map(|listener| listener.address).collect()
     }
 
-    /// Serves at each, with a router made for it, and an even part of the callers' sockets.
-    pub fn open(self, callers: usize, router: impl Fn(Listener, usize) -> Rc<dyn Router>) -> OpenListeners {
-        let callers = (callers / self.bound.len().max(1)).max(1);
+    /// Serves each listener with the router that `router` makes for it and its index. `max_connections` are divided
+    /// evenly between the listeners.
+    pub fn serve(
+        self,
+        max_connections: usize,
+        router: impl Fn(Listener, usize) -> Rc<dyn Router>,
+    ) -> ServingListeners {
+        let max_connections = (max_connections / self.listeners.len().max(1)).max(1);
         let (stop, stopped) = watch::channel(());
-        let (ids, mut serving) = (OpenRequestIds::default(), JoinSet::new());
-        for (place, (listener, socket, address)) in self.bound.into_iter().enumerate() {
-            let protocol = listener.protocol;
-            let router = router(listener, place);
-            let gate = Frontend { router, ids: ids.clone(), protocol, shared: self.shared };
+        let ids = OpenRequestIds::default();
+        let mut tasks = JoinSet::new();
+        for (index, BoundListener { config, socket, address }) in self.listeners.into_iter().enumerate() {
+            let protocol = config.protocol;
+            let router = router(config, index);
+            let frontend = Frontend { router, ids: ids.clone(), protocol, shared: self.shared };
             let mut stopped = stopped.clone();
-            serving.spawn_local(downstream::run(gate, socket, callers, async move {
+            tasks.spawn_local(downstream::run(frontend, socket, max_connections, async move {
                 let _ = stopped.changed().await;
             }));
             say(format_args!("listening on {address}"));
         }
-        OpenListeners { stop, serving }
+        ServingListeners { stop, tasks }
     }
 }
 
-/// Fronts that serve.
-pub struct OpenListeners {
+/// Listeners that are being served.
+pub struct ServingListeners {
     stop: watch::Sender<()>,
-    serving: JoinSet<()>,
+    tasks: JoinSet<()>,
 }
 
-impl OpenListeners {
-    /// Takes nothing new, and waits until all that was taken has its answer.
-    pub async fn close(mut self) {
+impl ServingListeners {
+    /// Shuts down gracefully: completes once every accepted request has its answer.
+    pub async fn shut_down(mut self) {
         drop(self.stop);
-        while self.serving.join_next().await.is_some() {}
+        while self.tasks.join_next().await.is_some() {}
     }
 }
--- /dev/null
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -0,0 +1,184 @@
+//! A configuration together with the pools that serve it: versioned, immutable and replaced as a whole.
+//!
+//! A request keeps the snapshot under which it was routed until it is complete.
+
+mod pool_selection;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::sync::Arc;
+
+use config::{Config, Protocol};
+use decide::EndpointFilter;
+use route::{Count, PoolId, Route};
+
+use crate::learned_state::SavedState;
+use crate::metrics::{PoolGauges, RequestCounters};
+use crate::operators::OperatorContext;
+use crate::pool::{Pool, PoolContext};
+
+pub use pool_selection::PoolSelection;
+
+/// The filter of one route in each pool, by pool index; None where the route may use the whole pool.
+type PoolFilters = Vec<Option<Arc<EndpointFilter>>>;
+/// The request counters of one route, by pool index.
+type PoolCounters = BTreeMap<usize, Rc<RequestCounters>>;
+
+/// A configuration that is being served.
+pub struct Snapshot {
+    /// Counts from 1.
+    pub version: u64,
+    pub config: Arc<Config>,
+    /// The JSON-RPC method of each class; None for all where no pool speaks JSON-RPC.
+    pub methods: Vec<Option<Arc<str>>>,
+    pools: Vec<Rc<Pool>>,
+    /// By route index.
+    filters: Vec<PoolFilters>,
+    /// By route index; empty maps where the process has no operators' address.
+    counters: Vec<PoolCounters>,
+}
+
+/// Changes with every configuration and with every endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListVersion {
+    configuration: u64,
+    lists: u64,
+}
+
+impl Snapshot {
+    /// Starts the pools of a configuration. Unchanged pools are carried over from `previous`, removed ones retired.
+    /// `max_connections` are divided between the pools.
+    pub fn start(
+        config: Arc<Config>,
+        max_connections: usize,
+        previous: Option<&Snapshot>,
+        context: &PoolContext<'_>,
+    ) -> Snapshot {
+        let version = previous.map_or(0, |previous| previous.version) + 1;
+        let pools = start_pools(&config, version, max_connections, previous, context);
+        for former in previous.iter().flat_map(|previous| &previous.pools) {
+            if !pools.iter().any(|pool| Rc::ptr_eq(pool, former)) {
+                former.retire();
+            }
+        }
+        let routes = config.table.routes();
+        let filters = routes.iter().map(|route| route_filters(route, &pools)).collect();
+        let methods = rpc_methods(&config);
+        let counters = routes.iter().map(|route| route_counters(route, &config, context.operators)).collect();
+        Snapshot { version, config, methods, pools, filters, counters }
+    }
+
+    /// Imports the state that an earlier process learned.
+    pub fn import_learned_state(&self, saved: &SavedState) {
+        for pool in &self.pools {
+            if let Some(saved_pool) = saved.pool(&pool.name) {
+                pool.import_learned_state(saved_pool);
+            }
+        }
+    }
+
+    /// The state that the pools have learned.
+    pub async fn learned_state(&self) -> learned_state::Snapshot {
+        let mut learned = learned_state::Snapshot::default();
+        for pool in &self.pools {
+            learned.pools.extend(pool.learned_state().await);
+        }
+        learned
+    }
+
+    /// The names by which operators refer to endpoints of this name, over all pools.
+    pub fn operator_names(&self, endpoint: &str) -> Vec<String> {
+        self.pools.iter().filter_map(|pool| pool.operator_name(endpoint)).collect()
+    }
+
+    /// The gauges of all pools.
+    pub async fn gauges(&self) -> Vec<PoolGauges> {
+        let mut gauges = Vec::with_capacity(self.pools.len());
+        for pool in &self.pools {
+            gauges.extend(pool.gauges().await);
+        }
+        gauges
+    }
+
+    /// The version of the endpoint lists in use.
+    pub fn list_version(&self) -> ListVersion {
+        let lists = self.pools.iter().map(|pool| pool.list_count()).sum();
+        ListVersion { configuration: self.version, lists }
+    }
+
+    /// The endpoints of the pools behind announced addresses, by pool name.
+    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::Listed> {
+        let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
+        let announced: BTreeSet<&String> = addresses.flat_map(|address| &address.pools).collect();
+        let slow_start_duration = self.config.limits.slow_start_duration;
+        let pools = self.pools.iter().filter(|pool| announced.contains(&pool.name));
+        pools.map(|pool| (pool.name.clone(), pool.announced_endpoints(slow_start_duration))).collect()
+    }
+
+    /// No configuration has these pools any more: requests in flight complete.
+    pub fn retire(&self) {
+        self.pools.iter().for_each(|pool| pool.retire());
+    }
+
+    /// Whether every pool has received an endpoint list.
+    pub fn is_ready(&self) -> bool {
+        self.pools.iter().all(|pool| pool.is_ready())
+    }
+
+    /// Counts the endpoints of a pool that a route may use.
+    fn count(&self, route: usize, pool: PoolId) -> Count {
+        self.pools[pool.0].count(self.filters[route][pool.0].as_deref())
+    }
+}
+
+fn start_pools(
+    config: &Config,
+    version: u64,
+    max_connections: usize,
+    previous: Option<&Snapshot>,
+    context: &PoolContext<'_>,
+) -> Vec<Rc<Pool>> {
+    let max_pool_connections = config.pool_sockets(max_connections);
+    let mut pools = Vec::with_capacity(config.pools.len());
+    for (index, pool) in config.pools.iter().enumerate() {
+        let carried_over = previous
+            .filter(|previous| config.is_carried_over(pool, &previous.config))
+            .and_then(|previous| previous.pools.iter().find(|former| former.name == pool.name));
+        pools.push(match carried_over {
+            Some(former) => {
+                former.reconfigure(config, index, max_pool_connections[index]);
+                Rc::clone(former)
+            }
+            None => {
+                let seed = context.seed.wrapping_add((version << 16) + index as u64);
+                let context = PoolContext { seed, ..*context };
+                Rc::new(Pool::start(config, index, max_pool_connections[index], &context))
+            }
+        });
+    }
+    pools
+}
+
+fn route_filters(route: &Route, pools: &[Rc<Pool>]) -> PoolFilters {
+    let is_filtered = !route.within.is_all();
+    pools.iter().map(|pool| is_filtered.then(|| Arc::new(pool.endpoint_filter(&route.within)))).collect()
+}
+
+fn route_counters(route: &Route, config: &Config, operators: Option<&OperatorContext>) -> PoolCounters {
+    let Some(operators) = operators else { return PoolCounters::new() };
+    let class = &config.classes[route.class].name;
+    let counters = |pool: PoolId| {
+        let labels = operators.labels(&config.pools[pool.0].name);
+        (pool.0, operators.metrics.request_counters(class, &labels))
+    };
+    route.pools().map(counters).collect()
+}
+
+fn rpc_methods(config: &Config) -> Vec<Option<Arc<str>>> {
+    let has_rpc_pool = config.pools.iter().any(|pool| pool.protocol != Protocol::Http);
+    let method = |class| {
+        let method = config.methods.of_class(class).filter(|_| has_rpc_pool)?;
+        Some(Arc::clone(&method.name))
+    };
+    (0..config.classes.len()).map(method).collect()
+}
--- /dev/null
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -0,0 +1,62 @@
+//! The pools that a request passes through along its route.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use decide::{EndpointFilter, Semantics};
+use route::{PoolId, Step};
+
+use super::Snapshot;
+use crate::inbox::DriverHandle;
+use crate::metrics::RequestCounters;
+use crate::router::{PoolSequence, RejectionOutcome};
+
+/// The current pool of a request, under the snapshot by which it was routed.
+pub struct PoolSelection {
+    snapshot: Rc<Snapshot>,
+    /// The index of the route.
+    route: usize,
+    step: Step,
+}
+
+impl PoolSelection {
+    /// Starts with the route's first usable pool, beginning at the preferred one.
+    pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
+        let step = snapshot.config.table.routes()[route].first(preferred, |pool| snapshot.count(route, pool));
+        PoolSelection { snapshot, route, step }
+    }
+
+    /// The counters of the current pool, if requests are counted.
+    pub fn counters(&self) -> Option<Rc<RequestCounters>> {
+        self.snapshot.counters[self.route].get(&self.step.pool.0).cloned()
+    }
+}
+
+impl PoolSequence for PoolSelection {
+    fn driver(&self) -> &DriverHandle {
+        &self.snapshot.pools[self.step.pool.0].driver
+    }
+
+    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
+        self.snapshot.filters[self.route][self.step.pool.0].clone()
+    }
+
+    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
+        let config = &self.snapshot.config;
+        let route = &config.table.routes()[self.route];
+        let is_idempotent = config.classes[route.class].parameters.semantics == Semantics::Idempotent;
+        if !never_ran && !is_idempotent {
+            // Duplicates are detected within one pool only. Where a client's retry could reach another pool, the
+            // rejection would promise that it is safe.
+            let has_other_pool = route.pools().nth(1).is_some();
+            return if has_other_pool { RejectionOutcome::Failed } else { RejectionOutcome::Final };
+        }
+        match route.after_refusal(self.step, |pool| self.snapshot.count(self.route, pool)) {
+            Some(step) => {
+                self.step = step;
+                RejectionOutcome::NextPool
+            }
+            None => RejectionOutcome::Final,
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/standalone/announcer.rs
@@ -0,0 +1,46 @@
+//! Keeps the announcer of this proxy's addresses informed about the endpoints behind them.
+
+use std::future::Future;
+use std::pin::Pin;
+use std::time::Duration;
+
+use bgp::Facts;
+use config::Bgp;
+use tokio::time::sleep;
+
+use super::CurrentSnapshot;
+
+/// Announces the addresses at which this process serves.
+pub trait AddressAnnouncer {
+    /// Publishes the state of the data plane. Called at a fixed interval, which doubles as a liveness signal.
+    fn update(&self, facts: Facts);
+
+    /// Another configuration is being served.
+    fn reconfigure(&self, bgp: &Bgp);
+
+    /// The process is shutting down: completes once no traffic is directed here any more, while this process still
+    /// serves.
+    fn withdraw(&self) -> Pin<Box<dyn Future<Output = ()>>>;
+
+    /// Ends the wait of [`Self::withdraw`] early.
+    fn withdraw_now(&self);
+}
+
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Endpoints are published with every such update even if no list has changed, as some may have warmed up meanwhile.
+const UPDATES_PER_FULL_UPDATE: u32 = 10;
+
+/// Publishes the endpoints for as long as it is polled.
+pub(super) async fn publish_endpoints(current: &CurrentSnapshot, announcer: &dyn AddressAnnouncer) {
+    let mut published_version = None;
+    for update in 0u32.. {
+        let snapshot = std::rc::Rc::clone(&current.borrow());
+        let version = Some(snapshot.list_version());
+        let with_endpoints = published_version != version || update % UPDATES_PER_FULL_UPDATE == 0;
+        published_version = version;
+        let pools = with_endpoints.then(|| snapshot.announced_endpoints());
+        announcer.update(Facts { accepting: true, pools });
+        drop(snapshot);
+        sleep(UPDATE_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/standalone/router.rs
@@ -0,0 +1,74 @@
+//! Routing of the requests of one listener.
+
+use std::rc::Rc;
+
+use config::{Config, Listener};
+use hyper::http::request::Parts;
+use hyper::StatusCode;
+use jsonrpc::Call;
+
+use super::CurrentSnapshot;
+use crate::idempotency_keys::KeyTable;
+use crate::route_lookup::{resolve, RequestIdGenerator, ResolvedRoute};
+use crate::router::{single_header_value, Connection, Rejection, RouteDecision, Router, TENANT_HEADER};
+use crate::rpc_mapping;
+
+/// Routes the requests of one listener by the current snapshot.
+pub(super) struct ListenerRouter {
+    pub current: CurrentSnapshot,
+    pub listener: Listener,
+    pub new_ids: RequestIdGenerator,
+    pub keys: KeyTable,
+}
+
+impl Router for ListenerRouter {
+    fn route(&self, head: &mut Parts, id: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
+        let snapshot = Rc::clone(&self.current.borrow());
+        check_tenant(&snapshot.config, head)?;
+        let (pools, resolved) = resolve(snapshot, &self.listener, head, id, &self.keys)?;
+        let ResolvedRoute { class, semantics, deadline, method, key_scope } = resolved;
+        Ok(RouteDecision {
+            ids: None,
+            class,
+            semantics,
+            deadline,
+            tenant: None,
+            method,
+            key_scope,
+            counters: pools.counters(),
+            pools: Box::new(pools),
+        })
+    }
+
+    fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
+        let snapshot = self.current.borrow();
+        Ok(rpc_mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
+    }
+
+    fn new_id(&self) -> Option<String> {
+        Some(self.new_ids.next())
+    }
+
+    fn is_ready(&self) -> bool {
+        self.current.borrow().is_ready()
+    }
+
+    fn largest_body(&self) -> u64 {
+        self.current.borrow().config.limits.body_bytes
+    }
+
+    fn whole_seconds(&self) -> bool {
+        true
+    }
+}
+
+/// Rejects requests of tenants that the configuration does not have, where it has any.
+fn check_tenant(config: &Config, head: &Parts) -> Result<(), Rejection> {
+    let Some(tenant) = single_header_value(&head.headers, TENANT_HEADER)? else { return Ok(()) };
+    let is_known = config.tenants.is_empty() || config.tenants.iter().any(|known| known == tenant);
+    if is_known {
+        Ok(())
+    } else {
+        Err(StatusCode::BAD_REQUEST.into())
+    }
+}
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -13,7 +13,7 @@
 use bgp_speaker::Speaker;
 use config::{Bgp, Config};
 use proxy::log::say;
-use proxy::standalone::Announces;
+use proxy::standalone::AddressAnnouncer;
 use serde_json::{json, Value};
 
 use crate::cli::{BgpCommand, Format};
@@ -23,21 +23,21 @@
 #[derive(Clone)]
 struct Beside(Speaker);
 
-impl Announces for Beside {
-    fn tell(&self, facts: Facts) {
+impl AddressAnnouncer for Beside {
+    fn update(&self, facts: Facts) {
         self.0.tell(facts);
     }
 
-    fn reload(&self, bgp: &Bgp) {
+    fn reconfigure(&self, bgp: &Bgp) {
         self.0.reload(bgp.clone());
     }
 
-    fn end(&self) -> Pin<Box<dyn Future<Output = ()>>> {
+    fn withdraw(&self) -> Pin<Box<dyn Future<Output = ()>>> {
         let speaker = self.0.clone();
         Box::pin(async move { speaker.end().await })
     }
 
-    fn hurry(&self) {
+    fn withdraw_now(&self) {
         self.0.hurry();
     }
 }
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// Why it could not start, in a line.
-pub fn start(config: &Config) -> Result<Option<Rc<dyn Announces>>, String> {
+pub fn start(config: &Config) -> Result<Option<Rc<dyn AddressAnnouncer>>, String> {
     let Some(bgp) = &config.bgp else { return Ok(None) };
     let listener = bgp.api.map(admin::serve::bind).transpose()?;
     let speaker = Speaker::start(bgp.clone(), seed(), |line| say(format_args!("{line}")))?;
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -22,17 +22,17 @@
 impl Plane for Serving {
     fn apply(&self, number: u64, tenants: Arc<Tenants>) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let (done, applied) = oneshot::channel();
-        let _ = self.0.send(Command::Apply { number, tenants, done });
+        let _ = self.0.send(Command::Apply { version: number, tenants, done });
         Box::pin(async move {
             let _ = applied.await;
         })
     }
 
     fn status(&self) -> Pin<Box<dyn Future<Output = BTreeMap<String, TenantStatus>> + Send>> {
-        let (answer, told) = oneshot::channel();
-        let _ = self.0.send(Command::Status { answer });
+        let (reply, received) = oneshot::channel();
+        let _ = self.0.send(Command::Status { reply });
         Box::pin(async move {
-            let all = told.await.unwrap_or_default();
+            let all = received.await.unwrap_or_default();
             let status =
                 |s: hosting::Status| TenantStatus { version: s.version, started: s.started, usage: s.usage };
             all.into_iter().map(|(name, s)| (name, status(s))).collect()
@@ -66,7 +66,9 @@
     let listener = admin::serve::bind(setup.admin)?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let first = futures_block(service.current());
-    hosting::run(setup, first, crate::seed(), obeyed, |callers| {
+    let (version, tenants) = first;
+    let options = hosting::Options { setup, version, tenants, seed: crate::seed(), commands: obeyed };
+    hosting::run(options, |callers| {
         // Administrators are let in once what they change is served.
         match admin::serve::start(listener, service) {
             Ok(()) => say(format_args!("administration on {address}")),
@@ -74,6 +76,7 @@
         }
         started(callers, address);
     })
+    .map_err(|error| error.to_string())
 }
 
 /// Waits for something that nothing holds up.
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -14,6 +14,7 @@
 use clap::Parser;
 use config::{Config, Loaded};
 use proxy::log::say;
+use proxy::standalone;
 
 use crate::cli::{Cli, Command};
 
@@ -41,7 +42,7 @@
 /// The platform starts the program with nothing but its environment.
 fn platform() -> ExitCode {
     if std::env::var_os("LB_CONFIG").is_some() {
-        return ended(proxy::platform::run());
+        return ended(proxy::platform::run().map_err(|error| error.to_string()));
     }
     ended(Err("no command and no LB_CONFIG; try `amberlever demo` or `amberlever --help`".to_owned()))
 }
@@ -85,13 +86,14 @@
         Ok(config) => config,
         Err((fault, code)) => return failed(&fault, code),
     };
-    let again = path.to_owned();
-    let reload = Box::new(move || ready(&again).map_err(|(fault, _)| fault));
-    let announces = match announce::start(&config) {
-        Ok(announces) => announces,
+    let reloaded_path = path.to_owned();
+    let load_config = Box::new(move || ready(&reloaded_path).map_err(|(fault, _)| fault));
+    let announcer = match announce::start(&config) {
+        Ok(announcer) => announcer,
         Err(fault) => return failed(&fault, 1),
     };
-    ended(proxy::standalone::run(config, seed(), reload, announces, |_| {}))
+    let options = standalone::Options { config, seed: seed(), load_config, announcer };
+    ended(standalone::run(options, |_| {}).map_err(|error| error.to_string()))
 }
 
 /// New with each start; what hangs on it is nobody's secret.
