--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -1,6 +1,6 @@
 //! The hosted mode: many tenants in one process, isolated from each other by limits, changed all at once.
 //!
-//! A tenant's pools start with its first request and stop after [`IDLE_TIMEOUT`] without one, so that idle tenants cost
+//! A tenant's pools start with its first request and stop after `IDLE_TIMEOUT` without one, so that idle tenants cost
 //! next to nothing. Pools that get their endpoints from discovery start at once, as they need a list before the first
 //! request.
 
@@ -80,13 +80,8 @@
     let listeners = BoundListeners::bind(&setup.listeners).await?;
     let addresses = listeners.addresses();
     let (max_downstream, _) = config::split_sockets(setup.shared.sockets).unwrap_or((1, 1));
-    let (operator_listener, operators) = match &setup.operators {
-        Some(settings) => {
-            let endpoint = OperatorEndpoint::open(settings).await?;
-            (Some(endpoint.listener), Some(endpoint.context))
-        }
-        None => (None, None),
-    };
+    let operator_endpoint = OperatorEndpoint::open(setup.operators.as_ref()).await?;
+    let (operator_listener, operators) = operator_endpoint.map(OperatorEndpoint::into_parts).unzip();
     let hosted = Rc::new(HostedTenants::new(setup.shared.clone(), seed, operators));
     hosted.apply(version, &tenants);
     if let Some(listener) = operator_listener {
--- a/crates/proxy/src/operators/context.rs
+++ b/crates/proxy/src/operators/context.rs
@@ -28,12 +28,12 @@
 }
 
 impl OperatorEndpoint {
-    /// Binds the configured address and loads the maintenance state of earlier processes.
+    /// Binds the configured address, if there is one, and loads the maintenance state of earlier processes.
     ///
     /// # Errors
     /// The address cannot be bound or the folder cannot be created.
-    pub async fn open(settings: &Operators) -> Result<OperatorEndpoint, StartError> {
-        let Operators { listen, folder } = settings;
+    pub async fn open(settings: Option<&Operators>) -> Result<Option<OperatorEndpoint>, StartError> {
+        let Some(Operators { listen, folder }) = settings else { return Ok(None) };
         let listener = server::bind(*listen).await?;
         if let Some(path) = folder {
             std::fs::create_dir_all(path)
@@ -43,7 +43,12 @@
         let followed = Rc::clone(&maintenance);
         spawn_local(async move { followed.follow().await });
         let context = OperatorContext { metrics: Rc::new(Metrics::new(true)), maintenance, tenant: None };
-        Ok(OperatorEndpoint { listener, context })
+        Ok(Some(OperatorEndpoint { listener, context }))
+    }
+
+    /// The listener to serve, and what pools need.
+    pub fn into_parts(self) -> (TcpListener, OperatorContext) {
+        (self.listener, self.context)
     }
 }
 
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! The platform's mode: one pool, configured by the JSON file that `LB_CONFIG` names.
 //!
-//! [`serve`] assembles the process; its parts are below and in the sibling modules.
+//! `serve` assembles the process; its parts are below and in the sibling modules.
 
 mod config_file;
 mod operations;
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -52,22 +52,7 @@
         tasks.spawn(decision_driver.run());
         let swept = Rc::clone(&upstreams);
         tasks.spawn(async move { swept.sweep().await });
-        let mut static_registry = None;
-        match &pool.source {
-            Source::List(nodes) => {
-                registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
-                static_registry = Some(RefCell::new(registry));
-            }
-            Source::File(path) => {
-                tasks.spawn(FileWatch::new(pool.name.clone(), path.clone(), registry).run());
-            }
-            Source::Discovery(address) => {
-                tasks.spawn(run_discovery(*address, registry, poll_requested, seed));
-            }
-        }
-        if static_registry.is_none() {
-            tasks.spawn(warn_when_stale(pool.name.clone(), Rc::clone(&last_update)));
-        }
+        let static_registry = start_source(pool, registry, poll_requested, seed, &mut tasks);
         Pool {
             _tasks: tasks,
             name: pool.name.clone(),
@@ -122,6 +107,31 @@
     }
 }
 
+/// Starts the source of the endpoint list. Returns the registry where the configuration itself lists the endpoints.
+fn start_source(
+    pool: &config::Pool,
+    mut registry: EndpointRegistry,
+    poll_requested: Rc<Notify>,
+    seed: u64,
+    tasks: &mut TaskSet,
+) -> Option<RefCell<EndpointRegistry>> {
+    let last_update = Rc::clone(&registry.heard);
+    match &pool.source {
+        Source::List(nodes) => {
+            registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
+            return Some(RefCell::new(registry));
+        }
+        Source::File(path) => {
+            tasks.spawn(FileWatch::new(pool.name.clone(), path.clone(), registry).run());
+        }
+        Source::Discovery(address) => {
+            tasks.spawn(run_discovery(*address, registry, poll_requested, seed));
+        }
+    }
+    tasks.spawn(warn_when_stale(pool.name.clone(), last_update));
+    None
+}
+
 /// Keeps a pool's list up to date from discovery, for as long as it is polled.
 async fn run_discovery(
     address: SocketAddr,
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -1,11 +1,12 @@
 //! The standalone mode: listeners, routes and pools of one configuration file, reloaded without loss on SIGHUP.
 //!
-//! [`serve`] assembles the process; its parts are in the sibling modules.
+//! `serve` assembles the process; its parts are in the sibling modules.
 
 mod announcer;
 mod operations;
 mod reload;
 mod router;
+mod state_saver;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,23 +14,24 @@
 use std::sync::Arc;
 
 use config::Config;
-use tokio::task::{spawn_local, JoinHandle};
+use tokio::task::spawn_local;
 
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::learned_state::{SavedState, StateWriter};
 use crate::operators::{self, OperatorEndpoint};
 use crate::pool::PoolContext;
-use crate::process::{self, BoundListeners, ShutdownSignal, Signals};
+use crate::process::{self, BoundListeners, Signals};
 use crate::route_lookup::RequestIdGenerator;
 use crate::snapshot::Snapshot;
 use crate::start_error::StartError;
 
 pub use announcer::AddressAnnouncer;
+use announcer::Announcing;
 use operations::Operations;
 pub use reload::LoadConfig;
 use reload::Reloader;
 use router::ListenerRouter;
+use state_saver::StateSaver;
 
 /// The snapshot that new requests are routed by.
 type CurrentSnapshot = Rc<RefCell<Rc<Snapshot>>>;
@@ -61,13 +63,8 @@
     let clock = Clock::new();
     let (max_downstream, max_upstream) = config.socket_budget();
     let keys = KeyTable::new(config.idempotency_keys, clock);
-    let (operator_listener, operators) = match &config.operators {
-        Some(settings) => {
-            let endpoint = OperatorEndpoint::open(settings).await?;
-            (Some(endpoint.listener), Some(endpoint.context))
-        }
-        None => (None, None),
-    };
+    let operator_endpoint = OperatorEndpoint::open(config.operators.as_ref()).await?;
+    let (operator_listener, operators) = operator_endpoint.map(OperatorEndpoint::into_parts).unzip();
     let context = PoolContext { clock, seed, operators: operators.as_ref() };
     let first = Snapshot::start(Arc::new(config), max_upstream, None, &context);
     let current: CurrentSnapshot = Rc::new(RefCell::new(Rc::new(first)));
@@ -81,28 +78,17 @@
         let new_ids = RequestIdGenerator::new(seed, index);
         Rc::new(ListenerRouter { current: Rc::clone(&current), listener, new_ids, keys: keys.clone() })
     });
-    let announcing = announcer.clone().map(|announcer| {
-        let current = Rc::clone(&current);
-        spawn_local(async move { announcer::publish_endpoints(&current, &*announcer).await })
-    });
-    let reloader = Reloader {
-        current: Rc::clone(&current),
-        load_config,
-        keys,
-        clock,
-        seed,
-        operators,
-        announcer: announcer.clone(),
-    };
+    let announcing = announcer.clone().map(|announcer| Announcing::start(announcer, &current));
+    let reloader =
+        Reloader { current: Rc::clone(&current), load_config, keys, clock, seed, operators, announcer };
     let reloading = spawn_local(reloader.run(hangup));
 
     on_started(&addresses);
     shutdown.received().await;
     shutting_down.set(true);
     reloading.abort();
-    if let (Some(announcer), Some(announcing)) = (announcer, announcing) {
-        withdraw_addresses(&*announcer, &mut shutdown).await;
-        announcing.abort();
+    if let Some(announcing) = announcing {
+        announcing.stop(&mut shutdown).await;
     }
     serving.shut_down().await;
     if let Some(state_saver) = state_saver {
@@ -110,48 +96,3 @@
     }
     Ok(())
 }
-
-/// Has the announced addresses withdrawn while this process still serves; a second signal has it done at once.
-async fn withdraw_addresses(announcer: &dyn AddressAnnouncer, shutdown: &mut ShutdownSignal) {
-    let mut withdrawn = announcer.withdraw();
-    tokio::select! {
-        () = &mut withdrawn => {}
-        () = shutdown.received() => {
-            announcer.withdraw_now();
-            withdrawn.await;
-        }
-    }
-}
-
-/// Saves the learned state periodically and at the end.
-struct StateSaver {
-    writer: Rc<StateWriter>,
-    periodic: JoinHandle<()>,
-}
-
-impl StateSaver {
-    /// Imports the state saved by an earlier process and starts saving, where the configuration says so.
-    fn start(current: &CurrentSnapshot) -> Option<StateSaver> {
-        let snapshot = Rc::clone(&current.borrow());
-        let settings = snapshot.config.learned_state.as_ref()?;
-        if let Some(saved) = SavedState::read(&settings.folder) {
-            snapshot.import_learned_state(&saved);
-        }
-        let writer = Rc::new(StateWriter::start(settings));
-        let (periodic_writer, current) = (Rc::clone(&writer), Rc::clone(current));
-        let periodic =
-            spawn_local(async move { periodic_writer.keep(async || learned_state(&current).await).await });
-        Some(StateSaver { writer, periodic })
-    }
-
-    /// Saves for the last time.
-    async fn finish(self, current: &CurrentSnapshot) {
-        self.periodic.abort();
-        self.writer.end(learned_state(current).await).await;
-    }
-}
-
-async fn learned_state(current: &CurrentSnapshot) -> learned_state::Snapshot {
-    let snapshot = Rc::clone(&current.borrow());
-    snapshot.learned_state().await
-}
