--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -395,11 +395,11 @@
     }
 
     /// The bounds of the table of keys.
-    fn keys(&mut self, written: &file::Keys) -> idempotency::Bounds {
-        let usual = idempotency::Bounds::default();
-        idempotency::Bounds {
-            entries: self.bounded("entries", &written.entries, usual.entries, 100_000_000),
-            bytes: self.bounded("bytes", &written.bytes, usual.bytes, 1 << 40),
+    fn keys(&mut self, written: &file::Keys) -> idempotency::TableLimits {
+        let usual = idempotency::TableLimits::default();
+        idempotency::TableLimits {
+            max_keys: self.bounded("entries", &written.entries, usual.max_keys, 100_000_000),
+            max_response_bytes: self.bounded("bytes", &written.bytes, usual.max_response_bytes, 1 << 40),
         }
     }
 
--- a/crates/config/src/hosted.rs
+++ b/crates/config/src/hosted.rs
@@ -84,7 +84,7 @@
     /// What the whole program can bear.
     pub capacity: Capacity,
     /// Keys that are known at once, and bytes of their answers, of all tenants together.
-    pub idempotency_keys: idempotency::Bounds,
+    pub idempotency_keys: idempotency::TableLimits,
     /// Zones of callers, as listeners name them.
     pub zones: Vec<String>,
 }
@@ -307,12 +307,12 @@
 
     /// A tenant's part of the table of keys, by weight.
     #[must_use]
-    pub fn keys(&self, shared: &Shared, tenant: &Tenant) -> idempotency::Bounds {
+    pub fn keys(&self, shared: &Shared, tenant: &Tenant) -> idempotency::TableLimits {
         let (weight, all) = (u64::from(tenant.doc.limits.weight()), self.weights());
         let part = |whole: usize| (whole as u64 / all).saturating_mul(weight).max(1) as usize;
-        idempotency::Bounds {
-            entries: part(shared.idempotency_keys.entries),
-            bytes: part(shared.idempotency_keys.bytes),
+        idempotency::TableLimits {
+            max_keys: part(shared.idempotency_keys.max_keys),
+            max_response_bytes: part(shared.idempotency_keys.max_response_bytes),
         }
     }
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -26,7 +26,7 @@
     /// Times and bounds for all pools.
     pub limits: Limits,
     /// Keys that are known at once, and bytes of their answers.
-    pub idempotency_keys: idempotency::Bounds,
+    pub idempotency_keys: idempotency::TableLimits,
     /// Where what was learned is kept, if it is.
     pub learned_state: Option<LearnedStateSettings>,
     /// Where operators call, if they do.
--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -17,7 +17,7 @@
 
 use super::{serving, Caller, Callers, Frontend};
 use crate::body::{Content, Cut};
-use crate::exchange::{Answer, MOST_BODY, MOST_BUFFER};
+use crate::exchange::{FinalResponse, UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::metrics::{RequestOutcome, Tally};
 use crate::panic_guard::caught;
 use crate::request_reader::{self, Taken};
@@ -81,7 +81,7 @@
         caller.asked.set(true);
         // What follows a chunked or large body is not kept, so its connection ends with it.
         let chunked = request.headers().contains_key(header::TRANSFER_ENCODING)
-            || request.body().size_hint().lower() > MOST_BODY as u64;
+            || request.body().size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
         let bodiless = request.body().is_end_stream();
         let handled = caught(handle(callers, caller, request)).await;
         let mut reply = handled.unwrap_or_else(|| reply(StatusCode::INTERNAL_SERVER_ERROR));
@@ -99,8 +99,9 @@
         }
         Ok::<_, Infallible>(reply)
     });
-    let mut connection =
-        pin!(http1::Builder::new().max_buf_size(MOST_BUFFER).serve_connection(TokioIo::new(socket), service));
+    let mut connection = pin!(http1::Builder::new()
+        .max_buf_size(MAX_HEAD_BYTES)
+        .serve_connection(TokioIo::new(socket), service));
     // An error is the caller's leaving or its malformed head, which hyper has answered with 400.
     tokio::select! {
         biased;
@@ -134,16 +135,16 @@
         Ok(Taken::Sound(sound)) => serving::serve(callers, *sound, &caller.client(), Instant::now()).await,
         Ok(Taken::Known(answer)) => answer,
         Err(turned) => {
-            tally.end(turned.fate());
+            tally.end(turned.request_outcome());
             return turned_away(gate, turned);
         }
     };
     // One that flows ends with its last byte.
-    if !matches!(answer, Answer::Served(_, Content::Flowing(_))) {
-        tally.end(answer.fate());
+    if !matches!(answer, FinalResponse::Served(UpstreamResponse { body: Content::Flowing(_), .. })) {
+        tally.end(answer.request_outcome());
     }
     match answer {
-        Answer::Served(headers, body) => {
+        FinalResponse::Served(UpstreamResponse { headers, body }) => {
             let open = body.flow().is_some().then(|| Open {
                 caller: Rc::clone(caller),
                 tally: Rc::clone(&tally),
@@ -156,13 +157,13 @@
             *reply.headers_mut() = headers;
             reply
         }
-        Answer::Refused { retry_after, .. } => {
+        FinalResponse::Rejected { retry_after, .. } => {
             let mut reply = reply(StatusCode::SERVICE_UNAVAILABLE);
             advise(gate, &mut reply, retry_after);
             reply
         }
-        Answer::Failed => reply(StatusCode::BAD_GATEWAY),
-        Answer::TimedOut => reply(StatusCode::GATEWAY_TIMEOUT),
+        FinalResponse::Failed => reply(StatusCode::BAD_GATEWAY),
+        FinalResponse::TimedOut => reply(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
@@ -183,7 +184,7 @@
     if retry_after <= 0 {
         return;
     }
-    let seconds = if gate.router.whole_seconds() {
+    let seconds = if gate.router.retry_after_in_seconds() {
         retry_after.saturating_add(999_999).min(TIME_LIMIT) / 1_000_000
     } else {
         let value = HeaderValue::from_str(&format!("{:.3}", retry_after as f64 / 1e6));
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::body::STALL;
 use crate::clock::Clock;
-use crate::exchange::{Client, MOST_BUFFER};
+use crate::exchange::{ClientConnection, MAX_HEAD_BYTES};
 use crate::log::say;
 use crate::request_ids::OpenRequestIds;
 use crate::router::{Connection, Router};
@@ -87,9 +87,9 @@
 /// Serves callers until `stop`, and then until all that was taken has its answer.
 pub async fn run(gate: Frontend, listener: TcpListener, most: usize, stop: impl Future<Output = ()>) {
     let terms = Terms {
-        longest_wait: gate.router.longest_wait().as_micros() as Micros,
+        longest_wait: gate.router.max_request_deadline().as_micros() as Micros,
         is_killed: gate.router.has_termination_deadline(),
-        is_alone: gate.router.may_end_alone(),
+        is_alone: gate.router.may_shut_down_alone(),
         is_shared: gate.shared,
     };
     let callers = Rc::new(Callers {
@@ -259,9 +259,9 @@
 
 impl Caller {
     /// Who waits for the answers that go out on it.
-    fn client(&self) -> Client {
+    fn client(&self) -> ClientConnection {
         let socket = self.socket.clone();
-        Client::new(move || socket.is_ended() || socket.unread() == Unread::Closed)
+        ClientConnection::new(move || socket.is_ended() || socket.unread() == Unread::Closed)
     }
 
     /// Its answer begins to flow.
@@ -284,7 +284,7 @@
         self.flowing.set(None);
         self.used.set(Instant::now());
         self.busy.set(false);
-        self.socket.next_message(MOST_BUFFER);
+        self.socket.next_message(MAX_HEAD_BYTES);
     }
 
     /// What its end depends on; whether its next request has begun is asked of the kernel, and only where that counts.
@@ -331,7 +331,7 @@
 
 fn serve(callers: &Rc<Callers>, stream: TcpStream, accepted: &mut u64) {
     *accepted += 1;
-    let head = if callers.gate.protocol == Protocol::Http { MOST_BUFFER } else { 0 };
+    let head = if callers.gate.protocol == Protocol::Http { MAX_HEAD_BYTES } else { 0 };
     let socket = Socket::keeping(stream, head);
     let caller = Rc::new(Caller {
         socket: socket.clone(),
@@ -369,8 +369,8 @@
     use super::*;
     use crate::clock::Clock;
     use crate::driver::Driver;
-    use crate::router::PlatformRouter;
-    use crate::upstream::Upstreams;
+    use crate::platform_router::PlatformRouter;
+    use crate::upstream::UpstreamPool;
 
     const SETTINGS: &str = r#"{"balancers":1,"stages":["front"],"limits":{"max_attempts":3},
         "request_classes":[{"name":"read","promise_ms":9000,"deadline_ms":9000,"semantics":"idempotent"}]}"#;
@@ -380,15 +380,15 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
             let site = platform_settings::parse(SETTINGS).expect("settings");
-            let backends = Rc::new(Upstreams::new(site.transport, 9));
+            let backends = Rc::new(UpstreamPool::new(site.transport, 9));
             // This driver never runs, so nothing is ever decided.
             let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
             let router = PlatformRouter {
-                handle: driver.handle(),
+                driver: driver.handle(),
                 names: site.names,
                 settings: site.settings,
                 ready: Rc::default(),
-                counts: Vec::new(),
+                class_counters: Vec::new(),
             };
             let gate = Frontend {
                 router: Rc::new(router),
--- a/crates/proxy/src/downstream/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 use super::{serving, Caller, Callers};
-use crate::exchange::{Answer, Called, Client};
+use crate::exchange::{ClientConnection, FinalResponse, RpcCall, UpstreamResponse};
 use crate::metrics::Tally;
 use crate::panic_guard::caught;
 use crate::request_reader::{self, Taken};
@@ -248,7 +248,7 @@
         }
         let taken = self.way(&call, frame, &entered.tally);
         entered.taken = taken.map_err(|turned| {
-            entered.tally.end(turned.fate());
+            entered.tally.end(turned.request_outcome());
             self.unwanted |= turned.cause == Some(limit::Cause::Connections.name());
             Some(turned_away(entered.id.as_deref(), turned))
         });
@@ -268,7 +268,7 @@
         tally.is(opened.counts.take());
         tally.taken();
         let params = call.params.map(|p| frame.slice_ref(p.get().as_bytes()));
-        let called = Called { method: (*call.method).into(), params, by_http: false };
+        let called = RpcCall { method: (*call.method).into(), params, received_over_http: false };
         opened.close(head, body.into(), Some(called), &gate.ids)
     }
 
@@ -375,7 +375,12 @@
     }
 
     /// Its answer as a message.
-    async fn answer(self, callers: &Callers, client: &Client, received: Instant) -> Option<Vec<u8>> {
+    async fn answer(
+        self,
+        callers: &Callers,
+        client: &ClientConnection,
+        received: Instant,
+    ) -> Option<Vec<u8>> {
         let (id, tally) = (self.id.as_deref(), self.tally);
         let answer = match self.taken {
             Ok(Taken::Sound(sound)) => {
@@ -387,18 +392,20 @@
             Ok(Taken::Known(answer)) => answer,
             Err(error) => return error,
         };
-        tally.end(answer.fate());
+        tally.end(answer.request_outcome());
         Some(match answer {
-            Answer::Served(headers, body) => {
+            FinalResponse::Served(UpstreamResponse { headers, body }) => {
                 let body = body.whole().unwrap_or_default();
                 jsonrpc::response(id, &rpc_mapping::result_of(&headers, &body))
             }
-            Answer::Refused { retry_after, .. } => {
+            FinalResponse::Rejected { retry_after, .. } => {
                 let data = data("load", retry_after);
                 jsonrpc::error(id, code::REFUSED, "refused; trying again is harmless", Some(&data))
             }
-            Answer::Failed => jsonrpc::error(id, code::FAILED, "failed; it may have run", None),
-            Answer::TimedOut => jsonrpc::error(id, code::TIMED_OUT, "out of time; it may have run", None),
+            FinalResponse::Failed => jsonrpc::error(id, code::FAILED, "failed; it may have run", None),
+            FinalResponse::TimedOut => {
+                jsonrpc::error(id, code::TIMED_OUT, "out of time; it may have run", None)
+            }
         })
     }
 }
@@ -415,7 +422,7 @@
 fn turned_away(id: Option<&RawValue>, turned: Rejection) -> Vec<u8> {
     let (code, message) = match turned.status {
         StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => (code::NO_METHOD, "no such method"),
-        StatusCode::CONFLICT if turned.cause == Some(crate::idempotency_keys::DONE) => {
+        StatusCode::CONFLICT if turned.cause == Some(crate::idempotency_keys::RESPONSE_EVICTED_CAUSE) => {
             (code::OPEN, "a request with this key was served, and its answer is not held any more")
         }
         StatusCode::CONFLICT => (code::OPEN, "a request with this id or key is open"),
--- a/crates/proxy/src/downstream/serving.rs
+++ b/crates/proxy/src/downstream/serving.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::Callers;
-use crate::exchange::{Answer, Client};
+use crate::exchange::{ClientConnection, FinalResponse};
 use crate::inbox::DriverHandle;
 use crate::request_reader::Sound;
 use crate::router::RejectionOutcome;
@@ -19,10 +19,15 @@
 
 /// Hands a request to the decisions, of one pool after another where it is refused, until it has its answer. Dropping
 /// this tells them that its client left.
-pub async fn serve(callers: &Callers, sound: Sound, client: &Client, received: Instant) -> Answer {
+pub async fn serve(
+    callers: &Callers,
+    sound: Sound,
+    client: &ClientConnection,
+    received: Instant,
+) -> FinalResponse {
     let Sound { mut new, message, mut course, patience, mut held, claim: _claim } = sound;
     if callers.is_time_up() {
-        return Answer::Refused { retry_after: 0, never_ran: true };
+        return FinalResponse::Rejected { retry_after: 0, never_ran: true };
     }
     new.downstream_connections = callers.ways_in();
     // What would still be open when the kill comes gets its answer before that.
@@ -41,18 +46,18 @@
         let gone = Gone(&handle, id);
         let answer = tokio::select! {
             biased;
-            answer = answer => answer.unwrap_or(Answer::Failed),
-            () = sleep_until(backstop) => Answer::TimedOut,
-            () = callers.time_is_up() => Answer::TimedOut,
+            answer = answer => answer.unwrap_or(FinalResponse::Failed),
+            () = sleep_until(backstop) => FinalResponse::TimedOut,
+            () = callers.time_is_up() => FinalResponse::TimedOut,
         };
         // Where no answer came, the request ends here, and so do its attempts.
         drop(gone);
-        let Answer::Refused { never_ran, .. } = answer else { break answer };
+        let FinalResponse::Rejected { never_ran, .. } = answer else { break answer };
         match course.on_rejected(never_ran) {
             RejectionOutcome::Final => break answer,
             // What has flowed cannot be sent a second time, wherever.
             RejectionOutcome::NextPool if message.body().flow().is_some() => break answer,
-            RejectionOutcome::Failed => break Answer::Failed,
+            RejectionOutcome::Failed => break FinalResponse::Failed,
             RejectionOutcome::NextPool => {
                 new.endpoint_filter = course.endpoint_filter();
                 new.max_attempts = course.max_attempts();
@@ -61,7 +66,7 @@
         }
     };
     if let Some(held) = &mut held {
-        held.answered(&answer);
+        held.record_response(&answer);
     }
     answer
 }
--- /dev/null
+++ b/crates/proxy/src/driver/attempt_task.rs
@@ -0,0 +1,73 @@
+//! The task that makes an attempt.
+
+use std::rc::Rc;
+
+use decide::Outcome;
+use tokio::task::{spawn_local, AbortHandle};
+
+use crate::exchange::AttemptResult;
+use crate::inbox::{AttemptId, DriverHandle, DriverInput};
+use crate::upstream::{AttemptRequest, UpstreamPool, WriteStarted};
+
+/// A task that makes an attempt and reports its end.
+pub struct AttemptTask {
+    abort: AbortHandle,
+    write_started: WriteStarted,
+}
+
+impl AttemptTask {
+    /// Aborts it, and returns the outcome of the attempt.
+    pub fn cancel(&self) -> Outcome {
+        self.abort.abort();
+        if self.write_started.get() {
+            Outcome::Cancelled
+        } else {
+            Outcome::NotSent
+        }
+    }
+}
+
+/// Starts an attempt. Its result is sent to `driver`; its connection is kept for reuse.
+pub fn spawn(
+    attempt: AttemptId,
+    request: AttemptRequest,
+    driver: &DriverHandle,
+    upstreams: &Rc<UpstreamPool>,
+) -> AttemptTask {
+    let mut guard = ResultGuard::new(driver.clone(), attempt);
+    let upstreams = Rc::clone(upstreams);
+    let write_started = request.write_started.clone();
+    let task = spawn_local(async move {
+        let end = upstreams.attempt(&request).await;
+        guard.send(end.result);
+        upstreams.reuse(request.endpoint, end.reusable_connection).await;
+    });
+    AttemptTask { abort: task.abort_handle(), write_started }
+}
+
+/// Reports a result for an attempt also if its task panics: the request may have been executed then. Where the task is
+/// aborted the driver has recorded the end before, and ignores this one.
+pub(super) struct ResultGuard {
+    driver: DriverHandle,
+    attempt: AttemptId,
+    is_sent: bool,
+}
+
+impl ResultGuard {
+    pub(super) fn new(driver: DriverHandle, attempt: AttemptId) -> ResultGuard {
+        ResultGuard { driver, attempt, is_sent: false }
+    }
+
+    fn send(&mut self, result: AttemptResult) {
+        self.is_sent = true;
+        self.driver.send(DriverInput::AttemptEnded { attempt: self.attempt, result });
+    }
+}
+
+impl Drop for ResultGuard {
+    fn drop(&mut self) {
+        if !self.is_sent {
+            self.send(Outcome::Reset.into());
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/mod.rs
@@ -0,0 +1,308 @@
+//! The one owner of the decisions: turns inputs from I/O tasks into events, and carries out the actions.
+//!
+//! I/O tasks send inputs through a [`DriverHandle`]. The driver takes them one at a time and in order, so events never
+//! nest and nothing here needs a lock. Of each request it keeps who is owed the response and which attempts run
+//! ([`open_request`]); what the ends of attempts prove is worked out without I/O ([`attempt_history`]).
+
+mod attempt_history;
+mod attempt_task;
+mod open_request;
+#[cfg(test)]
+mod tests;
+
+use std::collections::{BTreeMap, VecDeque};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::rc::Rc;
+
+use decide::Balancer;
+use decide::{Action, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, Settings, UpdateScope};
+use tokio::sync::{mpsc, Notify};
+use tokio::task::spawn_local;
+
+use self::open_request::OpenRequest;
+use crate::clock::Clock;
+use crate::exchange::{AttemptResult, FinalResponse};
+use crate::gossip::GossipSocket;
+use crate::inbox::{AcceptedRequest, AttemptId, AttemptTarget, DriverHandle, DriverInput};
+use crate::log::say;
+use crate::upstream::UpstreamPool;
+
+/// Runs the decisions of one pool.
+pub struct Driver {
+    clock: Clock,
+    settings: Settings,
+    balancer: Balancer,
+    /// The seed of `balancer`, which also tells its timers from those of an earlier one.
+    balancer_seed: u64,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    upstreams: Rc<UpstreamPool>,
+    gossip: Option<Rc<GossipSocket>>,
+    poll_discovery: Rc<Notify>,
+    handle: DriverHandle,
+    inputs: mpsc::UnboundedReceiver<DriverInput>,
+    /// Inputs that follow from the one being taken; they precede those of `inputs`.
+    follow_ups: VecDeque<DriverInput>,
+}
+
+impl Driver {
+    /// A driver whose decisions draw from `seed`. `poll_discovery` is notified when they want the endpoint list polled.
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        clock: Clock,
+        upstreams: Rc<UpstreamPool>,
+        gossip: Option<Rc<GossipSocket>>,
+        poll_discovery: Rc<Notify>,
+    ) -> Driver {
+        let (handle, inputs) = DriverHandle::new();
+        Driver {
+            clock,
+            balancer: Balancer::new(settings.clone(), seed),
+            settings,
+            balancer_seed: seed,
+            open_requests: BTreeMap::new(),
+            upstreams,
+            gossip,
+            poll_discovery,
+            handle,
+            inputs,
+            follow_ups: VecDeque::new(),
+        }
+    }
+
+    /// A handle to send it inputs through.
+    pub fn handle(&self) -> DriverHandle {
+        self.handle.clone()
+    }
+
+    /// Takes inputs, one at a time, for as long as it is polled.
+    pub async fn run(mut self) {
+        while let Some(input) = self.inputs.recv().await {
+            self.follow_ups.push_back(input);
+            while let Some(input) = self.follow_ups.pop_front() {
+                self.take_guarded(input);
+            }
+        }
+    }
+
+    /// Takes an input, and replaces the balancer if it panics.
+    fn take_guarded(&mut self, input: DriverInput) {
+        // A new balancer that panics on the cached endpoints does not get them again.
+        let is_cached_list = matches!(input, DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. });
+        if catch_unwind(AssertUnwindSafe(|| self.take(input))).is_err() {
+            self.replace_balancer(!is_cached_list);
+        }
+    }
+
+    /// Fails all open requests and continues with a new balancer, as a panic may have left the state of the old one
+    /// half changed.
+    fn replace_balancer(&mut self, with_cached_list: bool) {
+        say(format_args!("the decisions panicked: failing what is open and starting anew"));
+        self.follow_ups.clear();
+        for request in std::mem::take(&mut self.open_requests).into_values() {
+            request.fail();
+        }
+        self.balancer_seed = self.balancer_seed.wrapping_add(1);
+        self.balancer = Balancer::new(self.settings.clone(), self.balancer_seed);
+        if with_cached_list {
+            let endpoints = self.upstreams.listed_endpoints();
+            self.follow_ups.push_back(DriverInput::EndpointUpdate { scope: UpdateScope::Cached, endpoints });
+        }
+    }
+
+    // ---- Inputs to events ----
+
+    fn take(&mut self, input: DriverInput) {
+        match input {
+            DriverInput::EndpointUpdate { scope, endpoints } => {
+                self.decide(Event::EndpointUpdate { scope, endpoints: &endpoints });
+            }
+            DriverInput::Request(accepted) => self.on_request(accepted),
+            DriverInput::BodyReceived(id) => self.decide(Event::BodyReceived(id)),
+            DriverInput::AttemptEnded { attempt, result } => self.on_attempt_ended(attempt, result),
+            DriverInput::AttemptCancelled { attempt, target, outcome } => {
+                self.report_attempt(attempt, target, AttemptReport { outcome, is_final: true, load: None });
+            }
+            DriverInput::ClientDisconnected(id) => self.on_client_disconnected(id),
+            DriverInput::Timer { balancer_seed, token } => self.on_timer(balancer_seed, token),
+            DriverInput::GossipReceived { from, payload } => {
+                self.decide(Event::GossipReceived { from, payload: &payload });
+            }
+            DriverInput::HealthCheckEnded { target, result } => self.on_health_check_ended(target, &result),
+            DriverInput::ImportLearnedState(states) => {
+                self.balancer.import_learned_state(self.clock.now(), &states);
+            }
+            // Whoever asks may have gone.
+            DriverInput::ExportLearnedState(reply) => {
+                let _ = reply.send(self.balancer.learned_state(self.clock.now()));
+            }
+            DriverInput::EjectedCount(reply) => {
+                let _ = reply.send(self.balancer.ejected_count(self.clock.now()));
+            }
+        }
+    }
+
+    fn on_request(&mut self, accepted: AcceptedRequest) {
+        let AcceptedRequest { new, message, client, attempts, response } = accepted;
+        let id = new.id;
+        let request = OpenRequest::new(message, client, attempts, response);
+        if let Some(body) = request.streamed_body() {
+            let handle = self.handle();
+            body.at_end(move || handle.send(DriverInput::BodyReceived(id)));
+        }
+        self.open_requests.insert(id, request);
+        self.decide(Event::Request(new));
+    }
+
+    fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(request) = self.open_requests.remove(&id) {
+            self.decide(Event::ClientDisconnected(id));
+            self.cancel_attempts(id, &request);
+        }
+    }
+
+    /// Reports the end of an attempt; a cancelled one has been reported already.
+    fn on_attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult) {
+        let AttemptResult { outcome, load_report, response } = result;
+        let Some(request) = self.open_requests.get_mut(&attempt.request) else { return };
+        let Some(target) = request.end_attempt(attempt.number, outcome) else { return };
+        let is_final = response.is_some();
+        if let Some(response) = response {
+            self.respond(attempt.request, FinalResponse::Served(response));
+        } else if request.is_client_disconnected() {
+            // Its own input has not arrived yet, and no further attempt may start.
+            self.on_client_disconnected(attempt.request);
+        }
+        self.report_attempt(attempt, target, AttemptReport { outcome, is_final, load: load_report });
+    }
+
+    fn on_timer(&mut self, balancer_seed: u64, token: u64) {
+        // A timer of a replaced balancer would start a second round of timers in the new one.
+        if balancer_seed == self.balancer_seed {
+            self.decide(Event::Timer(token));
+        }
+    }
+
+    fn on_health_check_ended(&mut self, target: AttemptTarget, result: &AttemptResult) {
+        self.decide(Event::HealthChecked {
+            endpoint: target.endpoint,
+            outcome: result.outcome,
+            took: self.clock.now() - target.started_at,
+            report: result.load_report,
+        });
+    }
+
+    fn report_attempt(&mut self, attempt: AttemptId, target: AttemptTarget, report: AttemptReport) {
+        self.decide(Event::AttemptEnded {
+            request: attempt.request,
+            attempt: attempt.number,
+            endpoint: target.endpoint,
+            outcome: report.outcome,
+            took: self.clock.now() - target.started_at,
+            is_final: report.is_final,
+            report: report.load,
+        });
+    }
+
+    /// Hands an event to the decisions and carries out their actions in order.
+    fn decide(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.clock.now(), event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    // ---- Actions ----
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, endpoint, deadline } => self.start_attempt(request, endpoint, deadline),
+            Action::Reject { request, retry_after } => {
+                let never_ran = self.open_requests.get(&request).is_some_and(OpenRequest::never_ran);
+                self.respond(request, FinalResponse::Rejected { retry_after, never_ran });
+            }
+            Action::Fail(id) => {
+                if let Some(request) = self.open_requests.get(&id) {
+                    let response = request.failure_response();
+                    self.respond(id, response);
+                }
+            }
+            Action::Cancel { request, attempt } => {
+                self.cancel_attempt(AttemptId { request, number: attempt });
+            }
+            Action::Timer { at, token } => self.start_timer(at, token),
+            Action::PollDiscovery => self.poll_discovery.notify_one(),
+            Action::HealthCheck(endpoint) => self.start_health_check(endpoint),
+            Action::SendGossip { to, payload } => {
+                if let Some(gossip) = &self.gossip {
+                    gossip.send(to, &payload);
+                }
+            }
+            Action::Log(text) => say(format_args!("{text}")),
+        }
+    }
+
+    fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: Micros) {
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let attempt = AttemptId { request: id, number: request.attempt_count() };
+        let order = request.attempt_request(endpoint, self.clock.instant(deadline));
+        let task = attempt_task::spawn(attempt, order, &self.handle, &self.upstreams);
+        let started_at = self.clock.now();
+        request.record_attempt(AttemptTarget { endpoint, started_at }, task);
+    }
+
+    /// Cancels one attempt of a request that goes on.
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let Some(request) = self.open_requests.get(&attempt.request) else { return };
+        if let Some(outcome) = request.cancel_attempt(attempt.number) {
+            self.follow_ups.push_back(DriverInput::AttemptEnded { attempt, result: outcome.into() });
+        }
+    }
+
+    /// Cancels the attempts of a request that is over. The decisions still get an outcome for each.
+    fn cancel_attempts(&mut self, id: RequestId, request: &OpenRequest) {
+        for running in request.running_attempts() {
+            if let Some(outcome) = request.cancel_attempt(running.number) {
+                let attempt = AttemptId { request: id, number: running.number };
+                let target = running.target;
+                self.follow_ups.push_back(DriverInput::AttemptCancelled { attempt, target, outcome });
+            }
+        }
+    }
+
+    fn start_timer(&self, at: Micros, token: u64) {
+        let handle = self.handle();
+        let due = self.clock.instant(at);
+        let balancer_seed = self.balancer_seed;
+        spawn_local(async move {
+            tokio::time::sleep_until(due).await;
+            handle.send(DriverInput::Timer { balancer_seed, token });
+        });
+    }
+
+    fn start_health_check(&self, endpoint: EndpointId) {
+        let handle = self.handle();
+        let upstreams = Rc::clone(&self.upstreams);
+        let target = AttemptTarget { endpoint, started_at: self.clock.now() };
+        spawn_local(async move {
+            let result = upstreams.health_check(endpoint).await;
+            handle.send(DriverInput::HealthCheckEnded { target, result });
+        });
+    }
+
+    /// Gives a request its final response; no further attempt is started for it.
+    fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let Some(mut request) = self.open_requests.remove(&id) else { return };
+        request.respond(response);
+        self.cancel_attempts(id, &request);
+    }
+}
+
+/// What the decisions learn from the end of an attempt, beside which it was.
+struct AttemptReport {
+    outcome: Outcome,
+    /// Its request has its final response.
+    is_final: bool,
+    load: Option<LoadReport>,
+}
--- /dev/null
+++ b/crates/proxy/src/driver/open_request.rs
@@ -0,0 +1,126 @@
+//! A request that is owed its final response, with the tasks of its attempts.
+
+use std::rc::Rc;
+
+use decide::{EndpointId, Outcome};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::attempt_history::{AttemptHistory, RunningAttempt};
+use super::attempt_task::AttemptTask;
+use crate::body::Flow;
+use crate::exchange::{AttemptCounter, ClientConnection, ClientTimeout, FinalResponse, UpstreamRequest};
+use crate::inbox::AttemptTarget;
+use crate::upstream::{AttemptRequest, WriteStarted};
+
+/// A request without its final response.
+pub struct OpenRequest {
+    message: Rc<UpstreamRequest>,
+    client: ClientConnection,
+    /// None once the response was sent.
+    response: Option<oneshot::Sender<FinalResponse>>,
+    attempt_counter: AttemptCounter,
+    history: AttemptHistory,
+    /// The tasks of the attempts, by number.
+    tasks: Vec<AttemptTask>,
+}
+
+impl OpenRequest {
+    /// A request that has no attempts yet.
+    pub fn new(
+        message: Rc<UpstreamRequest>,
+        client: ClientConnection,
+        attempt_counter: AttemptCounter,
+        response: oneshot::Sender<FinalResponse>,
+    ) -> OpenRequest {
+        OpenRequest {
+            message,
+            client,
+            response: Some(response),
+            attempt_counter,
+            history: AttemptHistory::default(),
+            tasks: Vec::new(),
+        }
+    }
+
+    /// Its body, if that is streamed.
+    pub fn streamed_body(&self) -> Option<&Rc<Flow>> {
+        self.message.body().flow()
+    }
+
+    /// Whether its client has closed the connection, also where that input has not arrived yet.
+    pub fn is_client_disconnected(&self) -> bool {
+        self.client.is_disconnected()
+    }
+
+    /// The number of its attempts so far.
+    pub fn attempt_count(&self) -> usize {
+        self.history.len()
+    }
+
+    /// The next attempt.
+    pub fn attempt_request(&self, endpoint: EndpointId, deadline: Instant) -> AttemptRequest {
+        let client_timeout = self.message.extensions().get::<ClientTimeout>();
+        AttemptRequest {
+            endpoint,
+            message: Rc::clone(&self.message),
+            client: self.client.clone(),
+            deadline,
+            client_timeout: client_timeout.map(|timeout| timeout.0),
+            write_started: WriteStarted::default(),
+        }
+    }
+
+    /// Records an attempt that has started.
+    pub fn record_attempt(&mut self, target: AttemptTarget, task: AttemptTask) {
+        self.attempt_counter.increment();
+        self.history.start(target);
+        self.tasks.push(task);
+    }
+
+    /// Records the end of an attempt, and returns its target. None if there is no such attempt or it had ended.
+    pub fn end_attempt(&mut self, number: usize, outcome: Outcome) -> Option<AttemptTarget> {
+        self.history.end(number, outcome)
+    }
+
+    /// The attempts that have not ended.
+    pub fn running_attempts(&self) -> impl Iterator<Item = RunningAttempt> + '_ {
+        self.history.running()
+    }
+
+    /// Cancels an attempt that has not ended, and returns its outcome; the caller records its end.
+    pub fn cancel_attempt(&self, number: usize) -> Option<Outcome> {
+        let task = self.tasks.get(number).filter(|_| self.history.is_running(number))?;
+        Some(task.cancel())
+    }
+
+    /// Whether no attempt can have been executed.
+    pub fn never_ran(&self) -> bool {
+        self.history.never_ran()
+    }
+
+    /// The response where the decisions fail the request.
+    pub fn failure_response(&self) -> FinalResponse {
+        if self.history.last_timed_out() {
+            FinalResponse::TimedOut
+        } else {
+            FinalResponse::Failed
+        }
+    }
+
+    /// Sends the final response.
+    pub fn respond(&mut self, response: FinalResponse) {
+        if let Some(sender) = self.response.take() {
+            // The client may have disconnected in this very moment.
+            let _ = sender.send(response);
+        }
+    }
+
+    /// Aborts its attempts without recording their ends, and fails it.
+    pub fn fail(mut self) {
+        for attempt in self.history.running() {
+            self.tasks[attempt.number].cancel();
+        }
+        self.respond(FinalResponse::Failed);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/tests.rs
@@ -0,0 +1,126 @@
+//! Tests of the driver, and of what the ends of attempts prove.
+
+use std::future::Future;
+use std::time::Duration;
+
+use decide::platform_settings::Transport;
+use tokio::sync::oneshot;
+use tokio::task::LocalSet;
+use tokio::time::timeout;
+
+use super::attempt_history::{AttemptHistory, RunningAttempt};
+use super::attempt_task::ResultGuard;
+use super::*;
+use crate::exchange::{AttemptCounter, ClientConnection};
+
+fn block_on_local(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, test);
+}
+
+fn driver() -> Driver {
+    let class = decide::Class {
+        latency_objective: 500_000,
+        deadline: 2_000_000,
+        priority_weight: 1.0,
+        ..decide::Class::default()
+    };
+    let settings =
+        Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
+    let transport = Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 };
+    Driver::new(settings, 7, Clock::new(), Rc::new(UpstreamPool::new(transport, 9)), None, Rc::default())
+}
+
+#[test]
+fn open_requests_fail_at_once_when_the_decisions_panic() {
+    block_on_local(async {
+        let mut driver = driver();
+        let (response, receiver) = oneshot::channel();
+        let request =
+            OpenRequest::new(Rc::default(), ClientConnection::default(), AttemptCounter::default(), response);
+        driver.open_requests.insert(RequestId(1), request);
+        let old_seed = driver.balancer_seed;
+        driver.replace_balancer(true);
+        assert!(matches!(receiver.await, Ok(FinalResponse::Failed)));
+        let Some(list @ DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. }) =
+            driver.follow_ups.pop_front()
+        else {
+            panic!("no list")
+        };
+        // The new balancer starts its own timers, and those of the old one are ignored.
+        driver.take(list);
+        let Some(DriverInput::Timer { balancer_seed, token }) = driver.inputs.recv().await else {
+            panic!("no timer")
+        };
+        assert_ne!(balancer_seed, old_seed);
+        driver.take(DriverInput::Timer { balancer_seed: old_seed, token });
+        assert!(timeout(Duration::from_secs(1), driver.inputs.recv()).await.is_err());
+        driver.take(DriverInput::Timer { balancer_seed, token });
+        assert!(matches!(driver.inputs.recv().await, Some(DriverInput::Timer { .. })));
+    });
+}
+
+#[test]
+fn an_attempt_whose_task_panics_may_have_run() {
+    block_on_local(async {
+        let mut driver = driver();
+        let expected = AttemptId { request: RequestId(1), number: 2 };
+        let guard = ResultGuard::new(driver.handle(), expected);
+        let task = spawn_local(async move {
+            let _guard = guard;
+            panic!("on purpose");
+        });
+        assert!(task.await.is_err());
+        let Some(DriverInput::AttemptEnded { attempt, result }) = driver.inputs.recv().await else {
+            panic!("no outcome")
+        };
+        assert_eq!(attempt, expected);
+        assert_eq!(result.outcome, Outcome::Reset);
+    });
+}
+
+fn target(endpoint: u32) -> AttemptTarget {
+    AttemptTarget { endpoint: EndpointId(endpoint), started_at: 10 }
+}
+
+#[test]
+fn a_request_never_ran_only_if_every_attempt_ended_and_proves_it() {
+    let mut history = AttemptHistory::default();
+    assert!(history.never_ran());
+    history.start(target(1));
+    assert!(!history.never_ran(), "it runs");
+    assert_eq!(history.end(0, Outcome::ConnectFailed), Some(target(1)));
+    assert!(history.never_ran());
+    history.start(target(2));
+    assert_eq!(history.end(1, Outcome::Reset), Some(target(2)));
+    assert!(!history.never_ran());
+    history.start(target(3));
+    assert_eq!(history.end(2, Outcome::Rejected), Some(target(3)));
+    assert!(!history.never_ran(), "an earlier attempt may have run");
+}
+
+#[test]
+fn an_attempt_ends_once() {
+    let mut history = AttemptHistory::default();
+    history.start(target(1));
+    history.start(target(2));
+    assert_eq!(history.end(0, Outcome::NotSent), Some(target(1)));
+    assert_eq!(history.end(0, Outcome::Reset), None, "it had ended");
+    assert_eq!(history.end(2, Outcome::Reset), None, "there is none");
+    assert!(!history.is_running(0) && history.is_running(1));
+    let running: Vec<RunningAttempt> = history.running().collect();
+    assert_eq!(running, [RunningAttempt { number: 1, target: target(2) }]);
+    assert_eq!(history.end(1, Outcome::NotSent), Some(target(2)));
+    assert!(history.never_ran(), "the late end of the first has no effect");
+}
+
+#[test]
+fn only_the_last_end_says_whether_time_ran_out() {
+    let mut history = AttemptHistory::default();
+    history.start(target(1));
+    history.start(target(2));
+    history.end(0, Outcome::Timeout);
+    assert!(history.last_timed_out());
+    history.end(1, Outcome::Error);
+    assert!(!history.last_timed_out());
+}
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,5 +1,7 @@
-//! What passes between fronts and backends: a request, an attempt's end, a final answer. Neither side owns it,
-//! and nothing here reads a socket or decides.
+//! The types that pass between the downstream side (connections of clients) and the upstream side (attempts against
+//! endpoints): a request, the result of one attempt, the final response.
+//!
+//! Nothing here does I/O or decides anything.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,115 +16,131 @@
 use crate::body::Content;
 use crate::metrics::RequestOutcome;
 
-/// The largest body that is held whole, and so can be sent a second time; a larger one flows where it may, or is turned away.
-pub const MOST_BODY: usize = config::WHOLE_BODY_BYTES as usize;
-/// The largest head of a message, in bytes, and so about what a connection takes of the memory.
-pub const MOST_BUFFER: usize = 16 << 10;
-/// A request's id.
-pub const ID: &str = "x-request-id";
-/// The key by which its repeats are known.
-pub const KEY: &str = "idempotency-key";
-/// How long the client waits, in milliseconds.
-pub const TIMEOUT: &str = "x-timeout-ms";
-
-/// A request as it goes to a backend.
-pub type Message = Request<Content>;
-
-/// How long a caller waits for the answer once the request has come whole; goes along where that flows.
+/// The largest body that is buffered, and so can be sent again by a retry; a larger one is streamed where the route
+/// allows it, and rejected elsewhere.
+pub const MAX_BUFFERED_BODY_BYTES: usize = config::WHOLE_BODY_BYTES as usize;
+/// The largest head of a message; roughly what an HTTP connection takes of the memory.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The header with the id of a request.
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
+/// The header with the idempotency key of a request.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The header with the time that remains for a request, in milliseconds.
+pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
+
+/// A request in the form in which it is sent to an endpoint.
+pub type UpstreamRequest = Request<Content>;
+
+/// How long the client waits for the response, from the last byte of its request. An extension of an
+/// [`UpstreamRequest`] whose body is streamed.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience(pub Duration);
+pub struct ClientTimeout(pub Duration);
 
-/// How a request stands in JSON-RPC; goes along as an extension of its message.
+/// The JSON-RPC form of a request. An extension of its [`UpstreamRequest`].
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct RpcCall {
+    /// The method to call.
     pub method: Arc<str>,
-    /// As its caller sent them, where that was by JSON-RPC.
+    /// The `params` as the client sent them, where it called by JSON-RPC.
     pub params: Option<Bytes>,
-    /// It came by HTTP, so that its verb and path say something.
-    pub by_http: bool,
+    /// The client sent it over HTTP, so that its HTTP method and path carry information.
+    pub received_over_http: bool,
 }
 
-/// Whoever waits for the answer to a request, as far as its connection tells.
+/// The connection of the client that waits for a response, as far as the upstream side needs it.
 #[derive(Clone, Default)]
-pub struct Client(Option<Rc<dyn Fn() -> bool>>);
+pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
-impl Client {
-    /// One of whom this says whether it has left.
-    pub fn new(has_left: impl Fn() -> bool + 'static) -> Client {
-        Client(Some(Rc::new(has_left)))
+impl ClientConnection {
+    /// A connection whose state `is_disconnected` reads.
+    pub fn new(is_disconnected: impl Fn() -> bool + 'static) -> ClientConnection {
+        ClientConnection(Some(Rc::new(is_disconnected)))
     }
 
-    /// Has it closed its connection, or its side of it? Nothing new is begun for it then.
-    pub fn has_left(&self) -> bool {
-        self.0.as_ref().is_some_and(|has_left| has_left())
+    /// Whether the client has closed the connection or its sending side. No attempt is started for it then.
+    pub fn is_disconnected(&self) -> bool {
+        self.0.as_ref().is_some_and(|is_disconnected| is_disconnected())
     }
 }
 
-/// Counts the attempts that are begun for a request, in whichever pool. Known at any time, also where nobody is
-/// left to hear the answer.
+/// Counts the attempts that were started for a request over all pools. Copies share the count, so that it can still be
+/// read after the client has disconnected.
 #[derive(Clone, Debug, Default)]
-pub struct Attempts(Rc<Cell<usize>>);
+pub struct AttemptCounter(Rc<Cell<usize>>);
 
-impl Attempts {
-    pub fn begun(&self) -> usize {
+impl AttemptCounter {
+    /// The number of attempts started so far.
+    pub fn started(&self) -> usize {
         self.0.get()
     }
 
-    pub fn begin(&self) {
+    /// Counts an attempt that starts now.
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
-/// The final answer to a caller.
+/// The response of an endpoint, without hop-by-hop headers.
+#[derive(Clone, Debug)]
+pub struct UpstreamResponse {
+    /// Its headers; the status is always 200.
+    pub headers: HeaderMap,
+    /// Its body, buffered or streamed.
+    pub body: Content,
+}
+
+/// The final response to a client.
 #[derive(Debug)]
-pub enum Answer {
-    /// A backend's answer, whole or flowing.
-    Served(HeaderMap, Content),
-    /// Refused by the decisions: trying again there is harmless.
-    Refused {
-        /// After this time, if it is not 0.
+pub enum FinalResponse {
+    /// The response of an endpoint.
+    Served(UpstreamResponse),
+    /// Shed by the decisions; a retry by the client is harmless.
+    Rejected {
+        /// When to retry, from now; 0 states no time.
         retry_after: Micros,
-        /// No attempt can have run, so that trying elsewhere is harmless as well.
+        /// No attempt can have been executed, so that a retry in another pool is harmless as well.
         never_ran: bool,
     },
-    /// Not served, and nothing is promised.
+    /// No response, and the request may have been executed.
     Failed,
-    /// The same, because time ran out.
+    /// As [`FinalResponse::Failed`], because the time ran out.
     TimedOut,
 }
 
-impl Answer {
-    /// What it is counted as.
-    pub fn fate(&self) -> RequestOutcome {
+impl FinalResponse {
+    /// The outcome that the request is counted under.
+    pub fn request_outcome(&self) -> RequestOutcome {
         match self {
-            Answer::Served(..) => RequestOutcome::Served,
-            Answer::Refused { .. } => RequestOutcome::Rejected,
-            Answer::Failed | Answer::TimedOut => RequestOutcome::Failed,
+            FinalResponse::Served(_) => RequestOutcome::Served,
+            FinalResponse::Rejected { .. } => RequestOutcome::Rejected,
+            FinalResponse::Failed | FinalResponse::TimedOut => RequestOutcome::Failed,
         }
     }
 }
 
-/// How an attempt or a probe ended.
-pub struct Ended {
+/// The result of an attempt or of a health check.
+pub struct AttemptResult {
+    /// How it ended.
     pub outcome: Outcome,
-    pub report: Option<LoadReport>,
-    /// With an attempt's [`Outcome::Ok`]: the answer.
-    pub answer: Option<(HeaderMap, Content)>,
+    /// The load that the endpoint reported with it.
+    pub load_report: Option<LoadReport>,
+    /// The response; only with an attempt's [`Outcome::Ok`].
+    pub response: Option<UpstreamResponse>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, report: None, answer: None }
+        AttemptResult { outcome, load_report: None, response: None }
     }
 }
 
-/// Removes what speaks of one connection only, and what hyper writes anew.
+/// Removes the headers that concern one connection only, and those that hyper writes itself.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(',').filter_map(|name| name.trim().parse().ok()))
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(',').filter_map(|name| name.trim().parse().ok()))
         .collect();
     let fixed = [
         header::CONNECTION,
@@ -136,7 +154,7 @@
         header::UPGRADE,
         HeaderName::from_static("keep-alive"),
     ];
-    named.iter().chain(&fixed).for_each(|name| {
+    for name in listed_by_connection.iter().chain(&fixed) {
         headers.remove(name);
-    });
+    }
 }
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -25,7 +25,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::clock::Clock;
-use crate::exchange::Attempts;
+use crate::exchange::AttemptCounter;
 use crate::idempotency_keys::KeyTable;
 use crate::inbox::DriverHandle;
 use crate::log::say;
@@ -202,7 +202,7 @@
                     keys: KeyTable::new(keys, self.clock),
                 })
             });
-            resident.keys.set_bounds(keys);
+            resident.keys.set_limits(keys);
             limiter.set(now, resident.id, limits);
             // Another tenant's weight changes the sockets of this one, and not its version.
             let unchanged = Arc::ptr_eq(&resident.tenant.borrow(), tenant);
@@ -387,13 +387,13 @@
             limiter: Rc::clone(&house.limiter),
             clock: house.clock,
             admitted: Some(admitted),
-            begun: Attempts::default(),
+            begun: AttemptCounter::default(),
         };
         let ResolvedRoute { class, semantics, deadline, method, key_scope: once } = known;
         let ids = Some(resident.ids.clone());
         let course = Box::new(course);
         Ok(RouteDecision {
-            ids,
+            open_request_ids: ids,
             class,
             semantics,
             deadline,
@@ -411,7 +411,7 @@
         Ok(rpc_mapping::head_of(methods, &self.listener.host, call)?)
     }
 
-    fn new_id(&self) -> Option<String> {
+    fn generate_request_id(&self) -> Option<String> {
         Some(self.new_ids.next())
     }
 
@@ -420,7 +420,7 @@
         self.house.is_ready()
     }
 
-    fn whole_seconds(&self) -> bool {
+    fn retry_after_in_seconds(&self) -> bool {
         true
     }
 }
@@ -443,13 +443,13 @@
     limiter: Rc<RefCell<Limiter>>,
     clock: Clock,
     admitted: Option<Admitted>,
-    begun: Attempts,
+    begun: AttemptCounter,
 }
 
 impl Drop for Limited {
     fn drop(&mut self) {
         if let Some(admitted) = self.admitted.take() {
-            self.limiter.borrow_mut().done(self.clock.now(), admitted, self.begun.begun());
+            self.limiter.borrow_mut().done(self.clock.now(), admitted, self.begun.started());
         }
     }
 }
@@ -458,7 +458,7 @@
     /// The attempts that its tenant can still pay for, where they are bounded.
     fn left(&self) -> Option<usize> {
         let most = self.admitted.as_ref().map(|a| a.attempts).filter(|most| *most < usize::MAX)?;
-        Some(most.saturating_sub(self.begun.begun()))
+        Some(most.saturating_sub(self.begun.started()))
     }
 }
 
@@ -475,7 +475,7 @@
         self.left().unwrap_or(0)
     }
 
-    fn attempt_counter(&self) -> Attempts {
+    fn attempt_counter(&self) -> AttemptCounter {
         self.begun.clone()
     }
 
--- a/crates/proxy/src/idempotency_keys.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -1,4 +1,7 @@
-//! Keyed requests run once, whichever protocol they come by: the table of their keys, as a front uses it.
+//! The idempotency keys of keyed requests, as the downstream side uses them: one table for all protocols.
+//!
+//! See the crate `idempotency` for the rule and its limits. A request of a class with keys reserves its key before it is
+//! submitted; a key that is taken gives a rejection or the stored response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,98 +9,134 @@
 use bytes::Bytes;
 use decide::Micros;
 use hyper::{HeaderMap, StatusCode};
-use idempotency::{Begin, Bounds, Keys, Ticket};
+use idempotency::{IdempotencyTable, ReservationId, ReserveOutcome, StoredResponse, TableLimits};
 
 use crate::clock::Clock;
-use crate::exchange::Answer;
+use crate::exchange::{FinalResponse, UpstreamResponse};
 use crate::router::Rejection;
 
-/// The causes that refusals for a key are told by.
-pub const OPEN: &str = "key-open";
-pub const DONE: &str = "key-done";
-pub const FULL: &str = "keys";
-/// When to ask again for a key that is open.
-const AGAIN: Micros = 1_000_000;
-/// What an entry takes beside the bytes of its answer, about.
-const HEADER: usize = 64;
+/// The rejection's cause while a request with the same key is in progress.
+pub const IN_PROGRESS_CAUSE: &str = "key-open";
+/// The rejection's cause once a request with the same key was served and its response is no longer stored.
+pub const RESPONSE_EVICTED_CAUSE: &str = "key-done";
+/// The rejection's cause where the table has no room for another key.
+pub const TABLE_FULL_CAUSE: &str = "keys";
+/// When to retry while a request with the same key is in progress.
+const IN_PROGRESS_RETRY_AFTER: Micros = 1_000_000;
+/// What a header takes in memory beside the bytes of its name and value, about.
+const HEADER_OVERHEAD_BYTES: usize = 64;
 
-type Served = (HeaderMap, Bytes);
+/// A response as it is stored: complete, as what is streamed is never stored.
+#[derive(Clone)]
+struct BufferedResponse {
+    headers: HeaderMap,
+    body: Bytes,
+}
 
-/// The keys of those who share them.
+impl BufferedResponse {
+    fn size_bytes(&self) -> usize {
+        let header_bytes = |name: &str, value: &[u8]| HEADER_OVERHEAD_BYTES + name.len() + value.len();
+        let headers = self.headers.iter().map(|(name, value)| header_bytes(name.as_str(), value.as_bytes()));
+        headers.sum::<usize>() + self.body.len()
+    }
+}
+
+/// A table of keys. Copies share it.
 #[derive(Clone)]
 pub struct KeyTable {
-    keys: Rc<RefCell<Keys<Served>>>,
+    table: Rc<RefCell<IdempotencyTable<BufferedResponse>>>,
     clock: Clock,
 }
 
 impl KeyTable {
-    pub fn new(bounds: Bounds, clock: Clock) -> KeyTable {
-        KeyTable { keys: Rc::new(RefCell::new(Keys::new(bounds))), clock }
+    /// An empty table.
+    pub fn new(limits: TableLimits, clock: Clock) -> KeyTable {
+        KeyTable { table: Rc::new(RefCell::new(IdempotencyTable::new(limits))), clock }
     }
 
-    pub fn set_bounds(&self, bounds: Bounds) {
-        self.keys.borrow_mut().set_bounds(bounds);
+    /// Changes the limits; see [`IdempotencyTable::set_limits`].
+    pub fn set_limits(&self, limits: TableLimits) {
+        self.table.borrow_mut().set_limits(limits);
     }
 }
 
-/// Where the keys of a class are known, and for how long.
+/// Where the keys of a class are looked up, and for how long they are known.
 pub struct KeyScope {
+    /// The table.
     pub table: KeyTable,
+    /// The name of the class.
     pub class: Rc<str>,
+    /// The retention of a key after its request was served.
     pub window: Micros,
 }
 
-/// What a key comes to.
+/// The result of [`KeyScope::reserve`].
 pub enum KeyLookup {
+    /// The key is new: its request is to be sent.
     Reserved(ReservedKey),
-    /// It was served within its window: this is the answer again, and nothing is to be sent.
-    Replayed(Answer),
+    /// A request with the key was served within the window: this is its response, and nothing is to be sent.
+    Replayed(FinalResponse),
 }
 
 impl KeyScope {
-    /// A request comes with this key.
+    /// Reserves the key of a request.
     ///
     /// # Errors
-    /// What to turn it away with: another with it is open, or its answer is gone, or there is no room for it.
+    /// A request with the key is in progress, its response is no longer stored, or the table is full.
     pub fn reserve(self, key: &str) -> Result<KeyLookup, Rejection> {
         let now = self.table.clock.now();
-        let begun = self.table.keys.borrow_mut().begin(now, &self.class, key);
-        let turned = |status, cause, retry_after| Err(Rejection { status, cause: Some(cause), retry_after });
-        match begun {
-            Begin::New(ticket) => Ok(KeyLookup::Reserved(ReservedKey { scope: self, ticket, served: false })),
-            Begin::Answered((headers, body)) => Ok(KeyLookup::Replayed(Answer::Served(headers, body.into()))),
-            Begin::Open => turned(StatusCode::CONFLICT, OPEN, AGAIN),
-            Begin::Done => turned(StatusCode::CONFLICT, DONE, 0),
-            Begin::Full(until) => turned(StatusCode::TOO_MANY_REQUESTS, FULL, until),
+        let outcome = self.table.table.borrow_mut().reserve(now, &self.class, key);
+        match outcome {
+            ReserveOutcome::Reserved(reservation) => {
+                Ok(KeyLookup::Reserved(ReservedKey { scope: self, reservation, completed: false }))
+            }
+            ReserveOutcome::Completed(BufferedResponse { headers, body }) => {
+                let response = UpstreamResponse { headers, body: body.into() };
+                Ok(KeyLookup::Replayed(FinalResponse::Served(response)))
+            }
+            ReserveOutcome::InProgress => {
+                Err(rejection(StatusCode::CONFLICT, IN_PROGRESS_CAUSE, IN_PROGRESS_RETRY_AFTER))
+            }
+            ReserveOutcome::ResponseEvicted => {
+                Err(rejection(StatusCode::CONFLICT, RESPONSE_EVICTED_CAUSE, 0))
+            }
+            ReserveOutcome::TableFull { retry_after } => {
+                Err(rejection(StatusCode::TOO_MANY_REQUESTS, TABLE_FULL_CAUSE, retry_after))
+            }
         }
     }
 }
 
-/// A key whose request is open. Dropping it says that it was not served.
+fn rejection(status: StatusCode, cause: &'static str, retry_after: Micros) -> Rejection {
+    Rejection { status, cause: Some(cause), retry_after }
+}
+
+/// The key of a request in progress. Released when dropped without a recorded response.
 pub struct ReservedKey {
     scope: KeyScope,
-    ticket: Ticket,
-    served: bool,
+    reservation: ReservationId,
+    completed: bool,
 }
 
 impl ReservedKey {
-    /// Its request has this answer.
-    pub fn answered(&mut self, answer: &Answer) {
-        let Answer::Served(headers, body) = answer else { return };
-        // One that flows is not held, and never is where keys are.
+    /// Stores the final response of the request, if it was served.
+    pub fn record_response(&mut self, response: &FinalResponse) {
+        let FinalResponse::Served(UpstreamResponse { headers, body }) = response else { return };
+        // Responses of classes with keys are never streamed.
         let Some(body) = body.whole() else { return };
-        self.served = true;
-        let bytes =
-            headers.iter().map(|(n, v)| HEADER + n.as_str().len() + v.len()).sum::<usize>() + body.len();
-        let (now, answer) = (self.scope.table.clock.now(), (headers.clone(), body));
-        self.scope.table.keys.borrow_mut().served(now, self.ticket, answer, bytes, self.scope.window);
+        self.completed = true;
+        let response = BufferedResponse { headers: headers.clone(), body };
+        let bytes = response.size_bytes();
+        let now = self.scope.table.clock.now();
+        let mut table = self.scope.table.table.borrow_mut();
+        table.complete(now, self.reservation, StoredResponse { response, bytes }, self.scope.window);
     }
 }
 
 impl Drop for ReservedKey {
     fn drop(&mut self) {
-        if !self.served {
-            self.scope.table.keys.borrow_mut().ended(self.ticket);
+        if !self.completed {
+            self.scope.table.table.borrow_mut().release(self.reservation);
         }
     }
 }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the I/O tasks tell the driver, and the handle by which they do.
+//! The inputs of the driver, and the handle through which I/O tasks send them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,35 +7,69 @@
 use decide::{Endpoint, EndpointId, Micros, NewRequest, Outcome, RequestId, UpdateScope};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::exchange::{Answer, Attempts, Client, Ended, Message};
+use crate::exchange::{AttemptCounter, AttemptResult, ClientConnection, FinalResponse, UpstreamRequest};
 
 /// Something that happened, as it waits for its turn.
 pub enum DriverInput {
-    Backends(UpdateScope, Vec<Endpoint>),
-    Request(NewRequest, Rc<Message>, Client, Attempts, oneshot::Sender<Answer>),
-    /// The body of a request has come whole.
-    Came(RequestId),
-    Ended(RequestId, usize, Ended),
-    /// An attempt of a request that is over was called off: where to, when it was sent, and as what that counts.
-    Dropped(RequestId, usize, (EndpointId, Micros), Outcome),
-    ClientGone(RequestId),
-    /// Set by the balancer of this seed, with this token.
-    Timer(u64, u64),
-    Told(u32, Vec<u8>),
-    Probed {
-        backend: EndpointId,
-        sent: Micros,
-        ended: Ended,
-    },
-    /// What others have learned, once there is a list.
-    Learn(Vec<LearnedState>),
-    /// Asks what was learned here.
-    State(oneshot::Sender<LearnedState>),
-    /// Asks how many listed nodes are avoided by choice.
-    Avoided(oneshot::Sender<usize>),
+    /// A watch event of the endpoint list.
+    EndpointUpdate { scope: UpdateScope, endpoints: Vec<Endpoint> },
+    /// A request arrived.
+    Request(AcceptedRequest),
+    /// The last byte of a request's body arrived.
+    BodyReceived(RequestId),
+    /// An attempt ended.
+    AttemptEnded { attempt: AttemptId, result: AttemptResult },
+    /// An attempt was cancelled because its request is over.
+    AttemptCancelled { attempt: AttemptId, target: AttemptTarget, outcome: Outcome },
+    /// The client of a request disconnected.
+    ClientDisconnected(RequestId),
+    /// A timer of the balancer with this seed is due.
+    Timer { balancer_seed: u64, token: u64 },
+    /// A gossip message arrived from the peer of this rank.
+    GossipReceived { from: u32, payload: Vec<u8> },
+    /// A health check ended.
+    HealthCheckEnded { target: AttemptTarget, result: AttemptResult },
+    /// The learned state of other proxies, or of an earlier process.
+    ImportLearnedState(Vec<LearnedState>),
+    /// Asks for the learned state.
+    ExportLearnedState(oneshot::Sender<LearnedState>),
+    /// Asks for the number of listed endpoints that are ejected.
+    EjectedCount(oneshot::Sender<usize>),
 }
 
-/// What the I/O tasks tell the driver by.
+/// A request that is owed a final response.
+pub struct AcceptedRequest {
+    /// What the decisions need of it.
+    pub new: NewRequest,
+    /// The request as it is sent upstream.
+    pub message: Rc<UpstreamRequest>,
+    /// The connection that waits for the response.
+    pub client: ClientConnection,
+    /// Counts its attempts.
+    pub attempts: AttemptCounter,
+    /// Takes the response.
+    pub response: oneshot::Sender<FinalResponse>,
+}
+
+/// One attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// The number of the attempt, from 0 in each pool.
+    pub number: usize,
+}
+
+/// Where and when an attempt or a health check was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptTarget {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// When it was started, on the clock of the decisions.
+    pub started_at: Micros,
+}
+
+/// Sends inputs to a driver. Copies share the counter of request ids.
 #[derive(Clone)]
 pub struct DriverHandle {
     inputs: mpsc::UnboundedSender<DriverInput>,
@@ -43,61 +77,64 @@
 }
 
 impl DriverHandle {
-    /// A handle, and where what it is told arrives.
+    /// A handle, and the receiver of what is sent through it.
     pub fn new() -> (DriverHandle, mpsc::UnboundedReceiver<DriverInput>) {
-        let (inputs, arriving) = mpsc::unbounded_channel();
-        (DriverHandle { inputs, last_id: Rc::default() }, arriving)
+        let (inputs, receiver) = mpsc::unbounded_channel();
+        let handle = DriverHandle { inputs, last_id: Rc::default() };
+        (handle, receiver)
     }
 
-    /// Hands over a request. Its answer comes at once or later; a receiver that is closed means that it failed.
+    /// Submits a request. A receiver that closes without a response means that the request failed.
     pub fn request(
         &self,
         mut new: NewRequest,
-        message: Rc<Message>,
-        client: Client,
-        attempts: Attempts,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
-        new.id = RequestId(self.last_id.get() + 1);
-        self.last_id.set(new.id.0);
-        let (id, (sender, receiver)) = (new.id, oneshot::channel());
-        self.tell(DriverInput::Request(new, message, client, attempts, sender));
+        message: Rc<UpstreamRequest>,
+        client: ClientConnection,
+        attempts: AttemptCounter,
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
+        let id = RequestId(self.last_id.get() + 1);
+        self.last_id.set(id.0);
+        new.id = id;
+        let (response, receiver) = oneshot::channel();
+        self.send(DriverInput::Request(AcceptedRequest { new, message, client, attempts, response }));
         (id, receiver)
     }
 
-    /// Nobody waits for this request any more: nothing is owed or sent for it from here on.
+    /// The client of this request disconnected: it is owed no response, and no attempt is started for it any more.
     pub fn client_disconnected(&self, id: RequestId) {
-        self.tell(DriverInput::ClientGone(id));
+        self.send(DriverInput::ClientDisconnected(id));
     }
 
-    pub fn endpoint_update(&self, scope: UpdateScope, entries: Vec<Endpoint>) {
-        self.tell(DriverInput::Backends(scope, entries));
+    /// A watch event of the endpoint list.
+    pub fn endpoint_update(&self, scope: UpdateScope, endpoints: Vec<Endpoint>) {
+        self.send(DriverInput::EndpointUpdate { scope, endpoints });
     }
 
-    /// A message from the peer of this rank.
-    pub fn gossip_received(&self, from: u32, message: Vec<u8>) {
-        self.tell(DriverInput::Told(from, message));
+    /// A gossip message from the peer of this rank.
+    pub fn gossip_received(&self, from: u32, payload: Vec<u8>) {
+        self.send(DriverInput::GossipReceived { from, payload });
     }
 
-    /// What others have learned.
-    pub fn import_learned_state(&self, told: Vec<LearnedState>) {
-        self.tell(DriverInput::Learn(told));
+    /// The learned state of other proxies, or of an earlier process.
+    pub fn import_learned_state(&self, states: Vec<LearnedState>) {
+        self.send(DriverInput::ImportLearnedState(states));
     }
 
-    /// What was learned here; nothing where the decisions panic over it.
+    /// The learned state; none if the decisions panic over it.
     pub async fn learned_state(&self) -> Option<LearnedState> {
         let (sender, receiver) = oneshot::channel();
-        self.tell(DriverInput::State(sender));
+        self.send(DriverInput::ExportLearnedState(sender));
         receiver.await.ok()
     }
 
-    /// How many listed nodes the decisions avoid by choice.
+    /// The number of listed endpoints that the decisions have ejected.
     pub async fn ejected_count(&self) -> usize {
         let (sender, receiver) = oneshot::channel();
-        self.tell(DriverInput::Avoided(sender));
+        self.send(DriverInput::EjectedCount(sender));
         receiver.await.unwrap_or_default()
     }
 
-    pub(crate) fn tell(&self, input: DriverInput) {
+    pub(crate) fn send(&self, input: DriverInput) {
         // The driver ends only with the process.
         let _ = self.inputs.send(input);
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,6 +24,7 @@
 mod operators;
 mod panic_guard;
 pub mod platform;
+mod platform_router;
 mod pool;
 mod process;
 mod request_ids;
--- a/crates/proxy/src/membership/registry.rs
+++ b/crates/proxy/src/membership/registry.rs
@@ -19,7 +19,7 @@
 use crate::log::say;
 use crate::maintenance::MaintenanceOverrides;
 use crate::metrics::{Labels, PoolGauges};
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 
 /// The name of a host that has gone is kept for this long: by then nothing is open that went there, so that
 /// whoever gets its id is not taken for it.
@@ -51,7 +51,7 @@
 pub struct RegistryView {
     pub known: Rc<RegisteredEndpoints>,
     pub handle: DriverHandle,
-    pub backends: Rc<Upstreams>,
+    pub backends: Rc<UpstreamPool>,
     pub overrides: MaintenanceOverrides,
 }
 
@@ -71,7 +71,7 @@
             self.known.ids.borrow().get(name).filter(|n| n.gone.is_none()).and_then(|n| n.last.clone());
         let Some((entry, dial)) = last else { return };
         let entry = stricter(entry, self.overrides.is_out(name));
-        self.backends.update(&entry, dial);
+        self.backends.update_endpoint(&entry, dial);
         self.handle.endpoint_update(UpdateScope::Delta, vec![entry]);
     }
 }
@@ -85,7 +85,7 @@
     pub clock: Clock,
     pub names: Rc<RefCell<NameTable>>,
     pub handle: DriverHandle,
-    pub backends: Rc<Upstreams>,
+    pub backends: Rc<UpstreamPool>,
     /// Set once there is a list.
     pub ready: Rc<Cell<bool>>,
     /// When the source last spoke.
@@ -169,7 +169,7 @@
         clock: Clock,
         names: Rc<RefCell<NameTable>>,
         handle: DriverHandle,
-        backends: Rc<Upstreams>,
+        backends: Rc<UpstreamPool>,
         ready: Rc<Cell<bool>>,
     ) -> EndpointRegistry {
         let heard = Rc::new(Cell::new(Instant::now()));
@@ -212,7 +212,7 @@
                 named.last = Some((entry.clone(), dial));
             }
             let entry = stricter(entry, self.overrides.as_ref().is_some_and(|bans| bans.listed(&name)));
-            self.backends.update(&entry, dial);
+            self.backends.update_endpoint(&entry, dial);
             entries.push(entry);
         }
         for name in unreadable {
@@ -220,13 +220,13 @@
                 self.known.ids.borrow().get(name).filter(|n| n.gone.is_none()).and_then(|n| n.last.clone());
             if let Some((mut entry, dial)) = last {
                 entry.state = EndpointState::Draining;
-                self.backends.update(&entry, dial);
+                self.backends.update_endpoint(&entry, dial);
                 entries.push(entry);
             }
         }
         if scope != UpdateScope::Delta {
             let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
-            self.backends.retain(|id| listed.contains(&id));
+            self.backends.retain_listed(|id| listed.contains(&id));
             for named in self.known.ids.borrow_mut().values_mut().filter(|n| !listed.contains(&n.id)) {
                 named.gone.get_or_insert_with(Instant::now);
             }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -28,10 +28,10 @@
 use crate::membership::{Discovery, EndpointRegistry, RegistryObserver, RegistryView};
 use crate::metrics::{Labels, Metrics};
 use crate::operators::Operated;
+use crate::platform_router::PlatformRouter;
 use crate::process::{self, Signals};
 use crate::request_ids::OpenRequestIds;
-use crate::router::PlatformRouter;
-use crate::upstream::{Upstreams, DRAIN_MARGIN};
+use crate::upstream::{UpstreamPool, DRAIN_MARGIN};
 use crate::{handover, inherited_socket, operators};
 
 /// Taken for the time in which discovery must be asked where the settings say less, or nothing.
@@ -208,8 +208,10 @@
     let clock = Clock::new();
     let policy = watch_policy(&site);
     let figures = Rc::new(Metrics::new(false));
-    let backends =
-        Rc::new(Upstreams::new(site.transport, config.backends).counting(figures.attempts(&Labels::new())));
+    let backends = Rc::new(
+        UpstreamPool::new(site.transport, config.backends)
+            .with_attempt_counter(figures.attempts(&Labels::new())),
+    );
     let subscribe = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
     let peers = match config.gossip {
@@ -270,12 +272,18 @@
     };
     spawn_local(driver.run());
     spawn_local(discovery.run(config.initial_list));
-    spawn_local(async move { backends.sweep().await });
+    spawn_local(async move { backends.evict_idle().await });
     spawn_local(reload(hangup, moved));
     say(format_args!("listening on {address}"));
     let counts =
         site.names.classes.iter().map(|class| figures.request_counters(class, &Labels::new())).collect();
-    let router = PlatformRouter { handle, names: site.names, settings: site.settings, ready, counts };
+    let router = PlatformRouter {
+        driver: handle,
+        names: site.names,
+        settings: site.settings,
+        ready,
+        class_counters: counts,
+    };
     let gate = Frontend {
         router: Rc::new(router),
         ids: OpenRequestIds::default(),
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -27,7 +27,7 @@
 };
 use crate::metrics::{Labels, Metrics, PoolGauges};
 use crate::operators;
-use crate::upstream::{RpcSettings, Upstreams};
+use crate::upstream::{RpcSettings, UpstreamPool};
 
 /// A source that says nothing for this long is told of, and again each time that doubles.
 const SILENT: Duration = Duration::from_secs(10);
@@ -80,7 +80,7 @@
 pub struct Pool {
     pub name: String,
     pub handle: DriverHandle,
-    pub backends: Rc<Upstreams>,
+    pub backends: Rc<UpstreamPool>,
     clock: Clock,
     names: Rc<RefCell<NameTable>>,
     known: Rc<RegisteredEndpoints>,
@@ -121,16 +121,18 @@
         let classes = config.classes.iter().map(|c| c.name.clone()).collect();
         let names = NameTable::new(classes, config.zones.clone(), config.kinds.clone());
         let names = Rc::new(RefCell::new(names));
-        let backends = Upstreams::new(transport, sockets);
+        let backends = UpstreamPool::new(transport, sockets);
         let backends = match office {
-            Some(office) => backends.counting(office.metrics.attempts(&office.place(&pool.name))),
+            Some(office) => backends.with_attempt_counter(office.metrics.attempts(&office.place(&pool.name))),
             None => backends,
         };
         let backends = Rc::new(match pool.protocol {
             Protocol::Http => backends,
-            Protocol::JsonRpc { framing, calls } => {
-                backends.speaking(RpcSettings { framing, calls, cancel: pool.cancel.clone() })
-            }
+            Protocol::JsonRpc { framing, calls } => backends.with_rpc(RpcSettings {
+                framing,
+                max_concurrent_calls: calls,
+                cancel_method: pool.cancel.clone(),
+            }),
         });
         let subscribe = Rc::new(Notify::new());
         let driver = Driver::new(settings, seed, clock, Rc::clone(&backends), None, Rc::clone(&subscribe));
@@ -153,7 +155,8 @@
             (retold, office.place(&pool.name))
         });
         let sweeper = Rc::clone(&backends);
-        let mut tasks = vec![spawn_local(driver.run()), spawn_local(async move { sweeper.sweep().await })];
+        let mut tasks =
+            vec![spawn_local(driver.run()), spawn_local(async move { sweeper.evict_idle().await })];
         let mut listed = None;
         let heard = Rc::clone(&roster.heard);
         let known = Rc::clone(&roster.known);
@@ -191,7 +194,7 @@
 
     /// Goes on under another configuration that keeps it.
     pub fn reconfigure(&self, config: &Config, place: usize, sockets: usize) {
-        self.backends.set_most_links(sockets);
+        self.backends.set_max_connections(sockets);
         if let (Some(roster), Source::List(nodes)) = (&self.listed, &config.pools[place].source) {
             roster.borrow_mut().apply(list(nodes), UpdateScope::Full);
         }
@@ -228,7 +231,7 @@
     pub fn announced_endpoints(&self, cold_time: Micros) -> bgp::Listed {
         let now = self.clock.now();
         let mut nodes = Vec::new();
-        self.backends.each(|entry, address| {
+        self.backends.for_each_endpoint(|entry, address| {
             if entry.state != EndpointState::Removed {
                 nodes.push(bgp::ListedNode {
                     address,
@@ -265,7 +268,7 @@
     /// The nodes that a route may use.
     pub fn count(&self, allowed: Option<&EndpointFilter>) -> Count {
         let mut count = Count::default();
-        self.backends.each(|entry, _| {
+        self.backends.for_each_endpoint(|entry, _| {
             if allowed.is_none_or(|allowed| allowed.matches(entry)) {
                 match entry.state {
                     EndpointState::Ready => count.ready += 1,
--- a/crates/proxy/src/request_reader.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -12,7 +12,10 @@
 use tokio::time::Instant;
 
 use crate::body::{self, Content, Flow, Gathered, MayFlow};
-use crate::exchange::{remove_hop_by_hop, Answer, Called, Message, Patience, ID, KEY, MOST_BODY, TIMEOUT};
+use crate::exchange::{
+    remove_hop_by_hop, ClientTimeout, FinalResponse, RpcCall, UpstreamRequest, IDEMPOTENCY_KEY_HEADER,
+    MAX_BUFFERED_BODY_BYTES, REQUEST_ID_HEADER, TIMEOUT_HEADER,
+};
 use crate::framing;
 use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
 use crate::metrics::{RequestCounters, Tally};
@@ -31,7 +34,7 @@
 /// A request that can be served.
 pub struct Sound {
     pub new: NewRequest,
-    pub message: Rc<Message>,
+    pub message: Rc<UpstreamRequest>,
     /// Where it goes.
     pub course: Box<dyn PoolSequence>,
     /// How long the client waits.
@@ -46,7 +49,7 @@
 pub enum Taken {
     Sound(Box<Sound>),
     /// It was served before: that answer again.
-    Known(Answer),
+    Known(FinalResponse),
 }
 
 /// A request as its head says; its body may still be on its way.
@@ -77,21 +80,21 @@
     head: &mut Parts,
     body_most: u64,
 ) -> Result<Opened, Rejection> {
-    if single_header_value(&head.headers, ID)?.is_none() {
-        if let Some(id) = router.new_id().and_then(|id| HeaderValue::try_from(id).ok()) {
-            head.headers.insert(ID, id);
+    if single_header_value(&head.headers, REQUEST_ID_HEADER)?.is_none() {
+        if let Some(id) = router.generate_request_id().and_then(|id| HeaderValue::try_from(id).ok()) {
+            head.headers.insert(REQUEST_ID_HEADER, id);
         }
     }
-    let id = single_header_value(&head.headers, ID)?
+    let id = single_header_value(&head.headers, REQUEST_ID_HEADER)?
         .filter(|id| is_name(id))
         .ok_or(StatusCode::BAD_REQUEST)?
         .to_owned();
-    if body_most > router.largest_body() {
+    if body_most > router.max_body_bytes() {
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
     let way = router.route(head, &id, body_most, connection)?;
     let RouteDecision {
-        ids,
+        open_request_ids: ids,
         class,
         semantics,
         deadline,
@@ -102,12 +105,12 @@
         pools: course,
     } = way;
     let one = |name: &str| single_header_value(&head.headers, name);
-    let key = one(KEY)?;
+    let key = one(IDEMPOTENCY_KEY_HEADER)?;
     let keyed = matches!(semantics, Semantics::Deduplicated { .. });
     if key.map_or(keyed, |key| !is_name(key)) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
-    let ms = match one(TIMEOUT)? {
+    let ms = match one(TIMEOUT_HEADER)? {
         Some(ms) => whole(ms).filter(|ms| (1..=MOST_TIMEOUT).contains(ms)).ok_or(StatusCode::BAD_REQUEST)?,
         None => (deadline / 1000).clamp(1, MOST_TIMEOUT as i64) as u64,
     };
@@ -148,7 +151,7 @@
         self,
         mut head: Parts,
         body: Content,
-        called: Option<Called>,
+        called: Option<RpcCall>,
         ids: &OpenRequestIds,
     ) -> Result<Taken, Rejection> {
         let Opened { new, id, key, ids: own, once, method, course, patience, flows, .. } = self;
@@ -161,7 +164,7 @@
         let mut new = new;
         if let Some(flow) = body.flow() {
             // What has flowed cannot be sent a second time.
-            let most = body.size_hint().exact().or(flows).unwrap_or(MOST_BODY as u64);
+            let most = body.size_hint().exact().or(flows).unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
             new.max_attempts = 1;
             new.body_pending =
                 if flow.ended().is_some() { 0 } else { body::most_time(most).as_micros() as Micros };
@@ -169,13 +172,13 @@
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
         if body.flow().is_some() {
-            head.extensions.insert(Patience(patience));
+            head.extensions.insert(ClientTimeout(patience));
         }
         // An answer that is kept for repeats is held whole.
         if let Some(most) = flows.filter(|_| held.is_none()) {
             head.extensions.insert(MayFlow(most));
         }
-        let by_method = |method| Called { method, params: None, by_http: true };
+        let by_method = |method| RpcCall { method, params: None, received_over_http: true };
         if let Some(called) = called.or_else(|| method.map(by_method)) {
             head.extensions.insert(called);
         }
@@ -203,25 +206,28 @@
         return Err(StatusCode::BAD_REQUEST.into());
     }
     // One of unknown length is over the bound once it is.
-    let body_most = body.size_hint().exact().unwrap_or(MOST_BODY as u64);
+    let body_most = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
     let mut opened = open(router, connection, &mut head, body_most)?;
     tally.is(opened.counts.take());
     if head.method == Method::GET && body.size_hint().exact() != Some(0) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     // Nodes that speak JSON-RPC are sent whole messages.
-    let flows =
-        Some(router.largest_body()).filter(|most| *most > MOST_BODY as u64 && opened.method.is_none());
+    let flows = Some(router.max_body_bytes())
+        .filter(|most| *most > MAX_BUFFERED_BODY_BYTES as u64 && opened.method.is_none());
     opened.flows = flows;
-    if flows.is_none() && body_most > MOST_BODY as u64 {
+    if flows.is_none() && body_most > MAX_BUFFERED_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
-    let most = body_most.min(MOST_BODY as u64);
+    let most = body_most.min(MAX_BUFFERED_BODY_BYTES as u64);
     let until = began + if flows.is_some() { body::most_time(most) } else { WHOLE.min(opened.patience) };
-    let body = match body::gather(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
+    let body = match body::gather(body, MAX_BUFFERED_BODY_BYTES, until)
+        .await
+        .map_err(|_| StatusCode::BAD_REQUEST)?
+    {
         Gathered::Whole(body) => body,
         Gathered::Part(first, rest) if flows.is_some() && (Instant::now() < until || first.is_empty()) => {
-            let flow = Rc::new(Flow::of_request(rest, first, router.largest_body()));
+            let flow = Rc::new(Flow::of_request(rest, first, router.max_body_bytes()));
             let tally = Rc::clone(tally);
             flow.at_end(move || tally.taken());
             return opened.close(head, Content::Flowing(flow), None, ids);
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -1,4 +1,4 @@
-//! What a front needs of the rest: where a request goes, and what becomes of it when it is refused there.
+//! What the downstream side needs of the rest: where a request is routed, and what follows when a pool rejects it.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -6,27 +6,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use decide::platform_settings::NameTable;
-use decide::{Class, EndpointFilter, Micros, Semantics, Settings};
+use decide::{EndpointFilter, Micros, Semantics};
 use hyper::http::request::Parts;
-use hyper::{Method, StatusCode};
+use hyper::StatusCode;
 use jsonrpc::Call;
 
-use crate::body::MOST_FLOW;
-use crate::exchange::{Attempts, MOST_BODY};
+use crate::exchange::{AttemptCounter, MAX_BUFFERED_BODY_BYTES};
 use crate::idempotency_keys::KeyScope;
 use crate::inbox::DriverHandle;
 use crate::metrics::{RequestCounters, RequestOutcome};
 use crate::request_ids::OpenRequestIds;
 
-/// Says where requests go.
+/// The header with the priority class that a client requests.
+pub const CLASS_HEADER: &str = "x-priority-class";
+/// The header with the tenant of a request.
+pub const TENANT_HEADER: &str = "x-tenant-id";
+
+/// Routes requests.
 pub trait Router {
-    /// Where a request goes, by its head; may bring the head into a normal form. `id` is the request's own.
-    ///
-    /// `body` is the most bytes that its body may take; `connection` is where it came in.
+    /// Routes a request by its head, which it may normalize. `id` is the id of the request, `body` the most bytes that
+    /// its body may have, `connection` the state that the router keeps for the client's connection.
     ///
     /// # Errors
-    /// What to turn it away with.
+    /// The rejection to answer with.
     fn route(
         &self,
         head: &mut Parts,
@@ -35,7 +37,7 @@
         connection: &Connection,
     ) -> Result<RouteDecision, Rejection>;
 
-    /// A call in the form of HTTP, by whose head it then has its way; and the class, by index, if the method alone says
+    /// The HTTP head by which a JSON-RPC call is routed, and the index of its class where the method alone determines
     /// it.
     ///
     /// # Errors
@@ -44,52 +46,53 @@
         Err(StatusCode::NOT_FOUND.into())
     }
 
-    /// An id for a request that came without one. None where callers have to give it.
-    fn new_id(&self) -> Option<String>;
+    /// An id for a request that came without one; none where clients have to give it.
+    fn generate_request_id(&self) -> Option<String>;
 
-    /// Is there a list of nodes?
+    /// Whether there is an endpoint list.
     fn is_ready(&self) -> bool;
 
-    /// The longest time that a client may wait for an answer, as far as that is known before any has.
-    fn longest_wait(&self) -> Duration {
+    /// The longest time that a client may wait for a response, as far as that is known before it sends a request.
+    fn max_request_deadline(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Is that all that counts, and does a kill follow the word to end that soon?
+    /// Whether the process is killed no later than [`Router::max_request_deadline`] after the signal to terminate.
     fn has_termination_deadline(&self) -> bool {
         false
     }
 
-    /// May callers have nowhere else to go while this proxy ends?
-    fn may_end_alone(&self) -> bool {
+    /// Whether clients may have no other proxy to go to while this one shuts down.
+    fn may_shut_down_alone(&self) -> bool {
         false
     }
 
-    /// The largest body, in bytes. One that is larger than what is held whole flows.
-    fn largest_body(&self) -> u64 {
-        MOST_BODY as u64
+    /// The largest request body, in bytes. One over [`MAX_BUFFERED_BODY_BYTES`] is streamed.
+    fn max_body_bytes(&self) -> u64 {
+        MAX_BUFFERED_BODY_BYTES as u64
     }
 
-    /// Is `Retry-After` in whole seconds, as ordinary clients read it?
-    fn whole_seconds(&self) -> bool;
+    /// Whether `Retry-After` is in whole seconds, as the HTTP standard has it.
+    fn retry_after_in_seconds(&self) -> bool;
 }
 
-/// What a router keeps with a caller's connection for as long as that is open.
+/// The state that a router keeps with a client's connection for as long as that is open.
 pub type Connection = RefCell<Option<Box<dyn Any>>>;
 
-/// What a request is turned away with, before anything is sent on for it.
+/// Why a request is rejected before any attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
+    /// The status to answer with.
     pub status: StatusCode,
-    /// Why, where that is a limit.
+    /// The limit that it exceeds, if that is the reason.
     pub cause: Option<&'static str>,
-    /// When there may be room; 0 says nothing.
+    /// When capacity is expected, from now; 0 states no time.
     pub retry_after: Micros,
 }
 
 impl Rejection {
-    /// What it is counted as.
-    pub fn fate(&self) -> RequestOutcome {
+    /// The outcome that the request is counted under.
+    pub fn request_outcome(&self) -> RequestOutcome {
         if self.status == StatusCode::TOO_MANY_REQUESTS {
             RequestOutcome::Rejected
         } else {
@@ -104,157 +107,66 @@
     }
 }
 
-/// Where a request goes, and what is then known of it.
+/// Where a request is routed, and what follows from its route.
 pub struct RouteDecision {
-    /// The ids of open requests that its own must differ from, where these are not all of the front's.
-    pub ids: Option<OpenRequestIds>,
+    /// The open request ids among which its own must be unique, where these are not all of the listener's.
+    pub open_request_ids: Option<OpenRequestIds>,
+    /// The index of its class.
     pub class: usize,
+    /// Whether it may be retried.
     pub semantics: Semantics,
+    /// The deadline of its class, from its arrival.
     pub deadline: Micros,
+    /// The index of its tenant.
     pub tenant: Option<usize>,
-    /// What it is called in JSON-RPC, where a pool speaks that.
+    /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
     pub method: Option<Arc<str>>,
-    /// Where its key is known, if it has one.
+    /// Where its idempotency key is looked up, if its class has keys.
     pub key_scope: Option<KeyScope>,
-    /// Where it is counted, if it is.
+    /// The counters of its route, if it has any.
     pub counters: Option<Rc<RequestCounters>>,
+    /// The pools that it may be sent to.
     pub pools: Box<dyn PoolSequence>,
 }
 
-/// The pools that a request passes through, from one to the next where it is refused.
+/// The pools that a request may be sent to, one after the other as they reject it.
 pub trait PoolSequence {
-    /// The decisions that it is handed to.
+    /// The driver of the current pool.
     fn driver(&self) -> &DriverHandle;
 
-    /// The nodes that it may use, where not all.
+    /// The endpoints of the current pool that the request may use, where not all.
     fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>>;
 
-    /// The attempts that it may have from here on; 0 leaves that to the settings.
+    /// The most attempts in the current and later pools; 0 leaves that to the settings.
     fn max_attempts(&self) -> usize {
         0
     }
 
-    /// Counts those that are begun.
-    fn attempt_counter(&self) -> Attempts {
-        Attempts::default()
+    /// Counts the attempts that are started.
+    fn attempt_counter(&self) -> AttemptCounter {
+        AttemptCounter::default()
     }
 
-    /// What a refusal there comes to; `never_ran` where no attempt can have run.
+    /// What follows when the current pool rejects the request; with [`RejectionOutcome::NextPool`] the next one is
+    /// current. `never_ran` if no attempt can have been executed.
     fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome;
 }
 
-/// What a refusal comes to.
+/// What follows when a pool rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionOutcome {
-    /// That is the answer.
+    /// The rejection is the final response.
     Final,
-    /// It goes on to the next pool.
+    /// The next pool is tried.
     NextPool,
-    /// It may have run, and would be tried elsewhere: a refusal would promise too much.
+    /// It may have been executed and must not be tried again, so it fails.
     Failed,
 }
 
-/// The platform's one pool, whose classes stand in the path and tell the method.
-pub struct PlatformRouter {
-    pub handle: DriverHandle,
-    pub names: NameTable,
-    pub settings: Settings,
-    /// Says whether there is a list of backends.
-    pub ready: Rc<std::cell::Cell<bool>>,
-    /// Where its classes are counted.
-    pub counts: Vec<Rc<RequestCounters>>,
-}
-
-struct SinglePool(DriverHandle);
-
-impl PoolSequence for SinglePool {
-    fn driver(&self) -> &DriverHandle {
-        &self.0
-    }
-
-    fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
-        None
-    }
-
-    fn on_rejected(&mut self, _: bool) -> RejectionOutcome {
-        RejectionOutcome::Final
-    }
-}
-
-impl Router for PlatformRouter {
-    fn route(&self, head: &mut Parts, _: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
-        let first = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let named = single_header_value(&head.headers, CLASS_HEADER)?.unwrap_or(first);
-        let class = self.names.class(named).ok_or(StatusCode::NOT_FOUND)?;
-        if self.names.class(first).is_some_and(|of_path| of_path != class) {
-            return Err(StatusCode::BAD_REQUEST.into());
-        }
-        let Class { semantics, deadline, .. } = self.settings.classes[class];
-        let method = match semantics {
-            Semantics::Idempotent => Method::GET,
-            Semantics::Deduplicated { .. } | Semantics::AtMostOnce => Method::POST,
-        };
-        if head.method != method {
-            return Err(StatusCode::METHOD_NOT_ALLOWED.into());
-        }
-        let tenant = match single_header_value(&head.headers, TENANT_HEADER)? {
-            // Where there are no tenants the name says nothing.
-            Some(name) if !self.settings.tenants.is_empty() => {
-                Some(self.names.tenant(name).ok_or(StatusCode::BAD_REQUEST)?)
-            }
-            _ => None,
-        };
-        let course = Box::new(SinglePool(self.handle.clone()));
-        let counts = self.counts.get(class).cloned();
-        Ok(RouteDecision {
-            ids: None,
-            class,
-            semantics,
-            deadline,
-            tenant,
-            method: None,
-            key_scope: None,
-            counters: counts,
-            pools: course,
-        })
-    }
-
-    fn new_id(&self) -> Option<String> {
-        None
-    }
-
-    fn is_ready(&self) -> bool {
-        self.ready.get()
-    }
-
-    fn longest_wait(&self) -> Duration {
-        let longest = self.settings.classes.iter().map(|class| class.deadline).max();
-        Duration::from_micros(longest.unwrap_or_default().max(0) as u64)
-    }
-
-    fn has_termination_deadline(&self) -> bool {
-        true
-    }
-
-    fn may_end_alone(&self) -> bool {
-        self.settings.may_end_alone()
-    }
-
-    fn largest_body(&self) -> u64 {
-        MOST_FLOW
-    }
-
-    fn whole_seconds(&self) -> bool {
-        false
-    }
-}
-
-/// The class that a caller names.
-pub const CLASS_HEADER: &str = "x-priority-class";
-/// The tenant.
-pub const TENANT_HEADER: &str = "x-tenant-id";
-
-/// The one value of a header, if it is there; repeated ones could be read in two ways.
+/// The one value of a header, if it is present.
+///
+/// # Errors
+/// 400 if it is repeated, as clients and endpoints could pick different values, or is not text.
 pub fn single_header_value<'a>(
     headers: &'a hyper::HeaderMap,
     name: &str,
@@ -264,5 +176,5 @@
     if values.next().is_some() {
         return Err(StatusCode::BAD_REQUEST);
     }
-    first.map(|v| v.to_str()).transpose().map_err(|_| StatusCode::BAD_REQUEST)
+    first.map(|value| value.to_str()).transpose().map_err(|_| StatusCode::BAD_REQUEST)
 }
--- a/crates/proxy/src/rpc_mapping.rs
+++ b/crates/proxy/src/rpc_mapping.rs
@@ -12,7 +12,7 @@
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 
-use crate::exchange::{Called, Message, ID, KEY, TIMEOUT};
+use crate::exchange::{RpcCall, UpstreamRequest, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, TIMEOUT_HEADER};
 use crate::router::{single_header_value, CLASS_HEADER, TENANT_HEADER};
 
 /// The longest query that carries a call's `params`, in bytes as encoded.
@@ -52,10 +52,10 @@
         Ok(true)
     };
     let names = &methods.members;
-    says(&names.key, KEY)?;
-    says(&names.timeout_ms, TIMEOUT)?;
+    says(&names.key, IDEMPOTENCY_KEY_HEADER)?;
+    says(&names.timeout_ms, TIMEOUT_HEADER)?;
     says(&names.tenant, TENANT_HEADER)?;
-    says(&names.id, ID)?;
+    says(&names.id, REQUEST_ID_HEADER)?;
     let class = if says(&names.class, CLASS_HEADER)? { None } else { Some(method.class) };
     if method.verb == Verb::Post && call.params.is_some() {
         head.headers.insert(header::CONTENT_TYPE, JSON);
@@ -120,17 +120,23 @@
 // ---- Requests as calls ----
 
 /// A request as a call to a node, under an id in JSON and with so much time left.
-pub fn call_of(message: &Message, body: &Bytes, id: &str, left_ms: u64) -> Vec<u8> {
-    let (method, sent, by_http) = match message.extensions().get::<Called>() {
-        Some(called) => (&*called.method, called.params.as_ref(), called.by_http),
+pub fn call_of(message: &UpstreamRequest, body: &Bytes, id: &str, left_ms: u64) -> Vec<u8> {
+    let (method, sent, received_over_http) = match message.extensions().get::<RpcCall>() {
+        Some(called) => (&*called.method, called.params.as_ref(), called.received_over_http),
         None => ("", None, true),
     };
-    let params = params_of(message, if by_http { Some(body) } else { sent }, by_http, left_ms);
+    let params =
+        params_of(message, if received_over_http { Some(body) } else { sent }, received_over_http, left_ms);
     let params = RawValue::from_string(params).ok();
     jsonrpc::request(Some(id), method, params.as_deref())
 }
 
-fn params_of(message: &Message, sent: Option<&Bytes>, by_http: bool, left_ms: u64) -> String {
+fn params_of(
+    message: &UpstreamRequest,
+    sent: Option<&Bytes>,
+    received_over_http: bool,
+    left_ms: u64,
+) -> String {
     let text = |bytes: &Bytes| std::str::from_utf8(bytes).ok().map(|t| t.trim().to_owned());
     let given = match sent.filter(|s| !s.is_empty()) {
         None => Ok("{}".to_owned()),
@@ -144,9 +150,9 @@
     let given = given.unwrap_or_else(|other| other.to_string());
     let header = |name: &str| single_header_value(message.headers(), name).ok().flatten();
     let mut own: Vec<(&str, Value)> = vec![("timeoutMs", left_ms.into())];
-    own.extend(header(ID).map(|id| ("requestId", id.into())));
-    own.extend(header(KEY).map(|key| ("key", key.into())));
-    if by_http {
+    own.extend(header(REQUEST_ID_HEADER).map(|id| ("requestId", id.into())));
+    own.extend(header(IDEMPOTENCY_KEY_HEADER).map(|key| ("key", key.into())));
+    if received_over_http {
         own.push(("verb", message.method().as_str().into()));
         own.push(("path", message.uri().path_and_query().map_or("/", |p| p.as_str()).into()));
     }
@@ -177,7 +183,7 @@
 }
 
 /// The body of a message, which is whole where calls are spoken.
-pub fn body(message: &Message) -> Bytes {
+pub fn body(message: &UpstreamRequest) -> Bytes {
     message.body().whole().unwrap_or_default()
 }
 
@@ -217,10 +223,13 @@
             let field = |name: &str| head.headers.get(name).map(|v| v.to_str().expect("text"));
             assert_eq!((head.method.as_str(), head.uri.path(), class), ("POST", "/report/12", Some(0)));
             assert_eq!(
-                (field("host"), field(KEY), field(TIMEOUT)),
+                (field("host"), field(IDEMPOTENCY_KEY_HEADER), field(TIMEOUT_HEADER)),
                 (Some("club.example"), Some("k 1"), Some("900"))
             );
-            assert_eq!((field(TENANT_HEADER), field(ID), field(CLASS_HEADER)), (Some("a"), Some("r"), None));
+            assert_eq!(
+                (field(TENANT_HEADER), field(REQUEST_ID_HEADER), field(CLASS_HEADER)),
+                (Some("a"), Some("r"), None)
+            );
             let frame = Bytes::copy_from_slice(json.as_bytes());
             let Ok(Parsed::One(Ok(Body::Call(call)))) = parse(&frame, &Bounds::default()) else {
                 panic!("no call")
@@ -248,9 +257,13 @@
         }
     }
 
-    fn message(body: &str, called: Called) -> (Message, Bytes) {
+    fn message(body: &str, called: RpcCall) -> (UpstreamRequest, Bytes) {
         let body = Bytes::copy_from_slice(body.as_bytes());
-        let request = Request::builder().method("POST").uri("/report/1?a=b").header(ID, "r").header(KEY, "k");
+        let request = Request::builder()
+            .method("POST")
+            .uri("/report/1?a=b")
+            .header(REQUEST_ID_HEADER, "r")
+            .header(IDEMPOTENCY_KEY_HEADER, "k");
         let mut message = request.body(body.clone().into()).expect("a request");
         message.extensions_mut().insert(called);
         (message, body)
@@ -258,8 +271,9 @@
 
     #[test]
     fn a_request_has_a_form_as_a_call() {
-        let by_http = Called { method: Arc::from("report"), params: None, by_http: true };
-        let params = |body: &str, called: Called| {
+        let received_over_http =
+            RpcCall { method: Arc::from("report"), params: None, received_over_http: true };
+        let params = |body: &str, called: RpcCall| {
             let (message, bytes) = message(body, called);
             assert_eq!(super::body(&message), bytes);
             let call: Value = serde_json::from_slice(&call_of(&message, &bytes, "\"i\"", 70)).expect("JSON");
@@ -268,12 +282,12 @@
         };
         let meta =
             json!({ "timeoutMs": 70, "requestId": "r", "key": "k", "verb": "POST", "path": "/report/1?a=b" });
-        assert_eq!(params(r#"{"a":1}"#, by_http.clone()), json!({ "a": 1, "_meta": meta }));
-        assert_eq!(params("1-0", by_http.clone()), json!({ "body": "1-0", "_meta": meta }));
-        assert_eq!(params("", by_http.clone()), json!({ "_meta": meta }));
-        assert_eq!(params("[1,2]", by_http), json!([1, 2]));
+        assert_eq!(params(r#"{"a":1}"#, received_over_http.clone()), json!({ "a": 1, "_meta": meta }));
+        assert_eq!(params("1-0", received_over_http.clone()), json!({ "body": "1-0", "_meta": meta }));
+        assert_eq!(params("", received_over_http.clone()), json!({ "_meta": meta }));
+        assert_eq!(params("[1,2]", received_over_http), json!([1, 2]));
         let sent = Bytes::from_static(br#"{"a":1e400,"_meta":{"timeoutMs":5000,"trace":"t","key":"lie"}}"#);
-        let by_rpc = Called { method: Arc::from("report"), params: Some(sent), by_http: false };
+        let by_rpc = RpcCall { method: Arc::from("report"), params: Some(sent), received_over_http: false };
         let (message, bytes) = message("", by_rpc);
         let call = String::from_utf8(call_of(&message, &bytes, "1", 70)).expect("text");
         assert!(call.contains(r#""a":1e400"#), "a figure that no double holds goes on as it was: {call}");
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -112,7 +112,7 @@
     let reloading = spawn_local(async move {
         while hangup.recv().await.is_some() {
             swap(&current, &reload, clock, seed, office.as_ref());
-            table.set_bounds(current.borrow().config.idempotency_keys);
+            table.set_limits(current.borrow().config.idempotency_keys);
             if let (Some(announces), Some(bgp)) = (&told, &current.borrow().config.bgp) {
                 announces.reload(bgp);
             }
@@ -252,7 +252,7 @@
         let (routed, known) = resolve(snapshot, &self.listener, head, id, &self.keys)?;
         let ResolvedRoute { class, semantics, deadline, method, key_scope: once } = known;
         Ok(RouteDecision {
-            ids: None,
+            open_request_ids: None,
             class,
             semantics,
             deadline,
@@ -269,7 +269,7 @@
         Ok(rpc_mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
     }
 
-    fn new_id(&self) -> Option<String> {
+    fn generate_request_id(&self) -> Option<String> {
         Some(self.new_ids.next())
     }
 
@@ -277,11 +277,11 @@
         self.current.borrow().is_ready()
     }
 
-    fn largest_body(&self) -> u64 {
+    fn max_body_bytes(&self) -> u64 {
         self.current.borrow().config.limits.body_bytes
     }
 
-    fn whole_seconds(&self) -> bool {
+    fn retry_after_in_seconds(&self) -> bool {
         true
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/connect.rs
@@ -0,0 +1,165 @@
+//! Connecting to an endpoint.
+
+use std::io;
+use std::rc::Rc;
+
+use decide::EndpointId;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::{timeout_at, Instant};
+
+use super::http_connection::HttpConnection;
+use super::rpc_connection::{RpcConnection, RpcSettings};
+use super::UpstreamPool;
+use crate::socket::Socket;
+
+/// Why there is no connection.
+#[derive(Debug)]
+pub enum ConnectError {
+    /// The endpoint has been forgotten.
+    UnknownEndpoint,
+    /// This process may open no more sockets, and no connection is idle.
+    SocketsExhausted,
+    /// The endpoint did not accept within the connect timeout.
+    Timeout,
+    /// The connection was refused or broke off.
+    Io(io::Error),
+    /// HTTP could not be set up on it.
+    Handshake(hyper::Error),
+}
+
+impl std::fmt::Display for ConnectError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            ConnectError::UnknownEndpoint => "the endpoint is not known any more",
+            ConnectError::SocketsExhausted => "all sockets are in use",
+            ConnectError::Timeout => "connecting timed out",
+            ConnectError::Io(_) => "connecting failed",
+            ConnectError::Handshake(_) => "the connection could not be set up",
+        })
+    }
+}
+
+impl std::error::Error for ConnectError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ConnectError::UnknownEndpoint | ConnectError::SocketsExhausted | ConnectError::Timeout => None,
+            ConnectError::Io(error) => Some(error),
+            ConnectError::Handshake(error) => Some(error),
+        }
+    }
+}
+
+/// A connection that is being made. Dropping it notifies those who wait, however connecting ended.
+#[derive(Default)]
+pub struct PendingConnect {
+    ended: Rc<Notify>,
+}
+
+impl PendingConnect {
+    /// Waits until it is dropped.
+    async fn wait(self: Rc<Self>) {
+        let ended = Rc::clone(&self.ended);
+        // Not kept alive by those who wait.
+        drop(self);
+        ended.notified().await;
+    }
+}
+
+impl Drop for PendingConnect {
+    fn drop(&mut self) {
+        self.ended.notify_waiters();
+    }
+}
+
+/// A connection for an attempt.
+pub struct AcquiredConnection<C> {
+    /// The connection.
+    pub connection: C,
+    /// Another request was sent on it before, so that it may just have closed.
+    pub is_reused: bool,
+}
+
+/// An idle connection, or a new one.
+pub async fn acquire_http(
+    pool: &UpstreamPool,
+    endpoint: EndpointId,
+) -> Result<AcquiredConnection<HttpConnection>, ConnectError> {
+    if let Some(connection) = take_idle_http(pool, endpoint) {
+        return Ok(AcquiredConnection { connection, is_reused: true });
+    }
+    let connection = connect_http(pool, endpoint).await?;
+    Ok(AcquiredConnection { connection, is_reused: false })
+}
+
+fn take_idle_http(pool: &UpstreamPool, endpoint: EndpointId) -> Option<HttpConnection> {
+    let max_idle = pool.max_idle();
+    pool.endpoints.borrow_mut().connections_mut(endpoint)?.take_http(max_idle)
+}
+
+/// A new connection for HTTP.
+pub async fn connect_http(pool: &UpstreamPool, endpoint: EndpointId) -> Result<HttpConnection, ConnectError> {
+    let socket = connect(pool, endpoint).await?;
+    HttpConnection::handshake(socket).await.map_err(ConnectError::Handshake)
+}
+
+/// A connection for JSON-RPC with capacity for another call, or a new one. Calls that come while a connection is being
+/// made wait for it, and make their own if it has no capacity left for them.
+pub async fn acquire_rpc(
+    pool: &UpstreamPool,
+    endpoint: EndpointId,
+    settings: &RpcSettings,
+) -> Result<AcquiredConnection<Rc<RpcConnection>>, ConnectError> {
+    let mut open = rpc_with_capacity(pool, endpoint);
+    if open.is_none() {
+        if let Some(pending) = pending_rpc(pool, endpoint) {
+            pending.wait().await;
+            open = rpc_with_capacity(pool, endpoint);
+        }
+    }
+    if let Some(connection) = open {
+        return Ok(AcquiredConnection { connection, is_reused: true });
+    }
+    let connection = connect_rpc(pool, endpoint, settings).await?;
+    Ok(AcquiredConnection { connection, is_reused: false })
+}
+
+async fn connect_rpc(
+    pool: &UpstreamPool,
+    endpoint: EndpointId,
+    settings: &RpcSettings,
+) -> Result<Rc<RpcConnection>, ConnectError> {
+    let pending = Rc::new(PendingConnect::default());
+    if let Some(connections) = pool.endpoints.borrow_mut().connections_mut(endpoint) {
+        connections.set_pending_rpc(&pending);
+    }
+    let socket = connect(pool, endpoint).await?;
+    let connection = Rc::new(RpcConnection::new(socket, settings.clone()));
+    if !pool.is_retired.get() {
+        pool.endpoints.borrow_mut().keep_rpc(endpoint, Rc::clone(&connection));
+    }
+    Ok(connection)
+}
+
+fn rpc_with_capacity(pool: &UpstreamPool, endpoint: EndpointId) -> Option<Rc<RpcConnection>> {
+    pool.endpoints.borrow().get(endpoint)?.connections.rpc_with_capacity()
+}
+
+fn pending_rpc(pool: &UpstreamPool, endpoint: EndpointId) -> Option<Rc<PendingConnect>> {
+    pool.endpoints.borrow().get(endpoint)?.connections.pending_rpc()
+}
+
+/// A new socket to the endpoint. At the limit of sockets an idle connection is closed for it.
+async fn connect(pool: &UpstreamPool, endpoint: EndpointId) -> Result<Socket, ConnectError> {
+    let address = pool.endpoints.borrow().get(endpoint).map(|endpoint| endpoint.address);
+    let address = address.ok_or(ConnectError::UnknownEndpoint)?;
+    if pool.sockets.is_reached() && !pool.endpoints.borrow_mut().close_idle_connection() {
+        pool.sockets.log_exhaustion();
+        return Err(ConnectError::SocketsExhausted);
+    }
+    let slot = pool.sockets.open();
+    let deadline = Instant::now() + pool.connect_timeout();
+    let connected = timeout_at(deadline, TcpStream::connect(address)).await;
+    let stream = connected.map_err(|_| ConnectError::Timeout)?.map_err(ConnectError::Io)?;
+    Ok(Socket::new(stream, Some(slot)))
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/connections.rs
@@ -0,0 +1,113 @@
+//! The connections to one endpoint: idle ones for HTTP, and those for JSON-RPC, each of which carries many calls.
+
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::connect::PendingConnect;
+use super::http_connection::HttpConnection;
+use super::rpc_connection::RpcConnection;
+
+/// The connections to one endpoint.
+#[derive(Default)]
+pub struct EndpointConnections {
+    /// The most recently used one is last.
+    idle_http: Vec<IdleHttpConnection>,
+    rpc: Vec<Rc<RpcConnection>>,
+    /// The connection for JSON-RPC that is being made.
+    pending_rpc: Weak<PendingConnect>,
+}
+
+struct IdleHttpConnection {
+    connection: HttpConnection,
+    idle_since: Instant,
+}
+
+/// A connection for JSON-RPC without calls. Ordered by the time since when.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleRpcConnection {
+    idle_since: Instant,
+    index: usize,
+}
+
+impl EndpointConnections {
+    /// Closes idle connections, and the others once the calls on them have ended.
+    pub fn close_all(&mut self) {
+        self.idle_http.clear();
+        self.rpc.clear();
+    }
+
+    /// Closes the connections that have been idle for longer than this, and those that are no longer usable.
+    pub fn close_idle_longer_than(&mut self, max_idle: Duration) {
+        self.idle_http.retain(|idle| idle.idle_since.elapsed() < max_idle && idle.connection.is_ready());
+        self.rpc.retain(|connection| !connection.is_expired(max_idle));
+    }
+
+    // ---- HTTP ----
+
+    /// Keeps an idle connection.
+    pub fn keep_http(&mut self, connection: HttpConnection) {
+        self.idle_http.push(IdleHttpConnection { connection, idle_since: Instant::now() });
+    }
+
+    /// Takes the usable connection that was used most recently, and closes those that it passes over.
+    pub fn take_http(&mut self, max_idle: Duration) -> Option<HttpConnection> {
+        while let Some(idle) = self.idle_http.pop() {
+            if idle.idle_since.elapsed() < max_idle && idle.connection.is_usable() {
+                return Some(idle.connection);
+            }
+        }
+        None
+    }
+
+    /// For how long the connection has been idle that has been so the longest.
+    pub fn longest_http_idle_time(&self) -> Option<Duration> {
+        self.idle_http.first().map(|idle| idle.idle_since.elapsed())
+    }
+
+    /// Closes that one.
+    pub fn close_longest_idle_http(&mut self) {
+        if !self.idle_http.is_empty() {
+            self.idle_http.remove(0);
+        }
+    }
+
+    // ---- JSON-RPC ----
+
+    /// Keeps a connection for further calls.
+    pub fn keep_rpc(&mut self, connection: Rc<RpcConnection>) {
+        self.rpc.push(connection);
+    }
+
+    /// A connection on which another call may be sent.
+    pub fn rpc_with_capacity(&self) -> Option<Rc<RpcConnection>> {
+        self.rpc.iter().find(|connection| connection.has_capacity()).cloned()
+    }
+
+    /// The connection that is being made, if any.
+    pub fn pending_rpc(&self) -> Option<Rc<PendingConnect>> {
+        self.pending_rpc.upgrade()
+    }
+
+    /// Records that this connection is being made, unless another one is.
+    pub fn set_pending_rpc(&mut self, pending: &Rc<PendingConnect>) {
+        if self.pending_rpc.strong_count() == 0 {
+            self.pending_rpc = Rc::downgrade(pending);
+        }
+    }
+
+    /// The connection that has been without calls the longest.
+    pub fn longest_idle_rpc(&self) -> Option<IdleRpcConnection> {
+        let connections = self.rpc.iter().enumerate();
+        let idle = connections.filter_map(|(index, connection)| {
+            connection.idle_since().map(|idle_since| IdleRpcConnection { idle_since, index })
+        });
+        idle.min()
+    }
+
+    /// Closes this one.
+    pub fn close_rpc(&mut self, connection: IdleRpcConnection) {
+        self.rpc.remove(connection.index);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -0,0 +1,171 @@
+//! The endpoints of a pool by id: entry of the endpoint list, address, connections.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use decide::{Endpoint, EndpointId, EndpointState};
+use tokio::time::Instant;
+
+use super::connections::EndpointConnections;
+use super::http_connection::HttpConnection;
+use super::rpc_connection::RpcConnection;
+
+/// The endpoints of a pool. Removed ones stay until [`EndpointTable::forget_removed`].
+#[derive(Default)]
+pub struct EndpointTable {
+    endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
+}
+
+/// An endpoint.
+pub struct TrackedEndpoint {
+    entry: Endpoint,
+    /// Where it accepts connections.
+    pub address: SocketAddr,
+    /// When it was found to be draining or removed.
+    pub draining_since: Option<Instant>,
+    /// The connections to it.
+    pub connections: EndpointConnections,
+}
+
+impl TrackedEndpoint {
+    fn new(entry: Endpoint, address: SocketAddr) -> TrackedEndpoint {
+        let connections = EndpointConnections::default();
+        TrackedEndpoint { entry, address, draining_since: None, connections }
+    }
+
+    fn update(&mut self, entry: &Endpoint, address: SocketAddr) {
+        if self.address != address || self.entry.up_since != entry.up_since {
+            // Another process, or another path to it.
+            self.connections.close_all();
+        }
+        self.address = address;
+        self.entry = entry.clone();
+        if entry.state == EndpointState::Ready {
+            self.draining_since = None;
+        } else {
+            self.start_draining();
+        }
+    }
+
+    fn remove(&mut self) {
+        self.entry.state = EndpointState::Removed;
+        self.start_draining();
+    }
+
+    fn start_draining(&mut self) {
+        self.draining_since.get_or_insert_with(Instant::now);
+        self.connections.close_all();
+    }
+
+    fn is_removed(&self) -> bool {
+        self.entry.state == EndpointState::Removed
+    }
+
+    fn is_drained(&self, drain_grace: Duration) -> bool {
+        self.draining_since.is_some_and(|since| since.elapsed() >= drain_grace)
+    }
+}
+
+impl EndpointTable {
+    /// Takes in an entry of the endpoint list.
+    pub fn update(&mut self, entry: &Endpoint, address: SocketAddr) {
+        let endpoint = self.endpoints.entry(entry.id);
+        endpoint.or_insert_with(|| TrackedEndpoint::new(entry.clone(), address)).update(entry, address);
+    }
+
+    /// Marks the endpoints as removed that are not listed.
+    pub fn retain_listed(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
+        for (id, endpoint) in &mut self.endpoints {
+            if !is_listed(*id) {
+                endpoint.remove();
+            }
+        }
+    }
+
+    /// Forgets the removed endpoints whose drain grace is over. Those that replace them come under new ids, so the table
+    /// would grow without bound.
+    pub fn forget_removed(&mut self, drain_grace: Duration) {
+        self.endpoints.retain(|_, endpoint| !endpoint.is_removed() || !endpoint.is_drained(drain_grace));
+    }
+
+    /// The endpoint with this id.
+    pub fn get(&self, id: EndpointId) -> Option<&TrackedEndpoint> {
+        self.endpoints.get(&id)
+    }
+
+    /// The connections to this endpoint.
+    pub fn connections_mut(&mut self, id: EndpointId) -> Option<&mut EndpointConnections> {
+        self.endpoints.get_mut(&id).map(|endpoint| &mut endpoint.connections)
+    }
+
+    /// Visits each endpoint, also removed ones.
+    pub fn for_each(&self, mut visit: impl FnMut(&Endpoint, SocketAddr)) {
+        for endpoint in self.endpoints.values() {
+            visit(&endpoint.entry, endpoint.address);
+        }
+    }
+
+    /// The endpoints that have not been removed.
+    pub fn listed(&self) -> Vec<Endpoint> {
+        let listed = self.endpoints.values().filter(|endpoint| !endpoint.is_removed());
+        listed.map(|endpoint| endpoint.entry.clone()).collect()
+    }
+
+    /// Keeps an idle connection, unless the endpoint is draining.
+    pub fn keep_http(&mut self, id: EndpointId, connection: HttpConnection) {
+        if let Some(connections) = self.connections_to_extend(id) {
+            connections.keep_http(connection);
+        }
+    }
+
+    /// Keeps a connection for many calls, unless the endpoint is draining.
+    pub fn keep_rpc(&mut self, id: EndpointId, connection: Rc<RpcConnection>) {
+        if let Some(connections) = self.connections_to_extend(id) {
+            connections.keep_rpc(connection);
+        }
+    }
+
+    fn connections_to_extend(&mut self, id: EndpointId) -> Option<&mut EndpointConnections> {
+        let endpoint = self.endpoints.get_mut(&id).filter(|endpoint| endpoint.draining_since.is_none())?;
+        Some(&mut endpoint.connections)
+    }
+
+    /// Closes the connections that have been idle for longer than this.
+    pub fn close_idle_longer_than(&mut self, max_idle: Duration) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.connections.close_idle_longer_than(max_idle);
+        }
+    }
+
+    /// Closes all connections as soon as no request needs them.
+    pub fn close_all_connections(&mut self) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.connections.close_all();
+        }
+    }
+
+    /// Closes one idle connection, of HTTP if there is any. False if no connection is idle.
+    pub fn close_idle_connection(&mut self) -> bool {
+        self.close_idle_http() || self.close_idle_rpc()
+    }
+
+    fn close_idle_http(&mut self) -> bool {
+        let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
+        let idle = connections.filter_map(|all| Some((all.longest_http_idle_time()?, all)));
+        let Some((_, connections)) = idle.min_by_key(|(idle_time, _)| *idle_time) else { return false };
+        connections.close_longest_idle_http();
+        true
+    }
+
+    fn close_idle_rpc(&mut self) -> bool {
+        let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
+        let idle = connections.filter_map(|all| Some((all.longest_idle_rpc()?, all)));
+        let Some((connection, connections)) = idle.min_by_key(|(connection, _)| *connection) else {
+            return false;
+        };
+        connections.close_rpc(connection);
+        true
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -0,0 +1,118 @@
+//! The response to an attempt over HTTP: reading it, and classifying the outcome.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use decide::{LoadReport, Outcome};
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::http::response::Parts;
+use hyper::{HeaderMap, Response, StatusCode};
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+use super::attempt_error::AttemptError;
+use super::http_connection::HttpConnection;
+use super::{AttemptEnd, AttemptRequest, UpstreamPool, LOAD_HEADER};
+use crate::body::{self, Content, Cut, Flow, Gathered, MayFlow};
+use crate::exchange::{remove_hop_by_hop, AttemptResult, UpstreamResponse, MAX_BUFFERED_BODY_BYTES};
+
+/// The response header by which an endpoint declares that it has not processed the request.
+const NOT_PROCESSED_HEADER: &str = "x-not-processed";
+/// How long a response is buffered that may be streamed: until then it can be retried if it breaks off.
+const RESPONSE_BUFFER_TIME: Duration = Duration::from_millis(100);
+
+/// Reads a response, in full or up to where it is streamed.
+pub async fn read(
+    pool: &Rc<UpstreamPool>,
+    request: &AttemptRequest,
+    response: Response<Incoming>,
+    connection: HttpConnection,
+) -> AttemptEnd {
+    let (head, body) = response.into_parts();
+    let load_report = load_report(pool, &head.headers);
+    let max_streamed_bytes = max_streamed_bytes(request, head.status, &body);
+    let (body, reusable_connection) = match buffer(body, max_streamed_bytes.is_some()).await {
+        Ok(Gathered::Whole(body)) => (Some(body.into()), Some(connection)),
+        Ok(Gathered::Part(start, rest)) => {
+            let max_bytes = max_streamed_bytes.unwrap_or_default();
+            let stream = Rc::new(Flow::of_answer(rest, start, max_bytes, request.deadline));
+            reuse_at_end(pool, request, &stream, connection);
+            (Some(Content::Flowing(stream)), None)
+        }
+        Err(_) => (None, None),
+    };
+    let response = classify(head, body);
+    AttemptEnd { result: attempt_result(response, load_report), reusable_connection }
+}
+
+fn load_report(pool: &UpstreamPool, headers: &HeaderMap) -> Option<LoadReport> {
+    let mut values = headers.get_all(LOAD_HEADER).iter();
+    values.find_map(|value| pool.load_reports.parse(value.as_bytes()))
+}
+
+/// The most bytes of the response, if it may be streamed. Small ones are buffered, so that they can be retried.
+fn max_streamed_bytes(request: &AttemptRequest, status: StatusCode, body: &Incoming) -> Option<u64> {
+    let MayFlow(max_bytes) = request.message.extensions().get()?;
+    let is_streamed = status == StatusCode::OK && !body::is_owed_whole(body);
+    is_streamed.then_some(*max_bytes)
+}
+
+/// Reads the body in full; where it may be streamed, only as far as it comes in time.
+async fn buffer(body: Incoming, may_be_streamed: bool) -> Result<Gathered, Cut> {
+    if may_be_streamed {
+        let until = Instant::now() + RESPONSE_BUFFER_TIME;
+        return body::gather(body, MAX_BUFFERED_BODY_BYTES, until).await;
+    }
+    let body = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
+    body.map(|body| Gathered::Whole(body.to_bytes())).map_err(|_| Cut::Broken)
+}
+
+/// Keeps the connection until the last byte of the body, and then for the next request. Dropped with an unread body, it
+/// is closed.
+fn reuse_at_end(
+    pool: &Rc<UpstreamPool>,
+    request: &AttemptRequest,
+    stream: &Flow,
+    connection: HttpConnection,
+) {
+    let pool = Rc::clone(pool);
+    let endpoint = request.endpoint;
+    stream.at_end(move || {
+        spawn_local(async move { pool.reuse(endpoint, Some(connection)).await });
+    });
+}
+
+/// The response, or why it is none. `body` is none if it broke off.
+fn classify(head: Parts, body: Option<Content>) -> Result<UpstreamResponse, AttemptError> {
+    match head.status {
+        StatusCode::OK => {
+            let body = body.ok_or(AttemptError::IncompleteResponse)?;
+            Ok(UpstreamResponse { headers: forwarded_headers(head.headers), body })
+        }
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_not_processed(&head.headers) => {
+            Err(AttemptError::Rejected)
+        }
+        status => Err(AttemptError::Status(status)),
+    }
+}
+
+fn is_not_processed(headers: &HeaderMap) -> bool {
+    headers.get(NOT_PROCESSED_HEADER).is_some_and(|value| value == "1")
+}
+
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    remove_hop_by_hop(&mut headers);
+    headers.remove(LOAD_HEADER);
+    headers
+}
+
+fn attempt_result(
+    response: Result<UpstreamResponse, AttemptError>,
+    load_report: Option<LoadReport>,
+) -> AttemptResult {
+    match response {
+        Ok(response) => AttemptResult { outcome: Outcome::Ok, load_report, response: Some(response) },
+        Err(error) => AttemptResult { load_report, ..error.into() },
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/rpc_attempt.rs
@@ -0,0 +1,91 @@
+//! An attempt as a call over JSON-RPC.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use decide::Outcome;
+use tokio::time::timeout_at;
+
+use super::attempt_error::{AttemptError, NotSentReason};
+use super::connect::acquire_rpc;
+use super::rpc_connection::{CallResult, InFlightCall, RpcConnection, RpcSettings, WriteProgress};
+use super::send_checks::check_before_write;
+use super::{AttemptEnd, AttemptRequest, UpstreamPool};
+use crate::exchange::{AttemptResult, UpstreamResponse};
+use crate::rpc_mapping;
+
+/// Makes an attempt, within its deadline.
+pub async fn run(pool: &UpstreamPool, settings: &RpcSettings, request: &AttemptRequest) -> AttemptEnd {
+    let progress = WriteProgress::default();
+    let ended = timeout_at(request.deadline, exchange(pool, settings, request, &progress)).await;
+    let response = ended.unwrap_or_else(|_| Err(timeout_error(&progress)));
+    match response {
+        Ok(response) => {
+            AttemptResult { outcome: Outcome::Ok, load_report: None, response: Some(response) }.into()
+        }
+        Err(error) => error.into(),
+    }
+}
+
+/// What running out of time proves.
+fn timeout_error(progress: &WriteProgress) -> AttemptError {
+    if progress.bytes() == 0 {
+        NotSentReason::DeadlineExceeded.into()
+    } else {
+        AttemptError::Timeout
+    }
+}
+
+/// Connects, sends the call and waits for its result. Where a reused connection has closed before the call was written
+/// it tries another one.
+async fn exchange(
+    pool: &UpstreamPool,
+    settings: &RpcSettings,
+    request: &AttemptRequest,
+    progress: &WriteProgress,
+) -> Result<UpstreamResponse, AttemptError> {
+    let body = rpc_mapping::body(&request.message);
+    loop {
+        let acquired = acquire_rpc(pool, request.endpoint, settings).await?;
+        let time_left = check_before_write(pool, request)?;
+        request.write_started.set(true);
+        let call = send(&acquired.connection, request, &body, time_left, progress);
+        drop(acquired.connection);
+        let result = call.result().await;
+        if !matches!(result, CallResult::NotWritten) {
+            pool.attempts_written.inc();
+        }
+        match classify(result) {
+            Err(AttemptError::ClosedBeforeWrite) if acquired.is_reused => {
+                progress.reset();
+                request.write_started.set(false);
+            }
+            classified => return classified,
+        }
+    }
+}
+
+fn send(
+    connection: &std::rc::Rc<RpcConnection>,
+    request: &AttemptRequest,
+    body: &Bytes,
+    time_left: Duration,
+    progress: &WriteProgress,
+) -> InFlightCall {
+    let milliseconds = time_left.as_millis().max(1) as u64;
+    connection.send(progress.clone(), |id| rpc_mapping::call_of(&request.message, body, id, milliseconds))
+}
+
+/// The response, or what its absence proves.
+fn classify(result: CallResult) -> Result<UpstreamResponse, AttemptError> {
+    match result {
+        CallResult::Result(result) => {
+            let (headers, body) = rpc_mapping::answer_of(&result);
+            Ok(UpstreamResponse { headers, body: body.into() })
+        }
+        CallResult::Error(jsonrpc::code::NOT_PROCESSED) => Err(AttemptError::Rejected),
+        CallResult::Error(code) => Err(AttemptError::RpcError(code)),
+        CallResult::NotWritten => Err(AttemptError::ClosedBeforeWrite),
+        CallResult::Unknown => Err(AttemptError::ConnectionLost),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -0,0 +1,312 @@
+//! The state of a connection: pending calls, frames to write, and what was received.
+
+use std::cell::{Cell, RefCell};
+use std::collections::hash_map::RandomState;
+use std::collections::{HashMap, VecDeque};
+use std::hash::BuildHasher;
+use std::io;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+
+use bytes::Bytes;
+use jsonrpc::{code, Body, Bounds, Framing, Invalid, Parsed, Response};
+use serde_json::value::RawValue;
+use tokio::io::AsyncWrite;
+use tokio::sync::{oneshot, Notify};
+use tokio::time::Instant;
+
+use super::call::{CallResult, WriteProgress};
+use super::RpcSettings;
+use crate::exchange::MAX_BUFFERED_BODY_BYTES;
+use crate::socket::Socket;
+
+/// The largest frame: the largest result and what surrounds it.
+const MAX_FRAME_BYTES: usize = MAX_BUFFERED_BODY_BYTES + (4 << 10);
+/// The frames that may wait to be written, for each call that may be in flight: the call and its cancellation.
+const QUEUED_FRAMES_PER_CALL: usize = 2;
+
+/// The state that a connection's task and its calls share.
+pub struct ConnectionState {
+    settings: RpcSettings,
+    pending_calls: RefCell<HashMap<String, PendingCall>>,
+    queue: RefCell<VecDeque<OutgoingFrame>>,
+    queue_extended: Notify,
+    /// It takes no further calls.
+    is_closed: Cell<bool>,
+    last_received: Cell<Instant>,
+    last_used: Cell<Instant>,
+    call_ids: CallIdGenerator,
+}
+
+/// A call that waits for its response.
+pub struct PendingCall {
+    /// Takes the result.
+    pub result: oneshot::Sender<CallResult>,
+    /// How much of it was written.
+    pub progress: WriteProgress,
+    /// The bytes after which an endpoint may execute it.
+    pub message_len: usize,
+}
+
+impl PendingCall {
+    fn is_written(&self) -> bool {
+        self.progress.bytes() >= self.message_len
+    }
+
+    fn end(self, result: CallResult) {
+        // Nobody waits any more for an abandoned call.
+        let _ = self.result.send(result);
+    }
+}
+
+/// A frame that is to be written.
+pub struct OutgoingFrame {
+    /// The call in it; none for a notification.
+    pub call_id: Option<String>,
+    /// Its bytes.
+    pub frame: Bytes,
+    /// How much of it was written.
+    pub progress: WriteProgress,
+}
+
+/// Whether a connection can still be read after a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadState {
+    /// The next message may follow.
+    Open,
+    /// What was received cannot be trusted.
+    Invalid,
+}
+
+/// Generates call ids that an endpoint cannot guess.
+#[derive(Default)]
+struct CallIdGenerator {
+    hasher: RandomState,
+    last: Cell<u64>,
+}
+
+impl CallIdGenerator {
+    fn next(&self) -> String {
+        self.last.set(self.last.get() + 1);
+        format!("{:016x}", self.hasher.hash_one(self.last.get()))
+    }
+}
+
+/// The bounds of a message from an endpoint.
+pub fn message_bounds() -> Bounds {
+    Bounds { bytes: MAX_FRAME_BYTES, ..Bounds::default() }
+}
+
+impl ConnectionState {
+    /// The state of a new connection.
+    pub fn new(settings: RpcSettings) -> ConnectionState {
+        ConnectionState {
+            settings,
+            pending_calls: RefCell::default(),
+            queue: RefCell::default(),
+            queue_extended: Notify::new(),
+            is_closed: Cell::new(false),
+            last_received: Cell::new(Instant::now()),
+            last_used: Cell::new(Instant::now()),
+            call_ids: CallIdGenerator::default(),
+        }
+    }
+
+    /// How messages are delimited.
+    pub fn framing(&self) -> Framing {
+        self.settings.framing
+    }
+
+    /// Whether another call may be sent.
+    pub fn has_capacity(&self) -> bool {
+        !self.is_closed()
+            && self.pending_calls.borrow().len() < self.settings.max_concurrent_calls
+            && self.has_queue_capacity()
+    }
+
+    fn has_queue_capacity(&self) -> bool {
+        self.queue.borrow().len() < QUEUED_FRAMES_PER_CALL * self.settings.max_concurrent_calls
+    }
+
+    /// Whether it takes no further calls.
+    pub fn is_closed(&self) -> bool {
+        self.is_closed.get()
+    }
+
+    /// Takes no further calls; those in flight go on.
+    pub fn close(&self) {
+        self.is_closed.set(true);
+    }
+
+    /// Since when there has been no call; none while there is one.
+    pub fn idle_since(&self) -> Option<Instant> {
+        self.pending_calls.borrow().is_empty().then(|| self.last_used.get())
+    }
+
+    /// Records that it is in use now.
+    pub fn mark_used(&self) {
+        self.last_used.set(Instant::now());
+    }
+
+    /// Whether anything was received at this time or later.
+    pub fn has_received_since(&self, time: Instant) -> bool {
+        self.last_received.get() >= time
+    }
+
+    // ---- Calls ----
+
+    /// An id that no pending call has.
+    pub fn new_call_id(&self) -> String {
+        loop {
+            let id = self.call_ids.next();
+            if !self.pending_calls.borrow().contains_key(&id) {
+                return id;
+            }
+        }
+    }
+
+    /// A message in its frame.
+    pub fn frame(&self, message: &[u8]) -> Bytes {
+        jsonrpc::frame(self.settings.framing, message).into()
+    }
+
+    /// The bytes of a frame of this length after which an endpoint may execute the call. A lenient one takes a line without
+    /// its end for a complete message.
+    pub fn message_len(&self, frame_len: usize) -> usize {
+        match self.settings.framing {
+            Framing::Line => frame_len - 1,
+            Framing::Length => frame_len,
+        }
+    }
+
+    /// Adds a call, and queues it for writing.
+    pub fn start_call(&self, id: String, call: PendingCall, frame: OutgoingFrame) {
+        self.pending_calls.borrow_mut().insert(id, call);
+        self.enqueue(frame);
+        self.mark_used();
+        if self.is_closed() {
+            // It closed in this very moment, and its task will not come to this call.
+            self.end_all_calls();
+        }
+    }
+
+    /// Forgets a call, whose response is then ignored. False if it has ended.
+    pub fn forget_call(&self, id: &str) -> bool {
+        self.pending_calls.borrow_mut().remove(id).is_some()
+    }
+
+    /// Removes the frame of a call from the queue. Only for a call of which nothing was written.
+    pub fn withdraw_frame(&self, id: &str) {
+        self.queue.borrow_mut().retain(|frame| frame.call_id.as_deref() != Some(id));
+    }
+
+    /// Queues the notification that cancels a call, if there is one and the queue has capacity.
+    pub fn send_cancellation(&self, id: &str) {
+        let Some(method) = &self.settings.cancel_method else { return };
+        if !self.has_queue_capacity() {
+            return;
+        }
+        let params = RawValue::from_string(format!("{{\"id\":\"{id}\"}}")).ok();
+        let message = jsonrpc::request(None, method, params.as_deref());
+        let frame = self.frame(&message);
+        self.enqueue(OutgoingFrame { call_id: None, frame, progress: WriteProgress::default() });
+    }
+
+    fn enqueue(&self, frame: OutgoingFrame) {
+        self.queue.borrow_mut().push_back(frame);
+        self.queue_extended.notify_one();
+    }
+
+    /// Ends all calls: the connection has closed.
+    pub fn end_all_calls(&self) {
+        self.close();
+        for (_, call) in self.pending_calls.borrow_mut().drain() {
+            let result = if call.is_written() { CallResult::Unknown } else { CallResult::NotWritten };
+            call.end(result);
+        }
+        self.queue.borrow_mut().clear();
+    }
+
+    // ---- Writing ----
+
+    /// Whether there is something to write.
+    pub fn has_queued_frames(&self) -> bool {
+        !self.queue.borrow().is_empty()
+    }
+
+    /// Waits until something is queued.
+    pub async fn queue_extended(&self) {
+        self.queue_extended.notified().await;
+    }
+
+    /// Writes a part of the first frame. The queue is only read while writing, so that a call can be withdrawn until then.
+    pub fn poll_write(&self, socket: &mut Socket, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let mut queue = self.queue.borrow_mut();
+        let Some(first) = queue.front() else { return Poll::Pending };
+        let rest = &first.frame[first.progress.bytes()..];
+        let written = ready!(Pin::new(socket).poll_write(cx, rest))?;
+        first.progress.add(written);
+        if written == rest.len() {
+            queue.pop_front();
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    // ---- Reading ----
+
+    /// Takes in a message from the endpoint.
+    pub fn on_message(&self, frame: &[u8]) -> ReadState {
+        self.last_received.set(Instant::now());
+        let entries = match jsonrpc::parse(frame, &message_bounds()) {
+            Ok(Parsed::One(entry)) => vec![entry],
+            Ok(Parsed::Batch(entries)) => entries,
+            Err(_) => return ReadState::Invalid,
+        };
+        for entry in entries {
+            if self.on_entry(entry) == ReadState::Invalid {
+                return ReadState::Invalid;
+            }
+        }
+        ReadState::Open
+    }
+
+    fn on_entry(&self, entry: Result<Body<'_>, Invalid<'_>>) -> ReadState {
+        match entry {
+            Ok(Body::Response(response)) => self.on_response(&response),
+            // Endpoints call nothing, and their notifications have no receiver.
+            Ok(Body::Call(_)) => ReadState::Open,
+            Err(invalid) => {
+                if let Some(call) = invalid.id.and_then(|id| self.take_call(id)) {
+                    call.end(CallResult::Unknown);
+                }
+                ReadState::Open
+            }
+        }
+    }
+
+    fn on_response(&self, response: &Response<'_>) -> ReadState {
+        // Without a call it was abandoned, or never was.
+        let Some(call) = self.take_call(response.id) else { return ReadState::Open };
+        if !call.is_written() {
+            // The endpoint cannot have read the call that it answers.
+            call.end(CallResult::Unknown);
+            return ReadState::Invalid;
+        }
+        call.end(call_result(response));
+        ReadState::Open
+    }
+
+    fn take_call(&self, id: &RawValue) -> Option<PendingCall> {
+        let id: String = serde_json::from_str(id.get()).ok()?;
+        self.pending_calls.borrow_mut().remove(&id)
+    }
+}
+
+fn call_result(response: &Response<'_>) -> CallResult {
+    match response.outcome {
+        Ok(result) if result.get().len() <= MAX_BUFFERED_BODY_BYTES => CallResult::Result(result.to_owned()),
+        // As over HTTP: it was executed, and its response cannot be used.
+        Ok(_) => CallResult::Unknown,
+        Err(_) => CallResult::Error(response.error().map_or(code::INTERNAL, |(code, _)| code)),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/send_checks.rs
@@ -0,0 +1,46 @@
+//! Whether an attempt may go on: checked before connecting, and again before anything is written.
+
+use std::time::Duration;
+
+use decide::EndpointId;
+use tokio::time::Instant;
+
+use super::attempt_error::NotSentReason;
+use super::{AttemptRequest, UpstreamPool, DRAIN_MARGIN};
+
+/// Checks that a connection may be made for the attempt, as connections cost the endpoint work.
+pub fn check_before_connect(pool: &UpstreamPool, request: &AttemptRequest) -> Result<(), NotSentReason> {
+    if pool.list_expiry.is_expired() {
+        return Err(NotSentReason::ListExpired);
+    }
+    if request.client.is_disconnected() {
+        return Err(NotSentReason::ClientDisconnected);
+    }
+    Ok(())
+}
+
+/// Checks that the attempt may be written, and returns the time left for it. Connecting may have taken long.
+pub fn check_before_write(pool: &UpstreamPool, request: &AttemptRequest) -> Result<Duration, NotSentReason> {
+    let time_left = request.deadline.saturating_duration_since(Instant::now());
+    if time_left.is_zero() {
+        return Err(NotSentReason::DeadlineExceeded);
+    }
+    if request.client.is_disconnected() {
+        return Err(NotSentReason::ClientDisconnected);
+    }
+    if pool.list_expiry.is_expired() {
+        return Err(NotSentReason::ListExpired);
+    }
+    if is_drained(pool, request.endpoint) {
+        return Err(NotSentReason::EndpointDrained);
+    }
+    Ok(time_left)
+}
+
+/// Whether the endpoint has been draining for so long that nothing may be sent to it, or has been forgotten.
+fn is_drained(pool: &UpstreamPool, endpoint: EndpointId) -> bool {
+    let endpoints = pool.endpoints.borrow();
+    let Some(endpoint) = endpoints.get(endpoint) else { return true };
+    let grace = pool.drain_grace();
+    endpoint.draining_since.is_some_and(|since| since.elapsed() + DRAIN_MARGIN >= grace)
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/tests.rs
@@ -0,0 +1,77 @@
+//! Tests of the upstream side that need its private parts.
+
+use decide::{EndpointState, Outcome};
+use hyper::StatusCode;
+use tokio::task::LocalSet;
+use tokio::time::timeout;
+
+use super::attempt_error::{AttemptError, NotSentReason};
+use super::connect::ConnectError;
+use super::*;
+
+#[test]
+fn implausible_load_reports_are_ignored() {
+    let transport = Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 };
+    let pool = UpstreamPool::new(transport, 9);
+    for bad in ["{\"depth\":1e300}", "{\"depth\":-1}", "{\"depth\":1e999}", "=,=", "[1]", ""] {
+        assert!(pool.load_reports.parse(bad.as_bytes()).is_none(), "{bad}");
+    }
+    assert_eq!(pool.load_reports.parse(b"{\"depth\":3}").and_then(|report| report.queued), Some(3.0));
+}
+
+fn known_ids(pool: &UpstreamPool) -> Vec<u32> {
+    let mut ids = Vec::new();
+    pool.for_each_endpoint(|endpoint, _| ids.push(endpoint.id.0));
+    ids
+}
+
+#[test]
+fn a_removed_endpoint_is_forgotten_after_its_drain_grace() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        let transport = Transport { keepalive: 100_000, connect_timeout: 0, drain_grace: 50_000 };
+        let pool = UpstreamPool::new(transport, 9);
+        let address = "127.0.0.1:9".parse().expect("an address");
+        let entry = |id, state| Endpoint { id: EndpointId(id), state, ..Endpoint::default() };
+        for id in 0..300 {
+            pool.update_endpoint(&entry(id, EndpointState::Ready), address);
+            pool.update_endpoint(&entry(id, EndpointState::Removed), address);
+        }
+        pool.update_endpoint(&entry(300, EndpointState::Draining), address);
+        pool.update_endpoint(&entry(301, EndpointState::Ready), address);
+        assert_eq!(known_ids(&pool).len(), 302, "none before its time");
+        let few_left = async {
+            while known_ids(&pool).len() > 2 {
+                tokio::time::sleep(Duration::from_millis(5)).await;
+            }
+        };
+        tokio::select! {
+            done = timeout(Duration::from_secs(30), few_left) => assert!(done.is_ok()),
+            () = pool.evict_idle() => unreachable!("it goes on"),
+        }
+        assert_eq!(known_ids(&pool), [300, 301]);
+    });
+}
+
+#[test]
+fn an_outcome_says_no_more_than_the_error_proves() {
+    let refused = || std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
+    let errors = [
+        (AttemptError::NotSent(NotSentReason::ListExpired), Outcome::NotSent),
+        (AttemptError::IncompleteRequest, Outcome::NotSent),
+        (AttemptError::Connect(ConnectError::UnknownEndpoint), Outcome::NotSent),
+        (AttemptError::Connect(ConnectError::SocketsExhausted), Outcome::NotSent),
+        (AttemptError::Connect(ConnectError::Timeout), Outcome::ConnectFailed),
+        (AttemptError::Connect(ConnectError::Io(refused())), Outcome::ConnectFailed),
+        (AttemptError::ClosedBeforeWrite, Outcome::ConnectFailed),
+        (AttemptError::ConnectionLost, Outcome::Reset),
+        (AttemptError::IncompleteResponse, Outcome::Reset),
+        (AttemptError::Rejected, Outcome::Rejected),
+        (AttemptError::Status(StatusCode::INTERNAL_SERVER_ERROR), Outcome::Error),
+        (AttemptError::RpcError(-32_000), Outcome::Error),
+        (AttemptError::Timeout, Outcome::Timeout),
+    ];
+    for (error, outcome) in errors {
+        assert_eq!(error.outcome(), outcome, "{error}");
+    }
+}
