--- a/crates/proxy/src/hosting/limits.rs
+++ b/crates/proxy/src/hosting/limits.rs
@@ -11,7 +11,7 @@
 
 use super::tenants::HostedTenants;
 use crate::clock::Clock;
-use crate::exchange::Attempts;
+use crate::exchange::AttemptCounter;
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, Rejection, RejectionOutcome};
 use crate::snapshot::PoolSelection;
@@ -63,7 +63,7 @@
     clock: Clock,
     /// Set until it is dropped.
     permit: Option<Permit>,
-    attempts: Attempts,
+    attempts: AttemptCounter,
 }
 
 impl LimitedPools {
@@ -86,21 +86,21 @@
             limiter: Rc::clone(&hosted.limiter),
             clock: hosted.clock,
             permit: Some(permit),
-            attempts: Attempts::default(),
+            attempts: AttemptCounter::default(),
         })
     }
 
     /// The attempts that the tenant may still make. None where they are not limited.
     fn remaining_attempts(&self) -> Option<usize> {
         let max_attempts = self.permit.as_ref()?.max_attempts?;
-        Some(max_attempts.saturating_sub(self.attempts.begun()))
+        Some(max_attempts.saturating_sub(self.attempts.started()))
     }
 }
 
 impl Drop for LimitedPools {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
-            self.limiter.borrow_mut().release(self.clock.now(), permit, self.attempts.begun());
+            self.limiter.borrow_mut().release(self.clock.now(), permit, self.attempts.started());
         }
     }
 }
@@ -118,7 +118,7 @@
         self.remaining_attempts().unwrap_or(0)
     }
 
-    fn attempt_counter(&self) -> Attempts {
+    fn attempt_counter(&self) -> AttemptCounter {
         self.attempts.clone()
     }
 
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -75,7 +75,7 @@
         let rank = priority_rank(&snapshot.config, class);
         let pools = LimitedPools::admit(&self.hosted, tenant.id, rank, body, selection)?;
         Ok(RouteDecision {
-            ids: Some(tenant.request_ids.clone()),
+            open_request_ids: Some(tenant.request_ids.clone()),
             class,
             semantics,
             deadline,
@@ -92,7 +92,7 @@
         Ok(rpc_mapping::head_of(&config.methods, &self.listener.host, call)?)
     }
 
-    fn new_id(&self) -> Option<String> {
+    fn generate_request_id(&self) -> Option<String> {
         Some(self.new_ids.next())
     }
 
@@ -100,7 +100,7 @@
         self.hosted.is_ready()
     }
 
-    fn whole_seconds(&self) -> bool {
+    fn retry_after_in_seconds(&self) -> bool {
         true
     }
 }
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -89,7 +89,7 @@
             let keys = KeyTable::new(key_bounds, self.clock);
             Rc::new(HostedTenant::new(id, name, version, tenant, max_connections, keys))
         });
-        hosted.keys.set_bounds(key_bounds);
+        hosted.keys.set_limits(key_bounds);
         limiter.set_limits(now, hosted.id, limits);
         hosted.update(version, tenant, max_connections, &self.pool_context());
     }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -26,11 +26,12 @@
 use crate::log::say;
 use crate::membership::{Discovery, EndpointRegistry};
 use crate::metrics::{Labels, Metrics};
+use crate::platform_router::PlatformRouter;
 use crate::process::{self, Signals};
 use crate::request_ids::OpenRequestIds;
-use crate::router::PlatformRouter;
+
 use crate::start_error::StartError;
-use crate::upstream::{Upstreams, DRAIN_MARGIN};
+use crate::upstream::{UpstreamPool, DRAIN_MARGIN};
 use crate::{handover, inherited_socket, operators};
 
 pub use config_file::{Config, ConfigError, GossipConfig};
@@ -100,7 +101,7 @@
 /// The only pool of the process, assembled and not started yet.
 struct PlatformPool {
     driver: Driver,
-    upstreams: Rc<Upstreams>,
+    upstreams: Rc<UpstreamPool>,
     registry: EndpointRegistry,
     /// Notified when the decisions want discovery to be polled.
     poll_requested: Rc<Notify>,
@@ -110,8 +111,8 @@
     fn new(config: &Config, metrics: &Metrics, gossip: Option<Rc<GossipSocket>>) -> PlatformPool {
         let PlatformSettings { settings, names, transport } = &config.platform;
         let clock = Clock::new();
-        let upstreams = Upstreams::new(transport.clone(), config.max_upstream_connections);
-        let upstreams = Rc::new(upstreams.counting(metrics.attempts(&Labels::new())));
+        let upstreams = UpstreamPool::new(transport.clone(), config.max_upstream_connections);
+        let upstreams = Rc::new(upstreams.with_attempt_counter(metrics.attempts(&Labels::new())));
         let poll_requested = Rc::new(Notify::new());
         let driver = Driver::new(
             settings.clone(),
@@ -134,11 +135,11 @@
     fn router(&self, platform: &PlatformSettings, metrics: &Metrics) -> PlatformRouter {
         let counters = |class: &String| metrics.request_counters(class, &Labels::new());
         PlatformRouter {
-            handle: self.driver.handle(),
+            driver: self.driver.handle(),
             names: platform.names.clone(),
             settings: platform.settings.clone(),
             ready: Rc::clone(&self.registry.ready),
-            counts: platform.names.classes.iter().map(counters).collect(),
+            class_counters: platform.names.classes.iter().map(counters).collect(),
         }
     }
 
@@ -161,7 +162,7 @@
         };
         spawn_local(driver.run());
         spawn_local(discovery.run(initial_list));
-        spawn_local(async move { upstreams.sweep().await });
+        spawn_local(async move { upstreams.evict_idle().await });
     }
 }
 
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -22,7 +22,7 @@
 use crate::membership::{EndpointRegistry, RegisteredEndpoints, RegistryView};
 use crate::metrics::{Labels, PoolGauges};
 use crate::operators::OperatorContext;
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 
 use tasks::TaskSet;
 
@@ -41,7 +41,7 @@
     _tasks: TaskSet,
     pub name: String,
     pub driver: DriverHandle,
-    upstreams: Rc<Upstreams>,
+    upstreams: Rc<UpstreamPool>,
     clock: Clock,
     names: Rc<RefCell<NameTable>>,
     endpoints: Rc<RegisteredEndpoints>,
@@ -62,7 +62,7 @@
 impl Pool {
     /// Applies another configuration that carries this pool over.
     pub fn reconfigure(&self, config: &Config, index: usize, max_connections: usize) {
-        self.upstreams.set_most_links(max_connections);
+        self.upstreams.set_max_connections(max_connections);
         if let (Some(registry), Source::List(nodes)) = (&self.static_registry, &config.pools[index].source) {
             registry.borrow_mut().apply(endpoint_list::from_config(nodes), UpdateScope::Full);
         }
@@ -100,7 +100,7 @@
     pub fn announced_endpoints(&self, slow_start_duration: Micros) -> bgp::Listed {
         let now = self.clock.now();
         let mut nodes = Vec::new();
-        self.upstreams.each(|endpoint, address| {
+        self.upstreams.for_each_endpoint(|endpoint, address| {
             if endpoint.state != EndpointState::Removed {
                 nodes.push(bgp::ListedNode {
                     address,
@@ -137,7 +137,7 @@
     /// Counts the endpoints that match a filter.
     pub fn count(&self, filter: Option<&EndpointFilter>) -> Count {
         let mut count = Count::default();
-        self.upstreams.each(|endpoint, _| {
+        self.upstreams.for_each_endpoint(|endpoint, _| {
             if filter.is_none_or(|filter| filter.matches(endpoint)) {
                 match endpoint.state {
                     EndpointState::Ready => count.ready += 1,
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -16,7 +16,7 @@
 use crate::driver::Driver;
 use crate::membership::{Discovery, EndpointRegistry, FileWatch};
 use crate::operators::{observe_maintenance, OperatorContext};
-use crate::upstream::{RpcSettings, Upstreams};
+use crate::upstream::{RpcSettings, UpstreamPool};
 
 impl Pool {
     /// Starts the pool at `index` of a configuration, with at most `max_connections` to its endpoints.
@@ -51,7 +51,7 @@
         let mut tasks = TaskSet::default();
         tasks.spawn(decision_driver.run());
         let swept = Rc::clone(&upstreams);
-        tasks.spawn(async move { swept.sweep().await });
+        tasks.spawn(async move { swept.evict_idle().await });
         let static_registry = start_source(pool, registry, poll_requested, seed, &mut tasks);
         Pool {
             _tasks: tasks,
@@ -88,22 +88,24 @@
     pool: &config::Pool,
     max_connections: usize,
     operators: Option<&OperatorContext>,
-) -> Upstreams {
+) -> UpstreamPool {
     let limits = &config.limits;
     let transport = Transport {
         keepalive: limits.keep_alive,
         connect_timeout: limits.connect_timeout,
         drain_grace: limits.drain_grace,
     };
-    let mut upstreams = Upstreams::new(transport, max_connections);
+    let mut upstreams = UpstreamPool::new(transport, max_connections);
     if let Some(operators) = operators {
-        upstreams = upstreams.counting(operators.metrics.attempts(&operators.labels(&pool.name)));
+        upstreams = upstreams.with_attempt_counter(operators.metrics.attempts(&operators.labels(&pool.name)));
     }
     match pool.protocol {
         Protocol::Http => upstreams,
-        Protocol::JsonRpc { framing, calls } => {
-            upstreams.speaking(RpcSettings { framing, calls, cancel: pool.cancel.clone() })
-        }
+        Protocol::JsonRpc { framing, calls } => upstreams.with_rpc(RpcSettings {
+            framing,
+            max_concurrent_calls: calls,
+            cancel_method: pool.cancel.clone(),
+        }),
     }
 }
 
--- a/crates/proxy/src/standalone/reload.rs
+++ b/crates/proxy/src/standalone/reload.rs
@@ -44,7 +44,7 @@
             Err(fault) => say(format_args!("configuration {} stays: {fault}", previous.version)),
         }
         let current = self.current.borrow();
-        self.keys.set_bounds(current.config.idempotency_keys);
+        self.keys.set_limits(current.config.idempotency_keys);
         if let (Some(announcer), Some(bgp)) = (&self.announcer, &current.config.bgp) {
             announcer.reconfigure(bgp);
         }
--- a/crates/proxy/src/standalone/router.rs
+++ b/crates/proxy/src/standalone/router.rs
@@ -28,7 +28,7 @@
         let (pools, resolved) = resolve(snapshot, &self.listener, head, id, &self.keys)?;
         let ResolvedRoute { class, semantics, deadline, method, key_scope } = resolved;
         Ok(RouteDecision {
-            ids: None,
+            open_request_ids: None,
             class,
             semantics,
             deadline,
@@ -45,7 +45,7 @@
         Ok(rpc_mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
     }
 
-    fn new_id(&self) -> Option<String> {
+    fn generate_request_id(&self) -> Option<String> {
         Some(self.new_ids.next())
     }
 
@@ -53,11 +53,11 @@
         self.current.borrow().is_ready()
     }
 
-    fn largest_body(&self) -> u64 {
+    fn max_body_bytes(&self) -> u64 {
         self.current.borrow().config.limits.body_bytes
     }
 
-    fn whole_seconds(&self) -> bool {
+    fn retry_after_in_seconds(&self) -> bool {
         true
     }
 }
