--- a/benches/announce.rs
+++ b/benches/announce.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use stubs::*;
-use testkit::router::{Manner, Router};
+use testkit::bgp_router::{Router, RouterBehavior};
 
 const PREFIX: &str = "192.0.2.1/32";
 const ROUNDS: usize = 40;
@@ -51,16 +51,17 @@
 
 /// As many requests as the machine passes for six seconds, with a hold time of 3 s.
 fn load() {
-    let nodes: Vec<SteadyNode> =
-        (0..4).map(|i| SteadyNode::start(&i.to_string(), Duration::ZERO).expect("a port")).collect();
+    let nodes: Vec<FixedLatencyEndpoint> = (0..4)
+        .map(|i| FixedLatencyEndpoint::start(&i.to_string(), Duration::ZERO).expect("a port"))
+        .collect();
     let listed: Vec<String> = nodes
         .iter()
         .enumerate()
         .map(|(i, node)| format!("{{ name = \"n{i}\", address = \"{}\" }}", node.address))
         .collect();
-    let router = Router::start("127.0.3.2", 65001, 3, Manner::default());
+    let router = Router::start("127.0.3.2", 65001, 3, RouterBehavior::default());
     let proxy = serve(&config(&listed, router.address, ""), &[]);
-    let (place, begun, _) = router.announced(0, PREFIX);
+    let (place, begun, _) = router.wait_for_announcement(0, PREFIX);
     let callers: Vec<_> = (0..24)
         .map(|_| {
             let mut caller = proxy.caller();
@@ -75,9 +76,10 @@
         })
         .collect();
     let answers: usize = callers.into_iter().map(|caller| caller.join().expect("no panic")).sum();
-    let heard = router.heard().split_off(place);
+    let heard = router.received().split_off(place);
     let gap = heard.windows(2).map(|two| two[1].0 - two[0].0).max().expect("some");
-    let other = heard[1..].iter().filter(|(_, heard)| *heard != testkit::router::Heard::Keepalive).count();
+    let other =
+        heard[1..].iter().filter(|(_, heard)| *heard != testkit::bgp_router::BgpMessage::Keepalive).count();
     println!(
         "{} requests a second; the longest silence {} ms of a hold time of 3000 ms; {other} other messages",
         answers / 6,
@@ -108,13 +110,13 @@
     let nodes: Vec<String> = (0..8)
         .map(|i| format!("{{ name = \"n{i}\", address = \"{}\" }}", node(Arc::clone(&manner))))
         .collect();
-    let router = Router::start("127.0.3.1", 65001, 9, Manner::default());
+    let router = Router::start("127.0.3.1", 65001, 9, RouterBehavior::default());
     let text = config(&nodes, router.address, "probe = { path = \"/\" }");
     let proxy = serve(&text, &[]);
     proxy.says("bgp: operators on ");
     let log = proxy.log();
     let api = log.split("bgp: operators on ").nth(1).and_then(|rest| rest.lines().next()).expect("said");
-    let mut place = router.announced(0, PREFIX).0;
+    let mut place = router.wait_for_announcement(0, PREFIX).0;
     println!("| from | p50 ms | p99 ms | most ms |\n| --- | --- | --- | --- |");
     let mut back = Vec::new();
     for (what, failure) in
@@ -126,11 +128,11 @@
             thread::sleep(Duration::from_millis(300 + (round as u64 * 37) % 250));
             let at = Instant::now();
             manner.store(failure, Ordering::Relaxed);
-            let (then, when) = router.withdrawn(place, PREFIX);
+            let (then, when) = router.wait_for_withdrawal(place, PREFIX);
             gone.push(when.saturating_duration_since(at));
             let at = Instant::now();
             manner.store(WELL, Ordering::Relaxed);
-            let (then, when, _) = router.announced(then, PREFIX);
+            let (then, when, _) = router.wait_for_announcement(then, PREFIX);
             back.push(when.saturating_duration_since(at));
             place = then;
         }
@@ -144,15 +146,15 @@
                 "POST /v1/bgp/{path} HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            let mut caller = Caller::of(TcpStream::connect(api).expect("listens"));
+            let mut caller = HttpClient::of(TcpStream::connect(api).expect("listens"));
             let at = Instant::now();
             assert_eq!(caller.ask(&ask).status(), 200);
             if down {
-                let (then, when) = router.withdrawn(place, PREFIX);
+                let (then, when) = router.wait_for_withdrawal(place, PREFIX);
                 held.push(when.saturating_duration_since(at));
                 place = then;
             } else {
-                place = router.announced(place, PREFIX).0;
+                place = router.wait_for_announcement(place, PREFIX).0;
             }
         }
     }
--- a/benches/bodies.rs
+++ b/benches/bodies.rs
@@ -28,7 +28,7 @@
         return;
     }
     let node = backend();
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let mut setup = Setup { aim_ms: 5000, ..Setup::of(&[]) };
     setup.hosts = vec![host("s-0", node, "SERVING")];
     let process = held.start(&with_operators(&setup.config(discovery.address)));
--- a/benches/ending.rs
+++ b/benches/ending.rs
@@ -57,12 +57,12 @@
 
 fn play(program: &str, deadline_ms: u32) -> BTreeMap<u128, Count> {
     let hang = Arc::<AtomicBool>::default();
-    let nodes: Vec<Backend> = (0..6)
+    let nodes: Vec<MockEndpoint> = (0..6)
         .map(|n| {
             let hang = Arc::clone(&hang);
-            Backend::of(move |_| {
+            MockEndpoint::of(move |_| {
                 if n % 3 == 0 && hang.load(Ordering::Relaxed) {
-                    return Deed::Silence;
+                    return Behavior::Hang;
                 }
                 thread::sleep(WORK);
                 ok("done")
@@ -84,13 +84,13 @@
                         return;
                     }
                     let asked = Instant::now();
-                    let answer = caller.try_hear();
+                    let answer = caller.try_receive();
                     let word = *told.lock().expect("unpoisoned");
                     if let Some(word) = word.filter(|word| *word <= asked) {
                         let step = (asked - word).as_millis() / STEP_MS;
                         let mut counts = counts.lock().expect("unpoisoned");
                         let count = counts.entry(step).or_default();
-                        match answer.as_ref().map(Heard::status) {
+                        match answer.as_ref().map(HttpMessage::status) {
                             Some(200) => count.served += 1,
                             Some(429 | 503) => count.refused += 1,
                             Some(_) => count.failed += 1,
--- a/benches/listeners.rs
+++ b/benches/listeners.rs
@@ -17,14 +17,14 @@
     if std::env::args().any(|a| a == "--list" || a == "--test") {
         return;
     }
-    let nodes: Vec<Backend> = (0..4).map(|_| Backend::new([ok("done")])).collect();
+    let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::new([ok("done")])).collect();
     let platform = Setup::of(&nodes.iter().collect::<Vec<_>>()).start();
     let own = serve(&own_config(&nodes), &[]);
     let told = pairs::told([&platform, &own], &nodes, ROUNDS, REQUESTS);
     println!("own listener / platform listener, {told}");
 }
 
-fn own_config(nodes: &[Backend]) -> String {
+fn own_config(nodes: &[MockEndpoint]) -> String {
     let listed: Vec<String> = nodes
         .iter()
         .enumerate()
--- a/benches/pairs/mod.rs
+++ b/benches/pairs/mod.rs
@@ -5,7 +5,7 @@
 
 /// The second proxy's processor time a request over the first one's, a ratio a round, as a line. The first round makes
 /// connections and warms up, and is not told.
-pub fn told(proxies: [&Process; 2], nodes: &[Backend], rounds: usize, requests: usize) -> String {
+pub fn told(proxies: [&Process; 2], nodes: &[MockEndpoint], rounds: usize, requests: usize) -> String {
     let request = read("0000000000000000", 9000);
     let mut ratios: Vec<f64> = Vec::new();
     for round in 0..rounds {
--- a/benches/price.rs
+++ b/benches/price.rs
@@ -22,7 +22,7 @@
     let now = env!("CARGO_BIN_EXE_amberlever").to_owned();
     // Against itself it tells how far to believe the figure.
     let before = std::env::var("BEFORE").unwrap_or_else(|_| now.clone());
-    let nodes: Vec<Backend> = (0..4).map(|_| Backend::of(|_| ok("done"))).collect();
+    let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
     let proxies =
         [before, now].map(|program| Setup::of(&nodes.iter().collect::<Vec<_>>()).start_program(&program));
     let told = pairs::told([&proxies[0], &proxies[1]], &nodes, ROUNDS, REQUESTS);
--- a/benches/protocols.rs
+++ b/benches/protocols.rs
@@ -15,7 +15,7 @@
 use rpc::*;
 use serde_json::json;
 use stubs::*;
-use testkit::rpc::request;
+use testkit::json_rpc::request;
 
 const ROUNDS: usize = 15;
 const REQUESTS: usize = 4000;
@@ -34,15 +34,17 @@
 }
 
 struct Nodes {
-    http: Vec<Backend>,
-    rpc: Vec<RpcNode>,
+    http: Vec<MockEndpoint>,
+    rpc: Vec<MockRpcEndpoint>,
 }
 
 impl Nodes {
     fn start() -> Nodes {
         Nodes {
-            http: (0..4).map(|_| Backend::new([ok("done")])).collect(),
-            rpc: (0..4).map(|_| RpcNode::new(Frames::Lines, [Reply::Result(json!("done"))])).collect(),
+            http: (0..4).map(|_| MockEndpoint::new([ok("done")])).collect(),
+            rpc: (0..4)
+                .map(|_| MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("done"))]))
+                .collect(),
         }
     }
 
@@ -89,7 +91,7 @@
                 let sent = Instant::now();
                 if sides[side].1 {
                     rpc.send(&request(n, "standings", json!({ "key": "1" })));
-                    assert!(rpc.try_hear_text().expect("an answer").contains("\"result\""));
+                    assert!(rpc.try_receive_text().expect("an answer").contains("\"result\""));
                 } else {
                     assert_eq!(http.ask("GET /standings/1 HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
                 }
@@ -122,10 +124,10 @@
     for round in 0..=ROUNDS {
         let by_http = {
             let since = Instant::now();
-            let mut callers: Vec<Caller> = (0..OPEN).map(|_| to_http.process.caller()).collect();
+            let mut callers: Vec<HttpClient> = (0..OPEN).map(|_| to_http.process.caller()).collect();
             for _ in 0..REQUESTS / OPEN {
                 callers.iter_mut().for_each(|c| c.send("GET /standings/1 HTTP/1.1\r\nHost: h\r\n\r\n"));
-                callers.iter_mut().for_each(|c| assert_eq!(c.hear().status(), 200));
+                callers.iter_mut().for_each(|c| assert_eq!(c.receive().status(), 200));
             }
             REQUESTS as f64 / since.elapsed().as_secs_f64()
         };
@@ -136,7 +138,7 @@
                 (0..OPEN)
                     .for_each(|i| caller.send(&request(n * OPEN + i, "standings", json!({ "key": "1" }))));
                 for _ in 0..OPEN {
-                    assert!(caller.try_hear_text().expect("an answer").contains("\"result\""));
+                    assert!(caller.try_receive_text().expect("an answer").contains("\"result\""));
                 }
             }
             REQUESTS as f64 / since.elapsed().as_secs_f64()
@@ -182,7 +184,7 @@
         open.len(),
         taken as f64 / open.len() as f64
     );
-    let mut caller = RpcCaller::of(open.swap_remove(0), Frames::Lines);
+    let mut caller = RpcClient::of(open.swap_remove(0), Framing::Lines);
     assert_eq!(caller.call(2, "standings", json!({}))["id"], 2, "they still serve");
 }
 
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -35,7 +35,7 @@
 /// The time from the start to the first sign of a list, in milliseconds, and the memory then, in kilobytes.
 fn start(servers: usize) -> (f64, u64) {
     let mut setup = Setup::of(&[]);
-    let away = nobody();
+    let away = unused_address();
     setup.hosts = (0..servers).map(|n| host(&format!("server-{n:06}"), away, "SERVING")).collect();
     setup.balancers = 1024;
     let since = Instant::now();
--- a/benches/tenants.rs
+++ b/benches/tenants.rs
@@ -28,7 +28,7 @@
 
 /// Sorted latencies of a caller that asks 200 times a second, in microseconds, and how many were refused.
 fn quiet(address: std::net::SocketAddr, host: &str, time: Duration) -> (Vec<u64>, u64) {
-    let mut caller = Caller::of(std::net::TcpStream::connect(address).expect("listens"));
+    let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
     let (since, mut all, mut refused) = (Instant::now(), Vec::new(), 0);
     let mut due = Instant::now();
     while since.elapsed() < time {
@@ -44,8 +44,8 @@
 }
 
 fn storm(time: Duration) {
-    let nodes: Vec<SteadyNode> = (0..3)
-        .map(|i| SteadyNode::start(&format!("n{i}"), Duration::from_millis(2)).expect("a port"))
+    let nodes: Vec<FixedLatencyEndpoint> = (0..3)
+        .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(2)).expect("a port"))
         .collect();
     let service = host_service(&hosted_file("capacity = { requests_per_s = 1200 }\n", ""));
     for (i, name) in ["a", "b", "c"].iter().enumerate() {
@@ -64,7 +64,7 @@
             .map(|_| {
                 let (stop, served, refused) = (Arc::clone(&stop), Arc::clone(&served), Arc::clone(&refused));
                 thread::spawn(move || {
-                    let mut caller = Caller::of(std::net::TcpStream::connect(address).expect("listens"));
+                    let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
                     while !stop.load(Ordering::Relaxed) {
                         let due = Instant::now() + Duration::from_millis(5);
                         let answer = caller.ask("GET /x HTTP/1.1\r\nHost: a.example\r\nX-Retried: 1\r\n\r\n");
@@ -101,7 +101,7 @@
 }
 
 fn many() {
-    let node = SteadyNode::start("n", Duration::ZERO).expect("a port");
+    let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let service = |tenants: usize| {
         let folder = folder();
         let mut file = hosted_file("sockets = 20000\n", "");
--- a/crates/bgp-speaker/tests/stuck.rs
+++ b/crates/bgp-speaker/tests/stuck.rs
@@ -7,7 +7,7 @@
 
 use bgp::{Facts, Listed, ListedNode};
 use bgp_speaker::Speaker;
-use testkit::router::{Heard, Manner, Router};
+use testkit::bgp_router::{BgpMessage, Router, RouterBehavior};
 
 const PREFIX: &str = "192.0.2.1/32";
 
@@ -26,7 +26,7 @@
 fn beat(speaker: &Speaker, accepting: bool, node: std::net::SocketAddr, enough: impl Fn() -> bool) {
     let since = Instant::now();
     while !enough() {
-        assert!(since.elapsed() < testkit::PATIENCE);
+        assert!(since.elapsed() < testkit::TEST_TIMEOUT);
         let node = ListedNode { address: node, weight: 1.0, ready: true, warm: true };
         let pool = Listed { told: true, silent: None, nodes: vec![node] };
         let pools = Some(BTreeMap::from([("p".to_owned(), pool)]));
@@ -36,12 +36,15 @@
 }
 
 fn announced(router: &Router) -> bool {
-    router.heard().iter().any(|(_, heard)| matches!(heard, Heard::Routes(r) if !r.announced.is_empty()))
+    router
+        .received()
+        .iter()
+        .any(|(_, heard)| matches!(heard, BgpMessage::Routes(r) if !r.announced.is_empty()))
 }
 
 #[test]
 fn an_address_goes_when_its_data_plane_stands_still() {
-    let router = Router::start("127.0.4.1", 65001, 9, Manner::default());
+    let router = Router::start("127.0.4.1", 65001, 9, RouterBehavior::default());
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("bound");
     thread::spawn(move || node.incoming().for_each(drop));
@@ -51,19 +54,21 @@
     beat(&speaker, false, address, || begun.elapsed() > Duration::from_millis(600));
     assert!(!announced(&router));
     beat(&speaker, true, address, || announced(&router));
-    let (place, ..) = router.announced(0, PREFIX);
+    let (place, ..) = router.wait_for_announcement(0, PREFIX);
     let still = Instant::now();
-    let (place, gone) = router.withdrawn(place, PREFIX);
+    let (place, gone) = router.wait_for_withdrawal(place, PREFIX);
     let took = gone.saturating_duration_since(still);
     assert!(took >= Duration::from_millis(100) && took < Duration::from_secs(5), "{took:?}");
     beat(&speaker, true, address, || {
-        router.heard()[place..].iter().any(|(_, h)| matches!(h, Heard::Routes(r) if !r.announced.is_empty()))
+        router.received()[place..]
+            .iter()
+            .any(|(_, h)| matches!(h, BgpMessage::Routes(r) if !r.announced.is_empty()))
     });
 }
 
 #[test]
 fn short_of_memory_nothing_is_announced() {
-    let router = Router::start("127.0.4.2", 65001, 9, Manner::default());
+    let router = Router::start("127.0.4.2", 65001, 9, RouterBehavior::default());
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("bound");
     thread::spawn(move || node.incoming().for_each(drop));
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -5,7 +5,7 @@
 
 use bgp::{frame, notification, scan, Attributes, Kind, Notification, Open, Peering, Speaker, Table};
 use proptest::prelude::*;
-use testkit::router::{self, Heard};
+use testkit::bgp_router::{self, BgpMessage};
 
 const PEERING: Peering = Peering { asn: 64512, internal: false, four_octet: true, ipv6: true };
 
@@ -71,9 +71,9 @@
 
 #[test]
 fn opens() {
-    let good: Vec<(u8, Vec<u8>)> = router::usual(4_200_000_000);
+    let good: Vec<(u8, Vec<u8>)> = bgp_router::default_capabilities(4_200_000_000);
     let borrowed: Vec<(u8, &[u8])> = good.iter().map(|(c, v)| (*c, v.as_slice())).collect();
-    let whole = router::open(4_200_000_000, 90, [10, 0, 0, 1], &borrowed);
+    let whole = bgp_router::encode_open(4_200_000_000, 90, [10, 0, 0, 1], &borrowed);
     let open = Open::read(&whole[19..]).expect("a good one");
     assert_eq!((open.asn, open.hold_s, open.four_octet), (4_200_000_000, 90, true));
     assert!(open.ipv4 && open.ipv6 && open.refresh);
@@ -89,7 +89,7 @@
         }
     }
     let bare = |asn, hold, id, version| {
-        let mut whole = router::open(asn, hold, id, &[]);
+        let mut whole = bgp_router::encode_open(asn, hold, id, &[]);
         whole[19] = version;
         Open::read(&whole[19..])
     };
@@ -105,7 +105,7 @@
     for asn in [0, 23456] {
         assert_eq!(bare(asn, 90, [10, 0, 0, 1], 4), Err(Notification::new(2, 2, &[])));
     }
-    let mut odd = router::open(64513, 90, [10, 0, 0, 1], &[(2, &[])]);
+    let mut odd = bgp_router::encode_open(64513, 90, [10, 0, 0, 1], &[(2, &[])]);
     odd[29] = 1;
     assert_eq!(Open::read(&odd[19..]), Err(Notification::new(2, 4, &[])));
     // RFC 9072's longer form, with a capability that nobody knows.
@@ -296,7 +296,7 @@
             assert_eq!(frame(header), Ok((message.len(), Kind::Update)));
             let seen = scan(&message[19..], &peering).expect("sound");
             assert!(!seen.treated_as_withdraw && seen.discarded == 0);
-            let Heard::Routes(routes) = router::read(message, wide) else { panic!("an UPDATE") };
+            let BgpMessage::Routes(routes) = bgp_router::decode(message, wide) else { panic!("an UPDATE") };
             routes
         };
         let messages = table.change(&wanted, &speaker);
@@ -308,7 +308,7 @@
             prop_assert_eq!(routes.med, attributes.med);
             prop_assert_eq!(routes.local_pref, internal.then_some(attributes.local_pref));
             prop_assert_eq!(&routes.communities, &attributes.communities);
-            prop_assert_eq!(&routes.large, &attributes.large);
+            prop_assert_eq!(&routes.large_communities, &attributes.large);
             announced.extend(routes.announced);
         }
         announced.sort();
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -7,7 +7,7 @@
     SECOND,
 };
 use ipnet::IpNet;
-use testkit::router::{self, Heard};
+use testkit::bgp_router::{self, BgpMessage};
 
 const MS: Micros = 1000;
 
@@ -41,7 +41,7 @@
     dials: Vec<(Micros, usize)>,
     rng: fastrand::Rng,
     /// All that each wrote, apart from KEEPALIVEs.
-    written: [Vec<Heard>; 2],
+    written: [Vec<BgpMessage>; 2],
     cut: bool,
 }
 
@@ -96,7 +96,7 @@
                 Deed::Connect => self.dials.push((self.now + self.rng.i64(0..20 * MS), who)),
                 Deed::Write(side, octets) => {
                     if octets[18] != 4 {
-                        self.written[who].push(router::read(&octets, 4));
+                        self.written[who].push(bgp_router::decode(&octets, 4));
                     }
                     if let Some(wire) = self.wire(who, side) {
                         self.post(wire, 1 - who, Some(octets));
@@ -240,7 +240,8 @@
         world.until(5 * SECOND);
         assert!(world.stand(), "seed {seed}");
         let ceases = world.written.iter().flatten();
-        let ceases = ceases.filter(|h| matches!(h, Heard::Notification { code: 6, subcode: 7, .. })).count();
+        let ceases =
+            ceases.filter(|h| matches!(h, BgpMessage::Notification { code: 6, subcode: 7, .. })).count();
         collided += usize::from(ceases > 0);
         let open: Vec<&Wire> = world.wires.iter().filter(|w| w.open == [true; 2]).collect();
         assert_eq!(open.len(), 1, "seed {seed}");
@@ -314,7 +315,7 @@
     fn standing() -> Alone {
         let mut alone = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
         alone.message(0, &open(64513, [10, 0, 0, 2]));
-        alone.message(0, &router::message(4, &[]));
+        alone.message(0, &bgp_router::encode(4, &[]));
         assert_eq!(alone.peer.view().state, State::Established);
         alone
     }
@@ -330,8 +331,8 @@
 
     fn notified(&self) -> Option<(u8, u8)> {
         self.out.iter().rev().find_map(|deed| match deed {
-            Deed::Write(_, octets) => match router::read(octets, 4) {
-                Heard::Notification { code, subcode, .. } => Some((code, subcode)),
+            Deed::Write(_, octets) => match bgp_router::decode(octets, 4) {
+                BgpMessage::Notification { code, subcode, .. } => Some((code, subcode)),
                 _ => None,
             },
             _ => None,
@@ -340,9 +341,9 @@
 }
 
 fn open(asn: u32, id: [u8; 4]) -> Vec<u8> {
-    let capabilities = router::usual(asn);
+    let capabilities = bgp_router::default_capabilities(asn);
     let borrowed: Vec<(u8, &[u8])> = capabilities.iter().map(|(c, v)| (*c, v.as_slice())).collect();
-    router::open(asn, 90, id, &borrowed)
+    bgp_router::encode_open(asn, 90, id, &borrowed)
 }
 
 #[test]
@@ -383,7 +384,7 @@
         assert!(alone.peer.takes(0));
         alone.give(0, Input::Connected(Side::In, local));
     }
-    for octets in [open(64513, [10, 0, 0, 2]), router::message(4, &[])] {
+    for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
         let (_, kind) = frame(octets.first_chunk().expect("a header")).expect("sound");
         alone.give(0, Input::Message(Side::In, kind, &octets[HEADER..]));
     }
@@ -407,7 +408,7 @@
     for third in 0..250u8 {
         body.extend([24, 100, 64, third]);
     }
-    let update = router::message(2, &body);
+    let update = bgp_router::encode(2, &body);
     let size = std::mem::size_of_val(&alone.peer);
     for _ in 0..4000 {
         alone.message(SECOND, &update);
@@ -425,15 +426,17 @@
     alone.peer.announce(&wanted(&["192.0.2.1/32", "198.51.100.0/24", "2001:db8:1::/48"]), &mut alone.out);
     let announced = |deeds: &[Deed]| {
         let routes = deeds.iter().filter_map(|deed| match deed {
-            Deed::Write(_, octets) => Some(router::read(octets, 4)),
+            Deed::Write(_, octets) => Some(bgp_router::decode(octets, 4)),
             _ => None,
         });
-        routes.map(|heard| if let Heard::Routes(r) = heard { r.announced.len() } else { 0 }).sum::<usize>()
+        routes
+            .map(|heard| if let BgpMessage::Routes(r) = heard { r.announced.len() } else { 0 })
+            .sum::<usize>()
     };
     assert_eq!(announced(&alone.out), 3);
     for (body, wanted) in [([0, 1, 0, 1], 2), ([0, 2, 0, 1], 1), ([0, 25, 0, 65], 0), ([0, 1, 1, 1], 0)] {
         alone.out.clear();
-        alone.message(1, &router::message(5, &body));
+        alone.message(1, &bgp_router::encode(5, &body));
         assert_eq!(announced(&alone.out), wanted, "{body:?}");
         assert_eq!(alone.peer.view().state, State::Established);
     }
@@ -444,14 +447,14 @@
     let mut alone = Alone::standing();
     // Without NEXT_HOP.
     let body = [0, 0, 0, 13, 0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xfc, 1, 24, 100, 64, 1];
-    alone.message(1, &router::message(2, &body));
+    alone.message(1, &bgp_router::encode(2, &body));
     assert_eq!((alone.peer.view().malformed, alone.peer.view().state), (1, State::Established));
-    alone.message(1, &router::message(2, &[0, 9, 0, 0]));
+    alone.message(1, &bgp_router::encode(2, &[0, 9, 0, 0]));
     assert_eq!((alone.notified(), alone.peer.view().state), (Some((3, 1)), State::Idle));
     assert!(alone.peer.view().told.is_empty());
     // Before the session stands, none is awaited.
     let mut early = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
-    early.message(0, &router::message(2, &[0, 9, 0, 0]));
+    early.message(0, &bgp_router::encode(2, &[0, 9, 0, 0]));
     assert_eq!(early.notified(), Some((5, 1)));
     assert_eq!(early.peer.view().state, State::Idle);
 }
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/fixed_latency_endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in node that answers every request well, after a steady time.
+//! An HTTP endpoint that serves every request after a fixed time.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,48 +7,50 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::message::hear;
+use crate::http_message::read_message;
 
 /// Serves until the process ends.
-pub struct SteadyNode {
+pub struct FixedLatencyEndpoint {
     pub address: SocketAddr,
     served: Arc<AtomicUsize>,
 }
 
-impl SteadyNode {
-    /// Starts one that says its name and takes so long for each request.
+impl FixedLatencyEndpoint {
+    /// Starts an endpoint that names itself in its responses.
     ///
     /// # Errors
     /// There is no port to be had.
-    pub fn start(name: &str, takes: Duration) -> io::Result<SteadyNode> {
+    pub fn start(name: &str, latency: Duration) -> io::Result<FixedLatencyEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let served = Arc::<AtomicUsize>::default();
-        let (name, counted): (Arc<str>, _) = (name.into(), Arc::clone(&served));
+        let name: Arc<str> = name.into();
+        let counter = Arc::clone(&served);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (name, counted) = (Arc::clone(&name), Arc::clone(&counted));
-                thread::spawn(move || serve(stream, &name, takes, &counted));
+                let (name, counter) = (Arc::clone(&name), Arc::clone(&counter));
+                thread::spawn(move || serve(stream, &name, latency, &counter));
             }
         });
-        Ok(SteadyNode { address, served })
+        Ok(FixedLatencyEndpoint { address, served })
     }
 
-    /// Requests answered up to now.
+    /// Requests served so far.
     pub fn served(&self) -> usize {
         self.served.load(Ordering::Relaxed)
     }
 }
 
-fn serve(mut stream: TcpStream, name: &str, takes: Duration, served: &AtomicUsize) -> Option<()> {
+fn serve(mut stream: TcpStream, name: &str, latency: Duration, served: &AtomicUsize) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
-    while let Some(request) = hear(&mut reader) {
-        if !takes.is_zero() {
-            thread::sleep(takes);
+    while let Some(request) = read_message(&mut reader) {
+        if !latency.is_zero() {
+            thread::sleep(latency);
         }
         let mut parts = request.line.split(' ');
-        let (method, path) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
+        let method = parts.next().unwrap_or_default();
+        let path = parts.next().unwrap_or_default();
         let body = format!("{name}: {method} {path}\n");
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Served-By: {name}\r\nContent-Length: {}\r\n\r\n",
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/http_client.rs
@@ -1,54 +1,55 @@
-//! Callers that write what they are told to, well-formed or not.
+//! HTTP/1.1 clients that write whatever they are given, well-formed or not.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 
-use crate::message::{hear, Heard};
-use crate::PATIENCE;
+use crate::http_message::{read_message, HttpMessage};
+use crate::TEST_TIMEOUT;
 
 /// A connection to the proxy.
-pub struct Caller(BufReader<TcpStream>);
+pub struct HttpClient(BufReader<TcpStream>);
 
-impl Caller {
-    pub fn of(stream: TcpStream) -> Caller {
-        Caller(BufReader::new(stream))
+impl HttpClient {
+    pub fn of(stream: TcpStream) -> HttpClient {
+        HttpClient(BufReader::new(stream))
     }
 
     pub fn send(&mut self, text: &str) {
         assert!(self.try_send(text), "written");
     }
 
-    /// The same, where the other side may have gone.
+    /// Like [`Self::send`], but false where the proxy has closed the connection.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// The next answer; None where the proxy has closed the connection.
-    pub fn try_hear(&mut self) -> Option<Heard> {
-        self.0.get_ref().set_read_timeout(Some(PATIENCE)).expect("set");
-        hear(&mut self.0)
+    /// The next response. None where the proxy has closed the connection.
+    pub fn try_receive(&mut self) -> Option<HttpMessage> {
+        self.0.get_ref().set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+        read_message(&mut self.0)
     }
 
-    /// The next answer.
+    /// The next response.
     #[track_caller]
-    pub fn hear(&mut self) -> Heard {
-        self.try_hear().expect("a whole answer")
+    pub fn receive(&mut self) -> HttpMessage {
+        self.try_receive().expect("a whole answer")
     }
 
+    /// Sends a request and returns its response.
     #[track_caller]
-    pub fn ask(&mut self, request: &str) -> Heard {
+    pub fn ask(&mut self, request: &str) -> HttpMessage {
         self.send(request);
-        self.hear()
+        self.receive()
     }
 
-    /// Has the proxy closed the connection? Waits until it does, or sends something.
+    /// Waits until the proxy closes the connection or sends something; true if it has closed it.
     pub fn is_closed(&mut self) -> bool {
-        self.0.get_ref().set_read_timeout(Some(PATIENCE)).expect("set");
+        self.0.get_ref().set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         !matches!(self.0.fill_buf(), Ok(data) if !data.is_empty())
     }
 }
 
-/// A request that may be repeated.
+/// A request of an idempotent class.
 pub fn read(id: &str, timeout_ms: u32) -> String {
     format!(
         "GET /read/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\n\
@@ -56,7 +57,7 @@
     )
 }
 
-/// One that must not run twice.
+/// A request of a class that must run at most once.
 pub fn write(id: &str, timeout_ms: u32, body: &str) -> String {
     format!(
         "POST /write/7f3a HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\n\
@@ -65,7 +66,7 @@
     )
 }
 
-/// One whose repeats are dropped.
+/// A request with an idempotency key.
 pub fn put(id: &str, key: &str, timeout_ms: u32, body: &str) -> String {
     format!(
         "POST /put/7f3a HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nIdempotency-Key: {key}\r\n\
--- /dev/null
+++ b/crates/testkit/src/http_message.rs
@@ -0,0 +1,48 @@
+//! HTTP/1.1 messages, read by a parser that shares no code with the proxy.
+
+use std::io::BufRead;
+
+/// A complete request or response.
+#[derive(Clone, Debug)]
+pub struct HttpMessage {
+    /// The request or status line.
+    pub line: String,
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+impl HttpMessage {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let field = self.headers.iter().find(|(field, _)| field.eq_ignore_ascii_case(name));
+        field.map(|(_, value)| value.as_str())
+    }
+
+    pub fn status(&self) -> u16 {
+        self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status line")
+    }
+}
+
+/// Reads one message. None where the connection ends before it is complete.
+pub fn read_message(from: &mut impl BufRead) -> Option<HttpMessage> {
+    let line = read_line(from)?;
+    let mut headers = Vec::new();
+    loop {
+        let field = read_line(from)?;
+        if field.is_empty() {
+            break;
+        }
+        let (name, value) = field.split_once(':')?;
+        headers.push((name.to_owned(), value.trim().to_owned()));
+    }
+    let mut message = HttpMessage { line, headers, body: Vec::new() };
+    let length = message.header("content-length").map_or(0, |value| value.parse().expect("a length"));
+    message.body = vec![0; length];
+    from.read_exact(&mut message.body).ok()?;
+    Some(message)
+}
+
+fn read_line(from: &mut impl BufRead) -> Option<String> {
+    let mut line = String::new();
+    let length = from.read_line(&mut line).ok()?;
+    (length > 0 && line.ends_with('\n')).then(|| line.trim_end().to_owned())
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,24 +1,32 @@
-//! Stand-ins for what stands round a proxy: scripted backends, discovery, nodes of various speed, and callers.
-//! All on loopback; ports are chosen by the system, and waits are for events. Panics are failures of a test.
+//! Mock peers of the proxy on loopback, shared by tests, benchmarks and the demo: endpoints with scripted behavior,
+//! discovery, BGP routers, and clients.
+//!
+//! Ports are chosen by the system, and waits are for events with [`TEST_TIMEOUT`]. A panic is a failure of the test.
 
-pub mod backend;
-pub mod caller;
-pub mod discovery;
-pub mod message;
-pub mod node;
-pub mod router;
-pub mod rpc;
-pub mod stand_in;
-
-pub use backend::*;
-pub use caller::*;
-pub use discovery::*;
-pub use message::*;
-pub use node::*;
-pub use rpc::{Frames, Reply, RpcCaller, RpcNode};
-pub use stand_in::{Seen, StandIn};
+pub mod bgp_router;
+mod discovery_list;
+mod fixed_latency_endpoint;
+mod http_client;
+mod http_message;
+pub mod json_rpc;
+mod mock_discovery;
+mod mock_endpoint;
+mod mock_server;
+mod release;
+mod reserved_port;
 
 use std::time::Duration;
 
-/// Far more than anything here takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub use discovery_list::{host, list};
+pub use fixed_latency_endpoint::FixedLatencyEndpoint;
+pub use http_client::{put, read, write, HttpClient};
+pub use http_message::{read_message, HttpMessage};
+pub use json_rpc::{Framing, MockRpcEndpoint, RpcBehavior, RpcClient};
+pub use mock_discovery::{MockDiscovery, PollResponse};
+pub use mock_endpoint::{answer, full, ok, Behavior, MockEndpoint};
+pub use mock_server::{MockServer, ServerEvent};
+pub use release::Release;
+pub use reserved_port::{unused_address, ReservedPort};
+
+/// The limit of every wait, far above what a busy machine needs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- /dev/null
+++ b/crates/testkit/src/release.rs
@@ -0,0 +1,26 @@
+//! A latch that a test opens.
+
+use std::sync::{Condvar, Mutex};
+
+use crate::TEST_TIMEOUT;
+
+/// Blocks waiting threads until it is released, once and for all.
+#[derive(Debug, Default)]
+pub struct Release {
+    released: Mutex<bool>,
+    changed: Condvar,
+}
+
+impl Release {
+    pub fn release(&self) {
+        *self.released.lock().expect("unpoisoned") = true;
+        self.changed.notify_all();
+    }
+
+    /// Waits for the release, at most for [`TEST_TIMEOUT`].
+    pub fn wait(&self) {
+        let released = self.released.lock().expect("unpoisoned");
+        let wait = self.changed.wait_timeout_while(released, TEST_TIMEOUT, |released| !*released);
+        drop(wait.expect("unpoisoned"));
+    }
+}
--- a/src/bin/amberlever/demo.rs
+++ b/src/bin/amberlever/demo.rs
@@ -8,7 +8,7 @@
 use config::{toml_value, Document, Setup, TenantDoc};
 use proxy::log::say;
 use serde_json::{json, Value};
-use testkit::SteadyNode;
+use testkit::FixedLatencyEndpoint;
 
 const CONFIG: &str = include_str!("../../../deploy/example.toml");
 const EXPECTATIONS: &str = include_str!("../../../deploy/expectations.toml");
@@ -87,7 +87,8 @@
             let takes = Duration::from_millis(2 + 18 * i as u64);
             let called = node["name"].as_str().unwrap_or_default().to_owned();
             let label = format!("{tenant}/{called}");
-            let stand_in = SteadyNode::start(&label, takes).map_err(|e| format!("a stand-in node: {e}"))?;
+            let stand_in =
+                FixedLatencyEndpoint::start(&label, takes).map_err(|e| format!("a stand-in node: {e}"))?;
             node["address"] = json!(stand_in.address.to_string());
             let zone = node["zone"].as_str().unwrap_or_default();
             lines.push(format!(
--- a/tests/administration.rs
+++ b/tests/administration.rs
@@ -30,7 +30,7 @@
     let service = host_service(&hosted_file("", &tokens));
     let made = made.map(|(text, _)| text);
     for name in ["one", "two"] {
-        let doc = tenant(&format!("{name}.example"), &[nobody()], json!({}));
+        let doc = tenant(&format!("{name}.example"), &[unused_address()], json!({}));
         let told = service.call("PUT", &format!("/v1/tenants/{name}"), Some(&made[0]), None, Some(&doc));
         assert_eq!(told.status, 200, "{told:?}");
     }
@@ -247,8 +247,9 @@
 fn bad_requests_get_a_problem_and_slow_ones_hold_nothing_up() {
     let (service, [op, ..]) = guarded();
     // Heads and bodies that do not come, on fewer connections than there may be.
-    let mut slow: Vec<Caller> =
-        (0..40).map(|_| Caller::of(std::net::TcpStream::connect(service.admin).expect("listens"))).collect();
+    let mut slow: Vec<HttpClient> = (0..40)
+        .map(|_| HttpClient::of(std::net::TcpStream::connect(service.admin).expect("listens")))
+        .collect();
     for (i, caller) in slow.iter_mut().enumerate() {
         let body = if i % 2 == 0 { "\r\n{" } else { "" };
         caller.send(&format!("PUT /v1/tenants/one HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {op}\r\nContent-Type: application/json\r\nContent-Length: 100\r\n{body}"));
@@ -257,7 +258,7 @@
     assert_eq!(told.status, 422);
     assert!(told.body["error"].is_string());
     let raw = |request: String| {
-        Caller::of(std::net::TcpStream::connect(service.admin).expect("listens")).ask(&request).status()
+        HttpClient::of(std::net::TcpStream::connect(service.admin).expect("listens")).ask(&request).status()
     };
     let put = |body: &str| {
         raw(format!("PUT /v1/tenants/one HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {op}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
@@ -306,7 +307,7 @@
             let _ = Command::new("sh").args(["-c", &format!("kill -KILL {pid}")]).status();
         });
         for _ in 0..50 {
-            let doc = tenant("club.example", &[nobody()], json!({ "weight": answered + 1 }));
+            let doc = tenant("club.example", &[unused_address()], json!({ "weight": answered + 1 }));
             match service.try_put("/v1/tenants/club", &doc) {
                 Some(told) if told.status == 200 => {
                     answered = told.body["version"].as_u64().expect("a version")
@@ -325,7 +326,7 @@
 fn a_full_disk_refuses_changes_and_goes_on_serving() {
     let folder = folder();
     let file = hosted_file("", "");
-    let node = SteadyNode::start("n", Duration::ZERO).expect("a port");
+    let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let doc = |i: u64| {
         let mut doc = tenant("club.example", &[node.address], json!({ "weight": i }));
         doc["config"]["expect"][0]["when"]["headers"] = json!({ "x-long": "x".repeat(200_000) });
@@ -362,7 +363,10 @@
     for weight in 1..=4 {
         assert_eq!(
             service
-                .put("/v1/tenants/club", &tenant("club.example", &[nobody()], json!({ "weight": weight })))
+                .put(
+                    "/v1/tenants/club",
+                    &tenant("club.example", &[unused_address()], json!({ "weight": weight }))
+                )
                 .status,
             200
         );
@@ -375,8 +379,9 @@
     assert!(service.process.log().contains("set aside"), "{}", service.process.log());
     assert_eq!(service.get("/v1/tenants/club").body["limits"]["weight"], 4);
     assert_eq!(
-        service.put("/v1/tenants/club", &tenant("club.example", &[nobody()], json!({ "weight": 5 }))).body
-            ["version"],
+        service
+            .put("/v1/tenants/club", &tenant("club.example", &[unused_address()], json!({ "weight": 5 })))
+            .body["version"],
         6
     );
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -201,7 +201,7 @@
         .and_then(|a| a.parse().ok())
         .expect("an address");
     let ask =
-        |request: &str| Caller::of(std::net::TcpStream::connect(address).expect("listens")).ask(request);
+        |request: &str| HttpClient::of(std::net::TcpStream::connect(address).expect("listens")).ask(request);
     assert!(curls[0].trim().ends_with("/standings/1"), "{curls:?}");
     assert_eq!(ask(&format!("GET /standings/1 HTTP/1.1\r\nHost: {address}\r\n\r\n")).status(), 200);
     assert!(curls[1].contains("Idempotency-Key: k1") && curls[1].ends_with("/report-result/12"), "{curls:?}");
@@ -215,7 +215,7 @@
         let message = line.split('\'').nth(1).expect("quoted");
         let words: Vec<&str> = line.split(' ').collect();
         let address = format!("{}:{}", words[words.len() - 2], words[words.len() - 1]);
-        RpcCaller::connect(address.parse().expect("an address"), Frames::Lines).ask(message)
+        RpcClient::connect(address.parse().expect("an address"), Framing::Lines).ask(message)
     });
     let heard: Vec<serde_json::Value> = heard.collect();
     assert!(heard[0]["result"].as_str().is_some_and(|r| r.contains("GET /standings/1")), "{heard:?}");
--- a/tests/crossing.rs
+++ b/tests/crossing.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_first_request_that_comes_as_a_silent_connection_is_given_up_is_answered() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     // On connections of all ages round the one at which they are given up.
     let opened = Instant::now();
@@ -30,13 +30,13 @@
     // Now it finds at once that their time is up and that their requests are there.
     proxy.signal("CONT");
     for caller in &mut callers {
-        assert_eq!(caller.hear().body, b"done");
+        assert_eq!(caller.receive().body, b"done");
     }
 }
 
 #[test]
 fn a_request_that_comes_as_the_last_answers_are_due_is_answered() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.deadline_ms = 300;
     setup.aim_ms = 300;
@@ -58,7 +58,7 @@
     thread::sleep(Duration::from_millis(600));
     proxy.signal("CONT");
     for (number, caller) in callers.iter_mut().enumerate() {
-        let status = caller.hear().status();
+        let status = caller.receive().status();
         assert!([200, 503].contains(&status), "last-{number}: {status}");
     }
     assert!(proxy.end().success());
@@ -73,7 +73,7 @@
         let address = raw_backend(move |mut stream| {
             let number = counted.fetch_add(1, Ordering::Relaxed);
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-            while hear(&mut reader).is_some() {
+            while read_message(&mut reader).is_some() {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
                 if number == 0 {
                     // A write of its own, after the answer.
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_same_id_again_right_after_its_answer_is_a_new_request() {
-    let backend = Backend::new([ok("one"), ok("two")]);
+    let backend = MockEndpoint::new([ok("one"), ok("two")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
     assert_eq!(caller.ask(&write("id-1", 9_000, "x")).body, b"one");
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn the_process_is_one_thread_linked_to_the_c_library_with_no_children_and_at_rest() {
-    let backend = Backend::new(vec![ok("1"); 99]);
+    let backend = MockEndpoint::new(vec![ok("1"); 99]);
     let proxy = Setup::of(&[&backend]).start();
     for i in 0..20 {
         assert_eq!(proxy.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -14,19 +14,19 @@
 const LEAST: u32 = 256;
 
 /// Answers each call with this list, until the test ends.
-fn discovery_at(closed: Closed, list: String) -> thread::JoinHandle<Instant> {
+fn discovery_at(closed: ReservedPort, list: String) -> thread::JoinHandle<Instant> {
     let listener = closed.open();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("asked");
         let since = Instant::now();
         thread::spawn(move || {
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-            if hear(&mut reader).is_some() {
+            if read_message(&mut reader).is_some() {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
                 let _ = stream.write_all((head + &list).as_bytes());
             }
             // The watch stays open.
-            let _ = hear(&mut reader);
+            let _ = read_message(&mut reader);
             drop(listener);
         });
         since
@@ -35,11 +35,11 @@
 
 #[test]
 fn idle_clients_that_fill_the_descriptors_shut_nobody_out_while_discovery_is_down() {
-    let (first, second) = (Backend::new([ok("first")]), Backend::new([ok("second")]));
+    let (first, second) = (MockEndpoint::new([ok("first")]), MockEndpoint::new([ok("second")]));
     let mut setup = Setup::of(&[&first]);
     setup.sockets = LEAST;
     setup.descriptors = Some(LEAST);
-    let (closed, returned) = (Closed::new(), Closed::new());
+    let (closed, returned) = (ReservedPort::new(), ReservedPort::new());
     let down = closed.address();
     let config = with_operators(&setup.config(down));
     let proxy = start_limited(&config, LEAST);
@@ -87,7 +87,7 @@
     proxy.reload(&config.replace(&down.to_string(), &back.to_string()));
     let asked = asked.join().expect("asked");
     assert!(asked - reloaded < Duration::from_secs(6), "asked after {:?}", asked - reloaded);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let heard = proxy.ask(&read(&format!("new-{:?}", until.elapsed().as_nanos()), 9_000));
         if heard.body == b"second" {
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -12,7 +12,7 @@
 use rpc::*;
 use serde_json::json;
 use stubs::*;
-use testkit::rpc::request;
+use testkit::json_rpc::request;
 
 /// Sequences that are played.
 const SEEDS: u64 = 200;
@@ -80,8 +80,8 @@
 
 /// Nodes that follow it, of either protocol.
 enum Nodes {
-    Http(Vec<Backend>),
-    Rpc(Vec<RpcNode>),
+    Http(Vec<MockEndpoint>),
+    Rpc(Vec<MockRpcEndpoint>),
 }
 
 impl Nodes {
@@ -89,21 +89,21 @@
         let script = || Arc::clone(script);
         if speak_rpc {
             let node = |script: Arc<Script>| {
-                RpcNode::of(Frames::Lines, move |_| match script.arrive() {
-                    Fault::None => Reply::Result(json!("done")),
-                    Fault::Error => Reply::Error(-32050),
-                    Fault::Full => Reply::Error(-32004),
-                    Fault::Break => Reply::Break,
+                MockRpcEndpoint::of(Framing::Lines, move |_| match script.arrive() {
+                    Fault::None => RpcBehavior::Result(json!("done")),
+                    Fault::Error => RpcBehavior::Error(-32050),
+                    Fault::Full => RpcBehavior::Error(-32004),
+                    Fault::Break => RpcBehavior::Disconnect,
                 })
             };
             return Nodes::Rpc(vec![node(script()), node(script())]);
         }
         let node = |script: Arc<Script>| {
-            Backend::of(move |_| match script.arrive() {
+            MockEndpoint::of(move |_| match script.arrive() {
                 Fault::None => ok("done"),
                 Fault::Error => answer("500 Internal Server Error", "", ""),
                 Fault::Full => full(),
-                Fault::Break => Deed::Break,
+                Fault::Break => Behavior::Disconnect,
             })
         };
         Nodes::Http(vec![node(script()), node(script())])
@@ -117,7 +117,7 @@
     }
 }
 
-fn by_http(caller: &mut Caller, n: usize, asked: &Request) -> &'static str {
+fn by_http(caller: &mut HttpClient, n: usize, asked: &Request) -> &'static str {
     let verb = if asked.class == "standings" { "GET" } else { "POST" };
     let key = asked.key.map_or(String::new(), |key| format!("Idempotency-Key: k{key}\r\n"));
     let length = if verb == "POST" { "Content-Length: 0\r\n" } else { "" };
@@ -131,7 +131,7 @@
     }
 }
 
-fn by_rpc(caller: &mut RpcCaller, n: usize, asked: &Request) -> &'static str {
+fn by_rpc(caller: &mut RpcClient, n: usize, asked: &Request) -> &'static str {
     let params = asked.key.map_or(json!({}), |key| json!({ "key": format!("k{key}") }));
     let answer = caller.ask(&request(n, asked.class, params));
     match answer["error"]["code"].as_i64() {
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -20,8 +20,8 @@
     (0..length).map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8).collect()
 }
 
-fn start(backends: &[SocketAddr]) -> (Process, Discovery, Held) {
-    let (discovery, held) = (Discovery::new(), Held::new());
+fn start(backends: &[SocketAddr]) -> (Process, MockDiscovery, Held) {
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let mut setup = Setup { aim_ms: AIM_MS, ..Setup::of(&[]) };
     setup.hosts = backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
     let process = held.start(&with_operators(&setup.config(discovery.address)));
@@ -54,7 +54,7 @@
 
 fn connect(held: &Held) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(held.address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     BufReader::new(stream)
 }
 
@@ -170,7 +170,7 @@
     let (process, _discovery, held) =
         start(&[unfinished("HTTP/1.1 200 OK\r\nContent-Length: 339\r\n\r\nthe first of it")]);
     let began = Instant::now();
-    let answer = Caller::of(TcpStream::connect(held.address).expect("it listens")).ask(&read("r-1", 700));
+    let answer = HttpClient::of(TcpStream::connect(held.address).expect("it listens")).ask(&read("r-1", 700));
     assert!([503, 504].contains(&answer.status()), "{answer:?}");
     assert!(began.elapsed() < LONG_BEFORE_A_STALL, "{:?}", began.elapsed());
     assert_eq!(process.figure("edge_lb_active"), 0);
@@ -196,7 +196,7 @@
 #[test]
 fn answers_that_are_under_way_outlive_an_upgrade() {
     let node = large();
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let mut setup = Setup { aim_ms: AIM_MS, ..Setup::of(&[]) };
     setup.hosts = vec![host("s-0", node, "SERVING")];
     let config = with_operators(&setup.config(discovery.address));
@@ -255,7 +255,7 @@
         thread::sleep(Duration::from_millis(250));
     }
     assert!(since.elapsed() > Duration::from_millis(u64::from(AIM_MS)));
-    let answer = hear(&mut caller).expect("an answer");
+    let answer = read_message(&mut caller).expect("an answer");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
     assert_eq!(process.figure("edge_lb_tries_total"), 1);
     assert_eq!(process.figure("edge_lb_ok_total{kind=\"write\"}"), 1);
@@ -266,7 +266,7 @@
     let (process, _discovery, held) = start(&[]);
     let mut caller = connect(&held);
     caller.get_mut().write_all(upload("up", 9000).as_bytes()).expect("written");
-    let answer = hear(&mut caller).expect("an answer before its body has come");
+    let answer = read_message(&mut caller).expect("an answer before its body has come");
     assert_eq!(answer.status(), 503);
     caller.get_mut().write_all(&pattern(LARGE)).expect("all of it is taken");
     process.figure_becomes("edge_lb_shed_total{kind=\"write\"}", 1);
@@ -285,7 +285,7 @@
         || ["errors", "shed"].map(|n| process.figure(&format!("edge_lb_{n}_total{{kind=\"write\"}}")));
     let since = Instant::now();
     while ended().iter().sum::<u64>() != 1 {
-        assert!(since.elapsed() < PATIENCE, "{:?}", ended());
+        assert!(since.elapsed() < TEST_TIMEOUT, "{:?}", ended());
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!((process.figure("edge_lb_tries_total"), process.figure("edge_lb_active")), (0, 0));
@@ -320,7 +320,7 @@
         caller.get_mut().write_all(request.as_bytes()).expect("written");
         // An answer may come before all of it is written.
         let _ = caller.get_mut().write_all(body);
-        hear(&mut caller).expect("an answer")
+        read_message(&mut caller).expect("an answer")
     };
     let answer = ask(upload("up", AIM_MS), &pattern(LARGE));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
@@ -336,7 +336,7 @@
     let process = own(counting(), "");
     let mut caller = process.caller();
     caller.send(&upload("large", AIM_MS));
-    assert_eq!(caller.hear().status(), 413);
+    assert_eq!(caller.receive().status(), 413);
 }
 
 #[test]
@@ -349,6 +349,6 @@
     let process = own(node, &format!("body_bytes = {}", LARGE - 1));
     let mut caller = process.caller();
     caller.send(&read("over", 9000));
-    assert!(caller.try_hear().is_none_or(|answer| answer.status() == 502));
+    assert!(caller.try_receive().is_none_or(|answer| answer.status() == 502));
     process.figure_becomes("edge_lb_errors_total{kind=\"read\",pool=\"p\"}", 1);
 }
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -34,7 +34,7 @@
 fn status(address: SocketAddr, raw: &[u8]) -> Option<u16> {
     let mut stream = TcpStream::connect(address).expect("listens");
     stream.write_all(raw).expect("written");
-    Caller::of(stream).try_hear().map(|heard| heard.status())
+    HttpClient::of(stream).try_receive().map(|heard| heard.status())
 }
 
 const POST: &str = "POST /write/7f3a HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\n";
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 use stubs::*;
 
-fn node(name: &str, ms: u64) -> SteadyNode {
-    SteadyNode::start(name, Duration::from_millis(ms)).expect("a port")
+fn node(name: &str, ms: u64) -> FixedLatencyEndpoint {
+    FixedLatencyEndpoint::start(name, Duration::from_millis(ms)).expect("a port")
 }
 
 // ---- Whose a request is ----
@@ -50,7 +50,7 @@
         .expect("words")
         .contains("no `file`"));
     // The same names of pools, classes and routes, and the same id at once, are two different things.
-    let (a, b) = (Backend::new([Deed::Silence]), Backend::new([ok("b")]));
+    let (a, b) = (MockEndpoint::new([Behavior::Hang]), MockEndpoint::new([ok("b")]));
     service.put("/v1/tenants/one", &tenant("one.example", &[a.address], json!({})));
     service.put("/v1/tenants/two", &tenant("two.example", &[b.address], json!({})));
     let ask = |host: &str| format!("GET /x HTTP/1.1\r\nHost: {host}\r\nX-Request-ID: same\r\n\r\n");
@@ -88,7 +88,7 @@
 fn a_tenant_that_is_taken_out_answers_what_it_took() {
     let release = Arc::new(Release::default());
     let done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
-    let held = Backend::new([Deed::Held(Arc::clone(&release), done)]);
+    let held = MockEndpoint::new([Behavior::RespondOnRelease(Arc::clone(&release), done)]);
     let service = host_service(&hosted_file("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[held.address], json!({})));
     let mut caller = service.process.caller();
@@ -97,9 +97,9 @@
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
     assert_eq!(service.get("/v1/tenants/club/status").status, 404);
     release.release();
-    assert_eq!(caller.hear().body, b"done");
+    assert_eq!(caller.receive().body, b"done");
     assert_eq!(caller.ask("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n").status(), 404);
-    held.over();
+    held.wait_for_close();
 }
 
 /// Operators take a tenant's node out for as long as they like: over its changes, and beside another's of the same name.
@@ -108,7 +108,7 @@
     let (one, two) = (node("one", 0), node("two", 0));
     let file = hosted_file("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
     let service = host_service(&file);
-    let puts = |name: &str, node: &SteadyNode, rate: u64| {
+    let puts = |name: &str, node: &FixedLatencyEndpoint, rate: u64| {
         let limits = json!({ "requests_per_s": rate });
         let doc = tenant(&format!("{name}.example"), &[node.address], limits);
         assert_eq!(service.put(&format!("/v1/tenants/{name}"), &doc).status, 200);
@@ -145,7 +145,7 @@
         "listen = [{ address = \"127.0.0.1:0\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", tenant = \"one\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", host = \"two.example\" }]",
     );
     let service = host_service(&file);
-    let with = |host: &str, node: &SteadyNode, limits| {
+    let with = |host: &str, node: &FixedLatencyEndpoint, limits| {
         let mut doc = tenant(host, &[node.address], limits);
         doc["config"]["class"][0]["semantics"] = json!("deduplicated");
         doc["config"]["class"][0]["dedup_group"] = json!("all");
@@ -161,8 +161,8 @@
         .filter_map(|l| l.strip_prefix("listening on "))
         .map(|a| a.parse().expect("an address"))
         .collect();
-    let mut callers: Vec<RpcCaller> =
-        listeners.iter().map(|a| RpcCaller::connect(*a, Frames::Lines)).collect();
+    let mut callers: Vec<RpcClient> =
+        listeners.iter().map(|a| RpcClient::connect(*a, Framing::Lines)).collect();
     let served =
         |answer: &serde_json::Value| answer["result"].as_str().map(|r| r.split(':').next() == Some("one"));
     let key = json!({ "key": "k" });
@@ -198,14 +198,14 @@
     assert_eq!(served(&callers[1].call(9, "standings", json!({ "key": "n" }))), Some(false));
     // One connection too many: refused, told, and closed.
     service.put("/v1/tenants/two/limits", &json!({ "connections": 1 }));
-    let mut extra = RpcCaller::connect(listeners[1], Frames::Lines);
+    let mut extra = RpcClient::connect(listeners[1], Framing::Lines);
     let refused = extra.call(1, "standings", json!({ "key": "o" }));
     assert_eq!(
         (&refused["error"]["code"], &refused["error"]["data"]["cause"]),
         (&json!(-32000), &json!("connections"))
     );
-    assert_eq!(extra.hear()["method"], "$/closing");
-    assert!(extra.try_hear().is_none());
+    assert_eq!(extra.receive()["method"], "$/closing");
+    assert!(extra.try_receive().is_none());
     assert_eq!(served(&callers[1].call(10, "standings", json!({ "key": "o" }))), Some(false));
 }
 
@@ -213,7 +213,7 @@
 
 #[test]
 fn each_limit_refuses_with_its_cause_and_is_changed_while_it_runs() {
-    let stuck = Backend::new([Deed::Silence]);
+    let stuck = MockEndpoint::new([Behavior::Hang]);
     let service = host_service(&hosted_file("", ""));
     let with = |limits: serde_json::Value| tenant("club.example", &[stuck.address], limits);
     assert_eq!(service.put("/v1/tenants/club", &with(json!({ "in_flight": 1 }))).status, 200);
@@ -246,7 +246,7 @@
 /// Nodes that never answer: their tenant's work piles up to its own bound, and the others lose nothing.
 #[test]
 fn a_tenant_whose_nodes_never_answer_takes_nothing_from_the_others() {
-    let stuck = Backend::new([Deed::Silence]);
+    let stuck = MockEndpoint::new([Behavior::Hang]);
     let good = node("good", 0);
     let service = host_service(&hosted_file("sockets = 512\ncapacity = { in_flight = 200 }\n", ""));
     service.put("/v1/tenants/stuck", &tenant("stuck.example", &[stuck.address], json!({})));
@@ -261,9 +261,9 @@
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let stream = std::net::TcpStream::connect(address).expect("listens");
-                    let mut caller = Caller::of(stream);
+                    let mut caller = HttpClient::of(stream);
                     caller.send("GET /x HTTP/1.1\r\nHost: stuck.example\r\nX-Timeout-Ms: 3900\r\n\r\n");
-                    caller.try_hear();
+                    caller.try_receive();
                 }
             })
         })
@@ -290,7 +290,7 @@
 /// Each further attempt is paid for by the tenant, also of a request whose caller has left.
 #[test]
 fn a_tenant_without_retries_left_has_one_attempt_for_each_request() {
-    let breaks: Vec<Backend> = (0..3).map(|_| Backend::new([Deed::Break])).collect();
+    let breaks: Vec<MockEndpoint> = (0..3).map(|_| MockEndpoint::new([Behavior::Disconnect])).collect();
     let nodes: Vec<_> = breaks.iter().map(|b| b.address).collect();
     let asked = || breaks.iter().map(|b| b.requests().len()).sum::<usize>();
     let service = host_service(&hosted_file("", ""));
@@ -323,7 +323,7 @@
             for stream in listener.incoming() {
                 let stream = stream.expect("accepts");
                 let mut reader = std::io::BufReader::new(stream.try_clone().expect("a copy"));
-                if hear(&mut reader).is_some() && first.fetch_add(1, Ordering::SeqCst) > 0 {
+                if read_message(&mut reader).is_some() && first.fetch_add(1, Ordering::SeqCst) > 0 {
                     kept.push(stream);
                 }
             }
@@ -339,12 +339,12 @@
     caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     let since = Instant::now();
     while first.load(Ordering::SeqCst) < 2 {
-        assert!(since.elapsed() < PATIENCE, "no second attempt");
+        assert!(since.elapsed() < TEST_TIMEOUT, "no second attempt");
         thread::sleep(Duration::from_millis(2));
     }
     drop(caller);
     while status()["in_flight"] != 0 {
-        assert!(since.elapsed() < PATIENCE, "the request goes on without its caller");
+        assert!(since.elapsed() < TEST_TIMEOUT, "the request goes on without its caller");
         thread::sleep(Duration::from_millis(2));
     }
     assert_eq!(status()["retries"], 1);
@@ -358,10 +358,10 @@
 /// A fallback to another pool is a further attempt like any other, where the first pool made one.
 #[test]
 fn a_tenant_without_retries_left_does_not_fall_back_for_a_second_attempt() {
-    let (busy, spare) = (Backend::new([full()]), Backend::new([ok("spare")]));
+    let (busy, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
     let service = host_service(&hosted_file("", ""));
     let mut club = tenant("club.example", &[busy.address], json!({}));
-    let pool = |name: &str, node: &Backend| json!({ "name": name, "nodes": [{ "name": name, "address": node.address.to_string() }] });
+    let pool = |name: &str, node: &MockEndpoint| json!({ "name": name, "nodes": [{ "name": name, "address": node.address.to_string() }] });
     club["config"]["pool"] = json!([pool("p", &busy), pool("q", &spare)]);
     club["config"]["route"][0]["fallback"] = json!([{ "pool": "q", "when": ["refused"] }]);
     assert_eq!(service.put("/v1/tenants/club", &club).status, 200);
@@ -396,7 +396,7 @@
 /// Clients that retry at once at five times their share. Two others ask for less than theirs: all of it is served.
 #[test]
 fn a_retry_storm_of_one_tenant_is_not_felt_by_two_others() {
-    let nodes: Vec<SteadyNode> = (0..3).map(|i| node(&format!("n{i}"), 1)).collect();
+    let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| node(&format!("n{i}"), 1)).collect();
     let service = host_service(&hosted_file("capacity = { requests_per_s = 450 }\n", ""));
     for (i, name) in ["storm", "b", "c"].iter().enumerate() {
         let told = service.put(
@@ -411,7 +411,7 @@
         .map(|_| {
             let (stop, asked) = (Arc::clone(&stop), Arc::clone(&asked));
             thread::spawn(move || {
-                let mut caller = Caller::of(std::net::TcpStream::connect(address).expect("listens"));
+                let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
                 while !stop.load(Ordering::Relaxed) {
                     let answer = caller.ask("GET /x HTTP/1.1\r\nHost: storm.example\r\nX-Retried: 1\r\n\r\n");
                     assert!([200, 429, 503].contains(&answer.status()));
@@ -446,7 +446,7 @@
 /// Limits up and down, nodes in and out, a class renamed, 500 times, while traffic flows.
 #[test]
 fn five_hundred_changes_under_traffic_lose_nothing() {
-    let nodes: Vec<SteadyNode> = (0..3).map(|i| node(&format!("n{i}"), 0)).collect();
+    let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| node(&format!("n{i}"), 0)).collect();
     let service = Arc::new(host_service(&hosted_file("", "")));
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
     let at = |round: usize| {
@@ -503,7 +503,7 @@
     }
     stop.store(true, Ordering::Relaxed);
     let asked: usize = callers.into_iter().map(|c| c.join().expect("every request was answered")).sum();
-    let served: usize = nodes.iter().map(SteadyNode::served).sum();
+    let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
     assert_eq!(served, asked, "each request ran once");
     assert_eq!(service.get("/v1/tenants/other").etag, untouched);
     assert_eq!(service.get("/v1/tenants/other/status").body["version"], 3, "the other was not touched");
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -13,7 +13,7 @@
 use rpc::*;
 use serde_json::{json, Value};
 use stubs::*;
-use testkit::rpc::request;
+use testkit::json_rpc::request;
 
 fn code(answer: &Value) -> i64 {
     answer["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {answer}"))
@@ -23,7 +23,7 @@
 
 #[test]
 fn the_cases_of_the_specification() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Result(json!(19))]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     let null = |code: i64, answer: &Value| {
@@ -52,14 +52,14 @@
 
 #[test]
 fn ids_come_back_as_they_were_sent() {
-    let node = RpcNode::new(Frames::Lengths, [Reply::Result(json!(null))]);
-    let proxy = Both::start(&Site { frames: Frames::Lengths, ..Site::rpc(&[node.address]) });
+    let node = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
+    let proxy = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
     let mut caller = proxy.rpc();
     let digits = format!("-1{}", "0".repeat(400));
     for id in [digits.as_str(), r#""A\n""#, r#""""#, "null", "0", "18446744073709551616"] {
         let message = format!(r#"{{"id":{id},"jsonrpc":"2.0","method":"standings"}}"#);
         caller.send(&message);
-        let text = caller.try_hear_text().expect("an answer");
+        let text = caller.try_receive_text().expect("an answer");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
     // What the node gets are the proxy's own, each another.
@@ -68,18 +68,18 @@
     assert_eq!(own.len(), 6);
     for bad in ["1.5", "1e3", "{}", "true", r#""\ud800""#] {
         caller.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
-        assert_eq!(code(&caller.hear()), -32600, "{bad}");
+        assert_eq!(code(&caller.receive()), -32600, "{bad}");
     }
     caller.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
-    assert_eq!(caller.hear()["id"], Value::Null, "which of the two is meant?");
+    assert_eq!(caller.receive()["id"], Value::Null, "which of the two is meant?");
     caller.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
-    assert_eq!(code(&caller.hear()), -32700);
+    assert_eq!(code(&caller.receive()), -32700);
     assert!(node.requests().is_empty());
 }
 
 #[test]
 fn a_message_without_end_is_refused_and_holds_nothing() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Echo]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     proxy.rpc().call(1, "standings", json!({}));
     let (_, before) = proxy.process.holds();
@@ -90,17 +90,17 @@
         let piece = vec![b'x'; 1 << 20];
         (0..200).take_while(|_| stream.write_all(&piece).is_ok()).count()
     });
-    let answer = caller.hear();
+    let answer = caller.receive();
     assert_eq!((code(&answer), &answer["id"]), (-32005, &Value::Null));
-    assert_eq!(caller.hear()["method"], "$/closing");
+    assert_eq!(caller.receive()["method"], "$/closing");
     let sent = sending.join().expect("it ends");
     let (_, after) = proxy.process.holds();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
     // A head that is none.
-    let lengths = Both::start(&Site { frames: Frames::Lengths, ..Site::rpc(&[node.address]) });
+    let lengths = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
     let mut caller = lengths.rpc();
     caller.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
-    assert_eq!(code(&caller.hear()), -32700);
+    assert_eq!(code(&caller.receive()), -32700);
 }
 
 // ---- Many calls at once ----
@@ -108,18 +108,25 @@
 #[test]
 fn answers_come_in_any_order_and_the_bound_stops_the_reading() {
     let release = Arc::new(Release::default());
-    let held = Reply::Held(Arc::clone(&release), json!("late"));
-    let node = RpcNode::new(Frames::Lines, [held.clone(), Reply::Result(json!("soon")), held.clone(), held]);
+    let held = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
+    let node = MockRpcEndpoint::new(
+        Framing::Lines,
+        [held.clone(), RpcBehavior::Result(json!("soon")), held.clone(), held],
+    );
     let site = Site { listen: ", calls = 2".to_owned(), ..Site::rpc(&[node.address]) };
     let proxy = Both::start(&site);
     let mut caller = proxy.rpc();
     caller.send(&request(1, "standings", json!({})));
     node.request();
     caller.send(&request(2, "standings", json!({})));
-    assert_eq!((&caller.hear()["result"], node.request().0), (&json!("soon"), 0), "on the same connection");
+    assert_eq!(
+        (&caller.receive()["result"], node.request().0),
+        (&json!("soon"), 0),
+        "on the same connection"
+    );
     // An id that is open, and one in other spelling.
     caller.send(&request(1, "standings", json!({})));
-    assert_eq!(code(&caller.hear()), -32003);
+    assert_eq!(code(&caller.receive()), -32003);
     for id in 3..=10 {
         caller.send(&request(id, "standings", json!({})));
     }
@@ -129,17 +136,18 @@
     assert_eq!(node.request().1["params"]["_meta"]["verb"], Value::Null);
     assert!(node.requests().is_empty());
     release.release();
-    let answered: BTreeSet<i64> = (0..9).map(|_| caller.hear()["id"].as_i64().expect("a number")).collect();
+    let answered: BTreeSet<i64> =
+        (0..9).map(|_| caller.receive()["id"].as_i64().expect("a number")).collect();
     assert_eq!(answered, BTreeSet::from([1, 3, 4, 5, 6, 7, 8, 9, 10]));
 }
 
 #[test]
 fn a_batch_is_decided_one_by_one_and_answered_together() {
-    let node = RpcNode::of(Frames::Lines, |call| match call["params"]["do"].as_str() {
-        Some("fail") => Reply::Error(-32050),
-        Some("full") => Reply::Error(-32004),
-        Some("hang") => Reply::Silence,
-        _ => Reply::Echo,
+    let node = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
+        Some("fail") => RpcBehavior::Error(-32050),
+        Some("full") => RpcBehavior::Error(-32004),
+        Some("hang") => RpcBehavior::Hang,
+        _ => RpcBehavior::Echo,
     });
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut caller = proxy.rpc();
@@ -185,7 +193,7 @@
 
 #[test]
 fn a_caller_that_never_reads_holds_what_the_bound_says() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Result(json!("x".repeat(60_000)))]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("x".repeat(60_000)))]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     proxy.rpc().call(0, "standings", json!({}));
     let (_, before) = proxy.process.holds();
@@ -195,7 +203,7 @@
     let since = Instant::now();
     // Until nothing more of it is taken.
     while since.elapsed() < Duration::from_secs(3) && sent < 20_000 {
-        let call = Frames::Lines.write(&request(sent, "standings", json!({ "pad": "y".repeat(2_000) })));
+        let call = Framing::Lines.encode(&request(sent, "standings", json!({ "pad": "y".repeat(2_000) })));
         match deaf.stream().write(&call) {
             Ok(n) if n == call.len() => sent += 1,
             _ => thread::sleep(Duration::from_millis(10)),
@@ -209,7 +217,7 @@
 
 #[test]
 fn half_a_message_is_not_waited_for_and_silence_is() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Echo]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut silent = proxy.rpc();
     let mut slow = proxy.rpc();
@@ -220,7 +228,7 @@
             thread::sleep(Duration::from_millis(300));
         }
     });
-    assert!(slow.try_hear().is_none());
+    assert!(slow.try_receive().is_none());
     assert!(since.elapsed() > Duration::from_secs(2), "{:?}", since.elapsed());
     assert_eq!(silent.call(1, "standings", json!({}))["id"], 1);
 }
@@ -229,7 +237,7 @@
 
 #[test]
 fn a_caller_that_leaves_is_told_to_the_decisions_and_the_node() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Silence]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Hang]);
     let site = Site { pool: ", cancel = \"$/cancelRequest\"".to_owned(), ..Site::rpc(&[node.address]) };
     let proxy = Both::start(&site);
     let mut caller = proxy.rpc();
@@ -273,13 +281,13 @@
                 let mut reader =
                     std::io::BufReader::with_capacity(1 << 10, stream.try_clone().expect("a copy"));
                 for n in 0..6 {
-                    let Some(text) = Frames::Lines.read(&mut reader) else { return };
+                    let Some(text) = Framing::Lines.read(&mut reader) else { return };
                     let call: Value = serde_json::from_str(&text).expect("JSON");
                     told.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
                     if n < 3 {
                         let answer =
                             json!({ "jsonrpc": "2.0", "id": call["id"], "result": "first" }).to_string();
-                        (&stream).write_all(&Frames::Lines.write(&answer)).expect("written");
+                        (&stream).write_all(&Framing::Lines.encode(&answer)).expect("written");
                     }
                 }
                 wait.wait();
@@ -287,7 +295,7 @@
             });
         }
     });
-    let sound = RpcNode::new(Frames::Lines, [Reply::Result(json!("second"))]);
+    let sound = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("second"))]);
     let site = Site {
         listen: ", calls = 200".to_owned(),
         pool: ", calls = 200".to_owned(),
@@ -305,13 +313,13 @@
     let mut answers: Vec<Value> = Vec::new();
     let mut whole: BTreeSet<u64> = BTreeSet::new();
     // The first have been read and answered; then the connection goes.
-    whole.extend((0..6).map(|_| read.recv_timeout(PATIENCE).expect("a call")));
+    whole.extend((0..6).map(|_| read.recv_timeout(TEST_TIMEOUT).expect("a call")));
     while answers.iter().filter(|a| a["result"] == "first").count() < 3 {
-        answers.push(caller.hear());
+        answers.push(caller.receive());
     }
     go.release();
     while answers.len() < CALLS {
-        answers.push(caller.hear());
+        answers.push(caller.receive());
     }
     whole.extend(read.try_iter());
     let ids: BTreeSet<u64> = answers.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
@@ -337,19 +345,19 @@
 #[test]
 fn answers_that_nobody_waits_for_are_nobodys() {
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
-    let node = RpcNode::new(Frames::Lines, [Reply::Raw(twice.to_owned()), Reply::Echo]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     assert_eq!(caller.call(1, "close-round", json!({}))["result"], 1);
     let echo = caller.call(2, "close-round", json!({}));
     assert_eq!((&echo["id"], &echo["result"]["method"]), (&json!(2), &json!("close-round")));
     // What is no answer ends the one it is for, which may have run; what is no message ends the connection.
-    let node = RpcNode::new(
-        Frames::Lines,
+    let node = MockRpcEndpoint::new(
+        Framing::Lines,
         [
-            Reply::Raw("{\"id\":$ID,\"result\":1}\n".to_owned()),
-            Reply::Raw("{\"id\":$ID,\n".to_owned()),
-            Reply::Echo,
+            RpcBehavior::Raw("{\"id\":$ID,\"result\":1}\n".to_owned()),
+            RpcBehavior::Raw("{\"id\":$ID,\n".to_owned()),
+            RpcBehavior::Echo,
         ],
     );
     let proxy = Both::start(&Site::rpc(&[node.address]));
@@ -363,8 +371,11 @@
 #[test]
 fn an_end_and_a_reload_answer_what_was_taken() {
     let release = Arc::new(Release::default());
-    let node = RpcNode::new(Frames::Lines, [Reply::Held(Arc::clone(&release), json!("old"))]);
-    let next = RpcNode::new(Frames::Lines, [Reply::Result(json!("new"))]);
+    let node = MockRpcEndpoint::new(
+        Framing::Lines,
+        [RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("old"))],
+    );
+    let next = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("new"))]);
     let (site, other) = (Site::rpc(&[node.address]), Site::rpc(&[next.address]));
     let mut proxy = Both::start(&site);
     let mut caller = proxy.rpc();
@@ -384,19 +395,19 @@
         thread::sleep(Duration::from_millis(700));
         release.release();
     });
-    assert_eq!(caller.hear()["result"], "old");
-    let notice = caller.hear();
+    assert_eq!(caller.receive()["result"], "old");
+    let notice = caller.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(2)));
-    assert!(caller.try_hear().is_none());
+    assert!(caller.try_receive().is_none());
     waiting.join().expect("it ends");
     assert!(proxy.process.end().success());
 }
 
 #[test]
 fn a_batch_in_hand_when_the_word_to_end_comes_is_answered_whole() {
-    let node = RpcNode::of(Frames::Lines, |call| match call["params"]["do"].as_str() {
-        Some("hang") => Reply::Silence,
-        _ => Reply::Echo,
+    let node = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
+        Some("hang") => RpcBehavior::Hang,
+        _ => RpcBehavior::Echo,
     });
     let mut proxy = Both::start(&Site { aim_ms: 1500, ..Site::rpc(&[node.address]) });
     let mut caller = proxy.rpc();
@@ -407,15 +418,15 @@
     (0..3).for_each(|_| drop(node.request()));
     proxy.process.terminate();
     proxy.process.says("told to end");
-    let answers = caller.hear();
+    let answers = caller.receive();
     let answers = answers.as_array().expect("one answer to the batch");
     assert_eq!(answers.len(), 3, "{answers:?}");
     for (n, answer) in answers.iter().enumerate() {
         assert_eq!((&answer["id"], answer.get("result").is_some()), (&json!(n), n != 1), "{answer}");
     }
-    let notice = caller.hear();
+    let notice = caller.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(1)));
-    assert!(caller.try_hear().is_none());
+    assert!(caller.try_receive().is_none());
     assert!(proxy.process.end().success());
 }
 
@@ -425,10 +436,10 @@
 fn all_four_ways_serve_the_same() {
     let json =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 12\r\n\r\n{\"n\":1e400 }";
-    let http = Backend::new([Deed::Answer(json.to_owned())]);
-    let node = RpcNode::new(
-        Frames::Lines,
-        [Reply::Raw("{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":{\"n\":1e400 }}\n".to_owned())],
+    let http = MockEndpoint::new([Behavior::Respond(json.to_owned())]);
+    let node = MockRpcEndpoint::new(
+        Framing::Lines,
+        [RpcBehavior::Raw("{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":{\"n\":1e400 }}\n".to_owned())],
     );
     let brief = |site: Site| Both::start(&Site { aim_ms: 300, ..site });
     let (to_http, to_rpc) = (brief(Site::http(&[http.address])), brief(Site::rpc(&[node.address])));
@@ -439,7 +450,7 @@
         assert_eq!((answer.status(), &*answer.body), (200, &b"{\"n\":1e400 }"[..]));
         let mut caller = proxy.rpc();
         caller.send(&call);
-        assert!(caller.try_hear_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
+        assert!(caller.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
     }
     let (by_http, by_rpc) = (http.request().1, http.request().1);
     assert_eq!(
@@ -463,9 +474,12 @@
 #[test]
 fn a_key_runs_once_by_whichever_protocol() {
     let release = Arc::new(Release::default());
-    let node = RpcNode::new(
-        Frames::Lines,
-        [Reply::Held(Arc::clone(&release), json!("done")), Reply::Result(json!("again"))],
+    let node = MockRpcEndpoint::new(
+        Framing::Lines,
+        [
+            RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("done")),
+            RpcBehavior::Result(json!("again")),
+        ],
     );
     let proxy = Both::start(&Site { window_ms: 4_000, ..Site::rpc(&[node.address]) });
     let post = |key: &str| {
@@ -482,7 +496,7 @@
     assert_eq!((code(&told), &told["error"]["data"]["cause"]), (-32003, &json!("key-open")));
     assert_eq!(told["error"]["data"]["retryAfterMs"], 1000);
     release.release();
-    assert_eq!(caller.hear()["result"], "done");
+    assert_eq!(caller.receive()["result"], "done");
     let served = Instant::now();
     // Served: the same answer, and nothing is sent.
     assert_eq!(post("k").body, b"\"done\"");
@@ -500,7 +514,7 @@
         let body = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
         http.send(&body);
         rpc.send(&request(round, "report-result", json!({ "key": key })));
-        let (by_http, by_rpc) = (http.hear().status(), rpc.hear());
+        let (by_http, by_rpc) = (http.receive().status(), rpc.receive());
         assert!(by_http == 200 || by_http == 409, "{by_http}");
         assert!(by_rpc["result"] == "again" || code(&by_rpc) == -32003, "{by_rpc}");
         assert_eq!(node.requests().len(), 1, "round {round}");
@@ -509,7 +523,7 @@
 
 #[test]
 fn at_the_bound_of_keys_new_ones_are_refused_and_none_runs_twice() {
-    let node = RpcNode::new(Frames::Lines, [Reply::Result(json!("z".repeat(100)))]);
+    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("z".repeat(100)))]);
     let site =
         Site { server: "keys = { entries = 3, bytes = 250 }\n".to_owned(), ..Site::rpc(&[node.address]) };
     let proxy = Both::start(&site);
@@ -558,7 +572,7 @@
 
 #[test]
 fn methods_and_members_are_as_configured() {
-    let http = Backend::new([ok("{}")]);
+    let http = MockEndpoint::new([ok("{}")]);
     let more = "[[method]]\nname = \"rank\"\nclass = \"standings\"\npath = \"/standings/{where.event}\"\nverb = \"POST\"\n[members]\ntimeout_ms = \"wait\"\nkey = \"_meta.dedup\"\n";
     let proxy = Both::start(&Site { more: more.to_owned(), aim_ms: 300, ..Site::http(&[http.address]) });
     let mut caller = proxy.rpc();
@@ -574,7 +588,7 @@
         assert_eq!(code(&caller.call(4, "rank", bad.clone())), -32602, "{bad}");
     }
     caller.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
-    assert_eq!(code(&caller.hear()), -32602);
+    assert_eq!(code(&caller.receive()), -32602);
     assert_eq!(http.requests().len(), 0);
     // The wire is the proxy's: nothing of a call reaches a head.
     let odd = caller.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -8,7 +8,7 @@
 
 use stubs::*;
 
-fn config(nodes: &[&SteadyNode], folder: &Path) -> String {
+fn config(nodes: &[&FixedLatencyEndpoint], folder: &Path) -> String {
     let nodes: Vec<String> = nodes
         .iter()
         .enumerate()
@@ -43,8 +43,9 @@
 }
 
 /// A quick node and one ten times slower.
-fn nodes() -> [SteadyNode; 2] {
-    [40, 400].map(|ms| SteadyNode::start(&ms.to_string(), Duration::from_millis(ms)).expect("a port"))
+fn nodes() -> [FixedLatencyEndpoint; 2] {
+    [40, 400]
+        .map(|ms| FixedLatencyEndpoint::start(&ms.to_string(), Duration::from_millis(ms)).expect("a port"))
 }
 
 const ASK: &str = "GET /x HTTP/1.1\r\nHost: a\r\nX-Timeout-Ms: 900\r\n\r\n";
@@ -52,7 +53,7 @@
 /// So many callers ask at the same moment, so often; all are answered.
 fn crowd(proxy: &Process, callers: usize, times: usize) {
     let together = Arc::new(Barrier::new(callers));
-    let one = |mut caller: Caller, together: Arc<Barrier>| {
+    let one = |mut caller: HttpClient, together: Arc<Barrier>| {
         thread::spawn(move || {
             together.wait();
             (0..times).filter(|_| caller.ask(ASK).status() == 200).count()
@@ -65,7 +66,7 @@
 }
 
 /// Of eight at once, how many go to the slow node?
-fn slow_of_eight(proxy: &Process, nodes: &[SteadyNode; 2]) -> usize {
+fn slow_of_eight(proxy: &Process, nodes: &[FixedLatencyEndpoint; 2]) -> usize {
     let before = nodes[1].served();
     crowd(proxy, 8, 1);
     nodes[1].served() - before
@@ -84,7 +85,7 @@
 fn until(what: &str, mut is_so: impl FnMut() -> bool) {
     let since = Instant::now();
     while !is_so() {
-        assert!(since.elapsed() < PATIENCE, "{what}");
+        assert!(since.elapsed() < TEST_TIMEOUT, "{what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -149,9 +149,9 @@
             let (asked, words) = (Mutex::new(asked), words);
             raw_backend(move |mut stream| {
                 let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-                while hear(&mut reader).is_some() {
+                while read_message(&mut reader).is_some() {
                     let _ = asked.lock().expect("unpoisoned").send(Instant::now());
-                    let _ = words.lock().expect("unpoisoned").recv_timeout(PATIENCE);
+                    let _ = words.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
                     let turned =
                         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
                     let _ = stream.write_all(turned.as_bytes());
@@ -162,7 +162,7 @@
         setup.hosts.push(host("s-1", backend(), "SERVING"));
         let proxy = setup.start();
         let (left, _kept) = ask_and_leave(&proxy, leaves, || {
-            requests.recv_timeout(PATIENCE).expect("the first attempt");
+            requests.recv_timeout(TEST_TIMEOUT).expect("the first attempt");
         });
         word.send(()).expect("it waits");
         let further = requests.recv_timeout(Duration::from_secs(1)).ok();
@@ -208,12 +208,12 @@
 #[test]
 fn a_second_tier_hears_of_a_client_that_left_the_first() {
     for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes] {
-        let backend = Backend::new([Deed::Silence]);
+        let backend = MockEndpoint::new([Behavior::Hang]);
         let second = Setup::of(&[&backend]).start();
         let first = setup(second.address).start();
         let mut number = 0;
         let (left, _) = ask_and_leave(&first, leaves, || number = backend.request().0);
-        assert_eq!(backend.over(), number);
+        assert_eq!(backend.wait_for_close(), number);
         println!(
             "{leaves:?}: the second tier's attempt was closed {:?} after its client had left",
             left.elapsed()
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -10,20 +10,20 @@
 use stubs::*;
 
 /// A proxy with an address for operators, and its discovery.
-fn start(backends: &[&Backend]) -> (Process, Discovery, Held) {
-    let (discovery, held) = (Discovery::new(), Held::new());
+fn start(backends: &[&MockEndpoint]) -> (Process, MockDiscovery, Held) {
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(backends).config(discovery.address));
     (held.start(&config), discovery, held)
 }
 
-fn ask(process: &Process, held: &Held, request: &str) -> Heard {
+fn ask(process: &Process, held: &Held, request: &str) -> HttpMessage {
     assert!(process.id() > 0);
-    Caller::of(TcpStream::connect(held.address).expect("somebody listens")).ask(request)
+    HttpClient::of(TcpStream::connect(held.address).expect("somebody listens")).ask(request)
 }
 
 #[test]
 fn each_call_of_an_operator_has_its_answer() {
-    let backend = Backend::new([]);
+    let backend = MockEndpoint::new([]);
     let (process, ..) = start(&[&backend]);
     let long = "x".repeat(600);
     for (method, path, body, status) in [
@@ -48,7 +48,7 @@
 
 #[test]
 fn who_hangs_on_the_operators_address_keeps_nobody_out() {
-    let backend = Backend::new([]);
+    let backend = MockEndpoint::new([]);
     let (process, ..) = start(&[&backend]);
     let at = process.operators();
     let mut hanging: Vec<TcpStream> = Vec::new();
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_backend_out_by_hand_gets_nothing_until_it_is_put_back_whatever_is_listed() {
-    let (first, second) = (Backend::new(vec![ok("1"); 99]), Backend::new(vec![ok("2"); 99]));
+    let (first, second) = (MockEndpoint::new(vec![ok("1"); 99]), MockEndpoint::new(vec![ok("2"); 99]));
     let (process, discovery, held) = start(&[&first, &second]);
     let asks = |n: usize, what: &str| {
         for i in 0..n {
@@ -90,11 +90,11 @@
     assert_eq!((first.requests().len(), second.requests().len()), (0, 10));
     assert_eq!((process.figure("edge_lb_pool_size"), process.figure("edge_lb_pool_ejected")), (2, 1));
     // Discovery lists it anew, and the whole list once more.
-    discovery.tell(News::List(list(2, false, &[host("s-0", first.address, "SERVING")])));
+    discovery.push(PollResponse::List(list(2, false, &[host("s-0", first.address, "SERVING")])));
     let hosts = [host("s-0", first.address, "SERVING"), host("s-1", second.address, "SERVING")];
-    discovery.tell(News::List(list(3, true, &hosts)));
+    discovery.push(PollResponse::List(list(3, true, &hosts)));
     // The third call is made once both are taken in.
-    discovery.call(2);
+    discovery.wait_for_poll(2);
     asks(10, "listed");
     assert_eq!(first.requests().len(), 0);
     assert_eq!(process.call("POST", "/maintenance/exit", "s-0").0, 200);
@@ -105,13 +105,13 @@
         if !first.requests().is_empty() {
             break;
         }
-        assert!(since.elapsed() < PATIENCE, "it is used again");
+        assert!(since.elapsed() < TEST_TIMEOUT, "it is used again");
     }
 }
 
 #[test]
 fn figures_agree_with_what_callers_and_backends_saw() {
-    let backend = Backend::new([ok("1"), answer("500 Internal Server Error", "", ""), ok("2"), ok("3")]);
+    let backend = MockEndpoint::new([ok("1"), answer("500 Internal Server Error", "", ""), ok("2"), ok("3")]);
     let (process, _discovery, held) = start(&[&backend]);
     let mut seen = [0; 600];
     for i in 0..3 {
@@ -129,9 +129,9 @@
     assert_eq!((of("errors", "read") + of("errors", "write") + of("shed", "read"), seen[405]), (0, 1));
     assert_eq!(process.figure("edge_lb_active"), 0);
     // One that is open, and whose caller then leaves.
-    let silent = Backend::new([Deed::Silence]);
+    let silent = MockEndpoint::new([Behavior::Hang]);
     let (process, _discovery, held) = start(&[&silent]);
-    let mut caller = Caller::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut caller = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     caller.send(&read("open", 9000));
     process.figure_becomes("edge_lb_tries_total", 1);
     assert_eq!(process.figure("edge_lb_active"), 1);
@@ -142,16 +142,16 @@
 
 #[test]
 fn a_process_takes_over_with_the_socket_and_what_is_out_by_hand() {
-    let (first, second) = (Backend::new(vec![ok("1"); 999]), Backend::new(vec![ok("2"); 999]));
-    let discovery = Discovery::new();
+    let (first, second) = (MockEndpoint::new(vec![ok("1"); 999]), MockEndpoint::new(vec![ok("2"); 999]));
+    let discovery = MockDiscovery::new();
     let held = Held::new();
     let config = with_operators(&Setup::of(&[&first, &second]).config(discovery.address));
     let mut old = held.start(&config);
     assert_eq!(old.call("POST", "/maintenance/enter", "s-0").0, 200);
-    let mut kept = Caller::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut kept = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     assert_eq!(kept.ask(&read("kept-1", 9000)).status(), 200);
     // Another stays open for as long as the old one lets it.
-    let mut idle = Caller::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut idle = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     assert_eq!(idle.ask(&read("idle", 9000)).status(), 200);
 
     let new = held.start(&config);
@@ -178,15 +178,15 @@
         if !first.requests().is_empty() {
             break;
         }
-        assert!(since.elapsed() < PATIENCE, "it is used again");
+        assert!(since.elapsed() < TEST_TIMEOUT, "it is used again");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 #[test]
 fn a_process_takes_over_what_was_learned_and_passes_over_what_is_damaged() {
-    let backend = Backend::new(vec![ok("1"); 9999]);
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let backend = MockEndpoint::new(vec![ok("1"); 9999]);
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(&[&backend]).config(discovery.address));
     let old = held.start(&config);
     for i in 0..50 {
@@ -195,7 +195,7 @@
     let file = held.folder.join("amberlever.learned");
     let since = Instant::now();
     while !file.exists() {
-        assert!(since.elapsed() < PATIENCE, "it is left there");
+        assert!(since.elapsed() < TEST_TIMEOUT, "it is left there");
         thread::sleep(Duration::from_millis(20));
     }
     let new = held.start(&config);
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_descriptor_that_is_no_listening_socket_ends_the_program_with_a_line() {
-    let config = Setup::of(&[]).config(nobody());
+    let config = Setup::of(&[]).config(unused_address());
     for named in ["3", "x", "", "1", "99999999999999999999"] {
         let path = folder().join("lb.json");
         std::fs::write(&path, &config).expect("written");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -11,7 +11,7 @@
 use stubs::*;
 
 /// Two pools, of which each has a node `n1`, and the second one `n2` besides.
-fn config(listen: &str, nodes: [&Backend; 3], extra: &str) -> String {
+fn config(listen: &str, nodes: [&MockEndpoint; 3], extra: &str) -> String {
     let [a1, b1, b2] = nodes.map(|n| n.address);
     format!(
         r#"
@@ -51,7 +51,7 @@
 
 #[test]
 fn nodes_of_several_pools_go_out_by_hand_over_a_reload_and_are_counted_apart() {
-    let nodes = [(); 3].map(|()| Backend::of(|_| ok("done")));
+    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let text = config("127.0.0.1:0", nodes.each_ref(), "folder = \"kept\"");
     let process = serve(&text, &[]);
     for (path, body, status) in [
@@ -110,14 +110,14 @@
 
 #[test]
 fn a_process_follows_another_on_a_socket_that_is_passed_on_and_loses_nothing() {
-    let nodes = [(); 3].map(|()| Backend::of(|_| ok("done")));
+    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     let text = config(&at.to_string(), nodes.each_ref(), "");
     let start = || Process::watch(start_with(&listener, &text, 1), folder());
     let mut old = start();
     assert_eq!(old.address, at);
-    let mut kept = Caller::of(TcpStream::connect(at).expect("it listens"));
+    let mut kept = HttpClient::of(TcpStream::connect(at).expect("it listens"));
     assert_eq!(kept.ask(&get("a", "kept-1")).status(), 200);
     let new = start();
     assert_eq!(new.call("GET", "/status", "").0, 200);
@@ -125,7 +125,7 @@
     // Nobody else is told; its figures say when it knows.
     let since = Instant::now();
     while old.call("GET", "/status", "").0 != 503 {
-        assert!(since.elapsed() < PATIENCE);
+        assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(1));
     }
     let last = kept.ask(&get("a", "kept-2"));
@@ -140,7 +140,7 @@
 
 #[test]
 fn sockets_that_do_not_fit_the_configuration_end_the_program_with_a_line() {
-    let nodes = [(); 3].map(|()| Backend::of(|_| ok("done")));
+    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = TcpListener::bind("127.0.0.1:0").expect("another").local_addr().expect("bound");
     let right = listener.local_addr().expect("bound").to_string();
@@ -155,7 +155,7 @@
 
 #[test]
 fn an_operators_address_that_is_not_on_loopback_is_no_configuration() {
-    let nodes = [(); 3].map(|()| Backend::of(|_| ok("done")));
+    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let text = config("127.0.0.1:0", nodes.each_ref(), "").replacen(
         "[operators]\nlisten = \"127.0.0.1:0\"",
         "[operators]\nlisten = \"0.0.0.0:9600\"",
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let answer = proxy.ask(&put("id-1", "key-1", 9000, "what to do"));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
@@ -33,7 +33,7 @@
 
 #[test]
 fn bad_requests_are_turned_away_and_the_proxy_goes_on() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let good = read("id-1", 9000);
     let long = "x".repeat((64 << 10) + 1);
@@ -75,7 +75,7 @@
 /// hyper reads such a body by its chunks, and another reader by its length would find a request in it.
 #[test]
 fn a_body_with_two_lengths_is_turned_away_with_all_that_follows() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let hidden = format!("0\r\n\r\n{}", read("id-2", 9000));
     let plain = write("id-1", 9000, &hidden);
@@ -99,7 +99,7 @@
 
 #[test]
 fn the_id_of_an_open_request_is_not_taken_twice() {
-    let backend = Backend::new([Deed::Silence, ok("done")]);
+    let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut first = proxy.caller();
     first.send(&write("id-1", 9000, "x"));
@@ -109,13 +109,13 @@
     assert_eq!(backend.request().1.header("X-Request-ID"), Some("id-2"));
     // The first goes on until its caller leaves, and then the id is free.
     drop(first);
-    backend.over();
+    backend.wait_for_close();
     assert_eq!(proxy.ask(&write("id-1", 9000, "x")).status(), 200);
 }
 
 #[test]
 fn callers_whose_request_does_not_come_are_dropped_and_idle_ones_are_not() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut idle = proxy.caller();
     assert_eq!(idle.ask(&read("id-1", 9000)).status(), 200);
@@ -125,8 +125,8 @@
     let whole = write("id-2", 60_000, "what to do");
     trickle.send(&whole[..whole.len() - 1]);
     assert!(silent.is_closed() && half.is_closed());
-    assert_eq!(trickle.hear().status(), 408);
-    assert!(since.elapsed() < PATIENCE / 2, "{:?}", since.elapsed());
+    assert_eq!(trickle.receive().status(), 408);
+    assert!(since.elapsed() < TEST_TIMEOUT / 2, "{:?}", since.elapsed());
     assert_eq!(idle.ask(&read("id-3", 9000)).status(), 200);
     idle.send("GET /read/1 HTTP/1.1\r\nHost:");
     assert!(idle.is_closed());
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_caller_without_a_timeout_or_class_header_is_served() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let request = read("id-1", 9000).replace("X-Timeout-Ms: 9000\r\n", "");
     assert_eq!(proxy.ask(&request.replace("X-Priority-Class: read\r\n", "")).status(), 200);
@@ -142,7 +142,7 @@
 
 #[test]
 fn health_is_good_once_there_is_a_list() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
 }
@@ -151,7 +151,7 @@
 
 #[test]
 fn what_was_turned_away_unseen_goes_elsewhere() {
-    let (busy, free) = (Backend::new([full()]), Backend::new([ok("done")]));
+    let (busy, free) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("done")]));
     let proxy = Setup::of(&[&busy, &free]).start();
     for i in 0..4 {
         assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
@@ -161,9 +161,9 @@
 
 #[test]
 fn nobody_listening_is_no_reason_to_fail() {
-    let free = Backend::new([ok("done")]);
+    let free = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&free]);
-    setup.hosts.push(host("s-dead", nobody(), "SERVING"));
+    setup.hosts.push(host("s-dead", unused_address(), "SERVING"));
     let proxy = setup.start();
     for i in 0..4 {
         assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
@@ -173,14 +173,16 @@
 #[test]
 fn a_break_after_the_request_may_have_run_and_is_not_repeated() {
     let breaks = [
-        Deed::Break,
-        Deed::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
-        Deed::AnswerAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n".to_owned()),
+        Behavior::Disconnect,
+        Behavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
+        Behavior::RespondAndClose(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n".to_owned(),
+        ),
         answer("500 Internal Server Error", "", ""),
         answer("503 Service Unavailable", "", ""),
     ];
     for deed in breaks {
-        let backends = [Backend::new([deed.clone()]), Backend::new([deed.clone()])];
+        let backends = [MockEndpoint::new([deed.clone()]), MockEndpoint::new([deed.clone()])];
         let proxy = Setup::of(&[&backends[0], &backends[1]]).start();
         let answer = proxy.ask(&write("id-1", 9000, "x"));
         assert_eq!(answer.status(), 502, "{deed:?}");
@@ -192,7 +194,7 @@
 #[test]
 fn a_broken_answer_to_what_may_be_repeated_is_asked_for_again() {
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned();
-    let backend = Backend::new([Deed::AnswerAndClose(half), ok("whole")]);
+    let backend = MockEndpoint::new([Behavior::RespondAndClose(half), ok("whole")]);
     let proxy = Setup::of(&[&backend]).start();
     let answer = proxy.ask(&read("id-1", 9000));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
@@ -200,7 +202,7 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back_only_if_the_decisions_do() {
-    let backend = Backend::new([full()]);
+    let backend = MockEndpoint::new([full()]);
     let proxy = Setup::of(&[&backend]).start();
     let answer = proxy.ask(&write("id-1", 9000, "x"));
     assert_eq!(answer.status(), 503);
@@ -213,7 +215,7 @@
 fn malformed_load_reports_are_logged_once_and_passed_over() {
     let report = |json: &str| answer("200 OK", &format!("X-Server-Load: {json}\r\n"), "done");
     let backend =
-        Backend::new([report("{\"depth\":"), report("[]"), report("{\"depth\":\"x\"}"), ok("done")]);
+        MockEndpoint::new([report("{\"depth\":"), report("[]"), report("{\"depth\":\"x\"}"), ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     for i in 0..4 {
         assert_eq!(proxy.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
@@ -225,32 +227,32 @@
 
 #[test]
 fn a_silent_backend_costs_the_caller_no_more_than_its_time() {
-    let backend = Backend::new([Deed::Silence]);
+    let backend = MockEndpoint::new([Behavior::Hang]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 2000;
     let proxy = setup.start();
     let answer = proxy.ask(&write("id-1", 1000, "x"));
     assert_eq!(answer.status(), 504);
     // Its connection is closed, so that the backend may stop.
-    backend.over();
+    backend.wait_for_close();
 }
 
 #[test]
 fn a_caller_that_leaves_takes_its_attempt_along() {
-    let backend = Backend::new([Deed::Silence, ok("done")]);
+    let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
     caller.send(&write("id-1", 9000, "x"));
     let (number, _) = backend.request();
     drop(caller);
-    assert_eq!(backend.over(), number);
+    assert_eq!(backend.wait_for_close(), number);
     // And the proxy goes on: once it stood still after a caller had left.
     assert_eq!(proxy.ask(&read("id-2", 9000)).status(), 200);
 }
 
 #[test]
 fn a_request_is_answered_once_however_many_come_on_a_connection() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
     for i in 0..50 {
@@ -264,7 +266,7 @@
 
 #[test]
 fn a_connection_is_used_again_and_the_last_one_first() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     for i in 0..5 {
         proxy.ask(&read(&format!("id-{i}"), 9000));
@@ -274,24 +276,24 @@
 
 #[test]
 fn idle_connections_are_closed_before_the_backend_would() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.keepalive_ms = 1000;
     let proxy = setup.start();
     assert_eq!(proxy.ask(&read("id-1", 9000)).status(), 200);
     // The stub backend never closes by itself.
-    assert_eq!(backend.over(), 0);
+    assert_eq!(backend.wait_for_close(), 0);
 }
 
 #[test]
 fn a_connection_that_the_backend_closed_loses_no_request() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
-    let backend = Backend::new([Deed::AnswerAndClose(text)]);
+    let backend = MockEndpoint::new([Behavior::RespondAndClose(text)]);
     let proxy = Setup::of(&[&backend]).start();
     for i in 0..20 {
         assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
         assert_eq!(backend.request().0, i, "each on a connection of its own");
-        backend.over();
+        backend.wait_for_close();
     }
 }
 
@@ -299,38 +301,42 @@
 
 #[test]
 fn a_watch_goes_on_and_what_drains_gets_nothing_new() {
-    let (old, new) = (Backend::new([ok("old")]), Backend::new([ok("new")]));
+    let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
     let proxy = Setup::of(&[&old]).start();
     assert_eq!(proxy.ask(&write("id-0", 9000, "x")).body, b"old");
     let discovery = &proxy.discovery;
-    assert_eq!(discovery.call(0).0.split("&wait_ms=").next(), Some("/v1/servers?after=1"));
+    assert_eq!(discovery.wait_for_poll(0).0.split("&wait_ms=").next(), Some("/v1/servers?after=1"));
     let hosts = [host("s-0", old.address, "DRAINING"), host("s-new", new.address, "SERVING")];
-    discovery.tell(News::List(list(2, false, &hosts)));
+    discovery.push(PollResponse::List(list(2, false, &hosts)));
     // The next call says that the list before has been taken in.
-    assert_eq!(discovery.call(1).0.split("&wait_ms=").next(), Some("/v1/servers?after=2"));
+    assert_eq!(discovery.wait_for_poll(1).0.split("&wait_ms=").next(), Some("/v1/servers?after=2"));
     for i in 1..6 {
         assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).body, b"new");
     }
     // A whole list leaves out what is gone, and may give another address.
-    let moved = Backend::new([ok("moved")]);
-    discovery.tell(News::List(list(3, true, &[host("s-new", moved.address, "SERVING")])));
-    discovery.call(2);
+    let moved = MockEndpoint::new([ok("moved")]);
+    discovery.push(PollResponse::List(list(3, true, &[host("s-new", moved.address, "SERVING")])));
+    discovery.wait_for_poll(2);
     assert_eq!(proxy.ask(&write("id-6", 9000, "x")).body, b"moved");
-    discovery.tell(News::List(list(4, false, &[host("s-new", moved.address, "DELETED")])));
-    discovery.call(3);
+    discovery.push(PollResponse::List(list(4, false, &[host("s-new", moved.address, "DELETED")])));
+    discovery.wait_for_poll(3);
     assert_eq!(proxy.ask(&write("id-7", 9000, "x")).status(), 503);
 }
 
 /// The process behind an address is told by its id: a connection to the old one says nothing of the new.
 #[test]
 fn a_node_listed_in_words_that_cannot_be_read_gets_nothing_new_and_the_others_go_on() {
-    let backends: Vec<Backend> = (0..2).map(|_| Backend::new([ok("done")])).collect();
+    let backends: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::new([ok("done")])).collect();
     let mut setup = Setup::of(&backends.iter().collect::<Vec<_>>());
     setup.aim_ms = 2000;
     let proxy = setup.start();
-    proxy.discovery.call(0);
+    proxy.discovery.wait_for_poll(0);
     let odd = host("s-0", backends[0].address, "SLEEPING");
-    proxy.discovery.tell(News::List(list(2, true, &[odd, host("s-1", backends[1].address, "SERVING")])));
+    proxy.discovery.push(PollResponse::List(list(
+        2,
+        true,
+        &[odd, host("s-1", backends[1].address, "SERVING")],
+    )));
     proxy.says("passing over a malformed entry in the list of backends: \"s-0\": ");
     let before = backends[0].requests().len();
     for n in 0..20 {
@@ -339,10 +345,10 @@
     assert_eq!(backends[0].requests().len(), before);
     assert_eq!(backends[1].requests().len(), 20);
     // Once it is told of readably it is used again.
-    proxy.discovery.tell(News::List(list(3, false, &[host("s-0", backends[0].address, "SERVING")])));
+    proxy.discovery.push(PollResponse::List(list(3, false, &[host("s-0", backends[0].address, "SERVING")])));
     let since = Instant::now();
     for n in 20.. {
-        assert!(since.elapsed() < PATIENCE, "it is not used again");
+        assert!(since.elapsed() < TEST_TIMEOUT, "it is not used again");
         assert_eq!(proxy.ask(&read(&format!("id-{n}"), 2000)).status(), 200);
         if backends[0].requests().len() > before {
             break;
@@ -353,29 +359,29 @@
 
 #[test]
 fn an_address_that_is_taken_over_gets_new_connections() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
-    proxy.discovery.call(0);
+    proxy.discovery.wait_for_poll(0);
     assert_eq!(proxy.ask(&read("id-1", 9000)).status(), 200);
     assert_eq!(backend.request().0, 0);
     let hosts = [host("s-0", backend.address, "DELETED"), host("s-1", backend.address, "SERVING")];
-    proxy.discovery.tell(News::List(list(2, false, &hosts)));
-    proxy.discovery.call(1);
-    assert_eq!(backend.over(), 0);
+    proxy.discovery.push(PollResponse::List(list(2, false, &hosts)));
+    proxy.discovery.wait_for_poll(1);
+    assert_eq!(backend.wait_for_close(), 0);
     assert_eq!(proxy.ask(&read("id-2", 9000)).status(), 200);
     assert_eq!(backend.request().0, 1);
 }
 
 #[test]
 fn a_discovery_that_does_not_wait_is_not_asked_in_a_spin() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
-    discovery.call(0);
+    discovery.wait_for_poll(0);
     for _ in 0..10 {
-        discovery.tell(News::List(list(1, false, &[])));
+        discovery.push(PollResponse::List(list(1, false, &[])));
     }
-    let (first, last) = (discovery.call(1).1, discovery.call(10).1);
+    let (first, last) = (discovery.wait_for_poll(1).1, discovery.wait_for_poll(10).1);
     assert!(last - first > Duration::from_millis(500), "{:?}", last - first);
 }
 
@@ -389,18 +395,18 @@
     let address = listener.local_addr().expect("bound");
     let filler = TcpStream::connect(address).expect("connects");
 
-    let free = Backend::new([ok("done")]);
+    let free = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[]);
     setup.hosts.push(host("s-old", address, "SERVING"));
     let proxy = setup.start();
     let discovery = &proxy.discovery;
-    discovery.call(0);
+    discovery.wait_for_poll(0);
     let mut caller = proxy.caller();
     caller.send(&write("id-1", 9000, "x"));
     assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     let hosts = [host("s-old", address, "DRAINING"), host("s-new", free.address, "SERVING")];
-    discovery.tell(News::List(list(2, false, &hosts)));
-    discovery.call(1);
+    discovery.push(PollResponse::List(list(2, false, &hosts)));
+    discovery.wait_for_poll(1);
     // Past the grace there is room, and the kernel tries the connection again.
     thread::sleep(Duration::from_millis(600));
     drop(filler);
@@ -412,7 +418,7 @@
         }
         heard
     });
-    assert_eq!(caller.hear().body, b"done");
+    assert_eq!(caller.receive().body, b"done");
     assert_eq!(free.request().1.header("X-Request-ID"), Some("id-1"));
     drop(proxy);
     assert!(accepting.join().expect("accepted").is_empty(), "something was written to it");
@@ -420,51 +426,51 @@
 
 #[test]
 fn a_failed_watch_is_asked_for_again_and_the_list_stays() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
-    discovery.call(0);
-    discovery.tell(News::Fails);
-    discovery.call(1);
+    discovery.wait_for_poll(0);
+    discovery.push(PollResponse::Unavailable);
+    discovery.wait_for_poll(1);
     let malformed = ["{\"seq\":", "[]", "{\"seq\":5,\"whole\":true,\"hosts\":7}"];
     for (n, malformed) in malformed.into_iter().enumerate() {
-        discovery.tell(News::List(malformed.to_owned()));
+        discovery.push(PollResponse::List(malformed.to_owned()));
         // Asked for again at once, from the list that it has, which is relied on meanwhile.
-        assert_eq!(discovery.call(2 + 2 * n).0, "/v1/servers?after=1&wait_ms=250");
+        assert_eq!(discovery.wait_for_poll(2 + 2 * n).0, "/v1/servers?after=1&wait_ms=250");
         assert_eq!(proxy.ask(&write(&format!("id-{n}"), 9000, "x")).status(), 200);
-        discovery.tell(News::List(list(1, false, &[])));
-        discovery.call(3 + 2 * n);
+        discovery.push(PollResponse::List(list(1, false, &[])));
+        discovery.wait_for_poll(3 + 2 * n);
     }
     assert_eq!(proxy.log().matches("malformed list").count(), 1);
 }
 
 #[test]
 fn a_silent_discovery_is_asked_again_within_seconds() {
-    let (old, new) = (Backend::new([ok("old")]), Backend::new([ok("new")]));
+    let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
     let proxy = Setup::of(&[&old]).start();
     let discovery = &proxy.discovery;
     // It never answers the first call, as if cut off. The next one comes over a new connection, and the news of
     // the time in between with it.
-    let (silent, again) = (discovery.call(0).1, discovery.call(1).1);
+    let (silent, again) = (discovery.wait_for_poll(0).1, discovery.wait_for_poll(1).1);
     assert!(again - silent < Duration::from_secs(15), "{:?}", again - silent);
     let hosts = [host("s-0", old.address, "DELETED"), host("s-1", new.address, "SERVING")];
     // One for the call that nobody listens to any more.
-    discovery.tell(News::List(list(2, false, &hosts)));
-    discovery.tell(News::List(list(2, false, &hosts)));
-    discovery.call(2);
+    discovery.push(PollResponse::List(list(2, false, &hosts)));
+    discovery.push(PollResponse::List(list(2, false, &hosts)));
+    discovery.wait_for_poll(2);
     assert_eq!(proxy.ask(&write("id-1", 9000, "x")).body, b"new");
 }
 
 #[test]
 fn an_answer_that_broke_off_is_asked_for_again_and_at_last_holds_all_back() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
-    discovery.call(0);
+    discovery.wait_for_poll(0);
     let broke = Instant::now();
-    discovery.tell(News::Breaks(list(2, false, &[host("s-0", backend.address, "DRAINING")])));
+    discovery.push(PollResponse::Truncated(list(2, false, &[host("s-0", backend.address, "DRAINING")])));
     // Asked for again at once, and for a short time only; no answer comes to that.
-    let (again, at) = discovery.call(1);
+    let (again, at) = discovery.wait_for_poll(1);
     assert!(at - broke < Duration::from_secs(1), "{:?}", at - broke);
     assert_eq!(again, "/v1/servers?after=1&wait_ms=250");
     // The list is relied on for as long as the drain may not yet count as told, and no longer.
@@ -486,7 +492,7 @@
     }
     // The first list that is whole ends it.
     for _ in 0..4 {
-        discovery.tell(News::List(list(2, false, &[])));
+        discovery.push(PollResponse::List(list(2, false, &[])));
     }
     proxy.says("sending again");
     assert_eq!(proxy.ask(&write("id-last", 9000, "x")).status(), 200);
@@ -498,11 +504,11 @@
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_keeps_all_else() {
-    let (old, new) = (Backend::new([ok("old"), Deed::Silence]), Backend::new([ok("new")]));
+    let (old, new) = (MockEndpoint::new([ok("old"), Behavior::Hang]), MockEndpoint::new([ok("new")]));
     let setup = Setup::of(&[&old]);
-    let first = setup.config(nobody());
+    let first = setup.config(unused_address());
     let proxy = setup.start();
-    proxy.discovery.call(0);
+    proxy.discovery.wait_for_poll(0);
     let mut caller = proxy.caller();
     assert_eq!(caller.ask(&read("id-1", 9000)).body, b"old");
     let mut held = proxy.caller();
@@ -513,23 +519,23 @@
     proxy.reload("{");
     proxy.says("old configuration");
 
-    let moved = Discovery::new();
+    let moved = MockDiscovery::new();
     let second = Setup::of(&[&old]).config(moved.address);
     assert_ne!(first, second);
     proxy.reload(&second);
     // At once, from the start: the versions of the new one are its own.
-    assert_eq!(moved.call(0).0, "/v1/servers");
-    moved.tell(News::List(list(
+    assert_eq!(moved.wait_for_poll(0).0, "/v1/servers");
+    moved.push(PollResponse::List(list(
         1,
         true,
         &[host("s-0", old.address, "DRAINING"), host("s-1", new.address, "SERVING")],
     )));
-    assert!(moved.call(1).0.starts_with("/v1/servers?after=1&wait_ms="));
+    assert!(moved.wait_for_poll(1).0.starts_with("/v1/servers?after=1&wait_ms="));
     assert_eq!(caller.ask(&read("id-3", 9000)).body, b"new");
     // The same address again is no reason to begin anew.
     proxy.reload(&second);
-    moved.tell(News::List(list(2, false, &[])));
-    assert!(moved.call(2).0.starts_with("/v1/servers?after=2&wait_ms="));
+    moved.push(PollResponse::List(list(2, false, &[])));
+    assert!(moved.wait_for_poll(2).0.starts_with("/v1/servers?after=2&wait_ms="));
     assert!(old.requests().is_empty());
 }
 
@@ -537,9 +543,9 @@
 
 #[test]
 fn peers_hear_of_what_is_sent_where_the_settings_allow_it() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    peer.set_read_timeout(Some(PATIENCE)).expect("set");
+    peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     // The proxy's own port must be known before it starts: one on an address that nobody else here uses.
     let own = UdpSocket::bind("127.0.0.9:0").expect("a port").local_addr().expect("bound");
     let mut setup = Setup::of(&[&backend]);
@@ -559,11 +565,11 @@
 
 #[test]
 fn more_idle_callers_than_descriptors_shut_nobody_out() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.sockets = 60;
     let proxy = setup.start();
-    let mut callers: Vec<Caller> = (0..60).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..60).map(|_| proxy.caller()).collect();
     for (i, caller) in callers.iter_mut().rev().take(10).enumerate() {
         assert_eq!(caller.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
@@ -571,32 +577,32 @@
 
 #[test]
 fn more_busy_callers_than_descriptors_are_served_in_turn() {
-    let backend = Backend::new([Deed::Silence]);
+    let backend = MockEndpoint::new([Behavior::Hang]);
     let mut setup = Setup::of(&[&backend]);
     setup.sockets = 60;
     setup.aim_ms = 1000;
     let proxy = setup.start();
-    let mut callers: Vec<Caller> = (0..40).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..40).map(|_| proxy.caller()).collect();
     for (i, caller) in callers.iter_mut().enumerate() {
         caller.send(&read(&format!("id-{i}"), 500));
     }
     for (i, caller) in callers.iter_mut().enumerate() {
         // One that took its time to ask may have been closed for it, and asks again as callers do.
-        let answer = caller.try_hear().unwrap_or_else(|| proxy.ask(&read(&format!("id-{i}-again"), 500)));
+        let answer = caller.try_receive().unwrap_or_else(|| proxy.ask(&read(&format!("id-{i}-again"), 500)));
         assert!(matches!(answer.status(), 503 | 504), "number {i}");
     }
 }
 
 #[test]
 fn a_busy_caller_leaves_with_its_answer_where_another_waits() {
-    let backends = [Backend::new([Deed::Silence]), Backend::new([Deed::Silence])];
+    let backends = [MockEndpoint::new([Behavior::Hang]), MockEndpoint::new([Behavior::Hang])];
     let mut setup = Setup::of(&[&backends[0], &backends[1]]);
     setup.sockets = 60;
     setup.aim_ms = 3000;
     let proxy = setup.start();
     // As many as fit: some with requests that are held, as far as there are sockets for backends, and some
     // in the middle of a request.
-    let mut callers: Vec<Caller> = (0..16).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..16).map(|_| proxy.caller()).collect();
     let mut half = callers.split_off(12);
     for (i, caller) in half.iter_mut().enumerate() {
         let whole = write(&format!("id-half-{i}"), 9000, "x");
@@ -607,25 +613,25 @@
     }
     let (mut held, since) = (0, Instant::now());
     while held < 12 {
-        assert!(since.elapsed() < PATIENCE);
+        assert!(since.elapsed() < TEST_TIMEOUT);
         held += backends.iter().map(|b| b.requests().len()).sum::<usize>();
         thread::sleep(Duration::from_millis(1));
     }
     // One of them is to leave with its answer; the others are not asked to go for one newcomer.
     let answer = proxy.ask(&read("id-late", 2900));
     assert!(matches!(answer.status(), 503 | 504));
-    let answers: Vec<Heard> = callers.iter_mut().map(Caller::hear).collect();
+    let answers: Vec<HttpMessage> = callers.iter_mut().map(HttpClient::receive).collect();
     assert_eq!(answers.iter().filter(|a| a.header("Connection") == Some("close")).count(), 1);
 }
 
 #[test]
 fn a_process_out_of_descriptors_goes_on() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.descriptors = Some(32);
     let mut proxy = setup.start();
     assert_eq!(proxy.ask(&read("id-0", 9000)).status(), 200);
-    let callers: Vec<Caller> = (0..60).map(|_| proxy.caller()).collect();
+    let callers: Vec<HttpClient> = (0..60).map(|_| proxy.caller()).collect();
     let mut last = proxy.caller();
     assert_eq!(last.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     drop(callers);
@@ -635,7 +641,7 @@
 
 #[test]
 fn a_body_that_never_ends_is_not_waited_for() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let whole = write("id-1", 300, "what to do");
     assert_eq!(proxy.ask(&whole[..whole.len() - 1]).status(), 408);
@@ -646,37 +652,41 @@
 
 #[test]
 fn the_threshold_follows_the_number_of_servers_in_the_list() {
-    let silent: Vec<Backend> = (0..3).map(|_| Backend::new([Deed::Silence])).collect();
+    let silent: Vec<MockEndpoint> = (0..3).map(|_| MockEndpoint::new([Behavior::Hang])).collect();
     let hosts = |health: [&str; 3]| -> Vec<String> {
         let all = silent.iter().zip(health).enumerate();
         all.map(|(i, (b, health))| host(&format!("s-{i}"), b.address, health)).collect()
     };
     // As after a restart, from a list in which two of three are missing.
     let proxy = Setup::of(&[&silent[0]]).start();
-    proxy.discovery.tell(News::List(list(2, true, &hosts(["SERVING"; 3]))));
-    proxy.discovery.call(1);
+    proxy.discovery.push(PollResponse::List(list(2, true, &hosts(["SERVING"; 3]))));
+    proxy.discovery.wait_for_poll(1);
     let ask = |n: usize| {
         let mut caller = proxy.caller();
         caller.send(&read(&format!("id-{n}"), 19_000));
         caller
     };
-    let mut callers: Vec<Caller> = (0..25).map(ask).collect();
+    let mut callers: Vec<HttpClient> = (0..25).map(ask).collect();
     let (since, mut taken) = (Instant::now(), 0);
     while taken < 25 {
-        assert!(since.elapsed() < PATIENCE / 3, "only {taken} of 25 were let in");
+        assert!(since.elapsed() < TEST_TIMEOUT / 3, "only {taken} of 25 were let in");
         taken += silent.iter().map(|b| b.requests().len()).sum::<usize>();
         thread::sleep(Duration::from_millis(5));
     }
     // With two of them draining, what is in flight is more than one should hold.
-    proxy.discovery.tell(News::List(list(3, false, &hosts(["SERVING", "DRAINING", "DRAINING"])[1..])));
-    proxy.discovery.call(2);
+    proxy.discovery.push(PollResponse::List(list(
+        3,
+        false,
+        &hosts(["SERVING", "DRAINING", "DRAINING"])[1..],
+    )));
+    proxy.discovery.wait_for_poll(2);
     assert_eq!(proxy.ask(&read("late", 9000)).status(), 503);
     callers.clear();
 }
 
 #[test]
 fn late_answers_with_next_to_nothing_in_flight_start_no_shedding() {
-    let silent = Backend::new([Deed::Silence]);
+    let silent = MockEndpoint::new([Behavior::Hang]);
     let mut setup = Setup::of(&[&silent]);
     setup.aim_ms = 200;
     let proxy = setup.start();
@@ -692,7 +702,7 @@
 
 #[test]
 fn a_proxy_told_to_end_answers_what_it_holds_and_what_still_comes() {
-    let backend = Backend::new([Deed::Silence, ok("done")]);
+    let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 3000;
     let mut proxy = setup.start();
@@ -706,20 +716,20 @@
     // It says that it ends, and goes on accepting for a while.
     let since = Instant::now();
     while proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
-        assert!(since.elapsed() < PATIENCE);
+        assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
     let answer = early.ask(&write("id-2", 2000, "x"));
     assert_eq!(answer.status(), 200);
     assert!(!proxy.has_ended(), "a request is still held");
-    assert!(matches!(held.hear().status(), 503 | 504));
+    assert!(matches!(held.receive().status(), 503 | 504));
     assert!(idle.is_closed());
     assert!(proxy.end().success());
 }
 
 #[test]
 fn a_proxy_told_to_end_serves_on_for_as_long_as_it_may() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 1000;
     let mut proxy = setup.start();
@@ -735,9 +745,9 @@
         if served < Duration::from_secs(2) {
             assert_eq!(caller.ask(&write(&format!("id-{n}-old"), 9000, "x")).status(), 200);
         }
-        let mut newcomer = Caller::of(newcomer);
+        let mut newcomer = HttpClient::of(newcomer);
         newcomer.send(&read(&format!("id-{n}-new"), 9000));
-        if newcomer.try_hear().is_some_and(|answer| answer.status() == 200) {
+        if newcomer.try_receive().is_some_and(|answer| answer.status() == 200) {
             served = since.elapsed();
         }
         thread::sleep(Duration::from_millis(20));
@@ -760,11 +770,11 @@
 }
 
 fn callers_find_a_connection_free(balancers: usize) {
-    let silent: Vec<Backend> = (0..4).map(|_| Backend::new([Deed::Silence])).collect();
+    let silent: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::new([Behavior::Hang])).collect();
     let mut setup = Setup::of(&silent.iter().collect::<Vec<_>>());
     setup.balancers = balancers;
     let mut proxy = setup.start();
-    let mut callers: Vec<Caller> = (0..20).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..20).map(|_| proxy.caller()).collect();
     for caller in &mut callers {
         assert_eq!(caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     }
@@ -791,13 +801,13 @@
     assert!(since.elapsed() < Duration::from_secs(3), "refused at once, before it ends");
     assert_eq!(silent.iter().map(|b| b.requests().len()).sum::<usize>(), 0);
     // What it holds has its answer, which may have run, before it may be killed.
-    assert!(callers[..17].iter_mut().all(|caller| matches!(caller.hear().status(), 502..=504)));
+    assert!(callers[..17].iter_mut().all(|caller| matches!(caller.receive().status(), 502..=504)));
     assert!(proxy.end().success());
 }
 
 #[test]
 fn what_is_asked_late_of_a_proxy_that_ends_is_answered_before_it_may_be_killed() {
-    let backend = Backend::new([ok("done"), Deed::Silence]);
+    let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 7000;
     let mut proxy = setup.start();
@@ -810,14 +820,14 @@
     let asked = Instant::now();
     // Waits for far longer than the 3.5 s for which the proxy may go on.
     caller.send(&read("id-2", 19_000));
-    assert!(matches!(caller.hear().status(), 502..=504));
+    assert!(matches!(caller.receive().status(), 502..=504));
     assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
     assert!(proxy.end().success());
 }
 
 /// Starts a proxy whose classes give up after a second: it may be killed 1.7 s after the word to end, and ends 0.2 s
 /// before that.
-fn soon_killed(backends: &[&Backend]) -> Proxy {
+fn soon_killed(backends: &[&MockEndpoint]) -> Proxy {
     let mut setup = Setup::of(backends);
     setup.deadline_ms = 1000;
     setup.aim_ms = 1000;
@@ -833,7 +843,7 @@
 
 #[test]
 fn what_callers_say_does_not_move_the_kill() {
-    let backend = Backend::new([ok("done"), Deed::Silence]);
+    let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
     let mut proxy = soon_killed(&[&backend]);
     let mut caller = proxy.caller();
     assert_eq!(caller.ask(&read("id-1", 60_000)).status(), 200);
@@ -841,13 +851,13 @@
     proxy.terminate();
     proxy.says("told to end: serving on for 1.2 s");
     caller.send(&read("id-2", 60_000));
-    assert!(matches!(caller.hear().status(), 502..=504));
+    assert!(matches!(caller.receive().status(), 502..=504));
     ends_in_time(&mut proxy, told);
 }
 
 #[test]
 fn what_was_in_hand_when_the_word_came_is_answered_before_the_kill() {
-    let backend = Backend::new([Deed::Silence]);
+    let backend = MockEndpoint::new([Behavior::Hang]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 20_000;
     // Its class gives up long after the kill.
@@ -858,14 +868,14 @@
     backend.request();
     let told = Instant::now();
     proxy.terminate();
-    assert_eq!(caller.hear().status(), 504);
+    assert_eq!(caller.receive().status(), 504);
     assert!(proxy.end().success());
     assert!(told.elapsed() < Duration::from_secs(10), "{:?}", told.elapsed());
 }
 
 #[test]
 fn a_request_that_is_half_there_when_nothing_more_is_taken_is_answered_once_it_is_whole() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut proxy = soon_killed(&[&backend]);
     let mut caller = proxy.caller();
     assert_eq!(caller.ask(&read("id-1", 900)).status(), 200);
@@ -880,14 +890,14 @@
     // Who is idle is sent away first.
     assert!(other.is_closed());
     caller.send(rest);
-    let answer = caller.hear();
+    let answer = caller.receive();
     assert_eq!((answer.status(), answer.header("Connection")), (200, Some("close")));
     ends_in_time(&mut proxy, told);
 }
 
 #[test]
 fn half_a_request_does_not_keep_a_proxy_from_ending() {
-    let backend = Backend::new([ok("done")]);
+    let backend = MockEndpoint::new([ok("done")]);
     let mut proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
     caller.send("GET /read/1 HTTP/1.1\r\nHost:");
@@ -897,7 +907,7 @@
 
 #[test]
 fn a_missing_or_malformed_configuration_ends_the_program_with_one_line() {
-    let good = Setup::of(&[]).config(nobody());
+    let good = Setup::of(&[]).config(unused_address());
     let changed = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
         Some(good.replacen(from, to, 1))
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -8,7 +8,7 @@
 
 use stubs::*;
 
-fn config(pools: &[(&str, &Backend)], more: &str) -> String {
+fn config(pools: &[(&str, &MockEndpoint)], more: &str) -> String {
     let mut text = r#"[server]
 listen = [{ address = "127.0.0.1:0" }]
 
@@ -37,8 +37,11 @@
 #[test]
 fn a_pool_that_goes_away_answers_all_that_it_took() {
     let release = Arc::new(Release::default());
-    let old = Backend::new([Deed::Held(Arc::clone(&release), DONE.to_owned()), Deed::Silence]);
-    let new = Backend::new([ok("new")]);
+    let old = MockEndpoint::new([
+        Behavior::RespondOnRelease(Arc::clone(&release), DONE.to_owned()),
+        Behavior::Hang,
+    ]);
+    let new = MockEndpoint::new([ok("new")]);
     let proxy = serve(&config(&[("old", &old), ("new", &new)], ""), &[]);
     let (mut running, mut silent, mut kept) = (proxy.caller(), proxy.caller(), proxy.caller());
     running.send(&post("/old/1", ""));
@@ -53,25 +56,25 @@
     assert_eq!(kept.ask(&post("/new/2", "")).body, b"new");
     // Taken before: one answer each, at its end or its deadline.
     release.release();
-    assert_eq!(running.hear().body, b"done");
+    assert_eq!(running.receive().body, b"done");
     assert_eq!(running.ask(&post("/new/3", "")).body, b"new", "its connection goes on");
-    assert_eq!(silent.hear().status(), 504);
+    assert_eq!(silent.receive().status(), 504);
     assert_eq!(silent.ask(&post("/new/4", "")).body, b"new");
     // Its connections are closed once nothing needs them.
-    old.over();
-    old.over();
+    old.wait_for_close();
+    old.wait_for_close();
     assert!(old.requests().is_empty());
 }
 
 #[test]
 fn a_pool_that_did_not_change_keeps_its_connections() {
-    let (same, other) = (Backend::new([ok("same")]), Backend::new([ok("other")]));
+    let (same, other) = (MockEndpoint::new([ok("same")]), MockEndpoint::new([ok("other")]));
     let proxy = serve(&config(&[("same", &same)], ""), &[]);
     let mut caller = proxy.caller();
     for reload in 2..6 {
         caller.ask(&post("/same/1", ""));
         assert_eq!(same.request().0, 0, "the first connection serves on");
-        let pools: &[(&str, &Backend)] =
+        let pools: &[(&str, &MockEndpoint)] =
             if reload % 2 == 0 { &[("same", &same), ("other", &other)] } else { &[("same", &same)] };
         proxy.reload(&config(pools, ""));
         proxy.says(&format!("configuration {reload}: "));
@@ -85,7 +88,7 @@
 
 #[test]
 fn what_is_wrong_with_a_new_configuration_keeps_the_old_one() {
-    let node = Backend::new([ok("done")]);
+    let node = MockEndpoint::new([ok("done")]);
     let good = config(&[("p", &node)], "");
     let expect = "[[expect]]\nname = \"p stays\"\nwhen = { method = \"POST\", path = \"/p/1\" }\nthen = { pool = \"p\" }\n";
     let good = good.replacen("\n\n[[class]]", "\nexpectations = [\"expect.toml\"]\n\n[[class]]", 1);
@@ -115,11 +118,11 @@
 /// Pools come, go and change while six callers ask without a pause: each request has its one answer.
 #[test]
 fn two_hundred_reloads_under_load_lose_nothing_and_leave_nothing_behind() {
-    let nodes: Vec<SteadyNode> = (0..3)
-        .map(|i| SteadyNode::start(&format!("n{i}"), Duration::from_millis(1)).expect("a port"))
+    let nodes: Vec<FixedLatencyEndpoint> = (0..3)
+        .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(1)).expect("a port"))
         .collect();
     let text = |round: usize| {
-        let pool = |name: &str, node: &SteadyNode| {
+        let pool = |name: &str, node: &FixedLatencyEndpoint| {
             format!(
                 "\n[[pool]]\nname = \"{name}\"\nnodes = [{{ name = \"n\", address = \"{}\" }}]\n",
                 node.address
@@ -178,6 +181,6 @@
     callers.into_iter().for_each(|caller| caller.join().expect("every request was answered"));
     assert!(descriptors <= before + 4, "{before} descriptors, then {descriptors}");
     assert!(memory <= memory_before + 2048, "{memory_before} kB, then {memory} kB");
-    let served: usize = nodes.iter().map(SteadyNode::served).sum();
+    let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
     assert_eq!(served, asked.load(Ordering::Relaxed), "each request ran once");
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn requests_go_where_their_route_says_and_nowhere_else() {
-    let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
+    let (one, other) = (MockEndpoint::new([ok("one")]), MockEndpoint::new([ok("other")]));
     let rest = pool("one", &[("n1", one.address, "")])
         + &pool("other", &[("n2", other.address, "")])
         + &route("one", r#"path = "/one/{x}""#, "read", "pool = \"one\"")
@@ -91,7 +91,7 @@
 
 #[test]
 fn the_node_sees_what_was_routed_by() {
-    let node = Backend::new([ok("done")]);
+    let node = MockEndpoint::new([ok("done")]);
     let rest = pool("p", &[("n", node.address, "")])
         + &route("all", r#"path = "/a/*""#, "read", "pool = \"p\"")
         + &route("secret", r#"path = "/secret""#, "read", "pool = \"p\"\nnodes = { zones = [\"nowhere\"] }")
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_route_keeps_to_its_zones_and_callers_have_one() {
-    let (south, north) = (Backend::new([ok("south")]), Backend::new([ok("north")]));
+    let (south, north) = (MockEndpoint::new([ok("south")]), MockEndpoint::new([ok("north")]));
     let rest =
         pool("p", &[("s", south.address, ", zone = \"south\""), ("n", north.address, ", zone = \"north\"")])
             + &route(
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_player_stays_on_one_side_of_a_split() {
-    let (a, b) = (Backend::new([ok("a")]), Backend::new([ok("b")]));
+    let (a, b) = (MockEndpoint::new([ok("a")]), MockEndpoint::new([ok("b")]));
     let split = "split = { by = \"header:x-player\", pools = [{ pool = \"a\", weight = 3 }, { pool = \"b\", weight = 1 }] }";
     let rest = pool("a", &[("n", a.address, "")])
         + &pool("b", &[("n", b.address, "")])
@@ -181,7 +181,7 @@
 
 // ---- Fallbacks ----
 
-fn two_pools(main: &Backend, spare: &Backend, class: &str, when: &str) -> String {
+fn two_pools(main: &MockEndpoint, spare: &MockEndpoint, class: &str, when: &str) -> String {
     let to = format!("pool = \"main\"\nfallback = [{{ pool = \"spare\", when = [\"{when}\"] }}]");
     pool("main", &[("m", main.address, "")])
         + &pool("spare", &[("s", spare.address, "")])
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_fallback_is_used_under_its_condition_only() {
-    let (main, spare) = (Backend::new([ok("main")]), Backend::new([ok("spare")]));
+    let (main, spare) = (MockEndpoint::new([ok("main")]), MockEndpoint::new([ok("spare")]));
     let rest = two_pools(&main, &spare, "read", "all-draining");
     let proxy = serve(&config(HERE, &rest), &[]);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"main");
@@ -213,7 +213,7 @@
 fn what_is_refused_goes_on_only_where_that_is_harmless() {
     // Turned away unseen: nothing ran, and any class may go on.
     for class in ["read", "put", "write"] {
-        let (main, spare) = (Backend::new([full()]), Backend::new([ok("spare")]));
+        let (main, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
         let proxy = serve(&config(HERE, &two_pools(&main, &spare, class, "refused")), &[]);
         let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"spare"[..]), "{class}");
@@ -222,15 +222,15 @@
     // Broken after it was sent: it may have run. A keyed one would be dropped as a repeat by its own pool, and not
     // by another.
     for (class, status, elsewhere) in [("write", 502, 0), ("put", 502, 0), ("read", 200, 1)] {
-        let main = Backend::new([Deed::Break, full()]);
-        let spare = Backend::new([ok("spare")]);
+        let main = MockEndpoint::new([Behavior::Disconnect, full()]);
+        let spare = MockEndpoint::new([ok("spare")]);
         let proxy = serve(&config(HERE, &two_pools(&main, &spare, class, "refused")), &[]);
         let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!(answer.status(), status, "{class}");
         assert_eq!(spare.requests().len(), elsewhere, "{class}");
     }
     // With no other pool the refusal of a keyed one is true: its own pool drops the repeat.
-    let main = Backend::new([Deed::Break, full()]);
+    let main = MockEndpoint::new([Behavior::Disconnect, full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "put", "pool = \"main\"");
     let proxy = serve(&config(HERE, &rest), &[]);
@@ -239,7 +239,7 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back_in_whole_seconds() {
-    let main = Backend::new([full()]);
+    let main = MockEndpoint::new([full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "read", "pool = \"main\"");
     let proxy = serve(&config(HERE, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
@@ -257,10 +257,10 @@
 
 #[test]
 fn a_watched_file_is_followed_and_half_a_one_is_not() {
-    let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
+    let (one, other) = (MockEndpoint::new([ok("one")]), MockEndpoint::new([ok("other")]));
     let rest = "[[pool]]\nname = \"p\"\nfile = \"nodes.json\"\n".to_owned()
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let of = |backend: &Backend| list(1, true, &[host("n", backend.address, "SERVING")]);
+    let of = |backend: &MockEndpoint| list(1, true, &[host("n", backend.address, "SERVING")]);
     let proxy = serve(&config(HERE, &rest), &[("nodes.json", &of(&one))]);
     let file = proxy.path.with_file_name("nodes.json");
     proxy.says("pool `p`: 1 nodes from ");
@@ -301,36 +301,36 @@
 
 #[test]
 fn discovery_is_a_source_too() {
-    let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
-    let discovery = Discovery::new();
-    discovery.tell(News::List(list(1, true, &[host("n", one.address, "SERVING")])));
+    let (one, other) = (MockEndpoint::new([ok("one")]), MockEndpoint::new([ok("other")]));
+    let discovery = MockDiscovery::new();
+    discovery.push(PollResponse::List(list(1, true, &[host("n", one.address, "SERVING")])));
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
     let proxy = serve(&config(HERE, &rest), &[]);
-    assert_eq!(discovery.call(0).0, "/v1/servers");
-    discovery.call(1);
+    assert_eq!(discovery.wait_for_poll(0).0, "/v1/servers");
+    discovery.wait_for_poll(1);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"one");
-    discovery.tell(News::List(list(2, true, &[host("m", other.address, "SERVING")])));
-    discovery.call(2);
+    discovery.push(PollResponse::List(list(2, true, &[host("m", other.address, "SERVING")])));
+    discovery.wait_for_poll(2);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
     // A discovery that fails keeps its last list.
-    discovery.tell(News::Fails);
-    discovery.call(3);
+    discovery.push(PollResponse::Unavailable);
+    discovery.wait_for_poll(3);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
 }
 
 #[test]
 fn a_proxy_is_healthy_once_every_pool_has_its_list() {
-    let node = Backend::new([ok("done")]);
-    let discovery = Discovery::new();
+    let node = MockEndpoint::new([ok("done")]);
+    let discovery = MockDiscovery::new();
     let rest = pool("q", &[("n", node.address, "")])
         + &format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
     let proxy = serve(&config(HERE, &rest), &[]);
-    discovery.call(0);
+    discovery.wait_for_poll(0);
     assert_eq!(proxy.ask(&get("/healthz", "")).status(), 503);
-    discovery.tell(News::List(list(1, true, &[host("n", node.address, "SERVING")])));
-    discovery.call(1);
+    discovery.push(PollResponse::List(list(1, true, &[host("n", node.address, "SERVING")])));
+    discovery.wait_for_poll(1);
     assert_eq!(proxy.ask(&get("/healthz", "")).status(), 200);
 }
 
@@ -338,7 +338,8 @@
 
 #[test]
 fn a_configuration_that_cannot_serve_ends_the_program_with_one_line() {
-    let rest = pool("p", &[("n", nobody(), "")]) + &route("r", r#"path = "/a""#, "read", "pool = \"p\"");
+    let rest =
+        pool("p", &[("n", unused_address(), "")]) + &route("r", r#"path = "/a""#, "read", "pool = \"p\"");
     let good = config(HERE, &rest);
     let expecting =
         good.replace("zone = \"south\"\n", "zone = \"south\"\nexpectations = [\"expect.toml\"]\n");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -38,24 +38,24 @@
 
 #[test]
 fn a_thousand_servers_are_held_served_from_and_replaced_by_a_thousand_others() {
-    let (first, second) = (Backend::new([ok("first")]), Backend::new([ok("second")]));
-    let away = nobody();
+    let (first, second) = (MockEndpoint::new([ok("first")]), MockEndpoint::new([ok("second")]));
+    let away = unused_address();
     // All but one drain: each of the thousand counts.
     let proxy = setup(hosts("old", first.address, away, "DRAINING")).start();
     for n in 0..5 {
         assert_eq!(proxy.ask(&read(&format!("a-{n}"), 5000)).body, b"first");
     }
-    proxy.discovery.call(0);
+    proxy.discovery.wait_for_poll(0);
     let news = hosts("new", second.address, away, "DRAINING");
-    proxy.discovery.tell(News::List(list(2, true, &news)));
-    proxy.discovery.call(1);
+    proxy.discovery.push(PollResponse::List(list(2, true, &news)));
+    proxy.discovery.wait_for_poll(1);
     for n in 0..5 {
         assert_eq!(proxy.ask(&read(&format!("b-{n}"), 5000)).body, b"second");
     }
     // And all but one are there to be tried, of which most refuse.
     let news = hosts("new", second.address, away, "SERVING");
-    proxy.discovery.tell(News::List(list(3, true, &news)));
-    proxy.discovery.call(2);
+    proxy.discovery.push(PollResponse::List(list(3, true, &news)));
+    proxy.discovery.wait_for_poll(2);
     for n in 0..40 {
         assert!(matches!(proxy.ask(&read(&format!("c-{n}"), 5000)).status(), 200 | 502..=504));
     }
@@ -70,7 +70,7 @@
     if let Some((_, all)) = &mut setup.peers {
         all[700] = all[3];
     }
-    let output = run(Some(&setup.config(nobody())), None).wait_with_output().expect("it ends");
+    let output = run(Some(&setup.config(unused_address())), None).wait_with_output().expect("it ends");
     assert!(!output.status.success());
     let said = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -40,10 +40,10 @@
     let plays = (1..=3).map(|seed| {
         thread::spawn(move || {
             let ((drained, seen), (other, _)) = (noting_backend(), noting_backend());
-            let discovery = Discovery::new();
+            let discovery = MockDiscovery::new();
             // It has been draining for an hour; the list in hand is older.
             let hosts = [host("s-0", drained, "DRAINING"), host("s-1", other, "SERVING")];
-            discovery.tell(News::List(list(2, true, &hosts)));
+            discovery.push(PollResponse::List(list(2, true, &hosts)));
             let old = vec![host("s-0", drained, "SERVING"), host("s-1", other, "SERVING")];
             let proxy = start_config(&fleet_config(old, discovery.address, seed));
             let started = Instant::now();
@@ -59,10 +59,10 @@
 }
 #[test]
 fn a_list_that_discovery_does_not_confirm_is_not_sent_by() {
-    for way in [News::Fails, News::Closes] {
+    for way in [PollResponse::Unavailable, PollResponse::Disconnect] {
         let (address, seen) = noting_backend();
-        let discovery = Discovery::new();
-        discovery.meanwhile(Some(way.clone()));
+        let discovery = MockDiscovery::new();
+        discovery.set_default_response(Some(way.clone()));
         let hosts = vec![host("s-0", address, "SERVING")];
         let proxy = start_config(&fleet_config(hosts.clone(), discovery.address, 7));
         let started = Instant::now();
@@ -70,9 +70,9 @@
         let late = seen.lock().expect("unpoisoned").iter().filter(|at| **at > started + GRACE).count();
         assert_eq!(late, 0, "{way:?}: sent by a list that nothing proves");
         // Its word that nothing has changed is enough.
-        discovery.meanwhile(None);
-        discovery.tell(News::List(list(1, false, &[])));
-        let until = Instant::now() + PATIENCE;
+        discovery.set_default_response(None);
+        discovery.push(PollResponse::List(list(1, false, &[])));
+        let until = Instant::now() + TEST_TIMEOUT;
         while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
             assert!(Instant::now() < until, "{way:?}: does not go on");
         }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -86,7 +86,7 @@
 
 /// An installation with the pools, classes and nodes of the file in the folder.
 fn two_pools(folder: &Path) -> String {
-    let nowhere = nobody();
+    let nowhere = unused_address();
     let class = |name: &str| {
         format!(
             "[[class]]\nname = \"{name}\"\naim_ms = 1000\ndeadline_ms = 2000\nsemantics = \"idempotent\"\n"
@@ -170,8 +170,8 @@
 
 #[test]
 fn a_process_takes_up_what_the_one_before_learned_and_had_out_by_hand() {
-    let nodes: Vec<Backend> = (0..2).map(|_| Backend::of(|_| ok("done"))).collect();
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let nodes: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
     copy(HANDED_OVER, &held.folder);
     let maintenance = copy(MAINTENANCE, &held.folder);
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -100,7 +100,7 @@
         }
         let body = body.map(ToString::to_string).unwrap_or_default();
         head += &format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let heard = Caller::of(TcpStream::connect(self.admin).expect("the API listens")).ask(&head);
+        let heard = HttpClient::of(TcpStream::connect(self.admin).expect("the API listens")).ask(&head);
         Told {
             status: heard.status(),
             etag: heard.header("ETag").map(str::to_owned),
@@ -127,7 +127,7 @@
         let ask = |head: String| {
             let mut stream = TcpStream::connect(self.admin).ok()?;
             std::io::Write::write_all(&mut stream, head.as_bytes()).ok()?;
-            Caller::of(stream).try_hear()
+            HttpClient::of(stream).try_receive()
         };
         let got = ask(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))?;
         let tag = got.header("ETag").map(|tag| format!("If-Match: {tag}\r\n")).unwrap_or_default();
@@ -148,7 +148,7 @@
 
     /// One request of a tenant's caller, over a connection of its own.
     #[track_caller]
-    pub fn ask(&self, host: &str, path: &str) -> Heard {
+    pub fn ask(&self, host: &str, path: &str) -> HttpMessage {
         self.process.ask(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n"))
     }
 }
--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -29,8 +29,8 @@
 }
 
 impl Setup {
-    pub fn of(backends: &[&Backend]) -> Setup {
-        let named = |(i, b): (usize, &&Backend)| host(&format!("s-{i}"), b.address, "SERVING");
+    pub fn of(backends: &[&MockEndpoint]) -> Setup {
+        let named = |(i, b): (usize, &&MockEndpoint)| host(&format!("s-{i}"), b.address, "SERVING");
         Setup {
             hosts: backends.iter().enumerate().map(named).collect(),
             sockets: 1024,
@@ -87,7 +87,7 @@
     /// The same, of another build.
     #[track_caller]
     pub fn start_program(self, program: &str) -> Proxy {
-        let discovery = Discovery::new();
+        let discovery = MockDiscovery::new();
         let config = self.config(discovery.address);
         let path = kept(&config);
         let child = run_with(program, Some(&path), self.descriptors);
@@ -199,7 +199,7 @@
 
 /// A proxy of the platform, with its discovery.
 pub struct Proxy {
-    pub discovery: Discovery,
+    pub discovery: MockDiscovery,
     process: Process,
 }
 
@@ -237,7 +237,7 @@
     let noted = Arc::clone(&seen);
     let address = raw_backend(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-        while hear(&mut reader).is_some() {
+        while read_message(&mut reader).is_some() {
             noted.lock().expect("unpoisoned").push(Instant::now());
             if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
                 return;
@@ -283,7 +283,7 @@
 pub fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < PATIENCE, "not {what}");
+        assert!(since.elapsed() < TEST_TIMEOUT, "not {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -303,8 +303,8 @@
 }
 
 impl Process {
-    pub fn caller(&self) -> Caller {
-        Caller::of(TcpStream::connect(self.address).expect("the proxy listens"))
+    pub fn caller(&self) -> HttpClient {
+        HttpClient::of(TcpStream::connect(self.address).expect("the proxy listens"))
     }
 
     /// Where operators call it.
@@ -317,7 +317,7 @@
     /// A call of an operator: the status and the body.
     #[track_caller]
     pub fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
-        let mut caller = Caller::of(TcpStream::connect(self.operators()).expect("it listens"));
+        let mut caller = HttpClient::of(TcpStream::connect(self.operators()).expect("it listens"));
         let length = body.len();
         let answer = caller
             .ask(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"));
@@ -338,13 +338,13 @@
     pub fn figure_becomes(&self, name: &str, wanted: u64) {
         let since = Instant::now();
         while self.figure(name) != wanted {
-            assert!(since.elapsed() < PATIENCE, "{name} is {}, not {wanted}", self.figure(name));
+            assert!(since.elapsed() < TEST_TIMEOUT, "{name} is {}, not {wanted}", self.figure(name));
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Heard {
+    pub fn ask(&self, request: &str) -> HttpMessage {
         self.caller().ask(request)
     }
 
@@ -406,7 +406,7 @@
     #[track_caller]
     pub fn end(&mut self) -> ExitStatus {
         let since = Instant::now();
-        while since.elapsed() < PATIENCE {
+        while since.elapsed() < TEST_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("waits") {
                 return status;
             }
--- a/tests/stubs/rpc.rs
+++ b/tests/stubs/rpc.rs
@@ -10,7 +10,7 @@
     pub nodes: Vec<SocketAddr>,
     /// The nodes speak JSON-RPC.
     pub speaks: bool,
-    pub frames: Frames,
+    pub frames: Framing,
     /// How long keys are known.
     pub window_ms: u32,
     /// What is promised: calls with less time than that are refused at once.
@@ -31,7 +31,7 @@
         Site {
             nodes: nodes.to_vec(),
             speaks: false,
-            frames: Frames::Lines,
+            frames: Framing::Lines,
             window_ms: 60_000,
             aim_ms: 4_000,
             server: String::new(),
@@ -43,8 +43,8 @@
 
     pub fn config(&self) -> String {
         let framing = match self.frames {
-            Frames::Lines => "line",
-            Frames::Lengths => "content-length",
+            Framing::Lines => "line",
+            Framing::ContentLength => "content-length",
         };
         let protocol = format!("protocol = \"json-rpc\", framing = \"{framing}\"");
         let nodes = self.nodes.iter().enumerate();
@@ -72,7 +72,7 @@
 pub struct Both {
     pub process: Process,
     pub rpc: SocketAddr,
-    frames: Frames,
+    frames: Framing,
 }
 
 impl Both {
@@ -86,7 +86,7 @@
     }
 
     #[track_caller]
-    pub fn rpc(&self) -> RpcCaller {
-        RpcCaller::connect(self.rpc, self.frames)
+    pub fn rpc(&self) -> RpcClient {
+        RpcClient::connect(self.rpc, self.frames)
     }
 }
--- a/tests/told.rs
+++ b/tests/told.rs
@@ -36,29 +36,29 @@
 
 #[test]
 fn nothing_is_sent_by_a_list_that_calls_in_vain_cannot_vouch_for() {
-    let cases = [News::Fails, News::Closes].map(|way| {
+    let cases = [PollResponse::Unavailable, PollResponse::Disconnect].map(|way| {
         thread::spawn(move || {
             let (address, seen) = noting_backend();
             let proxy = setup(address).start();
-            proxy.discovery.call(0);
-            proxy.discovery.tell(News::List(list(1, false, &[])));
-            proxy.discovery.meanwhile(Some(way.clone()));
+            proxy.discovery.wait_for_poll(0);
+            proxy.discovery.push(PollResponse::List(list(1, false, &[])));
+            proxy.discovery.set_default_response(Some(way.clone()));
             // From then on a drain may be in the list that is not given out.
-            let (_, asked) = proxy.discovery.call(1);
+            let (_, asked) = proxy.discovery.wait_for_poll(1);
             let served = ask_until(&proxy, asked + TOLD + GRACE + Duration::from_secs(2));
             let last = *seen.lock().expect("unpoisoned").last().expect("some were sent");
             assert!(last < asked + TOLD + GRACE, "{way:?}: sent {:?} after the call", last - asked);
             let before = served.iter().filter(|at| **at > asked + TOLD - Duration::from_secs(1)).count();
             assert!(before > 0, "{way:?}: stopped long before it had to");
             assert!(
-                (4..=20).contains(&proxy.discovery.calls()),
+                (4..=20).contains(&proxy.discovery.poll_count()),
                 "{way:?}: {} calls",
-                proxy.discovery.calls()
+                proxy.discovery.poll_count()
             );
             // What it says then settles it.
-            proxy.discovery.meanwhile(None);
-            proxy.discovery.tell(News::List(list(2, true, &[host("s-0", address, "SERVING")])));
-            let until = Instant::now() + PATIENCE;
+            proxy.discovery.set_default_response(None);
+            proxy.discovery.push(PollResponse::List(list(2, true, &[host("s-0", address, "SERVING")])));
+            let until = Instant::now() + TEST_TIMEOUT;
             while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
                 assert!(Instant::now() < until, "{way:?}: does not go on");
             }
@@ -77,17 +77,17 @@
     setup.hosts.push(host("s-1", other, "SERVING"));
     let proxy = setup.start();
     let drained = [host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")];
-    proxy.discovery.tell(News::List(list(2, true, &[])));
-    proxy.discovery.tell(News::Fails);
-    proxy.discovery.tell(News::List(list(3, true, &drained)));
-    proxy.discovery.meanwhile(Some(News::Fails));
+    proxy.discovery.push(PollResponse::List(list(2, true, &[])));
+    proxy.discovery.push(PollResponse::Unavailable);
+    proxy.discovery.push(PollResponse::List(list(3, true, &drained)));
+    proxy.discovery.set_default_response(Some(PollResponse::Unavailable));
     // The call that is refused is the second; it could have told of the drain.
-    let (_, made) = proxy.discovery.call(1);
+    let (_, made) = proxy.discovery.wait_for_poll(1);
     let served = ask_until(&proxy, made + TOLD + GRACE + Duration::from_secs(1));
     let late: Vec<_> =
         seen.lock().expect("unpoisoned").iter().filter(|at| **at > made + TOLD + GRACE).copied().collect();
     assert!(late.is_empty(), "sent {} times to what drains", late.len());
-    let (_, heard) = proxy.discovery.call(2);
+    let (_, heard) = proxy.discovery.wait_for_poll(2);
     assert!(heard < made + TOLD, "asked again after {:?}", heard - made);
     assert!(!served.is_empty() && !others.lock().expect("unpoisoned").is_empty(), "the other serves");
 }
@@ -95,7 +95,7 @@
 #[test]
 fn an_outage_that_the_kernel_vouches_for_stops_nothing_and_its_end_is_heard_of_in_time() {
     let (address, seen) = noting_backend();
-    let closed = Closed::new();
+    let closed = ReservedPort::new();
     let (other, _others) = noting_backend();
     let mut setup = setup(address);
     setup.hosts.push(host("s-1", other, "SERVING"));
@@ -111,7 +111,7 @@
     let told = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("asked");
         let heard = Instant::now();
-        hear(&mut BufReader::new(stream.try_clone().expect("a copy"))).expect("a call");
+        read_message(&mut BufReader::new(stream.try_clone().expect("a copy"))).expect("a call");
         let body = list(2, true, &[host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")]);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).expect("written");
@@ -129,16 +129,16 @@
     let (address, _) = noting_backend();
     let mut setup = setup(address);
     setup.hosts.clear();
-    let discovery = Discovery::new();
+    let discovery = MockDiscovery::new();
     // The first breaks off, the second cannot be read, three are turned away; then come 1,024 servers, indented.
     let hosts: Vec<String> = (0..1_024).map(|n| host(&format!("s-{n}"), address, "SERVING")).collect();
     let whole = list(2, true, &hosts).replace(",\"", ",\n  \"").replace("},{", "},\n {");
-    discovery.tell(News::Breaks(whole.clone()));
-    discovery.tell(News::List("{\"seq\":2,\"whole\":true,\"hosts\":[[".to_owned()));
+    discovery.push(PollResponse::Truncated(whole.clone()));
+    discovery.push(PollResponse::List("{\"seq\":2,\"whole\":true,\"hosts\":[[".to_owned()));
     for _ in 0..3 {
-        discovery.tell(News::Fails);
+        discovery.push(PollResponse::Unavailable);
     }
-    discovery.tell(News::List(whole));
+    discovery.push(PollResponse::List(whole));
     let config = setup.config(discovery.address);
     let from = config.find("\"known\":").expect("there");
     let to = from + config[from..].find("]},").expect("its end") + 3;
@@ -148,9 +148,13 @@
     assert_eq!(proxy.caller().ask(&read("early", 9_000)).status(), 503);
     let health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
     while proxy.caller().ask(health).status() != 200 {
-        assert!(began.elapsed() < Duration::from_secs(10), "not ready, after {} calls", discovery.calls());
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "not ready, after {} calls",
+            discovery.poll_count()
+        );
         thread::sleep(Duration::from_millis(10));
     }
-    println!("ready after {:?} and {} calls", began.elapsed(), discovery.calls());
+    println!("ready after {:?} and {} calls", began.elapsed(), discovery.poll_count());
     assert_eq!(proxy.caller().ask(&read("late", 9_000)).status(), 200);
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -28,8 +28,8 @@
 #[test]
 fn upgrades_in_a_row_under_load_lose_nothing_and_turn_nobody_away() {
     let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("how many upgrades"));
-    let nodes: Vec<Backend> = (0..4).map(|_| Backend::of(|_| ok("done"))).collect();
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
     let mut serving = held.start(&config);
     let (heard, over) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
@@ -79,11 +79,12 @@
     assert!(of(&heard.served) > 40 * count as u64);
 }
 
-fn ask(heard: &Counts, kept: &mut Option<Caller>, at: std::net::SocketAddr) {
+fn ask(heard: &Counts, kept: &mut Option<HttpClient>, at: std::net::SocketAddr) {
     let id = heard.number.fetch_add(1, Ordering::Relaxed);
-    let mut caller = kept.take().unwrap_or_else(|| Caller::of(TcpStream::connect(at).expect("it listens")));
+    let mut caller =
+        kept.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("it listens")));
     caller.send(&read(&format!("u-{id}"), 5000));
-    let Some(answer) = caller.try_hear() else {
+    let Some(answer) = caller.try_receive() else {
         heard.unheard.fetch_add(1, Ordering::Relaxed);
         return;
     };
--- a/tests/ways_out.rs
+++ b/tests/ways_out.rs
@@ -67,10 +67,10 @@
 }
 
 /// The ids of requests that backends have read whole.
-type Seen = Arc<Mutex<Vec<String>>>;
+type ServerEvent = Arc<Mutex<Vec<String>>>;
 
 /// A backend that keeps account of what it has read whole.
-fn backend(seen: Seen) -> SocketAddr {
+fn backend(seen: ServerEvent) -> SocketAddr {
     raw_backend(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         while serve(&mut reader, &stream, &seen).is_some() {}
@@ -79,7 +79,7 @@
 }
 
 /// Serves a request; None where its connection is to end.
-fn serve(reader: &mut BufReader<TcpStream>, mut stream: &TcpStream, seen: &Seen) -> Option<()> {
+fn serve(reader: &mut BufReader<TcpStream>, mut stream: &TcpStream, seen: &ServerEvent) -> Option<()> {
     let (mut length, mut line, mut id) = (0, String::new(), String::new());
     while line != "\r\n" {
         line.clear();
@@ -123,10 +123,10 @@
 }
 
 /// Goes that way as its caller: the status, where there was one.
-fn go(at: SocketAddr, way: Way, id: u64, seen: &Seen) -> Option<u16> {
+fn go(at: SocketAddr, way: Way, id: u64, seen: &ServerEvent) -> Option<u16> {
     let name = format!("{way:?}-{id}");
     let stream = TcpStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut caller = BufReader::new(stream);
     let request = match way {
         Way::Upload | Way::Cut | Way::Early => {
@@ -149,7 +149,7 @@
         Way::Left => {
             let since = Instant::now();
             while !seen.lock().expect("unpoisoned").contains(&name) {
-                assert!(since.elapsed() < PATIENCE, "{name} reaches a backend");
+                assert!(since.elapsed() < TEST_TIMEOUT, "{name} reaches a backend");
                 thread::sleep(Duration::from_millis(1));
             }
             return None;
@@ -166,7 +166,7 @@
         }
         _ => {}
     }
-    hear(&mut caller).map(|answer| answer.status())
+    read_message(&mut caller).map(|answer| answer.status())
 }
 
 #[test]
@@ -174,9 +174,9 @@
     let seed = 40;
     println!("seed {seed}");
     let mut rng = fastrand::Rng::with_seed(seed);
-    let seen = Seen::default();
+    let seen = ServerEvent::default();
     let nodes = [backend(Arc::clone(&seen)), backend(Arc::clone(&seen))];
-    let (discovery, held) = (Discovery::new(), Held::new());
+    let (discovery, held) = (MockDiscovery::new(), Held::new());
     let mut setup = Setup { aim_ms: 4000, ..Setup::of(&[]) };
     setup.hosts = nodes.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
     let process = held.start(&with_operators(&setup.config(discovery.address)));
@@ -237,7 +237,7 @@
             let state = format!(
                 "round {round}, {ways:?}: {ended} ended, {active} active of {began}, {tries} tries of {read}"
             );
-            assert!(since.elapsed() < PATIENCE, "{state}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "{state}");
             thread::sleep(Duration::from_millis(5));
         }
     }
