--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -9,7 +9,10 @@
 
 use decide::{DeduplicationGroup, Micros, Semantics};
 use jsonrpc::Framing;
-use route::{Condition, HostPattern, Key, Match, PathPattern, PoolId, Route, Split, Table, Within};
+use route::{
+    EndpointScope, FallbackCondition, HostPattern, PathPattern, PoolId, Route, RouteMatcher, RouteTable,
+    Split, SplitKey, SplitPool,
+};
 use toml::Spanned;
 
 use crate::announce::Bgp;
@@ -675,25 +678,25 @@
                 self.fault(fallback.when.span(), "`when`: a fallback that is never used", Some(help));
             }
             let condition = |c: &file::Condition| match c {
-                file::Condition::NoneReady => Condition::NoneReady,
-                file::Condition::AllDraining => Condition::AllDraining,
-                file::Condition::Refused => Condition::Refused,
+                file::Condition::NoneReady => FallbackCondition::NoneReady,
+                file::Condition::AllDraining => FallbackCondition::AllDraining,
+                file::Condition::Refused => FallbackCondition::Rejected,
             };
-            let when = fallback.when.get_ref().iter().map(condition).collect();
-            fallbacks.push(route::Fallback { pool, when });
+            let conditions = fallback.when.get_ref().iter().map(condition).collect();
+            fallbacks.push(route::Fallback { pool, conditions });
         }
         Some(Route {
             name: route.name.get_ref().clone(),
             matches,
             class: class?,
-            within,
+            scope: within,
             split: split?,
             fallbacks,
         })
     }
 
-    fn matches(&mut self, matches: &file::Match, tenants: &[String]) -> Match {
-        let mut checked = Match::default();
+    fn matches(&mut self, matches: &file::Match, tenants: &[String]) -> RouteMatcher {
+        let mut checked = RouteMatcher::default();
         if let Some(host) = &matches.host {
             checked.host = HostPattern::parse(host.get_ref()).unwrap_or_else(|e| {
                 self.fault(host.span(), format!("`host`: {e}"), None);
@@ -750,7 +753,7 @@
         intern(&mut self.zones, zone.get_ref());
     }
 
-    fn within(&mut self, within: &file::Within, open: bool) -> Within {
+    fn within(&mut self, within: &file::Within, open: bool) -> EndpointScope {
         // Where every list of nodes is in this file, a zone or kind that none has is a slip of the pen.
         for (sort, words, known) in
             [("zone", &within.zones, self.zones.clone()), ("kind", &within.kinds, self.kinds.clone())]
@@ -765,10 +768,13 @@
             }
         }
         let words = |words: &[Word]| words.iter().map(|w| w.get_ref().clone()).collect::<Vec<String>>();
-        let within =
-            Within { zones: words(&within.zones), kinds: words(&within.kinds), cells: within.cells.clone() };
+        let within = EndpointScope {
+            zones: words(&within.zones),
+            machine_kinds: words(&within.kinds),
+            cells: within.cells.clone(),
+        };
         within.zones.iter().for_each(|z| intern(&mut self.zones, z));
-        within.kinds.iter().for_each(|k| intern(&mut self.kinds, k));
+        within.machine_kinds.iter().for_each(|k| intern(&mut self.kinds, k));
         within
     }
 
@@ -776,7 +782,7 @@
         let name = route.name.get_ref();
         let split = match (&route.pool, &route.split) {
             (Some(pool), None) => {
-                return self.refer("pool", pool, pools).map(|p| Split::whole(PoolId(p)));
+                return self.refer("pool", pool, pools).map(|p| Split::single(PoolId(p)));
             }
             (None, Some(split)) => split,
             (both, _) => {
@@ -787,31 +793,32 @@
             }
         };
         let key = match &split.get_ref().by {
-            None => Key::Request,
+            None => SplitKey::RequestId,
             Some(by) => match by.get_ref().split_once(':') {
-                Some(("header", field)) if is_token(field) => Key::Header(field.to_ascii_lowercase()),
-                Some(("path", part)) if path.names(part) => Key::Part(part.to_owned()),
+                Some(("header", field)) if is_token(field) => SplitKey::Header(field.to_ascii_lowercase()),
+                Some(("path", part)) if path.has_parameter(part) => SplitKey::PathParameter(part.to_owned()),
                 Some(("path", part)) => {
                     let help = format!("the path needs a part {{{part}}}");
                     self.fault(by.span(), format!("`by`: the path has no part {part:?}"), Some(help));
-                    Key::Request
+                    SplitKey::RequestId
                 }
                 _ => {
                     let help = "write \"header:NAME\" or \"path:PART\"".to_owned();
                     self.fault(by.span(), format!("`by`: {:?} is no key", by.get_ref()), Some(help));
-                    Key::Request
+                    SplitKey::RequestId
                 }
             },
         };
-        let mut parts: Vec<(PoolId, &str, u64)> = Vec::new();
+        let mut parts: Vec<SplitPool<'_>> = Vec::new();
         for part in &split.get_ref().pools {
             let pool = self.refer("pool", &part.pool, pools)?;
-            if parts.iter().any(|(p, ..)| p.0 == pool) {
+            if parts.iter().any(|p| p.pool.0 == pool) {
                 let message =
                     format!("the split of route `{name}` names pool `{}` twice", part.pool.get_ref());
                 self.fault(part.pool.span(), message, Some("add the weights up".to_owned()));
             }
-            parts.push((PoolId(pool), part.pool.get_ref(), *part.weight.get_ref()));
+            let name = part.pool.get_ref();
+            parts.push(SplitPool { pool: PoolId(pool), name, weight: *part.weight.get_ref() });
         }
         let made = Split::new(key, &parts);
         if made.is_none() {
@@ -821,8 +828,8 @@
         made
     }
 
-    fn table(&mut self, written: &[file::Route], routes: Vec<Route>) -> Option<Table> {
-        match Table::build(routes) {
+    fn table(&mut self, written: &[file::Route], routes: Vec<Route>) -> Option<RouteTable> {
+        match RouteTable::build(routes) {
             Ok(table) => Some(table),
             Err(conflicts) => {
                 for conflict in conflicts {
--- a/crates/config/src/hosted.rs
+++ b/crates/config/src/hosted.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use limit::{Capacity, Limits};
-use route::{HostPattern, Hosts};
+use route::{HostOwners, HostPattern};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
@@ -195,7 +195,7 @@
     /// By name.
     pub all: BTreeMap<String, Arc<Tenant>>,
     /// Whose a host is.
-    pub hosts: Hosts<String>,
+    pub hosts: HostOwners<String>,
 }
 
 /// Why a document cannot serve.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The own configuration file, checked whole before anybody sees it, and the expectations kept beside it.
 //!
 //! Pure: no sockets, no clock; files come in through a function ([`Reading`]), so that a test can be a file
-//! system. The [`Config`] that comes out is an immutable value with the very [`route::Table`] that serves.
+//! system. The [`Config`] that comes out is an immutable value with the very [`route::RouteTable`] that serves.
 #![warn(missing_docs)]
 
 mod announce;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use decide::{Micros, Settings};
-use route::Table;
+use route::RouteTable;
 
 use crate::announce::Bgp;
 use crate::fleet::Node;
@@ -42,7 +42,7 @@
     /// The pools, by index.
     pub pools: Vec<Pool>,
     /// The routes.
-    pub table: Table,
+    pub table: RouteTable,
     /// Where each route stands: its file's name and line.
     pub origins: Vec<(String, usize)>,
     /// All zones that are named anywhere, and all kinds.
--- a/crates/config/src/play.rs
+++ b/crates/config/src/play.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use route::{Count, Key, PoolId, Sent, Unrouted};
+use route::{EndpointCounts, HeaderFields, PoolId, RawRequest, RequestAttributes, RouteError, SplitKey};
 use serde::Serialize;
 
 use crate::expect::{states, Expectation, NodeId, Then, When};
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Answered at once.
-    Unrouted(Unrouted),
+    Unrouted(RouteError),
     /// Routed.
     Routed {
         /// The route's place.
@@ -170,41 +170,41 @@
     }
 
     fn verdict(&self, when: &When) -> Verdict {
-        let sent = Sent {
-            host: &when.host,
+        let attributes = RequestAttributes {
             method: &when.method,
-            path: when.path.split('?').next().unwrap_or_default(),
             class: when.class.as_deref(),
             tenant: when.tenant.as_deref(),
             zone: &when.zone,
-            fields: &when.headers,
+            headers: &when.headers,
         };
-        let found = match self.config.table.resolve(&sent) {
+        let path = when.path.split('?').next().unwrap_or_default();
+        let request = RawRequest { host: &when.host, path, attributes };
+        let found = match self.config.table.resolve(&request) {
             Ok(found) => found,
             Err(unrouted) => return Verdict::Unrouted(unrouted),
         };
         let route = &self.config.table.routes()[found.route];
-        let asked = sent.asked(&found.host.name, &found.path);
+        let request = found.request(attributes);
         let keyless = match &route.split.key {
-            Key::Request => !route.split.is_whole(),
-            Key::Header(name) => route::Fields::get(&when.headers, name).is_none(),
-            Key::Part(_) => false,
+            SplitKey::RequestId => !route.split.has_single_pool(),
+            SplitKey::Header(name) => HeaderFields::get(&when.headers, name).is_none(),
+            SplitKey::PathParameter(_) => false,
         };
         // Without a key the request's own id decides, and that may be any.
         let preferred: Vec<PoolId> =
-            if keyless { route.split.pools().collect() } else { vec![route.preferred(&asked, "")] };
+            if keyless { route.split.pools().collect() } else { vec![route.preferred(&request, "")] };
         let usable = |pool: PoolId| {
             let nodes = self.fleet.pools[pool.0].iter().enumerate();
-            nodes.filter(|(_, n)| route.within.allows(&n.zone, &n.kind, n.cell))
+            nodes.filter(|(_, n)| route.scope.allows(&n.zone, &n.kind, n.cell))
         };
         let count = |pool: PoolId| {
             let of = |state| usable(pool).filter(|(_, n)| n.state == state).count();
-            Count { ready: of(NodeState::Ready), draining: of(NodeState::Draining) }
+            EndpointCounts { ready: of(NodeState::Ready), draining: of(NodeState::Draining) }
         };
         let (mut first, mut nodes) = (BTreeSet::new(), BTreeSet::new());
         for pool in &preferred {
-            first.insert(route.first(*pool, count).pool.0);
-            for step in route.reach(*pool, count) {
+            first.insert(route.first_pool(*pool, count).pool.0);
+            for step in route.reachable_pools(*pool, count) {
                 let ready = usable(step.pool).filter(|(_, n)| n.state == NodeState::Ready);
                 nodes.extend(ready.map(|(n, _)| (step.pool.0, n)));
             }
@@ -342,10 +342,10 @@
 /// The request as routing sees it, so that the same one in two spellings is the same.
 fn normal(when: &When) -> When {
     let mut when = when.clone();
-    if let Ok(host) = route::normal::host(&when.host) {
+    if let Ok(host) = route::normalize::host(&when.host) {
         when.host = host.name.into_owned();
     }
-    if let Ok(path) = route::normal::path(when.path.split('?').next().unwrap_or_default()) {
+    if let Ok(path) = route::normalize::path(when.path.split('?').next().unwrap_or_default()) {
         when.path = path.into_owned();
     }
     when
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -339,7 +339,7 @@
     /// The listener's tenant, or the one that has this host.
     fn resident(&self, host: &str) -> Result<(String, Rc<Resident>), Rejection> {
         let state = self.house.state.borrow();
-        let host = route::normal::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
+        let host = route::normalize::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
         let owner = match &self.listener.tenant {
             Some(tenant) => Some(tenant),
             None => state.tenants.hosts.owner(&host.name),
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -10,7 +10,7 @@
 use decide::platform_settings::{NameTable, Transport};
 use decide::{EndpointFilter, EndpointState, Micros, UpdateScope};
 use membership::Policy;
-use route::{Count, Within};
+use route::{EndpointCounts, EndpointScope};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
 use tokio::task::{spawn_local, AbortHandle};
@@ -256,18 +256,18 @@
     }
 
     /// What a route leaves of it, in the terms of its decisions.
-    pub fn endpoint_filter(&self, within: &Within) -> EndpointFilter {
+    pub fn endpoint_filter(&self, within: &EndpointScope) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
         EndpointFilter {
             zones: within.zones.iter().map(|z| names.zone(z)).collect(),
-            machine_kinds: within.kinds.iter().map(|k| names.kind(k)).collect(),
+            machine_kinds: within.machine_kinds.iter().map(|k| names.kind(k)).collect(),
             cells: within.cells.clone(),
         }
     }
 
     /// The nodes that a route may use.
-    pub fn count(&self, allowed: Option<&EndpointFilter>) -> Count {
-        let mut count = Count::default();
+    pub fn count(&self, allowed: Option<&EndpointFilter>) -> EndpointCounts {
+        let mut count = EndpointCounts::default();
         self.backends.for_each_endpoint(|entry, _| {
             if allowed.is_none_or(|allowed| allowed.matches(entry)) {
                 match entry.state {
--- a/crates/proxy/src/route_lookup.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -1,4 +1,4 @@
-//! From the head of a request over HTTP to its route under a snapshot.
+//! From the head of a request over HTTP to its route under a configuration snapshot.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,54 +6,68 @@
 
 use config::Listener;
 use decide::{Micros, Semantics};
+use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{header, HeaderMap, StatusCode, Uri};
-use route::{Fields, Sent};
+use route::{HeaderFields, RawRequest, RequestAttributes, RouteMatch};
 
 use crate::idempotency_keys::{KeyScope, KeyTable};
 use crate::router::{single_header_value, Rejection, CLASS_HEADER, TENANT_HEADER};
 use crate::snapshot::{PoolSelection, Snapshot};
 
-struct HeaderFields<'a>(&'a HeaderMap);
+/// The port that a `Host` field need not name.
+const DEFAULT_PORT: u16 = 80;
+/// The distance between two request ids. Steps of an odd number pass through all 64 bits before one repeats.
+const REQUEST_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-impl Fields for HeaderFields<'_> {
+/// The headers of a request, as routes read them.
+struct RequestHeaders<'a>(&'a HeaderMap);
+
+impl HeaderFields for RequestHeaders<'_> {
     fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name)?.to_str().ok()
     }
 }
 
-/// Ids for requests that come without one.
-pub struct RequestIdGenerator(Cell<u64>);
+/// Generates ids for requests that come without one.
+pub struct RequestIdGenerator {
+    last: Cell<u64>,
+}
 
 impl RequestIdGenerator {
+    /// A generator whose ids differ from those of other seeds and of listeners with another index.
     pub fn new(seed: u64, listener: usize) -> RequestIdGenerator {
-        RequestIdGenerator(Cell::new(seed.wrapping_add((listener as u64) << 48)))
+        RequestIdGenerator { last: Cell::new(seed.wrapping_add((listener as u64) << 48)) }
     }
 
+    /// The next id: 16 hex digits.
     pub fn next(&self) -> String {
-        // Steps of an odd number pass through all 64 bits before one comes again.
-        let id = self.0.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.0.set(id);
+        let id = self.last.get().wrapping_add(REQUEST_ID_STEP);
+        self.last.set(id);
         format!("{id:016x}")
     }
 }
 
-/// What is known of a request once it has its route.
+/// What follows from the route of a request.
 pub struct ResolvedRoute {
+    /// The index of its class.
     pub class: usize,
+    /// Whether it may be retried.
     pub semantics: Semantics,
+    /// The deadline of its class, from its arrival.
     pub deadline: Micros,
-    /// What it is called in JSON-RPC, where a pool speaks that.
+    /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
     pub method: Option<Arc<str>>,
-    /// Where its key is known.
+    /// Where its idempotency key is looked up, if its class has keys.
     pub key_scope: Option<KeyScope>,
 }
 
-/// Finds the route of a request, and brings its head into the form that was routed by.
+/// Finds the route of a request, and normalizes its head: the endpoint is sent the host and path that were routed by.
+/// `id` is the id of the request, `keys` the table of the idempotency keys.
 ///
 /// # Errors
-/// What to turn it away with.
+/// The rejection to answer with.
 pub fn resolve(
     snapshot: Rc<Snapshot>,
     listener: &Listener,
@@ -61,55 +75,90 @@
     id: &str,
     keys: &KeyTable,
 ) -> Result<(PoolSelection, ResolvedRoute), Rejection> {
-    let config = &snapshot.config;
-    let fields = HeaderFields(&head.headers);
+    let headers = RequestHeaders(&head.headers);
+    let request = raw_request(head, &headers, listener)?;
+    let found = snapshot.config.table.resolve(&request);
+    let found =
+        found.map_err(|error| StatusCode::from_u16(error.status()).unwrap_or(StatusCode::BAD_REQUEST))?;
+    let route = &snapshot.config.table.routes()[found.route];
+    let preferred = route.preferred(&found.request(request.attributes), id);
+    let route_index = found.route;
+    let class = route.class;
+    let changes = HeadChanges::new(&request, found);
+    changes.apply(head)?;
+    let resolved = resolved_route(&snapshot, class, keys);
+    Ok((PoolSelection::new(snapshot, route_index, preferred), resolved))
+}
+
+fn raw_request<'a>(
+    head: &'a Parts,
+    headers: &'a RequestHeaders<'a>,
+    listener: &'a Listener,
+) -> Result<RawRequest<'a>, StatusCode> {
     let tenant = single_header_value(&head.headers, TENANT_HEADER)?;
-    let zone = listener.zone_header.as_deref().and_then(|name| fields.get(name));
-    let sent = Sent {
-        host: single_header_value(&head.headers, header::HOST.as_str())?.unwrap_or_default(),
+    let zone = listener.zone_header.as_deref().and_then(|name| headers.get(name));
+    let host = single_header_value(&head.headers, header::HOST.as_str())?.unwrap_or_default();
+    let class = single_header_value(&head.headers, CLASS_HEADER)?;
+    let attributes = RequestAttributes {
         method: head.method.as_str(),
-        path: head.uri.path(),
-        class: single_header_value(&head.headers, CLASS_HEADER)?,
+        class,
         tenant,
         zone: zone.unwrap_or(&listener.zone),
-        fields: &fields,
+        headers,
     };
-    let found = config
-        .table
-        .resolve(&sent)
-        .map_err(|unrouted| StatusCode::from_u16(unrouted.status()).unwrap_or(StatusCode::BAD_REQUEST))?;
-    let route = &config.table.routes()[found.route];
-    let preferred = route.preferred(&sent.asked(&found.host.name, &found.path), id);
-    let (place, class) = (found.route, route.class);
-    // The node sees what was routed by.
-    let path = (*found.path != *sent.path).then(|| found.path.into_owned());
-    let host = match found.host.port {
-        Some(port) if port != 80 => format!("{}:{port}", found.host.name),
-        _ => found.host.name.into_owned(),
-    };
-    let host = (host != sent.host).then_some(host);
-    if let Some(path) = path {
-        let target = match head.uri.query() {
-            Some(query) => format!("{path}?{query}"),
-            None => path,
+    Ok(RawRequest { host, path: head.uri.path(), attributes })
+}
+
+/// What differs between a request as sent and its normal form.
+struct HeadChanges {
+    path: Option<String>,
+    host: Option<String>,
+}
+
+impl HeadChanges {
+    fn new(request: &RawRequest<'_>, found: RouteMatch<'_>) -> HeadChanges {
+        let host = match found.host.port {
+            Some(port) if port != DEFAULT_PORT => format!("{}:{port}", found.host.name),
+            _ => found.host.name.into_owned(),
         };
-        let target = PathAndQuery::try_from(target).map_err(|_| StatusCode::BAD_REQUEST)?;
-        head.uri = Uri::from(target);
+        HeadChanges {
+            path: (*found.path != *request.path).then(|| found.path.into_owned()),
+            host: (host != request.host).then_some(host),
+        }
     }
-    if let Some(host) = host {
-        let host = header::HeaderValue::try_from(host).map_err(|_| StatusCode::BAD_REQUEST)?;
-        head.headers.insert(header::HOST, host);
+
+    fn apply(self, head: &mut Parts) -> Result<(), StatusCode> {
+        if let Some(path) = self.path {
+            let target = match head.uri.query() {
+                Some(query) => format!("{path}?{query}"),
+                None => path,
+            };
+            let target = PathAndQuery::try_from(target).map_err(|_| StatusCode::BAD_REQUEST)?;
+            head.uri = Uri::from(target);
+        }
+        if let Some(host) = self.host {
+            let host = HeaderValue::try_from(host).map_err(|_| StatusCode::BAD_REQUEST)?;
+            head.headers.insert(header::HOST, host);
+        }
+        Ok(())
     }
-    let figures = &config.classes[class].parameters;
-    let (semantics, deadline) = (figures.semantics, figures.deadline);
-    let method = snapshot.methods[class].clone();
-    let once = match semantics {
+}
+
+/// What follows from the class of a route.
+fn resolved_route(snapshot: &Snapshot, class: usize, keys: &KeyTable) -> ResolvedRoute {
+    let class_config = &snapshot.config.classes[class];
+    let semantics = class_config.parameters.semantics;
+    let key_scope = match semantics {
         Semantics::Deduplicated { window, .. } => {
-            let class = config.classes[class].name.as_str().into();
-            Some(KeyScope { table: keys.clone(), class, window })
+            Some(KeyScope { table: keys.clone(), class: class_config.name.as_str().into(), window })
         }
         Semantics::Idempotent | Semantics::AtMostOnce => None,
     };
-    let known = ResolvedRoute { class, semantics, deadline, method, key_scope: once };
-    Ok((PoolSelection::new(snapshot, place, preferred), known))
+    ResolvedRoute {
+        class,
+        semantics,
+        deadline: class_config.parameters.deadline,
+        method: snapshot.methods[class].clone(),
+        key_scope,
+    }
 }
--- a/crates/proxy/src/snapshot.rs
+++ b/crates/proxy/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 use config::{Config, Protocol};
 use decide::{EndpointFilter, Semantics};
-use route::{Count, PoolId, Step};
+use route::{EndpointCounts, PoolChoice, PoolId};
 
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
@@ -65,7 +65,7 @@
         }
         let allowed = |route: &route::Route| {
             let of = |pool: &Rc<Pool>| {
-                (!route.within.is_all()).then(|| Arc::new(pool.endpoint_filter(&route.within)))
+                (!route.scope.is_all()).then(|| Arc::new(pool.endpoint_filter(&route.scope)))
             };
             pools.iter().map(of).collect()
         };
@@ -143,7 +143,7 @@
         self.pools.iter().all(|p| p.is_ready())
     }
 
-    fn count(&self, route: usize, pool: PoolId) -> Count {
+    fn count(&self, route: usize, pool: PoolId) -> EndpointCounts {
         self.pools[pool.0].count(self.allowed[route][pool.0].as_deref())
     }
 }
@@ -152,12 +152,13 @@
 pub struct PoolSelection {
     snapshot: Rc<Snapshot>,
     route: usize,
-    step: Step,
+    step: PoolChoice,
 }
 
 impl PoolSelection {
     pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
-        let step = snapshot.config.table.routes()[route].first(preferred, |pool| snapshot.count(route, pool));
+        let step =
+            snapshot.config.table.routes()[route].first_pool(preferred, |pool| snapshot.count(route, pool));
         PoolSelection { snapshot, route, step }
     }
 
@@ -189,7 +190,7 @@
                 RejectionOutcome::Final
             };
         }
-        match route.after_refusal(self.step, |pool| self.snapshot.count(self.route, pool)) {
+        match route.after_rejection(self.step, |pool| self.snapshot.count(self.route, pool)) {
             Some(step) => {
                 self.step = step;
                 RejectionOutcome::NextPool
--- a/crates/route/benches/lookup.rs
+++ b/crates/route/benches/lookup.rs
@@ -1,12 +1,15 @@
-//! What a lookup costs by the number of routes. The count is cut by host, so that neither hosts nor paths are few.
+//! The cost of a lookup by the number of routes, which are spread over many hosts and paths.
 
-use route::{Asked, HostPattern, Match, PathPattern, PoolId, Route, Split, Table, Within};
+use route::{
+    EndpointScope, HostPattern, NormalizedRequest, PathPattern, PoolId, RequestAttributes, Route,
+    RouteMatcher, RouteTable, Split,
+};
 
 fn main() {
     divan::main();
 }
 
-fn table(routes: usize) -> Table {
+fn table(routes: usize) -> RouteTable {
     let route = |i: usize| {
         let path = match i % 4 {
             0 => format!("/club-{}/standings/{{event}}", i / 4),
@@ -16,22 +19,22 @@
         };
         Route {
             name: format!("route-{i}"),
-            matches: Match {
+            matches: RouteMatcher {
                 host: HostPattern::parse(&format!("h{}.example", i % 100)).expect("a host"),
                 path: PathPattern::parse(&path).expect("a path"),
                 methods: vec!["GET".to_owned()],
-                ..Match::default()
+                ..RouteMatcher::default()
             },
             class: 0,
-            within: Within::default(),
-            split: Split::whole(PoolId(0)),
+            scope: EndpointScope::default(),
+            split: Split::single(PoolId(0)),
             fallbacks: Vec::new(),
         }
     };
-    Table::build((0..routes).map(route).collect()).expect("no ties")
+    RouteTable::build((0..routes).map(route).collect()).expect("no ties")
 }
 
-/// Some requests that a table of so many routes takes.
+/// Hosts and paths of requests that match in a table of so many routes.
 fn requests(routes: usize) -> Vec<(String, String)> {
     let route = |i: usize| (i * 7919 + 1) % routes / 4 * 4 + 1;
     (0..64)
@@ -40,16 +43,22 @@
         .collect()
 }
 
-fn bench(bencher: divan::Bencher<'_, '_>, routes: usize, find: impl Fn(&Table, &Asked<'_>) -> Option<usize>) {
-    let (table, requests) = (table(routes), requests(routes));
-    let none: Vec<(String, String)> = Vec::new();
+fn bench(
+    bencher: divan::Bencher<'_, '_>,
+    routes: usize,
+    find: impl Fn(&RouteTable, &NormalizedRequest<'_>) -> Option<usize>,
+) {
+    let table = table(routes);
+    let requests = requests(routes);
+    let headers: Vec<(String, String)> = Vec::new();
     let mut next = 0;
     bencher.bench_local(|| {
         next = (next + 1) % requests.len();
         let (host, path) = &requests[next];
-        let asked =
-            Asked { host, method: "GET", path, class: None, tenant: None, zone: "south", fields: &none };
-        let found = find(&table, divan::black_box(&asked));
+        let attributes =
+            RequestAttributes { method: "GET", class: None, tenant: None, zone: "south", headers: &headers };
+        let request = NormalizedRequest { host, path, attributes };
+        let found = find(&table, divan::black_box(&request));
         assert!(found.is_some());
         found
     });
@@ -57,19 +66,20 @@
 
 #[divan::bench(args = [10, 1_000, 10_000, 100_000], sample_size = 1000)]
 fn lookup(bencher: divan::Bencher<'_, '_>, routes: usize) {
-    bench(bencher, routes, Table::lookup_place);
+    bench(bencher, routes, RouteTable::lookup_index);
 }
 
 /// Every route in turn, for comparison.
 #[divan::bench(args = [10, 1_000, 10_000], sample_size = 64)]
-fn each_in_turn(bencher: divan::Bencher<'_, '_>, routes: usize) {
-    bench(bencher, routes, |table, asked| {
-        let fit = table.routes().iter().enumerate().filter(|(_, r)| r.matches.fits(asked));
-        fit.min_by_key(|(_, r)| r.matches.rank()).map(|(place, _)| place)
+fn linear_scan(bencher: divan::Bencher<'_, '_>, routes: usize) {
+    bench(bencher, routes, |table, request| {
+        let routes = table.routes().iter().enumerate();
+        let matching = routes.filter(|(_, route)| route.matches.matches(request));
+        matching.min_by_key(|(_, route)| route.matches.specificity()).map(|(index, _)| index)
     });
 }
 
 #[divan::bench(args = ["/standings/1", "/a//b/%2e%2e/c"])]
-fn normal(path: &str) -> usize {
-    route::normal::path(divan::black_box(path)).map_or(0, |p| p.len())
+fn normalize_path(path: &str) -> usize {
+    route::normalize::path(divan::black_box(path)).map_or(0, |path| path.len())
 }
--- /dev/null
+++ b/crates/route/src/normalize/path.rs
@@ -0,0 +1,131 @@
+//! The normal form of paths.
+
+use std::borrow::Cow;
+use std::fmt::Write;
+
+use super::NormalizeError;
+
+/// The most segments of a path.
+pub const MAX_SEGMENTS: usize = 128;
+
+/// The normal form of a path without its query.
+///
+/// # Errors
+/// What is wrong with it.
+pub fn path(raw: &str) -> Result<Cow<'_, str>, NormalizeError> {
+    if !raw.starts_with('/') {
+        return Err(NormalizeError::NotAbsolute);
+    }
+    if is_normal(raw) {
+        let segments = raw.bytes().filter(|byte| *byte == b'/').count();
+        return if segments > MAX_SEGMENTS { Err(NormalizeError::TooManySegments) } else { Ok(raw.into()) };
+    }
+    normalize_segments(&raw[1..]).map(Cow::Owned)
+}
+
+/// Whether it surely is in normal form. Passes over paths that need a closer look, as those with a dot after a slash.
+fn is_normal(raw: &str) -> bool {
+    let mut previous = 0;
+    raw.bytes().all(|byte| {
+        let is_plain = match byte {
+            b'/' | b'.' => previous != b'/',
+            _ => is_unencoded(byte),
+        };
+        previous = byte;
+        is_plain
+    })
+}
+
+/// Resolves the segments of a path, which is given without its first slash.
+fn normalize_segments(raw: &str) -> Result<String, NormalizeError> {
+    let mut segments: Vec<String> = Vec::new();
+    let mut ends_with_slash = false;
+    let mut raw_segments = raw.split('/').peekable();
+    while let Some(raw_segment) = raw_segments.next() {
+        let is_last = raw_segments.peek().is_none();
+        let segment = normalize_segment(raw_segment)?;
+        ends_with_slash = false;
+        match segment.as_str() {
+            "." => ends_with_slash = true,
+            ".." => {
+                segments.pop().ok_or(NormalizeError::AboveRoot)?;
+                ends_with_slash = true;
+            }
+            "" => ends_with_slash = is_last,
+            _ => segments.push(segment),
+        }
+    }
+    if segments.len() + usize::from(ends_with_slash) > MAX_SEGMENTS {
+        return Err(NormalizeError::TooManySegments);
+    }
+    if ends_with_slash || segments.is_empty() {
+        segments.push(String::new());
+    }
+    Ok(format!("/{}", segments.join("/")))
+}
+
+/// A byte of a segment, and whether it was percent-encoded.
+struct DecodedByte {
+    byte: u8,
+    was_encoded: bool,
+}
+
+fn normalize_segment(raw: &str) -> Result<String, NormalizeError> {
+    let decoded = percent_decode(raw)?;
+    if hides_dot_segment(&decoded) {
+        return Err(NormalizeError::HiddenDotSegment);
+    }
+    let mut normal = String::with_capacity(raw.len());
+    for DecodedByte { byte, was_encoded } in decoded {
+        if is_unreserved(byte) || (is_unencoded(byte) && !was_encoded) {
+            normal.push(byte as char);
+        } else {
+            // Writing to a string does not fail.
+            let _ = write!(normal, "%{byte:02X}");
+        }
+    }
+    Ok(normal)
+}
+
+/// Decodes a segment up to its end or the first byte that is not allowed.
+fn percent_decode(raw: &str) -> Result<Vec<DecodedByte>, NormalizeError> {
+    let mut decoded = Vec::with_capacity(raw.len());
+    let mut bytes = raw.bytes();
+    while let Some(raw_byte) = bytes.next() {
+        let was_encoded = raw_byte == b'%';
+        let byte = if was_encoded {
+            let digits = bytes.next().zip(bytes.next());
+            let byte = digits.and_then(|(high, low)| decode_hex(high, low));
+            byte.ok_or(NormalizeError::BrokenEncoding)?
+        } else {
+            raw_byte
+        };
+        if byte.is_ascii_control() {
+            return Err(NormalizeError::ControlCharacter);
+        }
+        decoded.push(DecodedByte { byte, was_encoded });
+    }
+    Ok(decoded)
+}
+
+fn decode_hex(high: u8, low: u8) -> Option<u8> {
+    let digit = |byte: u8| (byte as char).to_digit(16);
+    Some((digit(high)? * 16 + digit(low)?) as u8)
+}
+
+/// Whether a reader that decodes slashes would see a dot segment in it.
+fn hides_dot_segment(decoded: &[DecodedByte]) -> bool {
+    let bytes: Vec<u8> = decoded.iter().map(|decoded| decoded.byte).collect();
+    let is_slash = |byte: &u8| matches!(byte, b'/' | b'\\');
+    bytes.iter().any(is_slash) && bytes.split(is_slash).any(|part| part == b"." || part == b"..")
+}
+
+/// Whether it is one of the unreserved characters of RFC 3986.
+fn is_unreserved(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)
+}
+
+/// Whether it may stand in a segment without being encoded.
+fn is_unencoded(byte: u8) -> bool {
+    is_unreserved(byte) || b"!$&'()*+,;=:@".contains(&byte)
+}
--- a/crates/route/src/resolve.rs
+++ b/crates/route/src/resolve.rs
@@ -1,65 +1,55 @@
-//! From a request as sent to its route: the one way in for the proxy and for checks.
+//! From a request as it was sent to its route: the one entry for the proxy and for checks of the configuration.
 
 use std::borrow::Cow;
 
-use crate::normal::{self, Fault, Host};
-use crate::{Asked, Fields, Table};
-
-/// A request as sent.
-#[derive(Clone, Copy)]
-pub struct Sent<'a> {
-    /// What its `Host` field says.
-    pub host: &'a str,
-    /// Its method.
-    pub method: &'a str,
-    /// The path of its target, without the query.
-    pub path: &'a str,
-    /// The class that it names.
-    pub class: Option<&'a str>,
-    /// The tenant that it names.
-    pub tenant: Option<&'a str>,
-    /// Its caller's zone.
-    pub zone: &'a str,
-    /// Its header fields.
-    pub fields: &'a dyn Fields,
-}
+use crate::normalize::{self, Host, NormalizeError};
+use crate::{NormalizedRequest, RawRequest, RequestAttributes, RouteTable};
 
 /// Why a request has no route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unrouted {
+pub enum RouteError {
     /// Its host has no normal form: 400.
-    Host(Fault),
+    InvalidHost(NormalizeError),
     /// Its path has no normal form: 400.
-    Path(Fault),
-    /// No route takes it: 404.
+    InvalidPath(NormalizeError),
+    /// No route matches it: 404.
     NoRoute,
 }
 
-impl Unrouted {
-    /// The status that says so.
+impl RouteError {
+    /// The HTTP status to answer with.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
-            Unrouted::Host(_) | Unrouted::Path(_) => 400,
-            Unrouted::NoRoute => 404,
+            RouteError::InvalidHost(_) | RouteError::InvalidPath(_) => 400,
+            RouteError::NoRoute => 404,
         }
     }
 }
 
-impl std::fmt::Display for Unrouted {
+impl std::fmt::Display for RouteError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unrouted::Host(fault) => write!(f, "the host: {fault}"),
-            Unrouted::Path(fault) => write!(f, "the path: {fault}"),
-            Unrouted::NoRoute => f.write_str("no route takes it"),
+            RouteError::InvalidHost(error) => write!(f, "the host: {error}"),
+            RouteError::InvalidPath(error) => write!(f, "the path: {error}"),
+            RouteError::NoRoute => f.write_str("no route takes it"),
+        }
+    }
+}
+
+impl std::error::Error for RouteError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            RouteError::InvalidHost(error) | RouteError::InvalidPath(error) => Some(error),
+            RouteError::NoRoute => None,
         }
     }
 }
 
-/// A request with its route.
+/// The route of a request.
 #[derive(Clone, Debug)]
-pub struct Found<'a> {
-    /// The route's place.
+pub struct RouteMatch<'a> {
+    /// The index of the route in [`RouteTable::routes`].
     pub route: usize,
     /// The host in normal form.
     pub host: Host<'a>,
@@ -67,27 +57,25 @@
     pub path: Cow<'a, str>,
 }
 
-impl Table {
-    /// The route of a request as sent.
-    ///
-    /// # Errors
-    /// Why there is none.
-    pub fn resolve<'a>(&self, sent: &Sent<'a>) -> Result<Found<'a>, Unrouted> {
-        let host = normal::host(sent.host).map_err(Unrouted::Host)?;
-        let path = normal::path(sent.path).map_err(Unrouted::Path)?;
-        let route = self.lookup_place(&sent.asked(&host.name, &path)).ok_or(Unrouted::NoRoute)?;
-        Ok(Found { route, host, path })
+impl RouteMatch<'_> {
+    /// The request in the form in which it was routed.
+    #[must_use]
+    pub fn request<'a>(&'a self, attributes: RequestAttributes<'a>) -> NormalizedRequest<'a> {
+        NormalizedRequest { host: &self.host.name, path: &self.path, attributes }
     }
 }
 
-impl<'a> Sent<'a> {
-    /// The same with host and path in normal form.
-    #[must_use]
-    pub fn asked<'b>(&'b self, host: &'b str, path: &'b str) -> Asked<'b>
-    where
-        'a: 'b,
-    {
-        let Sent { method, class, tenant, zone, fields, .. } = *self;
-        Asked { host, method, path, class, tenant, zone, fields }
+impl RouteTable {
+    /// The route of a request as it was sent.
+    ///
+    /// # Errors
+    /// Why there is none.
+    pub fn resolve<'a>(&self, request: &RawRequest<'a>) -> Result<RouteMatch<'a>, RouteError> {
+        let host = normalize::host(request.host).map_err(RouteError::InvalidHost)?;
+        let path = normalize::path(request.path).map_err(RouteError::InvalidPath)?;
+        let attributes = request.attributes;
+        let normalized = NormalizedRequest { host: &host.name, path: &path, attributes };
+        let route = self.lookup_index(&normalized).ok_or(RouteError::NoRoute)?;
+        Ok(RouteMatch { route, host, path })
     }
 }
