--- /dev/null
+++ b/crates/proxy/src/body/buffering.rs
@@ -0,0 +1,78 @@
+//! Reads a body into memory, up to a size and a deadline.
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use tokio::time::{timeout_at, Instant};
+
+use super::BodyError;
+
+/// How far a body was buffered.
+pub enum BufferOutcome {
+    /// All of it.
+    Complete(Bytes),
+    /// It is larger than the limit, or the deadline passed.
+    Partial {
+        /// What was read.
+        prefix: Bytes,
+        /// What is still to be read.
+        rest: Incoming,
+    },
+}
+
+/// Buffers a body up to `max_bytes` and until `deadline`.
+///
+/// # Errors
+/// The sender ended it early.
+pub async fn buffer(
+    mut body: Incoming,
+    max_bytes: usize,
+    deadline: Instant,
+) -> Result<BufferOutcome, BodyError> {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Ok(BufferOutcome::Partial { prefix: Bytes::new(), rest: body });
+    }
+    let mut buffer = Buffer::default();
+    while buffer.len() <= max_bytes {
+        let Ok(frame) = timeout_at(deadline, body.frame()).await else { break };
+        let Some(frame) = frame else { return Ok(BufferOutcome::Complete(buffer.into_bytes())) };
+        let frame = frame.map_err(|_| BodyError::Interrupted)?;
+        if let Ok(data) = frame.into_data() {
+            buffer.append(data);
+        }
+    }
+    Ok(BufferOutcome::Partial { prefix: buffer.into_bytes(), rest: body })
+}
+
+/// Pieces of a body. Most bodies are one piece, which is not copied.
+#[derive(Default)]
+struct Buffer {
+    first: Bytes,
+    /// All pieces, once there is more than one.
+    joined: BytesMut,
+}
+
+impl Buffer {
+    fn len(&self) -> usize {
+        self.first.len().max(self.joined.len())
+    }
+
+    fn append(&mut self, data: Bytes) {
+        if self.len() == 0 {
+            self.first = data;
+            return;
+        }
+        if self.joined.is_empty() {
+            self.joined.extend_from_slice(&self.first);
+        }
+        self.joined.extend_from_slice(&data);
+    }
+
+    fn into_bytes(self) -> Bytes {
+        if self.joined.is_empty() {
+            self.first
+        } else {
+            self.joined.freeze()
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/body/streaming.rs
@@ -0,0 +1,272 @@
+//! A body that is passed on while it arrives.
+//!
+//! A request body is read to its end whatever becomes of the request, since a client may read no response before it has
+//! sent all of its body. A response body of unknown length is bounded by the deadline of its request: past it, only bodies
+//! that arrive at the promised rate go on.
+
+use std::cell::{Cell, RefCell};
+use std::future::{poll_fn, Future};
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, timeout_at, Instant, Sleep};
+
+use super::{
+    max_transfer_time, BodyError, MAX_BODY_WITHIN_DEADLINE_BYTES, MIN_BYTES_PER_SECOND, STALL_TIMEOUT,
+};
+
+/// Called when a body is complete; dropped uncalled where it ends early.
+type CompletionCallback = Box<dyn FnOnce()>;
+
+/// A body that is passed on while it arrives.
+pub struct StreamingBody {
+    /// None once it is being discarded.
+    incoming: RefCell<Option<Incoming>>,
+    /// What was read before streaming began.
+    prefix: Cell<Option<Bytes>>,
+    size: SizeHint,
+    bytes_read: Cell<u64>,
+    max_bytes: u64,
+    /// The end of the longest transfer; None for a response, which waits for its reader.
+    transfer_deadline: Option<Instant>,
+    /// The deadline of the request; only of a response of unknown length.
+    request_deadline: Option<Instant>,
+    sender_wait: Cell<SenderWait>,
+    stall_timer: RefCell<Pin<Box<Sleep>>>,
+    is_read_started: Cell<bool>,
+    completed_at: Cell<Option<Instant>>,
+    completed: Notify,
+    on_complete: RefCell<Vec<CompletionCallback>>,
+    /// Read to its end even where its reader is dropped.
+    is_drained_on_drop: bool,
+}
+
+/// How long the sender of a body has been waited for.
+#[derive(Clone, Copy, Default)]
+struct SenderWait {
+    /// Waits that are over, summed.
+    finished: Duration,
+    /// The start of the current wait.
+    since: Option<Instant>,
+}
+
+impl SenderWait {
+    fn started(self, now: Instant) -> SenderWait {
+        SenderWait { since: self.since.or(Some(now)), ..self }
+    }
+
+    fn stopped(self, now: Instant) -> SenderWait {
+        let current = self.since.map_or(Duration::ZERO, |since| now - since);
+        SenderWait { finished: self.finished + current, since: None }
+    }
+}
+
+/// How long the sender of a response of unknown length may be waited for in total once the request's deadline has passed,
+/// where `bytes_read` have arrived; None where the deadline was met by the first bytes. Without it a response that never
+/// ends would keep a stopping proxy open.
+fn max_sender_wait(bytes_read: u64) -> Option<Duration> {
+    let is_bounded = bytes_read <= MAX_BODY_WITHIN_DEADLINE_BYTES;
+    is_bounded.then(|| Duration::from_millis(bytes_read * 1000 / MIN_BYTES_PER_SECOND))
+}
+
+impl StreamingBody {
+    /// A request's body of at most `max_bytes`, of which `prefix` has been read. It is read to its end even where its
+    /// reader is dropped.
+    pub fn for_request(rest: Incoming, prefix: Bytes, max_bytes: u64) -> StreamingBody {
+        let max_time = max_transfer_time(rest.size_hint().exact().unwrap_or(max_bytes));
+        let mut body = StreamingBody::new(rest, prefix, max_bytes);
+        body.transfer_deadline = Some(Instant::now() + max_time);
+        body.is_drained_on_drop = true;
+        body
+    }
+
+    /// A response's body of at most `max_bytes`, of which `prefix` has been read.
+    pub fn for_response(
+        rest: Incoming,
+        prefix: Bytes,
+        max_bytes: u64,
+        request_deadline: Instant,
+    ) -> StreamingBody {
+        let is_length_unknown = rest.size_hint().exact().is_none();
+        let mut body = StreamingBody::new(rest, prefix, max_bytes);
+        body.request_deadline = is_length_unknown.then_some(request_deadline);
+        body
+    }
+
+    fn new(rest: Incoming, prefix: Bytes, max_bytes: u64) -> StreamingBody {
+        let prefix_bytes = prefix.len() as u64;
+        let rest_bytes = rest.size_hint().exact();
+        let size =
+            rest_bytes.map_or_else(SizeHint::default, |bytes| SizeHint::with_exact(bytes + prefix_bytes));
+        StreamingBody {
+            incoming: RefCell::new(Some(rest)),
+            prefix: Cell::new(Some(prefix).filter(|prefix| !prefix.is_empty())),
+            size,
+            bytes_read: Cell::new(prefix_bytes),
+            max_bytes,
+            transfer_deadline: None,
+            request_deadline: None,
+            sender_wait: Cell::default(),
+            stall_timer: RefCell::new(Box::pin(sleep_until(Instant::now() + STALL_TIMEOUT))),
+            is_read_started: Cell::new(false),
+            completed_at: Cell::new(None),
+            completed: Notify::new(),
+            on_complete: RefCell::default(),
+            is_drained_on_drop: false,
+        }
+    }
+
+    /// Whether its reader has polled it.
+    pub fn is_read_started(&self) -> bool {
+        self.is_read_started.get()
+    }
+
+    /// When its last byte was read, if it was.
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.completed_at.get()
+    }
+
+    /// Its size in bytes, where that is known.
+    pub fn size_hint(&self) -> SizeHint {
+        self.size
+    }
+
+    /// Waits until its last byte has been read, and returns when that was.
+    pub async fn wait_complete(&self) -> Instant {
+        loop {
+            let completed = self.completed.notified();
+            match self.completed_at.get() {
+                Some(at) => return at,
+                None => completed.await,
+            }
+        }
+    }
+
+    /// Calls `callback` once its last byte has been read; drops it uncalled where that never happens.
+    pub fn on_complete(&self, callback: impl FnOnce() + 'static) {
+        self.on_complete.borrow_mut().push(Box::new(callback));
+    }
+
+    /// The next frame for its reader.
+    pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.is_read_started.set(true);
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
+        }
+        if self.completed_at.get().is_some() {
+            return Poll::Ready(None);
+        }
+        let mut incoming = self.incoming.borrow_mut();
+        let Some(incoming) = incoming.as_mut() else {
+            return Poll::Ready(Some(Err(BodyError::TooLarge)));
+        };
+        let data = ready!(self.poll_data(incoming, context));
+        Poll::Ready(data.map(|data| data.map(Frame::data)))
+    }
+
+    /// The next piece that is not empty. Trailers belong to one connection, and end the body.
+    fn poll_data(
+        &self,
+        incoming: &mut Incoming,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
+        loop {
+            let Poll::Ready(frame) = Pin::new(&mut *incoming).poll_frame(context) else {
+                ready!(self.poll_stalled(context));
+                return Poll::Ready(Some(Err(BodyError::TimedOut)));
+            };
+            self.sender_wait.set(self.sender_wait.get().stopped(Instant::now()));
+            let data = match frame {
+                Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Interrupted))),
+                Some(Ok(frame)) => frame.into_data().ok(),
+                None => None,
+            };
+            let Some(data) = data else {
+                self.complete();
+                return Poll::Ready(None);
+            };
+            if let Err(error) = self.count_read(data.len() as u64) {
+                return Poll::Ready(Some(Err(error)));
+            }
+            if incoming.is_end_stream() {
+                self.complete();
+            }
+            if !data.is_empty() {
+                return Poll::Ready(Some(Ok(data)));
+            }
+        }
+    }
+
+    /// Completes once the sender has been waited for too long.
+    fn poll_stalled(&self, context: &mut Context<'_>) -> Poll<()> {
+        let mut timer = self.stall_timer.borrow_mut();
+        let limit = self.sender_wait_limit(Instant::now());
+        if let Some(limit) = limit.filter(|limit| *limit < timer.deadline()) {
+            timer.as_mut().reset(limit);
+        }
+        timer.as_mut().poll(context)
+    }
+
+    /// Starts or continues a wait for the sender, and says until when it may last if the request's deadline bounds it.
+    fn sender_wait_limit(&self, now: Instant) -> Option<Instant> {
+        let wait = self.sender_wait.get().started(now);
+        self.sender_wait.set(wait);
+        let left = max_sender_wait(self.bytes_read.get())?.saturating_sub(wait.finished);
+        let since = wait.since.unwrap_or(now);
+        Some(self.request_deadline?.max(since + left))
+    }
+
+    /// Counts bytes that were read, and restarts the stall timeout.
+    ///
+    /// # Errors
+    /// The body is too large, or the transfer took too long.
+    fn count_read(&self, bytes: u64) -> Result<(), BodyError> {
+        self.bytes_read.set(self.bytes_read.get() + bytes);
+        if self.bytes_read.get() > self.max_bytes {
+            return Err(BodyError::TooLarge);
+        }
+        let now = Instant::now();
+        if self.transfer_deadline.is_some_and(|deadline| deadline < now) {
+            return Err(BodyError::TimedOut);
+        }
+        self.stall_timer.borrow_mut().as_mut().reset(now + STALL_TIMEOUT);
+        Ok(())
+    }
+
+    fn complete(&self) {
+        if self.completed_at.get().is_some() {
+            return;
+        }
+        self.completed_at.set(Some(Instant::now()));
+        for callback in self.on_complete.take() {
+            callback();
+        }
+        self.completed.notify_waiters();
+    }
+
+    /// Reads and drops the rest of a body, until `deadline` at most.
+    async fn discard(mut rest: Incoming, deadline: Instant) {
+        let read_all = async {
+            while let Some(Ok(_)) = poll_fn(|context| Pin::new(&mut rest).poll_frame(context)).await {}
+        };
+        let _ = timeout_at(deadline, read_all).await;
+    }
+}
+
+impl Drop for StreamingBody {
+    fn drop(&mut self) {
+        if !self.is_drained_on_drop || self.completed_at.get().is_some() {
+            return;
+        }
+        // Closing over bytes that still arrive resets the connection, and the client loses its response.
+        if let Some(rest) = self.incoming.take() {
+            let deadline = self.transfer_deadline.unwrap_or_else(Instant::now);
+            spawn_local(StreamingBody::discard(rest, deadline));
+        }
+    }
+}
--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use super::{serving, Caller, Callers, Frontend};
-use crate::body::{Content, Cut};
+use crate::body::{BodyError, MessageBody};
 use crate::exchange::{Answer, MOST_BODY, MOST_BUFFER};
 use crate::metrics::{RequestOutcome, Tally};
 use crate::panic_guard::caught;
@@ -31,7 +31,7 @@
 
 /// An answer's body on its way to the caller, and what ends with it.
 struct Outgoing {
-    content: Content,
+    content: MessageBody,
     /// Of one that flows.
     open: Option<Open>,
 }
@@ -40,28 +40,31 @@
 struct Open {
     caller: Rc<Caller>,
     tally: Rc<Tally>,
-    content: Content,
+    content: MessageBody,
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        let whole = self.content.flow().is_some_and(|flow| flow.ended().is_some());
+        let whole = self.content.streaming().is_some_and(|flow| flow.completed_at().is_some());
         self.tally.end(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
         self.caller.free();
     }
 }
 
 impl Outgoing {
-    fn whole(content: Content) -> Outgoing {
+    fn whole(content: MessageBody) -> Outgoing {
         Outgoing { content, open: None }
     }
 }
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         Pin::new(&mut self.content).poll_frame(cx)
     }
 
@@ -139,12 +142,12 @@
         }
     };
     // One that flows ends with its last byte.
-    if !matches!(answer, Answer::Served(_, Content::Flowing(_))) {
+    if !matches!(answer, Answer::Served(_, MessageBody::Streaming(_))) {
         tally.end(answer.fate());
     }
     match answer {
         Answer::Served(headers, body) => {
-            let open = body.flow().is_some().then(|| Open {
+            let open = body.streaming().is_some().then(|| Open {
                 caller: Rc::clone(caller),
                 tally: Rc::clone(&tally),
                 content: body.clone(),
@@ -194,7 +197,7 @@
 }
 
 fn reply(status: StatusCode) -> Reply {
-    let mut reply = Response::new(Outgoing::whole(Content::default()));
+    let mut reply = Response::new(Outgoing::whole(MessageBody::default()));
     *reply.status_mut() = status;
     reply
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -19,13 +19,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::body::STALL;
+use crate::body::STALL_TIMEOUT;
 use crate::clock::Clock;
 use crate::exchange::{Client, MOST_BUFFER};
 use crate::log::say;
 use crate::request_ids::OpenRequestIds;
 use crate::router::{Connection, Router};
-use crate::socket::{Socket, Unread};
+use crate::socket::{Socket, UnreadInput};
 
 /// The head of a request has come whole within this time: from the start of the connection for its first
 /// request, from the head's first byte later on. Guards against callers that hold descriptors and say nothing.
@@ -140,12 +140,12 @@
         let due = Instant::now() + LOOK;
         tokio::time::sleep_until(due).await;
         callers.shutdown.borrow_mut().was_late(due.elapsed().as_micros() as Micros);
-        let is_over = |c: &&Rc<Caller>| c.is_stuck() || (c.busy.get() && c.socket.is_ended());
+        let is_over = |c: &&Rc<Caller>| c.is_stuck() || (c.busy.get() && c.socket.is_peer_closed());
         callers.all.borrow().values().filter(is_over).for_each(|c| c.drop.notify_one());
         for caller in callers.all.borrow().values().filter(|c| !c.busy.get()) {
             // Calls come when they come; what is begun is to be ended.
             let patient = caller.asked.get() || callers.gate.protocol != Protocol::Http;
-            let since = if patient { caller.socket.since() } else { Some(caller.used.get()) };
+            let since = if patient { caller.socket.message_started_at() } else { Some(caller.used.get()) };
             let hurried = caller.closing.get() && !callers.is_ending();
             if since.is_some_and(|since| since.elapsed() > if hurried { HURRIED } else { HEAD }) {
                 caller.give_up.notify_one();
@@ -203,7 +203,8 @@
             }
             let open: Vec<_> = self.all.borrow().values().cloned().collect();
             // What lies there unread was taken all the same.
-            let busy = open.iter().filter(|c| c.busy.get() || c.socket.unread() == Unread::Data).count();
+            let busy =
+                open.iter().filter(|c| c.busy.get() || c.socket.unread_input() == UnreadInput::Data).count();
             if self.shutdown.borrow().may_leave(now, open.len(), busy) {
                 return;
             }
@@ -251,7 +252,8 @@
         let staying = all.values().filter(|c| !c.closing.get());
         let now = self.clock.now();
         let known = staying.filter(|c| c.busy.get() || !c.state(self.clock, false).is_new(now));
-        if let Some(caller) = known.min_by_key(|c| (c.busy.get(), c.socket.bytes_in() > 0, c.used.get())) {
+        if let Some(caller) = known.min_by_key(|c| (c.busy.get(), c.socket.message_bytes() > 0, c.used.get()))
+        {
             caller.ask_to_close();
         }
     }
@@ -261,22 +263,22 @@
     /// Who waits for the answers that go out on it.
     fn client(&self) -> Client {
         let socket = self.socket.clone();
-        Client::new(move || socket.is_ended() || socket.unread() == Unread::Closed)
+        Client::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
     }
 
     /// Its answer begins to flow.
     fn flows(&self) {
-        self.flowing.set(Some((self.socket.written(), Instant::now())));
+        self.flowing.set(Some((self.socket.bytes_written(), Instant::now())));
     }
 
     /// Has it read nothing for too long of an answer that flows?
     fn is_stuck(&self) -> bool {
         let Some((before, since)) = self.flowing.get() else { return false };
-        if self.socket.written() != before {
+        if self.socket.bytes_written() != before {
             self.flows();
             return false;
         }
-        since.elapsed() > STALL
+        since.elapsed() > STALL_TIMEOUT
     }
 
     /// Its request has its answer; what comes now is the next one.
@@ -284,7 +286,7 @@
         self.flowing.set(None);
         self.used.set(Instant::now());
         self.busy.set(false);
-        self.socket.next_message(MOST_BUFFER);
+        self.socket.start_next_message(MOST_BUFFER);
     }
 
     /// What its end depends on; whether its next request has begun is asked of the kernel, and only where that counts.
@@ -299,7 +301,7 @@
 
     /// Has a part of its next request come?
     fn has_begun(&self) -> bool {
-        self.socket.bytes_in() > 0 || self.socket.unread() == Unread::Data
+        self.socket.message_bytes() > 0 || self.socket.unread_input() == UnreadInput::Data
     }
 
     /// Completes once the connection is to be given up. What came in this very moment was taken, and is answered: the
@@ -307,7 +309,7 @@
     async fn given_up(&self) {
         loop {
             self.give_up.notified().await;
-            if !self.busy.get() && self.socket.unread() != Unread::Data {
+            if !self.busy.get() && self.socket.unread_input() != UnreadInput::Data {
                 return;
             }
         }
@@ -332,7 +334,7 @@
 fn serve(callers: &Rc<Callers>, stream: TcpStream, accepted: &mut u64) {
     *accepted += 1;
     let head = if callers.gate.protocol == Protocol::Http { MOST_BUFFER } else { 0 };
-    let socket = Socket::keeping(stream, head);
+    let socket = Socket::for_downstream(stream, head);
     let caller = Rc::new(Caller {
         socket: socket.clone(),
         busy: Cell::new(false),
--- a/crates/proxy/src/downstream/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -24,7 +24,7 @@
 use crate::request_reader::{self, Taken};
 use crate::router::Rejection;
 use crate::rpc_mapping;
-use crate::socket::{Socket, Unread};
+use crate::socket::{Socket, UnreadInput};
 
 /// A caller that takes nothing of its answers for so long has gone.
 const UNREAD: Duration = Duration::from_secs(10);
@@ -111,13 +111,14 @@
             }
             self.caller.busy.set(self.open > 0 || !self.out.is_empty());
             let closing = told || self.unwanted;
-            let reading = self.open < most && !self.broken && (!closing || socket.unread() == Unread::Data);
+            let reading =
+                self.open < most && !self.broken && (!closing || socket.unread_input() == UnreadInput::Data);
             if (closing || self.broken) && !reading && !self.caller.busy.get() {
                 break;
             }
             if reading && paused {
                 // The wait was ours, not the caller's.
-                socket.next_message(0);
+                socket.start_next_message(0);
             }
             paused = !reading;
             tokio::select! {
@@ -205,7 +206,7 @@
     fn take(&mut self, frame: Bytes) {
         self.taken += 1;
         self.caller.asked.set(true);
-        self.caller.socket.next_message(0);
+        self.caller.socket.start_next_message(0);
         let received = Instant::now();
         match jsonrpc::parse(&frame, &Bounds::default()) {
             Ok(Parsed::One(entry)) => {
@@ -390,7 +391,7 @@
         tally.end(answer.fate());
         Some(match answer {
             Answer::Served(headers, body) => {
-                let body = body.whole().unwrap_or_default();
+                let body = body.buffered().unwrap_or_default();
                 jsonrpc::response(id, &rpc_mapping::result_of(&headers, &body))
             }
             Answer::Refused { retry_after, .. } => {
--- a/crates/proxy/src/downstream/serving.rs
+++ b/crates/proxy/src/downstream/serving.rs
@@ -51,7 +51,7 @@
         match course.on_rejected(never_ran) {
             RejectionOutcome::Final => break answer,
             // What has flowed cannot be sent a second time, wherever.
-            RejectionOutcome::NextPool if message.body().flow().is_some() => break answer,
+            RejectionOutcome::NextPool if message.body().streaming().is_some() => break answer,
             RejectionOutcome::Failed => break Answer::Failed,
             RejectionOutcome::NextPool => {
                 new.endpoint_filter = course.endpoint_filter();
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -139,9 +139,9 @@
                 let attempts = Vec::new();
                 let open =
                     Open { message, client, answer, begun, attempts, timed_out: false, may_have_run: false };
-                if let Some(flow) = open.message.body().flow() {
+                if let Some(flow) = open.message.body().streaming() {
                     let (handle, id) = (self.handle(), new.id);
-                    flow.at_end(move || handle.tell(DriverInput::Came(id)));
+                    flow.on_complete(move || handle.tell(DriverInput::Came(id)));
                 }
                 self.open.insert(new.id, open);
                 self.decide(Event::Request(new));
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Request};
 
-use crate::body::Content;
+use crate::body::MessageBody;
 use crate::metrics::RequestOutcome;
 
 /// The largest body that is held whole, and so can be sent a second time; a larger one flows where it may, or is turned away.
@@ -26,7 +26,7 @@
 pub const TIMEOUT: &str = "x-timeout-ms";
 
 /// A request as it goes to a backend.
-pub type Message = Request<Content>;
+pub type Message = Request<MessageBody>;
 
 /// How long a caller waits for the answer once the request has come whole; goes along where that flows.
 #[derive(Clone, Copy, Debug)]
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A backend's answer, whole or flowing.
-    Served(HeaderMap, Content),
+    Served(HeaderMap, MessageBody),
     /// Refused by the decisions: trying again there is harmless.
     Refused {
         /// After this time, if it is not 0.
@@ -107,7 +107,7 @@
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
     /// With an attempt's [`Outcome::Ok`]: the answer.
-    pub answer: Option<(HeaderMap, Content)>,
+    pub answer: Option<(HeaderMap, MessageBody)>,
 }
 
 impl From<Outcome> for Ended {
--- a/crates/proxy/src/idempotency_keys.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -85,7 +85,7 @@
     pub fn answered(&mut self, answer: &Answer) {
         let Answer::Served(headers, body) = answer else { return };
         // One that flows is not held, and never is where keys are.
-        let Some(body) = body.whole() else { return };
+        let Some(body) = body.buffered() else { return };
         self.served = true;
         let bytes =
             headers.iter().map(|(n, v)| HEADER + n.as_str().len() + v.len()).sum::<usize>() + body.len();
--- a/crates/proxy/src/request_reader.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -11,14 +11,14 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::time::Instant;
 
-use crate::body::{self, Content, Flow, Gathered, MayFlow};
+use crate::body::{self, BufferOutcome, MessageBody, StreamedResponseLimit, StreamingBody};
 use crate::exchange::{remove_hop_by_hop, Answer, Called, Message, Patience, ID, KEY, MOST_BODY, TIMEOUT};
 use crate::framing;
 use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
 use crate::metrics::{RequestCounters, Tally};
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
 use crate::router::{single_header_value, Connection, PoolSequence, Rejection, RouteDecision, Router};
-use crate::socket::{Socket, Unread};
+use crate::socket::{Socket, UnreadInput};
 
 /// The longest wait that makes sense, in milliseconds.
 const MOST_TIMEOUT: u64 = 24 * 3600 * 1000;
@@ -147,7 +147,7 @@
     pub fn close(
         self,
         mut head: Parts,
-        body: Content,
+        body: MessageBody,
         called: Option<Called>,
         ids: &OpenRequestIds,
     ) -> Result<Taken, Rejection> {
@@ -159,21 +159,24 @@
             None => None,
         };
         let mut new = new;
-        if let Some(flow) = body.flow() {
+        if let Some(flow) = body.streaming() {
             // What has flowed cannot be sent a second time.
             let most = body.size_hint().exact().or(flows).unwrap_or(MOST_BODY as u64);
             new.max_attempts = 1;
-            new.body_pending =
-                if flow.ended().is_some() { 0 } else { body::most_time(most).as_micros() as Micros };
+            new.body_pending = if flow.completed_at().is_some() {
+                0
+            } else {
+                body::max_transfer_time(most).as_micros() as Micros
+            };
         }
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
-        if body.flow().is_some() {
+        if body.streaming().is_some() {
             head.extensions.insert(Patience(patience));
         }
         // An answer that is kept for repeats is held whole.
         if let Some(most) = flows.filter(|_| held.is_none()) {
-            head.extensions.insert(MayFlow(most));
+            head.extensions.insert(StreamedResponseLimit(most));
         }
         let by_method = |method| Called { method, params: None, by_http: true };
         if let Some(called) = called.or_else(|| method.map(by_method)) {
@@ -194,7 +197,7 @@
     tally: &Rc<Tally>,
     request: Request<Incoming>,
 ) -> Result<Taken, Rejection> {
-    let began = socket.since().unwrap_or_else(Instant::now);
+    let began = socket.message_started_at().unwrap_or_else(Instant::now);
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let raw = socket.take_head();
     let head_length = framing::check(&raw)?;
@@ -217,22 +220,27 @@
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
     let most = body_most.min(MOST_BODY as u64);
-    let until = began + if flows.is_some() { body::most_time(most) } else { WHOLE.min(opened.patience) };
-    let body = match body::gather(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
-        Gathered::Whole(body) => body,
-        Gathered::Part(first, rest) if flows.is_some() && (Instant::now() < until || first.is_empty()) => {
-            let flow = Rc::new(Flow::of_request(rest, first, router.largest_body()));
+    let until =
+        began + if flows.is_some() { body::max_transfer_time(most) } else { WHOLE.min(opened.patience) };
+    let body = match body::buffer(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
+        BufferOutcome::Complete(body) => body,
+        BufferOutcome::Partial { prefix: first, rest }
+            if flows.is_some() && (Instant::now() < until || first.is_empty()) =>
+        {
+            let flow = Rc::new(StreamingBody::for_request(rest, first, router.largest_body()));
             let tally = Rc::clone(tally);
-            flow.at_end(move || tally.taken());
-            return opened.close(head, Content::Flowing(flow), None, ids);
+            flow.on_complete(move || tally.taken());
+            return opened.close(head, MessageBody::Streaming(flow), None, ids);
         }
-        Gathered::Part(..) if Instant::now() < until => return Err(StatusCode::PAYLOAD_TOO_LARGE.into()),
-        Gathered::Part(..) => return Err(StatusCode::REQUEST_TIMEOUT.into()),
+        BufferOutcome::Partial { .. } if Instant::now() < until => {
+            return Err(StatusCode::PAYLOAD_TOO_LARGE.into())
+        }
+        BufferOutcome::Partial { .. } => return Err(StatusCode::REQUEST_TIMEOUT.into()),
     };
     tally.taken();
     // A caller sends one request at a time: what comes along with this one was miscounted or is hidden in it.
     let counted = (head_length + body.len()) as u64;
-    if !chunked && socket.bytes_in() > counted || socket.unread() == Unread::Data {
+    if !chunked && socket.message_bytes() > counted || socket.unread_input() == UnreadInput::Data {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     opened.close(head, body.into(), None, ids)
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, StatusCode};
 use jsonrpc::Call;
 
-use crate::body::MOST_FLOW;
+use crate::body::MAX_STREAMED_BODY_BYTES;
 use crate::exchange::{Attempts, MOST_BODY};
 use crate::idempotency_keys::KeyScope;
 use crate::inbox::DriverHandle;
@@ -241,7 +241,7 @@
     }
 
     fn largest_body(&self) -> u64 {
-        MOST_FLOW
+        MAX_STREAMED_BODY_BYTES
     }
 
     fn whole_seconds(&self) -> bool {
--- a/crates/proxy/src/rpc_mapping.rs
+++ b/crates/proxy/src/rpc_mapping.rs
@@ -178,7 +178,7 @@
 
 /// The body of a message, which is whole where calls are spoken.
 pub fn body(message: &Message) -> Bytes {
-    message.body().whole().unwrap_or_default()
+    message.body().buffered().unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,8 @@
-//! A TCP socket that can be looked at while hyper owns it.
+//! A TCP socket whose state can be read while hyper owns its reading and writing side.
+//!
+//! Clones share the socket. One owner reads and writes; any clone may look at what has not been read yet, how many bytes
+//! were written, and whether the peer has closed. A downstream socket also keeps the bytes of the message that is being
+//! read, since hyper shows only what it made of them.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -15,136 +19,156 @@
 
 use crate::metrics::Written;
 
-/// Read at a time by [`Socket::read_some`].
-const READ: usize = 16 << 10;
+/// Bytes that [`Socket::read_some`] reads at a time.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// One owner reads and writes; any copy may ask what lies unread and what was written.
+/// A shared TCP socket.
 #[derive(Clone)]
 pub struct Socket(Rc<Shared>);
 
 struct Shared {
     stream: TcpStream,
-    written: Cell<u64>,
-    /// Told of what is written.
-    counted: Written,
-    /// What has come of the message that is being read; only where it is kept.
-    incoming: Option<RefCell<Incoming>>,
-    /// Held for as long as the descriptor is.
-    _slot: Option<Slot>,
+    bytes_written: Cell<u64>,
+    write_counter: Written,
+    /// Only of a downstream socket.
+    inbound: Option<RefCell<InboundMessage>>,
+    _descriptor: Option<DescriptorGuard>,
 }
 
-/// A message as it came. hyper shows a request only as it understood it, and hides what would tell of a second
-/// one in it.
+/// The message that is being read, as its bytes arrived.
 #[derive(Default)]
-struct Incoming {
+struct InboundMessage {
     head: Vec<u8>,
-    most: usize,
+    /// Bytes of the head that are kept at most.
+    max_head_bytes: usize,
+    /// Bytes read of it and of what follows it.
     bytes: u64,
-    since: Option<Instant>,
+    /// When its first byte arrived.
+    started_at: Option<Instant>,
+}
+
+impl InboundMessage {
+    fn new(max_head_bytes: usize) -> InboundMessage {
+        InboundMessage { max_head_bytes, ..InboundMessage::default() }
+    }
+
+    fn append(&mut self, bytes: &[u8]) {
+        if !bytes.is_empty() {
+            self.started_at.get_or_insert_with(Instant::now);
+        }
+        self.bytes += bytes.len() as u64;
+        let capacity = self.max_head_bytes.saturating_sub(self.head.len());
+        self.head.extend_from_slice(&bytes[..capacity.min(bytes.len())]);
+    }
 }
 
 /// Counts a descriptor for as long as it is open.
-pub struct Slot(Rc<Cell<usize>>);
+pub struct DescriptorGuard(Rc<Cell<usize>>);
 
-impl Slot {
-    pub fn new(count: &Rc<Cell<usize>>) -> Slot {
+impl DescriptorGuard {
+    /// Adds one to `count` until this is dropped.
+    pub fn new(count: &Rc<Cell<usize>>) -> DescriptorGuard {
         count.set(count.get() + 1);
-        Slot(Rc::clone(count))
+        DescriptorGuard(Rc::clone(count))
     }
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// What a socket holds that nobody has read yet.
+/// What the kernel holds of a socket that nobody has read yet.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Unread {
-    Nothing,
+pub enum UnreadInput {
+    /// Nothing.
+    Empty,
+    /// Bytes.
     Data,
-    /// The other side has ended or broken the connection.
+    /// The peer has closed or reset the connection.
     Closed,
 }
 
 impl Socket {
-    pub fn new(stream: TcpStream, slot: Option<Slot>) -> Socket {
-        // A message is one write, and none should wait for the acknowledgement of the one before.
-        let _ = stream.set_nodelay(true);
-        Socket(Rc::new(Shared {
-            stream,
-            written: Cell::new(0),
-            counted: Written::default(),
-            incoming: None,
-            _slot: slot,
-        }))
+    /// A socket whose `descriptor` is counted while it is open.
+    pub fn new(stream: TcpStream, descriptor: Option<DescriptorGuard>) -> Socket {
+        Socket::with_inbound(stream, None, descriptor)
     }
 
-    /// One that keeps the first bytes of each message that comes, up to so many.
-    pub fn keeping(stream: TcpStream, most: usize) -> Socket {
+    /// A socket that keeps up to `max_head_bytes` of each message that arrives.
+    pub fn for_downstream(stream: TcpStream, max_head_bytes: usize) -> Socket {
+        let inbound = RefCell::new(InboundMessage::new(max_head_bytes));
+        Socket::with_inbound(stream, Some(inbound), None)
+    }
+
+    fn with_inbound(
+        stream: TcpStream,
+        inbound: Option<RefCell<InboundMessage>>,
+        descriptor: Option<DescriptorGuard>,
+    ) -> Socket {
+        // A message is one write, and must not wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        let incoming = Some(RefCell::new(Incoming { most, ..Incoming::default() }));
         Socket(Rc::new(Shared {
             stream,
-            written: Cell::new(0),
-            counted: Written::default(),
-            incoming,
-            _slot: None,
+            bytes_written: Cell::new(0),
+            write_counter: Written::default(),
+            inbound,
+            _descriptor: descriptor,
         }))
     }
 
-    /// What came first of this message; it is kept no longer.
+    /// Takes the first bytes of the current message, and keeps no more of it.
     pub fn take_head(&self) -> Vec<u8> {
-        self.0.incoming.as_ref().map_or_else(Vec::new, |incoming| {
-            let mut incoming = incoming.borrow_mut();
-            incoming.most = 0;
-            std::mem::take(&mut incoming.head)
+        self.0.inbound.as_ref().map_or_else(Vec::new, |inbound| {
+            let mut inbound = inbound.borrow_mut();
+            inbound.max_head_bytes = 0;
+            std::mem::take(&mut inbound.head)
         })
     }
 
-    /// Bytes read of this message, and of what follows it.
-    pub fn bytes_in(&self) -> u64 {
-        self.0.incoming.as_ref().map_or(0, |incoming| incoming.borrow().bytes)
+    /// Bytes read of the current message, and of what follows it.
+    pub fn message_bytes(&self) -> u64 {
+        self.0.inbound.as_ref().map_or(0, |inbound| inbound.borrow().bytes)
     }
 
-    /// When the first byte of this message came, if any has.
-    pub fn since(&self) -> Option<Instant> {
-        self.0.incoming.as_ref().and_then(|incoming| incoming.borrow().since)
+    /// When the first byte of the current message arrived, if any has.
+    pub fn message_started_at(&self) -> Option<Instant> {
+        self.0.inbound.as_ref().and_then(|inbound| inbound.borrow().started_at)
     }
 
-    /// What comes from now on is the next message.
-    pub fn next_message(&self, most: usize) {
-        if let Some(incoming) = &self.0.incoming {
-            *incoming.borrow_mut() = Incoming { most, ..Incoming::default() };
+    /// What is read from now on belongs to the next message, of which up to `max_head_bytes` are kept.
+    pub fn start_next_message(&self, max_head_bytes: usize) {
+        if let Some(inbound) = &self.0.inbound {
+            *inbound.borrow_mut() = InboundMessage::new(max_head_bytes);
         }
     }
 
-    /// Reads what there is and hands it over: so many bytes. The buffer is there only while it is read into, so that a
-    /// silent connection costs none.
-    pub async fn read_some(&mut self, mut take: impl FnMut(&[u8])) -> io::Result<usize> {
-        poll_fn(|cx| {
-            let mut piece = [0; READ];
-            let mut piece = ReadBuf::new(&mut piece);
-            ready!(Pin::new(&mut *self).poll_read(cx, &mut piece))?;
-            take(piece.filled());
-            Poll::Ready(Ok(piece.filled().len()))
+    /// Reads what is there, hands it to `consume`, and returns the number of bytes. The buffer exists only during the read,
+    /// so that an idle connection costs none.
+    pub async fn read_some(&mut self, mut consume: impl FnMut(&[u8])) -> io::Result<usize> {
+        poll_fn(|context| {
+            let mut bytes = [0; READ_BUFFER_BYTES];
+            let mut buffer = ReadBuf::new(&mut bytes);
+            ready!(Pin::new(&mut *self).poll_read(context, &mut buffer))?;
+            consume(buffer.filled());
+            Poll::Ready(Ok(buffer.filled().len()))
         })
         .await
     }
 
     /// Counts messages as they are written.
-    pub fn counted(&self) -> &Written {
-        &self.0.counted
+    pub fn write_counter(&self) -> &Written {
+        &self.0.write_counter
     }
 
-    /// Bytes that the kernel has taken for sending up to now.
-    pub fn written(&self) -> u64 {
-        self.0.written.get()
+    /// Bytes that the kernel has accepted for sending so far.
+    pub fn bytes_written(&self) -> u64 {
+        self.0.bytes_written.get()
     }
 
-    /// Has the runtime heard that the other side has ended or broken the connection? Also where bytes lie unread before that.
-    pub fn is_ended(&self) -> bool {
+    /// Whether the runtime knows that the peer has closed or reset the connection, also where unread bytes precede that.
+    pub fn is_peer_closed(&self) -> bool {
         let ready = pin!(self.0.stream.ready(Interest::READABLE));
         match ready.poll(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(Ok(ready)) => ready.is_read_closed(),
@@ -153,67 +177,60 @@
         }
     }
 
-    /// Asks the kernel, which knows of a closure before the runtime has come round to it.
-    pub fn unread(&self) -> Unread {
+    /// Asks the kernel what is unread; it knows of a close before the runtime does.
+    pub fn unread_input(&self) -> UnreadInput {
         match SockRef::from(&self.0.stream).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => Unread::Closed,
-            Ok(_) => Unread::Data,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
-            Err(_) => Unread::Closed,
-        }
-    }
-}
-
-impl Incoming {
-    fn take(&mut self, bytes: &[u8]) {
-        if !bytes.is_empty() {
-            self.since.get_or_insert_with(Instant::now);
+            Ok(0) => UnreadInput::Closed,
+            Ok(_) => UnreadInput::Data,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadInput::Empty,
+            Err(_) => UnreadInput::Closed,
         }
-        self.bytes += bytes.len() as u64;
-        let room = self.most.saturating_sub(self.head.len()).min(bytes.len());
-        self.head.extend_from_slice(&bytes[..room]);
     }
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
-            ready!(self.0.stream.poll_read_ready(cx))?;
-            match self.0.stream.try_read(buf.initialize_unfilled()) {
-                Ok(n) => {
-                    if let Some(incoming) = &self.0.incoming {
-                        incoming.borrow_mut().take(&buf.initialize_unfilled()[..n]);
+            ready!(self.0.stream.poll_read_ready(context))?;
+            match self.0.stream.try_read(buffer.initialize_unfilled()) {
+                Ok(count) => {
+                    if let Some(inbound) = &self.0.inbound {
+                        inbound.borrow_mut().append(&buffer.initialize_unfilled()[..count]);
                     }
-                    buf.advance(n);
+                    buffer.advance(count);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_vectored(cx, &[io::IoSlice::new(data)])
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_write_vectored(context, &[io::IoSlice::new(data)])
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        parts: &[io::IoSlice<'_>],
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.0.stream.poll_write_ready(cx))?;
-            match self.0.stream.try_write_vectored(parts) {
-                Ok(n) => {
-                    self.0.written.set(self.0.written.get() + n as u64);
-                    self.0.counted.wrote();
-                    return Poll::Ready(Ok(n));
+            ready!(self.0.stream.poll_write_ready(context))?;
+            match self.0.stream.try_write_vectored(slices) {
+                Ok(count) => {
+                    self.0.bytes_written.set(self.0.bytes_written.get() + count as u64);
+                    self.0.write_counter.wrote();
+                    return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
@@ -232,34 +249,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use std::io::Write;
-    use std::net::TcpListener;
-
-    use super::*;
-
-    #[test]
-    fn the_kernel_tells_what_lies_unread() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        runtime.block_on(async {
-            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let stream = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("listens");
-            let (mut other, _) = listener.accept().expect("connects");
-            let socket = Socket::new(stream, None);
-            assert_eq!(socket.unread(), Unread::Nothing);
-            other.write_all(b"x").expect("written");
-            // Even on loopback what was sent may take a moment to arrive.
-            while socket.unread() == Unread::Nothing {
-                std::thread::yield_now();
-            }
-            assert_eq!(socket.unread(), Unread::Data);
-            socket.0.stream.readable().await.expect("ready");
-            assert_eq!(socket.0.stream.try_read(&mut [0; 8]).ok(), Some(1));
-            drop(other);
-            while socket.unread() == Unread::Nothing {
-                std::thread::yield_now();
-            }
-            assert_eq!(socket.unread(), Unread::Closed);
-        });
-    }
-}
+mod tests;
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -27,11 +27,11 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 use self::rpc_connection::{is_over, End, RpcLink};
-use crate::body::{self, Content, Cut, Flow, Gathered, MayFlow};
+use crate::body::{self, BodyError, BufferOutcome, MessageBody, StreamedResponseLimit, StreamingBody};
 use crate::exchange::{remove_hop_by_hop, Client, Ended, Message, MOST_BODY, MOST_BUFFER, TIMEOUT};
 use crate::log::say;
 use crate::rpc_mapping;
-use crate::socket::{Slot, Socket, Unread};
+use crate::socket::{DescriptorGuard, Socket, UnreadInput};
 
 /// The part of the backends' keep-alive time for which an idle connection is kept: well before the backend
 /// closes it, so that no request crosses the closing.
@@ -136,7 +136,7 @@
 
 /// A connection. Dropping it closes it.
 pub struct Link {
-    sender: SendRequest<Content>,
+    sender: SendRequest<MessageBody>,
     socket: Socket,
     task: AbortHandle,
 }
@@ -150,7 +150,7 @@
 impl Link {
     fn is_usable(&self) -> bool {
         // The kernel knows of a closure before the connection's task does.
-        self.sender.is_ready() && self.socket.unread() == Unread::Nothing
+        self.sender.is_ready() && self.socket.unread_input() == UnreadInput::Empty
     }
 }
 
@@ -361,7 +361,7 @@
             // The want is this proxy's own and tells nothing of the backend.
             return Err(Outcome::NotSent);
         }
-        let slot = Slot::new(&self.links);
+        let slot = DescriptorGuard::new(&self.links);
         let limit = Instant::now() + Duration::from_micros(self.transport.connect_timeout as u64);
         let Ok(Ok(stream)) = timeout_at(limit, TcpStream::connect(address)).await else {
             return Err(Outcome::ConnectFailed);
@@ -422,11 +422,11 @@
             let late = if progress.get() == 0 { Outcome::NotSent } else { Outcome::Timeout };
             return (ended.unwrap_or_else(|_| late.into()), None);
         }
-        let flow = order.message.body().flow();
+        let flow = order.message.body().streaming();
         let late = async {
             match (flow, order.patience) {
                 // The caller's time counts from the last byte that it sent.
-                (Some(flow), Some(patience)) => sleep_until(flow.end_of_it().await + patience).await,
+                (Some(flow), Some(patience)) => sleep_until(flow.wait_complete().await + patience).await,
                 _ => pending().await,
             }
         };
@@ -439,7 +439,7 @@
             // Nothing was sent, so nothing ran: the time went in connecting.
             None if !order.begun.get() => (Outcome::NotSent.into(), None),
             // A backend begins once it has the last byte.
-            None if flow.is_some_and(|f| f.ended().is_none()) => (Outcome::NotSent.into(), None),
+            None if flow.is_some_and(|f| f.completed_at().is_none()) => (Outcome::NotSent.into(), None),
             None => (Outcome::Timeout.into(), None),
         }
     }
@@ -477,25 +477,26 @@
             let left = HeaderValue::from(left.as_millis().max(1) as u64);
             message.headers_mut().insert(TIMEOUT, left);
             order.begun.set(true);
-            let before = link.socket.written();
-            match order.message.body().flow() {
-                None => link.socket.counted().at_next_write(&self.tries),
+            let before = link.socket.bytes_written();
+            match order.message.body().streaming() {
+                None => link.socket.write_counter().at_next_write(&self.tries),
                 Some(flow) => {
                     let (socket, tries) = (link.socket.clone(), self.tries.clone());
-                    flow.at_end(move || socket.counted().at_next_write(&tries));
+                    flow.on_complete(move || socket.write_counter().at_next_write(&tries));
                 }
             }
             let response = match link.sender.try_send_request(message).await {
                 Ok(response) => response,
                 Err(mut e) => {
-                    link.socket.counted().not();
-                    if let Some(flow) = order.message.body().flow().filter(|flow| flow.is_begun()) {
+                    link.socket.write_counter().not();
+                    if let Some(flow) = order.message.body().streaming().filter(|flow| flow.is_read_started())
+                    {
                         // Without its last byte a backend begins nothing; and what was read is gone.
-                        let whole = flow.ended().is_some();
+                        let whole = flow.completed_at().is_some();
                         return (if whole { Outcome::Reset } else { Outcome::NotSent }.into(), None);
                     }
                     // Given back, or not a byte of it taken by the kernel: it cannot have run.
-                    if e.take_message().is_none() && link.socket.written() > before {
+                    if e.take_message().is_none() && link.socket.bytes_written() > before {
                         return (Outcome::Reset.into(), None);
                     }
                     // An idle connection had just closed, and the next may serve.
@@ -564,14 +565,15 @@
         let turned_away = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
         // Small ones are owed whole, and held whole may be asked for again should they break off.
         let may_flow = order.message.extensions().get();
-        let may_flow =
-            may_flow.filter(|_| head.status == StatusCode::OK && !body::is_owed_whole(&body)).copied();
+        let may_flow = may_flow
+            .filter(|_| head.status == StatusCode::OK && !body::must_complete_within_deadline(&body))
+            .copied();
         let body = if may_flow.is_some() {
             // Those of unknown length are gathered for a while, and go on as they come if that is not enough.
-            body::gather(body, MOST_BODY, Instant::now() + GATHERED).await
+            body::buffer(body, MOST_BODY, Instant::now() + GATHERED).await
         } else {
             let whole = Limited::new(body, MOST_BODY).collect().await;
-            whole.map(|b| Gathered::Whole(b.to_bytes())).map_err(|_| Cut::Broken)
+            whole.map(|b| BufferOutcome::Complete(b.to_bytes())).map_err(|_| BodyError::Interrupted)
         };
         let outcome = match head.status {
             StatusCode::OK if body.is_err() => Outcome::Reset,
@@ -583,18 +585,20 @@
             return (Ended { outcome, report, answer: None }, None);
         };
         let (content, link) = match body {
-            Gathered::Whole(body) => (body.into(), Some(link)),
-            Gathered::Part(first, rest) => {
-                let flow = Rc::new(Flow::of_answer(
+            BufferOutcome::Complete(body) => (body.into(), Some(link)),
+            BufferOutcome::Partial { prefix: first, rest } => {
+                let flow = Rc::new(StreamingBody::for_response(
                     rest,
                     first,
-                    may_flow.map_or(0, |MayFlow(most)| most),
+                    may_flow.map_or(0, |StreamedResponseLimit(most)| most),
                     order.until,
                 ));
                 // Kept open until then; dropped with the body, it ends there.
                 let (backends, id) = (Rc::clone(self), order.backend);
-                flow.at_end(move || drop(spawn_local(async move { backends.reuse(id, Some(link)).await })));
-                (Content::Flowing(flow), None)
+                flow.on_complete(move || {
+                    drop(spawn_local(async move { backends.reuse(id, Some(link)).await }))
+                });
+                (MessageBody::Streaming(flow), None)
             }
         };
         let answer = (outcome == Outcome::Ok).then(|| {
@@ -636,7 +640,7 @@
             Ok(link) => link,
             Err(outcome) => return outcome.into(),
         };
-        let mut request = Request::new(Content::default());
+        let mut request = Request::new(MessageBody::default());
         *request.method_mut() = Method::GET;
         *request.uri_mut() = hyper::Uri::from_static("/load");
         request.headers_mut().insert(header::HOST, HeaderValue::from_static("backend"));
