--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -356,7 +356,7 @@
         }
         let framing = match framing.as_ref().map(|word| (word, word.get_ref().as_str())) {
             None | Some((_, "line")) => Framing::Line,
-            Some((_, "content-length")) => Framing::Length,
+            Some((_, "content-length")) => Framing::ContentLength,
             Some((word, other)) => {
                 let help = one_of(other, &["line", "content-length"]);
                 self.fault(word.span(), format!("`framing`: {other:?} is none"), Some(help));
--- a/crates/jsonrpc/src/framing.rs
+++ b/crates/jsonrpc/src/framing.rs
@@ -1,128 +1,139 @@
-//! Where one message ends and the next begins.
+//! Splits a stream of bytes into messages, and frames messages for sending.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::Bounds;
+use crate::Limits;
 
-/// How messages are told apart.
+/// How messages are delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// One message a line, which ends with LF or CR LF.
     Line,
-    /// A head with `Content-Length`, as in the language server protocol.
-    Length,
+    /// A header with `Content-Length`, as in the language server protocol.
+    ContentLength,
 }
 
-/// Why nothing more can be read: nobody knows where the next message begins.
+/// Why a stream can no longer be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unframed {
-    /// A message of more bytes than are taken.
+pub enum FramingError {
+    /// A message is larger than its limit.
     TooLarge,
-    /// A head that is none.
-    BadHead,
-    /// The bytes ended inside a message.
-    Cut,
+    /// A header is malformed.
+    InvalidHeader,
+    /// The stream ended inside a message.
+    UnexpectedEnd,
 }
 
-impl std::fmt::Display for Unframed {
+impl std::fmt::Display for FramingError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Unframed::TooLarge => "a message of more bytes than are taken",
-            Unframed::BadHead => "a head that is none",
-            Unframed::Cut => "the bytes ended inside a message",
+            FramingError::TooLarge => "a message of more bytes than are taken",
+            FramingError::InvalidHeader => "a head that is none",
+            FramingError::UnexpectedEnd => "the bytes ended inside a message",
         })
     }
 }
 
-impl std::error::Error for Unframed {}
+impl std::error::Error for FramingError {}
 
-/// The longest head of the [`Framing::Length`], in bytes.
-const MOST_HEAD: usize = 512;
+/// The longest header of [`Framing::ContentLength`], in bytes.
+const MAX_HEADER_BYTES: usize = 512;
+/// The end of a header.
+const HEADER_END: &[u8] = b"\r\n\r\n";
+/// Digits of the longest `Content-Length` that is read.
+const MAX_LENGTH_DIGITS: usize = 18;
 
-/// Cuts a stream of bytes into messages. Holds one message at most, and what came with it.
+/// Splits a stream of bytes into messages. Buffers one message at most, and what arrived with it.
 #[derive(Debug)]
-pub struct Framer {
+pub struct FrameDecoder {
     framing: Framing,
-    bounds: Bounds,
-    held: BytesMut,
-    /// Looked through up to here, so that no byte is looked at over and over.
-    seen: usize,
-    /// The bytes of the message that has begun.
-    length: Option<usize>,
-    broken: Option<Unframed>,
+    limits: Limits,
+    buffer: BytesMut,
+    /// Bytes already searched for the end of a line or header, so that none is searched twice.
+    searched_bytes: usize,
+    /// The length of the current message, once its header was read.
+    content_length: Option<usize>,
+    error: Option<FramingError>,
 }
 
-impl Framer {
-    /// One for a new connection.
+impl FrameDecoder {
+    /// A decoder for a new connection.
     #[must_use]
-    pub fn new(framing: Framing, bounds: Bounds) -> Framer {
-        Framer { framing, bounds, held: BytesMut::new(), seen: 0, length: None, broken: None }
+    pub fn new(framing: Framing, limits: Limits) -> FrameDecoder {
+        FrameDecoder {
+            framing,
+            limits,
+            buffer: BytesMut::new(),
+            searched_bytes: 0,
+            content_length: None,
+            error: None,
+        }
     }
 
-    /// Takes bytes in.
+    /// Appends bytes that arrived.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.broken.is_none() {
-            self.held.extend_from_slice(bytes);
+        if self.error.is_none() {
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes that are held.
+    /// The number of buffered bytes.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
-    /// The next whole message, if it has come. Empty lines are passed over.
+    /// The next complete message, if it has arrived. Empty lines are skipped.
     ///
     /// # Errors
-    /// The stream cannot be cut up any more; that stays so.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<Bytes>, Unframed> {
-        if let Some(broken) = self.broken {
-            return Err(broken);
+    /// The stream can no longer be split; later calls return the same error.
+    pub fn next_frame(&mut self) -> Result<Option<Bytes>, FramingError> {
+        if let Some(error) = self.error {
+            return Err(error);
         }
-        let next = match self.framing {
+        let frame = match self.framing {
             Framing::Line => self.next_line(),
-            Framing::Length => self.next_measured(),
+            Framing::ContentLength => self.next_with_length(),
         };
-        if let Err(broken) = next {
-            self.broken = Some(broken);
-            self.held = BytesMut::new();
+        if let Err(error) = frame {
+            self.error = Some(error);
+            self.buffer = BytesMut::new();
         }
-        next
+        frame
     }
 
-    /// The stream has ended: is a message cut?
+    /// Checks that the stream ended between two messages.
     ///
     /// # Errors
-    /// It is.
-    pub fn end(&self) -> Result<(), Unframed> {
-        match self.broken {
-            Some(broken) => Err(broken),
-            None if self.length.is_some() || !self.held.iter().all(u8::is_ascii_whitespace) => {
-                Err(Unframed::Cut)
-            }
-            None => Ok(()),
+    /// It ended inside a message, or could not be split before.
+    pub fn finish(&self) -> Result<(), FramingError> {
+        if let Some(error) = self.error {
+            return Err(error);
         }
+        if self.content_length.is_some() || !self.buffer.iter().all(u8::is_ascii_whitespace) {
+            return Err(FramingError::UnexpectedEnd);
+        }
+        Ok(())
     }
 
-    fn next_line(&mut self) -> Result<Option<Bytes>, Unframed> {
+    fn next_line(&mut self) -> Result<Option<Bytes>, FramingError> {
         loop {
-            let end = self.held[self.seen..].iter().position(|b| *b == b'\n').map(|at| self.seen + at);
-            let Some(end) = end else {
-                self.seen = self.held.len();
+            let unsearched = &self.buffer[self.searched_bytes..];
+            let Some(offset) = unsearched.iter().position(|byte| *byte == b'\n') else {
+                self.searched_bytes = self.buffer.len();
                 // One more for the CR.
-                let over = self.held.len() > self.bounds.bytes + 1;
-                return if over { Err(Unframed::TooLarge) } else { Ok(None) };
+                let is_too_large = self.buffer.len() > self.limits.message_bytes + 1;
+                return if is_too_large { Err(FramingError::TooLarge) } else { Ok(None) };
             };
-            self.seen = 0;
-            let mut line = self.held.split_to(end + 1).freeze();
+            let end = self.searched_bytes + offset;
+            self.searched_bytes = 0;
+            let mut line = self.buffer.split_to(end + 1).freeze();
             line.truncate(end);
             if line.last() == Some(&b'\r') {
                 line.truncate(end - 1);
             }
-            if line.len() > self.bounds.bytes {
-                return Err(Unframed::TooLarge);
+            if line.len() > self.limits.message_bytes {
+                return Err(FramingError::TooLarge);
             }
             if !line.iter().all(u8::is_ascii_whitespace) {
                 return Ok(Some(line));
@@ -130,68 +141,81 @@
         }
     }
 
-    fn next_measured(&mut self) -> Result<Option<Bytes>, Unframed> {
-        if self.length.is_none() {
-            // The end may have begun in what was looked through before.
-            let from = self.seen.saturating_sub(3);
-            let end = self.held[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at);
-            let Some(end) = end else {
-                self.seen = self.held.len();
-                return if self.held.len() > MOST_HEAD { Err(Unframed::BadHead) } else { Ok(None) };
-            };
-            if end > MOST_HEAD {
-                return Err(Unframed::BadHead);
-            }
-            let length = content_length(&self.held[..end]).ok_or(Unframed::BadHead)?;
-            if length > self.bounds.bytes {
-                return Err(Unframed::TooLarge);
-            }
-            self.held.advance(end + 4);
-            self.length = Some(length);
-            self.seen = 0;
+    fn next_with_length(&mut self) -> Result<Option<Bytes>, FramingError> {
+        if self.content_length.is_none() {
+            self.content_length = self.next_header()?;
+        }
+        let Some(length) = self.content_length.filter(|length| self.buffer.len() >= *length) else {
+            return Ok(None);
+        };
+        self.content_length = None;
+        Ok(Some(self.buffer.split_to(length).freeze()))
+    }
+
+    /// Consumes the next header, if it is complete: the length of its message.
+    fn next_header(&mut self) -> Result<Option<usize>, FramingError> {
+        // The delimiter may have begun in what was searched before.
+        let from = self.searched_bytes.saturating_sub(HEADER_END.len() - 1);
+        let mut windows = self.buffer[from..].windows(HEADER_END.len());
+        let Some(offset) = windows.position(|window| window == HEADER_END) else {
+            self.searched_bytes = self.buffer.len();
+            let is_too_long = self.buffer.len() > MAX_HEADER_BYTES;
+            return if is_too_long { Err(FramingError::InvalidHeader) } else { Ok(None) };
+        };
+        let end = from + offset;
+        if end > MAX_HEADER_BYTES {
+            return Err(FramingError::InvalidHeader);
+        }
+        let length = parse_content_length(&self.buffer[..end]).ok_or(FramingError::InvalidHeader)?;
+        if length > self.limits.message_bytes {
+            return Err(FramingError::TooLarge);
         }
-        let whole = self.length.filter(|length| self.held.len() >= *length);
-        Ok(whole.map(|length| {
-            self.length = None;
-            self.held.split_to(length).freeze()
-        }))
+        self.buffer.advance(end + HEADER_END.len());
+        self.searched_bytes = 0;
+        Ok(Some(length))
     }
 }
 
-/// The one `Content-Length` of a head, whose other fields say nothing here.
-fn content_length(head: &[u8]) -> Option<usize> {
-    let head = std::str::from_utf8(head).ok()?;
+/// The one `Content-Length` of a header; other fields are ignored. None where the header is malformed.
+fn parse_content_length(header: &[u8]) -> Option<usize> {
+    let header = std::str::from_utf8(header).ok()?;
     let mut length = None;
-    for line in head.split("\r\n") {
+    for line in header.split("\r\n") {
         let (name, value) = line.split_once(':')?;
-        if line.contains(['\r', '\n']) || name.is_empty() || name.contains(|c: char| !c.is_ascii_graphic()) {
+        let is_name = !name.is_empty() && name.chars().all(|character| character.is_ascii_graphic());
+        if line.contains(['\r', '\n']) || !is_name {
             return None;
         }
-        if name.eq_ignore_ascii_case("content-length") {
-            let digits = value.trim_matches([' ', '\t']);
-            let plain =
-                !digits.is_empty() && digits.len() <= 18 && digits.bytes().all(|b| b.is_ascii_digit());
-            let read = digits.parse().ok().filter(|_| plain && length.is_none());
-            length = Some(read?);
+        if !name.eq_ignore_ascii_case("content-length") {
+            continue;
         }
+        if length.is_some() {
+            return None;
+        }
+        length = Some(parse_digits(value.trim_matches([' ', '\t']))?);
     }
     length
 }
 
-/// A message as it goes out.
+fn parse_digits(digits: &str) -> Option<usize> {
+    let is_plain =
+        (1..=MAX_LENGTH_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit());
+    is_plain.then(|| digits.parse().ok())?
+}
+
+/// Frames a message for sending.
 #[must_use]
-pub fn frame(framing: Framing, message: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(message.len() + 32);
+pub fn encode_frame(framing: Framing, message: &[u8]) -> Vec<u8> {
     match framing {
         Framing::Line => {
-            // Line ends stand between members only, since inside strings JSON encodes them.
-            out.extend(message.iter().map(|b| if matches!(b, b'\n' | b'\r') { b' ' } else { *b }));
-            out.push(b'\n');
+            // Line ends stand between members only, since JSON escapes them inside strings.
+            let as_space = |byte: &u8| if matches!(byte, b'\n' | b'\r') { b' ' } else { *byte };
+            message.iter().map(as_space).chain([b'\n']).collect()
         }
-        Framing::Length => {
-            out.extend(format!("Content-Length: {}\r\n\r\n", message.len()).into_bytes());
-            out.extend_from_slice(message);
+        Framing::ContentLength => {
+            let mut frame = format!("Content-Length: {}\r\n\r\n", message.len()).into_bytes();
+            frame.extend_from_slice(message);
+            frame
         }
     }
-    out
 }
--- a/crates/jsonrpc/src/lib.rs
+++ b/crates/jsonrpc/src/lib.rs
@@ -1,60 +1,63 @@
 //! JSON-RPC 2.0 messages and their framing, as a proxy needs them.
 //!
-//! Pure: bytes in, messages out. What a proxy passes on it does not read: `params`, `result`, `data` and ids stay the
-//! bytes that came ([`serde_json::value::RawValue`] borrowed from the frame), so that an id of four hundred digits or
-//! a number that no double holds goes on as it was. Everything is bounded ([`Bounds`]), and no bytes cause a panic.
+//! The crate does no I/O: bytes in, messages out. What a proxy forwards is not parsed: `params`, `result`, `data` and ids
+//! stay the bytes that arrived ([`serde_json::value::RawValue`] borrowed from the frame), so that an id of four hundred
+//! digits or a number that no double can represent is forwarded unchanged. All input is bounded by [`Limits`], and no
+//! input causes a panic.
 #![warn(missing_docs)]
 
+mod encode;
 mod framing;
 mod message;
-mod write;
+mod object;
 
-pub use framing::{frame, Framer, Framing, Unframed};
-pub use message::{members, parse, Body, Call, Entry, Invalid, Parsed, Response};
-pub use write::{batch, error, request, response};
+pub use encode::{encode_batch, encode_error, encode_request, encode_response};
+pub use framing::{encode_frame, FrameDecoder, Framing, FramingError};
+pub use message::{parse, Call, InvalidMessage, Message, MessageResult, Parsed, Response};
+pub use object::object_members;
 
-/// Bounds of what is read from a peer.
+/// Limits of what is read from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// Bytes of a message, its line end or head not counted.
-    pub bytes: usize,
-    /// Arrays and objects within one another.
-    pub depth: usize,
+pub struct Limits {
+    /// Bytes of a message, without its line end or header.
+    pub message_bytes: usize,
+    /// Nesting of arrays and objects.
+    pub nesting_depth: usize,
     /// Entries of a batch.
-    pub entries: usize,
+    pub batch_entries: usize,
     /// Bytes of an id as it is written.
-    pub id: usize,
+    pub id_bytes: usize,
 }
 
-impl Default for Bounds {
-    /// 64 KiB, as for bodies over HTTP; 64 deep; 100 entries; an id of 1 KiB.
+impl Default for Limits {
+    /// 64 KiB as for buffered bodies over HTTP, 64 levels, 100 entries, an id of 1 KiB.
     fn default() -> Self {
-        Bounds { bytes: 64 << 10, depth: 64, entries: 100, id: 1 << 10 }
+        Limits { message_bytes: 64 << 10, nesting_depth: 64, batch_entries: 100, id_bytes: 1 << 10 }
     }
 }
 
 /// Error codes: those of the specification, and those that a server may define (-32099 to -32000).
 pub mod code {
     /// Not JSON.
-    pub const PARSE: i64 = -32700;
-    /// JSON, and no request.
+    pub const PARSE_ERROR: i64 = -32700;
+    /// JSON that is not a request.
     pub const INVALID_REQUEST: i64 = -32600;
     /// No method of this name.
-    pub const NO_METHOD: i64 = -32601;
-    /// Parameters that the method does not take.
+    pub const METHOD_NOT_FOUND: i64 = -32601;
+    /// Parameters that the method does not accept.
     pub const INVALID_PARAMS: i64 = -32602;
-    /// A fault in the server: it may have run.
-    pub const INTERNAL: i64 = -32603;
-    /// Refused: trying again is harmless.
-    pub const REFUSED: i64 = -32000;
-    /// Failed: it may have run.
+    /// A fault in the server; the call may have been executed.
+    pub const INTERNAL_ERROR: i64 = -32603;
+    /// Rejected; a retry is harmless.
+    pub const REJECTED: i64 = -32000;
+    /// Failed; the call may have been executed.
     pub const FAILED: i64 = -32001;
-    /// Out of time: it may have run.
+    /// Timed out; the call may have been executed.
     pub const TIMED_OUT: i64 = -32002;
-    /// The id or the key of a request that is open.
-    pub const OPEN: i64 = -32003;
-    /// Turned away by a server before anything ran.
+    /// Another call with this id or idempotency key is open.
+    pub const CONFLICT: i64 = -32003;
+    /// Rejected by a server before anything was executed.
     pub const NOT_PROCESSED: i64 = -32004;
-    /// Larger than is taken.
+    /// Larger than a limit.
     pub const TOO_LARGE: i64 = -32005;
 }
--- a/crates/jsonrpc/src/message.rs
+++ b/crates/jsonrpc/src/message.rs
@@ -1,47 +1,46 @@
-//! What a frame holds.
+//! Parses the content of a frame into messages.
 
 use std::borrow::Cow;
-use std::fmt;
 
-use serde::de::{self, Deserializer, IgnoredAny, MapAccess, Visitor};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::{code, Bounds};
+use crate::object::{members_with_repeats, BorrowedText};
+use crate::{code, Limits};
 
-/// What a frame holds.
+/// The content of a frame.
 #[derive(Debug)]
 pub enum Parsed<'a> {
     /// One message.
-    One(Entry<'a>),
-    /// Several; never none.
-    Batch(Vec<Entry<'a>>),
+    One(MessageResult<'a>),
+    /// Several; never empty.
+    Batch(Vec<MessageResult<'a>>),
 }
 
-/// A message, or why it is none.
-pub type Entry<'a> = Result<Body<'a>, Invalid<'a>>;
+/// A message, or why it is invalid.
+pub type MessageResult<'a> = Result<Message<'a>, InvalidMessage<'a>>;
 
 /// A message.
 #[derive(Debug)]
-pub enum Body<'a> {
+pub enum Message<'a> {
     /// A request or notification.
     Call(Call<'a>),
-    /// An answer.
+    /// A response.
     Response(Response<'a>),
 }
 
-/// A request; without an id a notification.
+/// A request; a notification where it has no id.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
     /// As it was sent: a string, a whole number or null.
     pub id: Option<&'a RawValue>,
-    /// The method.
+    /// The method's name.
     pub method: Cow<'a, str>,
-    /// An array or object, if there are any.
+    /// An array or object, if there is one.
     pub params: Option<&'a RawValue>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Response<'a> {
     /// As it was sent.
@@ -50,20 +49,24 @@
     pub outcome: Result<&'a RawValue, &'a RawValue>,
 }
 
-/// Why something is no message, and the id to say so with where it has one.
+/// Why something is not a message, with the id to report that under where it has one.
 #[derive(Clone, Debug)]
-pub struct Invalid<'a> {
-    /// The id, if there is one that can be read.
+pub struct InvalidMessage<'a> {
+    /// The id, if there is a valid one.
     pub id: Option<&'a RawValue>,
-    /// The code of the error.
+    /// The error code.
     pub code: i64,
-    /// In words.
-    pub why: &'static str,
+    /// The error message.
+    pub reason: &'static str,
 }
 
-impl Invalid<'_> {
-    fn new(code: i64, why: &'static str) -> Self {
-        Invalid { id: None, code, why }
+impl<'a> InvalidMessage<'a> {
+    fn new(code: i64, reason: &'static str) -> Self {
+        InvalidMessage { id: None, code, reason }
+    }
+
+    fn request(id: Option<&'a RawValue>, reason: &'static str) -> Self {
+        InvalidMessage { id, code: code::INVALID_REQUEST, reason }
     }
 }
 
@@ -72,215 +75,164 @@
     #[must_use]
     pub fn error(&self) -> Option<(i64, String)> {
         #[derive(Deserialize)]
-        struct Error {
+        struct ErrorObject {
             code: i64,
             #[serde(default)]
             message: String,
         }
-        let error: Error = serde_json::from_str(self.outcome.err()?.get()).ok()?;
+        let error: ErrorObject = serde_json::from_str(self.outcome.err()?.get()).ok()?;
         Some((error.code, error.message))
     }
 }
 
-/// Reads a frame.
+/// Parses the content of a frame.
 ///
 /// # Errors
-/// It is not JSON, or over a bound: one error is owed for all of it.
-pub fn parse<'a>(frame: &'a [u8], bounds: &Bounds) -> Result<Parsed<'a>, Invalid<'a>> {
-    if frame.len() > bounds.bytes {
-        return Err(Invalid::new(code::TOO_LARGE, "more bytes than are taken"));
+/// It is not JSON, or exceeds a limit: one error answers all of it.
+pub fn parse<'a>(frame: &'a [u8], limits: &Limits) -> Result<Parsed<'a>, InvalidMessage<'a>> {
+    if frame.len() > limits.message_bytes {
+        return Err(InvalidMessage::new(code::TOO_LARGE, "more bytes than are taken"));
+    }
+    let text = std::str::from_utf8(frame).map_err(|_| InvalidMessage::new(code::PARSE_ERROR, "not UTF-8"))?;
+    if nesting_depth(frame) > limits.nesting_depth {
+        return Err(InvalidMessage::new(code::PARSE_ERROR, "deeper than is taken"));
     }
-    let text = std::str::from_utf8(frame).map_err(|_| Invalid::new(code::PARSE, "not UTF-8"))?;
-    if depth(frame) > bounds.depth {
-        return Err(Invalid::new(code::PARSE, "deeper than is taken"));
+    let not_json = |_| InvalidMessage::new(code::PARSE_ERROR, "not JSON");
+    let json: &RawValue = serde_json::from_str(text).map_err(not_json)?;
+    if !json.get().starts_with('[') {
+        return Ok(Parsed::One(parse_message(json, limits)));
     }
-    let whole: &RawValue = serde_json::from_str(text).map_err(|_| Invalid::new(code::PARSE, "not JSON"))?;
-    if !whole.get().starts_with('[') {
-        return Ok(Parsed::One(entry(whole, bounds)));
+    let entries: Vec<&RawValue> = serde_json::from_str(json.get()).map_err(not_json)?;
+    if entries.is_empty() {
+        return Ok(Parsed::One(Err(InvalidMessage::new(code::INVALID_REQUEST, "an empty batch"))));
     }
-    let entries: Vec<&RawValue> =
-        serde_json::from_str(whole.get()).map_err(|_| Invalid::new(code::PARSE, "not JSON"))?;
-    match entries.len() {
-        0 => Ok(Parsed::One(Err(Invalid::new(code::INVALID_REQUEST, "an empty batch")))),
-        n if n > bounds.entries => Err(Invalid::new(code::TOO_LARGE, "more entries than are taken")),
-        _ => Ok(Parsed::Batch(entries.into_iter().map(|raw| entry(raw, bounds)).collect())),
+    if entries.len() > limits.batch_entries {
+        return Err(InvalidMessage::new(code::TOO_LARGE, "more entries than are taken"));
     }
+    Ok(Parsed::Batch(entries.into_iter().map(|entry| parse_message(entry, limits)).collect()))
 }
 
-/// How deep arrays and objects stand within one another.
-fn depth(json: &[u8]) -> usize {
-    let (mut depth, mut deepest, mut quoted, mut escaped) = (0_usize, 0, false, false);
+/// The deepest nesting of arrays and objects.
+fn nesting_depth(json: &[u8]) -> usize {
+    let mut depth = 0_usize;
+    let mut deepest = 0;
+    let mut is_quoted = false;
+    let mut is_escaped = false;
     for byte in json {
         match byte {
-            _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            b'[' | b'{' if !quoted => {
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_quoted => is_escaped = true,
+            b'"' => is_quoted = !is_quoted,
+            b'[' | b'{' if !is_quoted => {
                 depth += 1;
                 deepest = deepest.max(depth);
             }
-            b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
+            b']' | b'}' if !is_quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
     deepest
 }
 
-fn entry<'a>(raw: &'a RawValue, bounds: &Bounds) -> Entry<'a> {
-    let invalid = |id, why| Err(Invalid { id, code: code::INVALID_REQUEST, why });
-    if !raw.get().starts_with('{') {
-        return invalid(None, "not an object");
-    }
-    let Ok(members) = serde_json::from_str::<Members<'_>>(raw.get()) else {
-        return invalid(None, "not an object");
+fn parse_message<'a>(json: &'a RawValue, limits: &Limits) -> MessageResult<'a> {
+    let Some(envelope) = Envelope::parse(json) else {
+        return Err(InvalidMessage::request(None, "not an object"));
     };
-    let good_id = members.id.filter(|id| is_id(id, bounds));
-    if members.twice {
-        // Which of the two is meant, nobody can tell; that goes for the id as well.
-        return invalid(None, "a member is there twice");
+    if envelope.has_repeats {
+        // Which of the two is meant is ambiguous, for the id too.
+        return Err(InvalidMessage::request(None, "a member is there twice"));
     }
-    if members.id.is_some() && good_id.is_none() {
-        return invalid(None, "an id is a string, a whole number or null, of some bytes at most");
+    let id = envelope.id.filter(|id| is_valid_id(id, limits));
+    if envelope.id.is_some() && id.is_none() {
+        let reason = "an id is a string, a whole number or null, of some bytes at most";
+        return Err(InvalidMessage::request(None, reason));
     }
-    if members.jsonrpc.map(RawValue::get) != Some("\"2.0\"") {
-        return invalid(good_id, "`jsonrpc` is not \"2.0\"");
+    if envelope.jsonrpc.map(RawValue::get) != Some("\"2.0\"") {
+        return Err(InvalidMessage::request(id, "`jsonrpc` is not \"2.0\""));
     }
-    match (members.method, members.result, members.error) {
-        (Some(method), None, None) => {
-            let Ok(method) = serde_json::from_str::<CowStr<'_>>(method.get()) else {
-                return invalid(good_id, "`method` is no string");
-            };
-            if members.params.is_some_and(|p| !p.get().starts_with(['[', '{'])) {
-                return invalid(good_id, "`params` are an array or an object");
-            }
-            Ok(Body::Call(Call { id: good_id, method: method.0, params: members.params }))
+    match (envelope.method, envelope.result, envelope.error) {
+        (Some(method), None, None) => parse_call(id, method, envelope.params).map(Message::Call),
+        (None, result, error) if envelope.params.is_none() => {
+            parse_response(id, result, error).map(Message::Response)
         }
-        (None, result, error) if members.params.is_none() => match (good_id, result, error) {
-            (Some(id), Some(result), None) => Ok(Body::Response(Response { id, outcome: Ok(result) })),
-            (Some(id), None, Some(error)) if error.get().starts_with('{') => {
-                Ok(Body::Response(Response { id, outcome: Err(error) }))
-            }
-            _ => invalid(good_id, "neither a request nor a response"),
-        },
-        _ => invalid(good_id, "neither a request nor a response"),
+        _ => Err(InvalidMessage::request(id, NEITHER)),
     }
 }
 
-/// A string, a whole number or null.
-fn is_id(id: &RawValue, bounds: &Bounds) -> bool {
-    let text = id.get();
-    let whole = || {
-        let digits = text.strip_prefix('-').unwrap_or(text);
-        !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit())
+const NEITHER: &str = "neither a request nor a response";
+
+fn parse_call<'a>(
+    id: Option<&'a RawValue>,
+    method: &'a RawValue,
+    params: Option<&'a RawValue>,
+) -> Result<Call<'a>, InvalidMessage<'a>> {
+    let Ok(BorrowedText(method)) = serde_json::from_str(method.get()) else {
+        return Err(InvalidMessage::request(id, "`method` is no string"));
     };
-    // A lone half of a pair is no text that a reader can give back.
-    let string = || text.starts_with('"') && serde_json::from_str::<CowStr<'_>>(text).is_ok();
-    text.len() <= bounds.id && (text == "null" || whole() || string())
+    if params.is_some_and(|params| !params.get().starts_with(['[', '{'])) {
+        return Err(InvalidMessage::request(id, "`params` are an array or an object"));
+    }
+    Ok(Call { id, method, params })
 }
 
-/// A string that is borrowed where nothing in it is escaped.
-struct CowStr<'a>(Cow<'a, str>);
-
-impl<'de: 'a, 'a> Deserialize<'de> for CowStr<'a> {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl<'de> Visitor<'de> for Text {
-            type Value = CowStr<'de>;
-
-            fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("a string")
-            }
-
-            fn visit_borrowed_str<E: de::Error>(self, text: &'de str) -> Result<CowStr<'de>, E> {
-                Ok(CowStr(Cow::Borrowed(text)))
-            }
-
-            fn visit_str<E: de::Error>(self, text: &str) -> Result<CowStr<'de>, E> {
-                Ok(CowStr(Cow::Owned(text.to_owned())))
-            }
+fn parse_response<'a>(
+    id: Option<&'a RawValue>,
+    result: Option<&'a RawValue>,
+    error: Option<&'a RawValue>,
+) -> Result<Response<'a>, InvalidMessage<'a>> {
+    match (id, result, error) {
+        (Some(id), Some(result), None) => Ok(Response { id, outcome: Ok(result) }),
+        (Some(id), None, Some(error)) if error.get().starts_with('{') => {
+            Ok(Response { id, outcome: Err(error) })
         }
-        deserializer.deserialize_str(Text)
+        _ => Err(InvalidMessage::request(id, NEITHER)),
     }
 }
 
-/// The members of an object in their order, each as it was written. None where it is no object, or a member is there
-/// twice: nobody can tell which of them is meant.
-#[must_use]
-pub fn members(object: &str) -> Option<Vec<(Cow<'_, str>, &RawValue)>> {
-    struct All<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
-
-    impl<'de: 'a, 'a> Deserialize<'de> for All<'a> {
-        fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-            struct Object;
-            impl<'de> Visitor<'de> for Object {
-                type Value = All<'de>;
-
-                fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                    f.write_str("an object")
-                }
-
-                fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<All<'de>, A::Error> {
-                    let mut all = Vec::new();
-                    while let Some((CowStr(name), value)) = map.next_entry::<CowStr<'de>, &'de RawValue>()? {
-                        all.push((name, value));
-                    }
-                    Ok(All(all))
-                }
-            }
-            deserializer.deserialize_map(Object)
-        }
+/// Whether this is a string, a whole number or null, within its limit.
+fn is_valid_id(id: &RawValue, limits: &Limits) -> bool {
+    let text = id.get();
+    if text.len() > limits.id_bytes {
+        return false;
     }
-
-    let All(all) = serde_json::from_str(object).ok()?;
-    let mut names: Vec<&str> = all.iter().map(|(name, _)| &**name).collect();
-    names.sort_unstable();
-    names.windows(2).all(|pair| pair[0] != pair[1]).then_some(all)
+    if text.starts_with('"') {
+        // A lone surrogate cannot be sent back.
+        return serde_json::from_str::<BorrowedText<'_>>(text).is_ok();
+    }
+    let digits = text.strip_prefix('-').unwrap_or(text);
+    let is_whole_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
+    text == "null" || is_whole_number
 }
 
-/// The members of a message. A derived reader could not tell `"id": null` from no id.
+/// The members of a message that the protocol defines. A derived deserializer could not tell `"id": null` from no id.
 #[derive(Default)]
-struct Members<'a> {
+struct Envelope<'a> {
     jsonrpc: Option<&'a RawValue>,
     id: Option<&'a RawValue>,
     method: Option<&'a RawValue>,
     params: Option<&'a RawValue>,
     result: Option<&'a RawValue>,
     error: Option<&'a RawValue>,
-    /// One of these is there twice.
-    twice: bool,
+    /// One of these is there more than once.
+    has_repeats: bool,
 }
 
-impl<'de: 'a, 'a> Deserialize<'de> for Members<'a> {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Object;
-        impl<'de> Visitor<'de> for Object {
-            type Value = Members<'de>;
-
-            fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("an object")
-            }
-
-            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Members<'de>, A::Error> {
-                let mut members = Members::default();
-                while let Some(CowStr(key)) = map.next_key::<CowStr<'de>>()? {
-                    let place = match &*key {
-                        "jsonrpc" => &mut members.jsonrpc,
-                        "id" => &mut members.id,
-                        "method" => &mut members.method,
-                        "params" => &mut members.params,
-                        "result" => &mut members.result,
-                        "error" => &mut members.error,
-                        _ => {
-                            map.next_value::<IgnoredAny>()?;
-                            continue;
-                        }
-                    };
-                    let before = place.replace(map.next_value()?);
-                    members.twice |= before.is_some();
-                }
-                Ok(members)
-            }
+impl<'a> Envelope<'a> {
+    /// None where `json` is no object.
+    fn parse(json: &'a RawValue) -> Option<Envelope<'a>> {
+        let mut envelope = Envelope::default();
+        for (name, value) in members_with_repeats(json.get())? {
+            let member = match &*name {
+                "jsonrpc" => &mut envelope.jsonrpc,
+                "id" => &mut envelope.id,
+                "method" => &mut envelope.method,
+                "params" => &mut envelope.params,
+                "result" => &mut envelope.result,
+                "error" => &mut envelope.error,
+                _ => continue,
+            };
+            envelope.has_repeats |= member.replace(value).is_some();
         }
-        deserializer.deserialize_map(Object)
+        Some(envelope)
     }
 }
--- a/crates/proxy/src/downstream/rpc.rs
+++ b/crates/proxy/src/downstream/rpc.rs
@@ -10,7 +10,7 @@
 use bytes::{Buf, Bytes};
 use decide::Micros;
 use hyper::StatusCode;
-use jsonrpc::{code, Body, Bounds, Call, Framer, Framing, Parsed, Unframed};
+use jsonrpc::{code, Call, FrameDecoder, Framing, FramingError, Limits, Message, Parsed};
 use serde_json::json;
 use serde_json::value::RawValue;
 use tokio::io::AsyncWrite;
@@ -57,7 +57,7 @@
         callers: Rc::clone(callers),
         caller: Rc::clone(caller),
         framing,
-        framer: Framer::new(framing, Bounds::default()),
+        decoder: FrameDecoder::new(framing, Limits::default()),
         running: JoinSet::new(),
         ids: BTreeSet::new(),
         open: 0,
@@ -79,7 +79,7 @@
     callers: Rc<Callers>,
     caller: Rc<Caller>,
     framing: Framing,
-    framer: Framer,
+    decoder: FrameDecoder,
     running: JoinSet<Done>,
     /// The ids of open calls.
     ids: BTreeSet<String>,
@@ -103,7 +103,7 @@
         let mut paused = false;
         loop {
             while self.open < most && !self.broken {
-                match self.framer.next() {
+                match self.decoder.next_frame() {
                     Ok(Some(frame)) => self.take(frame),
                     Ok(None) => break,
                     Err(unframed) => self.unframed(unframed),
@@ -138,7 +138,7 @@
                     Err(_) => return,
                 },
                 () = sleep_until(moved + UNREAD), if !self.out.is_empty() => return,
-                read = reader.read_some(|piece| self.framer.push(piece)), if reading => match read {
+                read = reader.read_some(|piece| self.decoder.push(piece)), if reading => match read {
                     // As over HTTP, a caller that ends its side has left.
                     Ok(0) | Err(_) => return,
                     Ok(_) => {}
@@ -153,8 +153,8 @@
     async fn farewell(&mut self, writer: &mut Socket, reader: &mut Socket) {
         let params = json!({ "taken": self.taken }).to_string();
         let params = RawValue::from_string(params).ok();
-        let notice = jsonrpc::request(None, CLOSING, params.as_deref());
-        self.out.push_back((jsonrpc::frame(self.framing, &notice).into(), 0));
+        let notice = jsonrpc::encode_request(None, CLOSING, params.as_deref());
+        self.out.push_back((jsonrpc::encode_frame(self.framing, &notice).into(), 0));
         let leave = async {
             while !self.out.is_empty() {
                 let Ok(n) = write_some(writer, &self.out).await else { return };
@@ -180,7 +180,7 @@
     }
 
     fn say(&mut self, message: &[u8], calls: usize) {
-        self.out.push_back((jsonrpc::frame(self.framing, message).into(), calls));
+        self.out.push_back((jsonrpc::encode_frame(self.framing, message).into(), calls));
     }
 
     fn done(&mut self, done: Done) {
@@ -194,11 +194,11 @@
         }
     }
 
-    fn unframed(&mut self, unframed: Unframed) {
-        let code = if unframed == Unframed::TooLarge { code::TOO_LARGE } else { code::PARSE };
+    fn unframed(&mut self, unframed: FramingError) {
+        let code = if unframed == FramingError::TooLarge { code::TOO_LARGE } else { code::PARSE_ERROR };
         self.broken = true;
         self.open += 1;
-        self.say(&jsonrpc::error(None, code, &unframed.to_string(), None), 1);
+        self.say(&jsonrpc::encode_error(None, code, &unframed.to_string(), None), 1);
     }
 
     // ---- Calls ----
@@ -208,7 +208,7 @@
         self.caller.asked.set(true);
         self.caller.socket.start_next_message(0);
         let received = Instant::now();
-        match jsonrpc::parse(&frame, &Bounds::default()) {
+        match jsonrpc::parse(&frame, &Limits::default()) {
             Ok(Parsed::One(entry)) => {
                 let entry = self.enter(entry, &frame, true);
                 self.start(vec![entry], received, false);
@@ -219,19 +219,19 @@
             }
             Err(invalid) => {
                 self.open += 1;
-                self.say(&jsonrpc::error(invalid.id, invalid.code, invalid.why, None), 1);
+                self.say(&jsonrpc::encode_error(invalid.id, invalid.code, invalid.reason, None), 1);
             }
         }
     }
 
     /// Checks an entry and finds its way; nothing is sent yet.
-    fn enter(&mut self, entry: jsonrpc::Entry<'_>, frame: &Bytes, alone: bool) -> Entered {
+    fn enter(&mut self, entry: jsonrpc::MessageResult<'_>, frame: &Bytes, alone: bool) -> Entered {
         let call = match entry {
-            Ok(Body::Call(call)) => call,
+            Ok(Message::Call(call)) => call,
             // An answer to what nobody asked.
-            Ok(Body::Response(_)) => return Entered::new(None, alone),
+            Ok(Message::Response(_)) => return Entered::new(None, alone),
             Err(invalid) => {
-                let error = jsonrpc::error(invalid.id, invalid.code, invalid.why, None);
+                let error = jsonrpc::encode_error(invalid.id, invalid.code, invalid.reason, None);
                 return Entered { taken: Err(Some(error)), ..Entered::new(None, false) };
             }
         };
@@ -241,7 +241,8 @@
         if let Some(id) = call.id {
             let same = same(id);
             if !self.ids.insert(same.clone()) {
-                let error = jsonrpc::error(Some(id), code::OPEN, "a call with this id is open here", None);
+                let error =
+                    jsonrpc::encode_error(Some(id), code::CONFLICT, "a call with this id is open here", None);
                 entered.taken = Err(Some(error));
                 return entered;
             }
@@ -333,14 +334,14 @@
             return answer;
         }
         bytes -= answer.len();
-        jsonrpc::error(
+        jsonrpc::encode_error(
             id.as_deref(),
             code::TOO_LARGE,
             "it ran, and its answer found no room in the batch's",
             None,
         )
     });
-    jsonrpc::batch(&bounded.collect::<Vec<_>>())
+    jsonrpc::encode_batch(&bounded.collect::<Vec<_>>())
 }
 
 /// Ids that say the same, however they are written.
@@ -382,7 +383,14 @@
             Ok(Taken::Sound(sound)) => {
                 match caught(serving::serve(callers, *sound, client, received)).await {
                     Some(answer) => answer,
-                    None => return Some(jsonrpc::error(id, code::INTERNAL, "a fault of the proxy", None)),
+                    None => {
+                        return Some(jsonrpc::encode_error(
+                            id,
+                            code::INTERNAL_ERROR,
+                            "a fault of the proxy",
+                            None,
+                        ))
+                    }
                 }
             }
             Ok(Taken::Known(answer)) => answer,
@@ -392,14 +400,16 @@
         Some(match answer {
             Answer::Served(headers, body) => {
                 let body = body.buffered().unwrap_or_default();
-                jsonrpc::response(id, &rpc_mapping::result_of(&headers, &body))
+                jsonrpc::encode_response(id, &rpc_mapping::result_of(&headers, &body))
             }
             Answer::Refused { retry_after, .. } => {
                 let data = data("load", retry_after);
-                jsonrpc::error(id, code::REFUSED, "refused; trying again is harmless", Some(&data))
+                jsonrpc::encode_error(id, code::REJECTED, "refused; trying again is harmless", Some(&data))
+            }
+            Answer::Failed => jsonrpc::encode_error(id, code::FAILED, "failed; it may have run", None),
+            Answer::TimedOut => {
+                jsonrpc::encode_error(id, code::TIMED_OUT, "out of time; it may have run", None)
             }
-            Answer::Failed => jsonrpc::error(id, code::FAILED, "failed; it may have run", None),
-            Answer::TimedOut => jsonrpc::error(id, code::TIMED_OUT, "out of time; it may have run", None),
         })
     }
 }
@@ -415,21 +425,21 @@
 
 fn turned_away(id: Option<&RawValue>, turned: Rejection) -> Vec<u8> {
     let (code, message) = match turned.status {
-        StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => (code::NO_METHOD, "no such method"),
+        StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => (code::METHOD_NOT_FOUND, "no such method"),
         StatusCode::CONFLICT if turned.cause == Some(crate::idempotency_keys::DONE) => {
-            (code::OPEN, "a request with this key was served, and its answer is not held any more")
+            (code::CONFLICT, "a request with this key was served, and its answer is not held any more")
         }
-        StatusCode::CONFLICT => (code::OPEN, "a request with this id or key is open"),
+        StatusCode::CONFLICT => (code::CONFLICT, "a request with this id or key is open"),
         StatusCode::FORBIDDEN => (code::INVALID_PARAMS, "not this tenant's"),
         StatusCode::PAYLOAD_TOO_LARGE => (code::TOO_LARGE, "more bytes than are taken"),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            (code::REFUSED, "refused; trying again is harmless")
+            (code::REJECTED, "refused; trying again is harmless")
         }
         status if status.is_client_error() => (code::INVALID_PARAMS, "params that cannot be taken"),
-        _ => (code::INTERNAL, "a fault of the proxy"),
+        _ => (code::INTERNAL_ERROR, "a fault of the proxy"),
     };
     let data = turned.cause.map(|cause| data(cause, turned.retry_after));
-    jsonrpc::error(id, code, message, data.as_deref())
+    jsonrpc::encode_error(id, code, message, data.as_deref())
 }
 
 /// Writes as much as goes of what is to go out: so many bytes.
--- a/crates/proxy/src/rpc_mapping.rs
+++ b/crates/proxy/src/rpc_mapping.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request, StatusCode};
-use jsonrpc::{members, Call};
+use jsonrpc::{object_members, Call};
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 
@@ -78,7 +78,7 @@
     /// None where a member is there twice.
     fn read(params: Option<&'a RawValue>) -> Option<Params<'a>> {
         match params.map(RawValue::get) {
-            Some(raw) if raw.starts_with('{') => members(raw).map(Params),
+            Some(raw) if raw.starts_with('{') => object_members(raw).map(Params),
             _ => Some(Params(Vec::new())),
         }
     }
@@ -89,7 +89,7 @@
         };
         match &member.within {
             None => named(&self.0, &member.name),
-            Some(within) => named(&members(named(&self.0, within)?.get())?, &member.name),
+            Some(within) => named(&object_members(named(&self.0, within)?.get())?, &member.name),
         }
     }
 }
@@ -127,7 +127,7 @@
     };
     let params = params_of(message, if by_http { Some(body) } else { sent }, by_http, left_ms);
     let params = RawValue::from_string(params).ok();
-    jsonrpc::request(Some(id), method, params.as_deref())
+    jsonrpc::encode_request(Some(id), method, params.as_deref())
 }
 
 fn params_of(message: &Message, sent: Option<&Bytes>, by_http: bool, left_ms: u64) -> String {
@@ -136,7 +136,7 @@
         None => Ok("{}".to_owned()),
         Some(bytes) => match text(bytes) {
             Some(json) if json.starts_with('[') && is_json(&json) => return json,
-            Some(json) if json.starts_with('{') && members(&json).is_some() => Ok(json),
+            Some(json) if json.starts_with('{') && object_members(&json).is_some() => Ok(json),
             Some(other) => Err(json!({ "body": other })),
             None => Err(json!({ "body": { "base64": STANDARD.encode(bytes) } })),
         },
@@ -151,8 +151,8 @@
         own.push(("path", message.uri().path_and_query().map_or("/", |p| p.as_str()).into()));
     }
     // What its caller put there besides goes along.
-    let all = members(&given).unwrap_or_default();
-    let theirs = all.iter().find(|(name, _)| name == META).and_then(|(_, raw)| members(raw.get()));
+    let all = object_members(&given).unwrap_or_default();
+    let theirs = all.iter().find(|(name, _)| name == META).and_then(|(_, raw)| object_members(raw.get()));
     let mut meta: Vec<String> = own.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
     let others = theirs.iter().flatten().filter(|(name, _)| own.iter().all(|(n, _)| n != name));
     meta.extend(others.map(|(name, raw)| format!("{}:{}", Value::from(&**name), raw.get())));
@@ -186,7 +186,7 @@
     use std::sync::Arc;
 
     use config::{Members, Method, Template};
-    use jsonrpc::{parse, Body, Bounds, Parsed};
+    use jsonrpc::{parse, Limits, Parsed};
 
     use super::*;
 
@@ -203,7 +203,8 @@
     }
 
     fn call<T>(json: &str, look: impl FnOnce(&Call<'_>) -> T) -> T {
-        let Ok(Parsed::One(Ok(Body::Call(call)))) = parse(json.as_bytes(), &Bounds::default()) else {
+        let Ok(Parsed::One(Ok(jsonrpc::Message::Call(call)))) = parse(json.as_bytes(), &Limits::default())
+        else {
             panic!("no call: {json}")
         };
         look(&call)
@@ -222,7 +223,7 @@
             );
             assert_eq!((field(TENANT_HEADER), field(ID), field(CLASS_HEADER)), (Some("a"), Some("r"), None));
             let frame = Bytes::copy_from_slice(json.as_bytes());
-            let Ok(Parsed::One(Ok(Body::Call(call)))) = parse(&frame, &Bounds::default()) else {
+            let Ok(Parsed::One(Ok(jsonrpc::Message::Call(call)))) = parse(&frame, &Limits::default()) else {
                 panic!("no call")
             };
             assert!(body_of(&head, &call, &frame).starts_with(b"{\"table\":12"));
--- a/crates/proxy/src/upstream/rpc_connection.rs
+++ b/crates/proxy/src/upstream/rpc_connection.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jsonrpc::{code, Body, Bounds, Framer, Framing, Parsed, Response};
+use jsonrpc::{code, FrameDecoder, Framing, Limits, Parsed, Response};
 use serde_json::value::RawValue;
 use tokio::io::AsyncWrite;
 use tokio::sync::{oneshot, Notify};
@@ -123,7 +123,7 @@
         let shared = &self.shared;
         let id = shared.new_id();
         let message = message(&format!("\"{id}\""));
-        let frame: Bytes = jsonrpc::frame(shared.speech.framing, &message).into();
+        let frame: Bytes = jsonrpc::encode_frame(shared.speech.framing, &message).into();
         // A line without its end is a whole message to a lenient reader.
         let whole = frame.len() - usize::from(shared.speech.framing == Framing::Line);
         let (end, ended) = oneshot::channel();
@@ -186,8 +186,8 @@
         let speech = &shared.speech;
         if let Some(cancel) = speech.cancel.as_ref().filter(|_| queue.len() < 2 * speech.calls) {
             let params = RawValue::from_string(format!("{{\"id\":\"{}\"}}", self.id)).ok();
-            let message = jsonrpc::request(None, cancel, params.as_deref());
-            let frame = jsonrpc::frame(speech.framing, &message).into();
+            let message = jsonrpc::encode_request(None, cancel, params.as_deref());
+            let frame = jsonrpc::encode_frame(speech.framing, &message).into();
             queue.push_back(Order { id: None, frame, progress: Rc::default() });
             shared.more.notify_one();
         }
@@ -231,16 +231,16 @@
     /// Takes in a message from the node; false where nothing more of it can be believed.
     fn hear(&self, frame: &[u8]) -> bool {
         self.heard.set(Instant::now());
-        let bounds = Bounds { bytes: MOST_FRAME, ..Bounds::default() };
-        let entries = match jsonrpc::parse(frame, &bounds) {
+        let limits = Limits { message_bytes: MOST_FRAME, ..Limits::default() };
+        let entries = match jsonrpc::parse(frame, &limits) {
             Ok(Parsed::One(entry)) => vec![entry],
             Ok(Parsed::Batch(entries)) => entries,
             Err(_) => return false,
         };
         entries.into_iter().all(|entry| match entry {
-            Ok(Body::Response(response)) => self.answered(&response),
+            Ok(jsonrpc::Message::Response(response)) => self.answered(&response),
             // Nodes ask nothing; what they tell is nobody's.
-            Ok(Body::Call(_)) => true,
+            Ok(jsonrpc::Message::Call(_)) => true,
             Err(invalid) => {
                 let pending = invalid.id.and_then(|id| self.take_pending(id));
                 if let Some(pending) = pending {
@@ -268,7 +268,7 @@
             Ok(result) if result.get().len() <= MOST_BODY => End::Result(result.to_owned()),
             // As over HTTP: it ran, and its answer is not whole.
             Ok(_) => End::Broken,
-            Err(_) => End::Error(response.error().map_or(code::INTERNAL, |(code, _)| code)),
+            Err(_) => End::Error(response.error().map_or(code::INTERNAL_ERROR, |(code, _)| code)),
         };
         let _ = pending.end.send(end);
         true
@@ -286,8 +286,8 @@
     let ending = Ending(shared);
     let shared = &ending.0;
     let (mut reader, mut writer) = (socket.clone(), socket);
-    let bounds = Bounds { bytes: MOST_FRAME, ..Bounds::default() };
-    let mut framer = Framer::new(shared.speech.framing, bounds);
+    let limits = Limits { message_bytes: MOST_FRAME, ..Limits::default() };
+    let mut decoder = FrameDecoder::new(shared.speech.framing, limits);
     loop {
         let waiting = !shared.queue.borrow().is_empty();
         tokio::select! {
@@ -296,10 +296,10 @@
                     break;
                 }
             }
-            read = reader.read_some(|piece| framer.push(piece)) => match read {
+            read = reader.read_some(|piece| decoder.push(piece)) => match read {
                 Ok(0) | Err(_) => break,
                 Ok(_) => loop {
-                    match framer.next() {
+                    match decoder.next_frame() {
                         Ok(Some(frame)) if shared.hear(&frame) => {}
                         Ok(None) => break,
                         Ok(Some(_)) | Err(_) => return,
@@ -347,7 +347,7 @@
     fn call(link: &Rc<RpcLink>, bytes: usize) -> (Sent, Rc<Cell<usize>>) {
         let progress = Rc::new(Cell::new(0));
         let pad = RawValue::from_string(format!("[\"{}\"]", "x".repeat(bytes))).expect("JSON");
-        let sent = link.send(Rc::clone(&progress), |id| jsonrpc::request(Some(id), "m", Some(&pad)));
+        let sent = link.send(Rc::clone(&progress), |id| jsonrpc::encode_request(Some(id), "m", Some(&pad)));
         (sent, progress)
     }
 
@@ -361,7 +361,7 @@
 
     #[test]
     fn each_call_on_a_broken_connection_ends_by_what_was_written_of_it() {
-        for framing in [Framing::Line, Framing::Length] {
+        for framing in [Framing::Line, Framing::ContentLength] {
             local(async move {
                 let (link, mut other) = narrow(framing).await;
                 let (written, all) = call(&link, 10);
