--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -148,7 +148,7 @@
         let request = OpenRequest::new(message, client, attempts, response);
         if let Some(body) = request.streamed_body() {
             let handle = self.handle();
-            body.at_end(move || handle.send(DriverInput::BodyReceived(id)));
+            body.on_complete(move || handle.send(DriverInput::BodyReceived(id)));
         }
         self.open_requests.insert(id, request);
         self.decide(Event::Request(new));
--- a/crates/proxy/src/driver/open_request.rs
+++ b/crates/proxy/src/driver/open_request.rs
@@ -8,7 +8,7 @@
 
 use super::attempt_history::{AttemptHistory, RunningAttempt};
 use super::attempt_task::AttemptTask;
-use crate::body::Flow;
+use crate::body::StreamingBody;
 use crate::exchange::{AttemptCounter, ClientConnection, ClientTimeout, FinalResponse, UpstreamRequest};
 use crate::inbox::AttemptTarget;
 use crate::upstream::{AttemptRequest, WriteStarted};
@@ -44,8 +44,8 @@
     }
 
     /// Its body, if that is streamed.
-    pub fn streamed_body(&self) -> Option<&Rc<Flow>> {
-        self.message.body().flow()
+    pub fn streamed_body(&self) -> Option<&Rc<StreamingBody>> {
+        self.message.body().streaming()
     }
 
     /// Whether its client has closed the connection, also where that input has not arrived yet.
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -12,7 +12,7 @@
 use super::connect::connect_http;
 use super::http_connection::HttpConnection;
 use super::{UpstreamPool, LOAD_HEADER};
-use crate::body::Content;
+use crate::body::MessageBody;
 use crate::exchange::{AttemptResult, UpstreamRequest, MAX_BUFFERED_BODY_BYTES};
 
 /// How long a health check may take once it is connected.
@@ -64,7 +64,7 @@
 }
 
 fn load_request() -> UpstreamRequest {
-    let mut request = Request::new(Content::default());
+    let mut request = Request::new(MessageBody::default());
     *request.method_mut() = Method::GET;
     *request.uri_mut() = Uri::from_static("/load");
     request.headers_mut().insert(header::HOST, HeaderValue::from_static("backend"));
--- a/crates/proxy/src/upstream/http_response.rs
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -14,7 +14,7 @@
 use super::attempt_error::AttemptError;
 use super::http_connection::HttpConnection;
 use super::{AttemptEnd, AttemptRequest, UpstreamPool, LOAD_HEADER};
-use crate::body::{self, Content, Cut, Flow, Gathered, MayFlow};
+use crate::body::{self, BodyError, BufferOutcome, MessageBody, StreamedResponseLimit, StreamingBody};
 use crate::exchange::{remove_hop_by_hop, AttemptResult, UpstreamResponse, MAX_BUFFERED_BODY_BYTES};
 
 /// The response header by which an endpoint declares that it has not processed the request.
@@ -33,12 +33,12 @@
     let load_report = load_report(pool, &head.headers);
     let max_streamed_bytes = max_streamed_bytes(request, head.status, &body);
     let (body, reusable_connection) = match buffer(body, max_streamed_bytes.is_some()).await {
-        Ok(Gathered::Whole(body)) => (Some(body.into()), Some(connection)),
-        Ok(Gathered::Part(start, rest)) => {
+        Ok(BufferOutcome::Complete(body)) => (Some(body.into()), Some(connection)),
+        Ok(BufferOutcome::Partial { prefix: start, rest }) => {
             let max_bytes = max_streamed_bytes.unwrap_or_default();
-            let stream = Rc::new(Flow::of_answer(rest, start, max_bytes, request.deadline));
+            let stream = Rc::new(StreamingBody::for_response(rest, start, max_bytes, request.deadline));
             reuse_at_end(pool, request, &stream, connection);
-            (Some(Content::Flowing(stream)), None)
+            (Some(MessageBody::Streaming(stream)), None)
         }
         Err(_) => (None, None),
     };
@@ -53,19 +53,19 @@
 
 /// The most bytes of the response, if it may be streamed. Small ones are buffered, so that they can be retried.
 fn max_streamed_bytes(request: &AttemptRequest, status: StatusCode, body: &Incoming) -> Option<u64> {
-    let MayFlow(max_bytes) = request.message.extensions().get()?;
-    let is_streamed = status == StatusCode::OK && !body::is_owed_whole(body);
+    let StreamedResponseLimit(max_bytes) = request.message.extensions().get()?;
+    let is_streamed = status == StatusCode::OK && !body::must_complete_within_deadline(body);
     is_streamed.then_some(*max_bytes)
 }
 
 /// Reads the body in full; where it may be streamed, only as far as it comes in time.
-async fn buffer(body: Incoming, may_be_streamed: bool) -> Result<Gathered, Cut> {
+async fn buffer(body: Incoming, may_be_streamed: bool) -> Result<BufferOutcome, BodyError> {
     if may_be_streamed {
         let until = Instant::now() + RESPONSE_BUFFER_TIME;
-        return body::gather(body, MAX_BUFFERED_BODY_BYTES, until).await;
+        return body::buffer(body, MAX_BUFFERED_BODY_BYTES, until).await;
     }
     let body = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
-    body.map(|body| Gathered::Whole(body.to_bytes())).map_err(|_| Cut::Broken)
+    body.map(|body| BufferOutcome::Complete(body.to_bytes())).map_err(|_| BodyError::Interrupted)
 }
 
 /// Keeps the connection until the last byte of the body, and then for the next request. Dropped with an unread body, it
@@ -73,18 +73,18 @@
 fn reuse_at_end(
     pool: &Rc<UpstreamPool>,
     request: &AttemptRequest,
-    stream: &Flow,
+    stream: &StreamingBody,
     connection: HttpConnection,
 ) {
     let pool = Rc::clone(pool);
     let endpoint = request.endpoint;
-    stream.at_end(move || {
+    stream.on_complete(move || {
         spawn_local(async move { pool.reuse(endpoint, Some(connection)).await });
     });
 }
 
 /// The response, or why it is none. `body` is none if it broke off.
-fn classify(head: Parts, body: Option<Content>) -> Result<UpstreamResponse, AttemptError> {
+fn classify(head: Parts, body: Option<MessageBody>) -> Result<UpstreamResponse, AttemptError> {
     match head.status {
         StatusCode::OK => {
             let body = body.ok_or(AttemptError::IncompleteResponse)?;
