--- a/crates/proxy/src/request_reader.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -18,7 +18,7 @@
 };
 use crate::framing;
 use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
-use crate::metrics::{RequestCounters, Tally};
+use crate::metrics::{RequestCounters, RequestRecorder};
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
 use crate::router::{single_header_value, Connection, PoolSequence, Rejection, RouteDecision, Router};
 use crate::socket::{Socket, UnreadInput};
@@ -197,7 +197,7 @@
     ids: &OpenRequestIds,
     socket: &Socket,
     connection: &Connection,
-    tally: &Rc<Tally>,
+    tally: &Rc<RequestRecorder>,
     request: Request<Incoming>,
 ) -> Result<Taken, Rejection> {
     let began = socket.message_started_at().unwrap_or_else(Instant::now);
@@ -211,7 +211,7 @@
     // One of unknown length is over the bound once it is.
     let body_most = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
     let mut opened = open(router, connection, &mut head, body_most)?;
-    tally.is(opened.counts.take());
+    tally.set_counters(opened.counts.take());
     if head.method == Method::GET && body.size_hint().exact() != Some(0) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
@@ -235,7 +235,7 @@
         {
             let flow = Rc::new(StreamingBody::for_request(rest, first, router.max_body_bytes()));
             let tally = Rc::clone(tally);
-            flow.on_complete(move || tally.taken());
+            flow.on_complete(move || tally.on_received());
             return opened.close(head, MessageBody::Streaming(flow), None, ids);
         }
         BufferOutcome::Partial { .. } if Instant::now() < until => {
@@ -243,7 +243,7 @@
         }
         BufferOutcome::Partial { .. } => return Err(StatusCode::REQUEST_TIMEOUT.into()),
     };
-    tally.taken();
+    tally.on_received();
     // A caller sends one request at a time: what comes along with this one was miscounted or is hidden in it.
     let counted = (head_length + body.len()) as u64;
     if !chunked && socket.message_bytes() > counted || socket.unread_input() == UnreadInput::Data {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::metrics::Written;
+use crate::metrics::WriteCompletionCounter;
 
 /// Bytes that [`Socket::read_some`] reads at a time.
 const READ_BUFFER_BYTES: usize = 16 << 10;
@@ -29,7 +29,7 @@
 struct Shared {
     stream: TcpStream,
     bytes_written: Cell<u64>,
-    write_counter: Written,
+    write_counter: WriteCompletionCounter,
     /// Only of a downstream socket.
     inbound: Option<RefCell<InboundMessage>>,
     _descriptor: Option<DescriptorGuard>,
@@ -112,7 +112,7 @@
         Socket(Rc::new(Shared {
             stream,
             bytes_written: Cell::new(0),
-            write_counter: Written::default(),
+            write_counter: WriteCompletionCounter::default(),
             inbound,
             _descriptor: descriptor,
         }))
@@ -158,7 +158,7 @@
     }
 
     /// Counts messages as they are written.
-    pub fn write_counter(&self) -> &Written {
+    pub fn write_counter(&self) -> &WriteCompletionCounter {
         &self.0.write_counter
     }
 
@@ -226,7 +226,7 @@
             match self.0.stream.try_write_vectored(slices) {
                 Ok(count) => {
                     self.0.bytes_written.set(self.0.bytes_written.get() + count as u64);
-                    self.0.write_counter.wrote();
+                    self.0.write_counter.on_write();
                     return Poll::Ready(Ok(count));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
