--- /dev/null
+++ b/crates/decide/src/admission/cursor_table/tests.rs
@@ -0,0 +1,26 @@
+use super::{CursorTable, PriorityLevel, FULL_SLOTS, STEPS_PER_LEVEL, TOP_LEVEL_END};
+
+#[test]
+fn lower_levels_fall_first_and_the_highest_keeps_a_rest() {
+    let mut table = CursorTable::new(2);
+    let (low, high) = (PriorityLevel(0), PriorityLevel(1));
+    assert!(table.part(low) < table.part(high));
+    for _ in 0..FULL_SLOTS + STEPS_PER_LEVEL {
+        table.step_right();
+    }
+    assert!(table.part(low).abs() < 1e-9);
+    assert!(table.part(high) > 0.5);
+    table.advance_to(1.0);
+    assert!((table.part(high) - TOP_LEVEL_END).abs() < 1e-9);
+}
+
+#[test]
+fn the_cursor_stays_within_the_table() {
+    let mut table = CursorTable::new(1);
+    table.step_left();
+    assert!(table.is_at_start());
+    table.advance_to(1.0);
+    table.step_right();
+    assert!((table.position() - 1.0).abs() < 1e-9);
+    assert!(table.is_shedding());
+}
--- /dev/null
+++ b/crates/decide/src/admission/priority.rs
@@ -0,0 +1,90 @@
+//! The priority level of a request.
+//!
+//! Rule: classes are ordered by their priority weight, one level for each weight. Retries, and what exceeds a
+//! tenant's quota, are on the lowest level. A tenant's rate (requests a second at this balancer, over two
+//! seconds) exceeds its even share of the quota from 1.3 times that share, and two requests for chance.
+
+use crate::ewma::Ewma;
+use crate::time::Micros;
+use crate::{NewRequest, Settings};
+
+/// The span over which a tenant's requests are counted, in microseconds.
+const QUOTA_WINDOW_US: f64 = 2e6;
+/// The same in seconds.
+const QUOTA_WINDOW_S: f64 = 2.0;
+/// How far a tenant may exceed its share before it counts.
+const QUOTA_TOLERANCE: f64 = 1.3;
+/// Requests that do not count against a quota.
+const QUOTA_ALLOWANCE: f64 = 2.0;
+
+/// A row of the cursor table; higher is shed later.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PriorityLevel(pub usize);
+
+/// The level that is shed first.
+const LOWEST: PriorityLevel = PriorityLevel(0);
+
+/// A tenant's requests, and its share of its quota.
+struct TenantRate {
+    /// This balancer's even share, in requests a second; 0 is without bounds.
+    quota_per_s: f64,
+    requests: Ewma,
+}
+
+/// The levels of classes and the rates of tenants.
+pub(crate) struct PriorityLevels {
+    by_class: Vec<PriorityLevel>,
+    count: usize,
+    tenants: Vec<TenantRate>,
+}
+
+impl PriorityLevels {
+    /// Orders the classes. One weight alone makes two levels, as retries need one under it.
+    pub fn new(settings: &Settings) -> Self {
+        let mut weights: Vec<f64> = settings.classes.iter().map(|class| class.priority_weight).collect();
+        weights.sort_by(f64::total_cmp);
+        weights.dedup();
+        let level_for_retries = usize::from(weights.len() < 2);
+        let level_of = |weight: f64| {
+            let position = weights.iter().position(|other| *other == weight).unwrap_or(0);
+            PriorityLevel(position + level_for_retries)
+        };
+        let tenant_rate = |quota_per_s: f64| TenantRate {
+            quota_per_s: quota_per_s / f64::from(settings.balancers),
+            requests: Ewma::default(),
+        };
+        PriorityLevels {
+            by_class: settings.classes.iter().map(|class| level_of(class.priority_weight)).collect(),
+            count: weights.len().max(1) + level_for_retries,
+            tenants: settings.tenants.iter().map(|tenant| tenant_rate(tenant.quota_per_s)).collect(),
+        }
+    }
+
+    /// How many levels there are.
+    pub fn count(&self) -> usize {
+        self.count
+    }
+
+    /// How many levels are above this one.
+    pub fn levels_above(&self, level: PriorityLevel) -> usize {
+        self.count - 1 - level.0
+    }
+
+    /// The level of a request that lands now; its class is known.
+    pub fn level(&mut self, now: Micros, request: &NewRequest) -> PriorityLevel {
+        let exceeds_quota = self.count_for_tenant(now, request.tenant);
+        if exceeds_quota || request.is_retry {
+            LOWEST
+        } else {
+            self.by_class[request.class]
+        }
+    }
+
+    /// Counts a request for its tenant, and says whether the tenant exceeds its quota.
+    fn count_for_tenant(&mut self, now: Micros, tenant: Option<usize>) -> bool {
+        let Some(rate) = tenant.and_then(|index| self.tenants.get_mut(index)) else { return false };
+        rate.requests.record(now, QUOTA_WINDOW_US, 0.0);
+        let max_requests = rate.quota_per_s * QUOTA_WINDOW_S * QUOTA_TOLERANCE + QUOTA_ALLOWANCE;
+        rate.quota_per_s > 0.0 && rate.requests.weight > max_requests
+    }
+}
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -16,7 +16,7 @@
     },
     /// A request landed and is owed one answer.
     Request(NewRequest),
-    /// The body of a request, of which [`NewRequest::coming`] spoke, has come whole.
+    /// The body of a request that had [`NewRequest::body_pending`] has been received in full.
     BodyReceived(RequestId),
     /// A streamed answer began; the client owns the attempt now.
     StreamStarted {
--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -1,6 +1,10 @@
 //! What a balancer has learned, as plain figures: stated by [`crate::Balancer::learned_state`], and taken in as evidence by
 //! [`crate::Balancer::import_learned_state`], of a process before or of other balancers.
 
+mod evidence;
+mod export;
+mod import;
+
 use crate::{EndpointId, Micros};
 
 /// A mean over a past that fades: a sum over so many samples, as they stood so long ago.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -63,17 +63,31 @@
 #![warn(missing_docs)]
 
 mod action;
-mod choice;
+mod admission;
+mod attempts;
+mod balancer;
+mod control_period;
+mod discovery;
+mod dispatch;
 mod endpoint;
+mod endpoint_table;
 mod event;
+mod ewma;
+mod gossip;
+mod index;
 pub mod learned;
+mod load_report;
 pub mod platform_settings;
 mod request;
+mod retry;
+mod selection;
 mod settings;
+mod slow_start;
+mod throughput;
 mod time;
 
 pub use action::Action;
-pub use choice::Balancer;
+pub use balancer::Balancer;
 pub use endpoint::{Endpoint, EndpointFilter, EndpointId, EndpointState, LoadReport, UpdateScope};
 pub use event::Event;
 pub use request::{DownstreamConnections, NewRequest, Outcome, RequestId};
--- /dev/null
+++ b/crates/decide/src/selection/locality.rs
@@ -0,0 +1,59 @@
+//! What an endpoint's zone adds to its score.
+//!
+//! Rule: an attempt that crosses zones costs its price, and the part of the calls into that zone that got no
+//! answer: when a zone is cut off, finding out by a failure of each of its endpoints would cost too much.
+
+use std::collections::BTreeMap;
+
+use crate::ewma::Ewma;
+use crate::index::ZoneIndex;
+use crate::time::{Micros, ObservationWindow};
+use crate::{Outcome, Settings};
+
+/// How much the price of crossing zones weighs in the score.
+const CROSS_ZONE_PRICE_WEIGHT: f64 = 25.0;
+/// How much the part of calls lost in another zone weighs in the score.
+const ZONE_LOSS_WEIGHT: f64 = 30.0;
+/// Samples that no loss counts as.
+const NO_LOSS_PRIOR_WEIGHT: f64 = 3.0;
+
+/// The own zone, and losses by zone.
+pub(crate) struct Locality {
+    zone: ZoneIndex,
+    cross_zone_price: f64,
+    /// By zone: the part of the calls that got no answer.
+    pub loss_by_zone: BTreeMap<ZoneIndex, Ewma>,
+}
+
+impl Locality {
+    /// No losses yet.
+    pub fn new(settings: &Settings) -> Self {
+        Locality {
+            zone: ZoneIndex(settings.zone),
+            cross_zone_price: settings.cross_zone_price,
+            loss_by_zone: BTreeMap::new(),
+        }
+    }
+
+    /// Takes in how an attempt into a zone ended.
+    pub fn record(&mut self, now: Micros, window: ObservationWindow, zone: ZoneIndex, outcome: Outcome) {
+        let loss = self.loss_by_zone.entry(zone).or_default();
+        match outcome {
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => loss.record(now, window.time_constant, 0.0),
+            Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
+                loss.record(now, window.time_constant, 1.0);
+            }
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// The score of an endpoint in this zone, where `score` is that of one at home.
+    pub fn weigh(&self, score: f64, zone: ZoneIndex) -> f64 {
+        if zone == self.zone {
+            return score;
+        }
+        let priced = score * (1.0 + self.cross_zone_price * CROSS_ZONE_PRICE_WEIGHT);
+        let loss = self.loss_by_zone.get(&zone).map_or(0.0, |loss| loss.mean(0.0, NO_LOSS_PRIOR_WEIGHT));
+        priced * (1.0 + ZONE_LOSS_WEIGHT * loss)
+    }
+}
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -1,7 +1,53 @@
 //! Time as the decisions count it: whole microseconds on one monotonic clock with an arbitrary start.
 
+use fastrand::Rng;
+
 /// A point in time or a span, in microseconds.
 pub type Micros = i64;
 
 /// Times outside of this, some 35 years either way, are cut off.
 pub const TIME_LIMIT: Micros = 1 << 50;
+
+/// Stands for "never": earlier than any time within [`TIME_LIMIT`], and safe to subtract from one.
+pub(crate) const DISTANT_PAST: Micros = Micros::MIN / 4;
+
+/// The time from `from` to `to`, in microseconds.
+pub(crate) fn elapsed(from: Micros, to: Micros) -> f64 {
+    (to - from) as f64
+}
+
+/// A time between half of `wait` and all of it after `now`, so that balancers do not act in step.
+pub(crate) fn jittered(now: Micros, wait: Micros, rng: &mut Rng) -> Micros {
+    now + wait / 2 + rng.i64(0..=wait / 2)
+}
+
+/// The recent past that measurements stand for: samples decay with `time_constant`, and none is older than
+/// `started_at`.
+#[derive(Clone, Copy)]
+pub(crate) struct ObservationWindow {
+    /// The time constant of the exponential decay, in microseconds.
+    pub time_constant: f64,
+    /// The first event of the balancer.
+    pub started_at: Micros,
+}
+
+/// The least age that [`ObservationWindow::span`] reckons with, in time constants.
+const MIN_AGE: f64 = 0.01;
+
+impl ObservationWindow {
+    /// How long the balancer has run, in microseconds.
+    pub fn age(&self, now: Micros) -> f64 {
+        elapsed(self.started_at, now)
+    }
+
+    /// The span that decayed counts stand for, in microseconds: it grows towards one time constant.
+    pub fn span(&self, now: Micros) -> f64 {
+        let age = (self.age(now) / self.time_constant).max(MIN_AGE);
+        self.time_constant * (1.0 - (-age).exp())
+    }
+
+    /// One time constant in whole microseconds.
+    pub fn micros(&self) -> Micros {
+        self.time_constant as Micros
+    }
+}
