--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -11,19 +11,19 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// Where it goes.
         endpoint: EndpointId,
         /// When to give the attempt up.
         deadline: Micros,
     },
-    /// Final answer: not done, a retry does no harm.
+    /// Final answer: it has not run, or a retry does no harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait; 0 says nothing.
+        /// The Retry-After for the client, in microseconds; 0 sends none.
         retry_after: Micros,
     },
-    /// Final answer: not served, and nothing is promised.
+    /// Final answer: not served, and it may have run.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -32,16 +32,16 @@
         /// Which of its attempts.
         attempt: usize,
     },
-    /// Wake the module.
+    /// Hand back [`Event::Timer`](crate::Event::Timer) at some time.
     Timer {
         /// When.
         at: Micros,
-        /// What comes back with the event.
+        /// The token to hand back.
         token: u64,
     },
-    /// Subscribe to the list of backends.
+    /// Poll discovery for the endpoint list.
     PollDiscovery,
-    /// Probe a backend.
+    /// Send a health check to an endpoint.
     HealthCheck(EndpointId),
     /// Send a message to another balancer of the tier.
     SendGossip {
--- a/crates/decide/src/admission/reserved_connections.rs
+++ b/crates/decide/src/admission/reserved_connections.rs
@@ -15,18 +15,18 @@
 
 /// Whether this balancer reserves connections.
 pub(crate) struct ReservedConnections {
-    may_end_alone: bool,
+    may_shut_down_alone: bool,
 }
 
 impl ReservedConnections {
     /// The rule as the number of balancers asks for it.
     pub fn new(settings: &Settings) -> Self {
-        ReservedConnections { may_end_alone: settings.may_end_alone() }
+        ReservedConnections { may_shut_down_alone: settings.may_shut_down_alone() }
     }
 
     /// Must a request with so many priority levels above it leave its connection free?
     pub fn must_stay_free(&self, connections: Option<DownstreamConnections>, levels_above: usize) -> bool {
-        let Some(connections) = connections.filter(|_| self.may_end_alone) else { return false };
+        let Some(connections) = connections.filter(|_| self.may_shut_down_alone) else { return false };
         let reserved = RESERVED_CONNECTIONS + levels_above;
         connections.idle < reserved.min(connections.open / MAX_RESERVED_DIVISOR)
     }
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -4,32 +4,32 @@
 
 use crate::time::Micros;
 
-/// A server that requests can be sent to.
+/// The id of an endpoint; unique in a tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointId(pub u32);
 
-/// A backend's place in its life.
+/// Where an endpoint is in its lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// Takes requests.
     #[default]
     Ready,
-    /// Finishes what it has.
+    /// Finishes what it has, and takes nothing new.
     Draining,
-    /// Taken away.
+    /// No longer listed.
     Removed,
 }
 
-/// A backend as discovery lists it.
+/// An endpoint as discovery lists it.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
     /// Its id.
     pub id: EndpointId,
-    /// Its stage.
+    /// Its state.
     pub state: EndpointState,
-    /// A size to set against the others'.
+    /// Its size relative to the others.
     pub weight: f64,
-    /// Its last start; absent for the distant past.
+    /// When its process started; `None` for the distant past.
     pub up_since: Option<Micros>,
     /// Its zone.
     pub zone: usize,
@@ -39,7 +39,7 @@
     pub cell: Option<u64>,
 }
 
-/// What a list from discovery holds.
+/// What an endpoint list from discovery holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
     /// Only what changed.
@@ -48,14 +48,14 @@
     Full,
     /// Everything, as last known; maybe out of date.
     Cached,
-    /// Nothing: asking failed, or the subscription broke.
+    /// Nothing: the poll failed, or the subscription broke.
     Failed,
 }
 
-/// A backend's own account of its load; what a site does not report is absent.
+/// An endpoint's load report; what a site does not report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests that it has in hand.
     pub in_flight: Option<f64>,
     /// Requests that wait there.
     pub queued: Option<f64>,
@@ -69,7 +69,7 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// The servers that a request may go to; an empty list asks nothing.
+/// The endpoints that a request may go to; an empty list lets all through.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointFilter {
     /// Any one of these zones.
@@ -81,11 +81,11 @@
 }
 
 impl EndpointFilter {
-    /// May it go there?
+    /// Does it let this endpoint through?
     #[must_use]
-    pub fn matches(&self, entry: &Endpoint) -> bool {
-        (self.zones.is_empty() || self.zones.contains(&entry.zone))
-            && (self.machine_kinds.is_empty() || self.machine_kinds.contains(&entry.machine_kind))
-            && (self.cells.is_empty() || entry.cell.is_some_and(|cell| self.cells.contains(&cell)))
+    pub fn matches(&self, endpoint: &Endpoint) -> bool {
+        (self.zones.is_empty() || self.zones.contains(&endpoint.zone))
+            && (self.machine_kinds.is_empty() || self.machine_kinds.contains(&endpoint.machine_kind))
+            && (self.cells.is_empty() || endpoint.cell.is_some_and(|cell| self.cells.contains(&cell)))
     }
 }
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -7,11 +7,11 @@
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// News from discovery.
+    /// An endpoint list from discovery.
     EndpointUpdate {
-        /// What the entries are.
+        /// What the list holds.
         scope: UpdateScope,
-        /// The entries.
+        /// Its entries.
         endpoints: &'a [Endpoint],
     },
     /// A request landed and is owed one answer.
@@ -33,33 +33,33 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since it was sent, in microseconds.
         took: Micros,
         /// The request has its final answer.
         is_final: bool,
-        /// The backend's report, if one came along.
+        /// The endpoint's load report, if one came along.
         report: Option<LoadReport>,
     },
-    /// The client left; nothing more is owed.
+    /// The client disconnected; no answer is owed any more.
     ClientDisconnected(RequestId),
     /// A message from another balancer of the tier.
     GossipReceived {
         /// Its sender's rank.
         from: u32,
-        /// Its bytes, which nobody vouches for.
+        /// Its bytes, which are not trusted.
         payload: &'a [u8],
     },
-    /// A timer set by the module is due.
+    /// A timer that [`Action::Timer`](crate::Action::Timer) set is due.
     Timer(u64),
-    /// A probe ended.
+    /// A health check ended.
     HealthChecked {
-        /// The backend.
+        /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since it was sent, in microseconds.
         took: Micros,
-        /// The backend's report, if one came along.
+        /// The endpoint's load report, if one came along.
         report: Option<LoadReport>,
     },
 }
--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -1,5 +1,5 @@
-//! What a balancer has learned, as plain figures: stated by [`crate::Balancer::learned_state`], and taken in as evidence by
-//! [`crate::Balancer::import_learned_state`], of a process before or of other balancers.
+//! What a balancer has learned, as plain figures: exported by [`crate::Balancer::learned_state`], and imported by
+//! [`crate::Balancer::import_learned_state`] from a process before or from other balancers. Times are in microseconds.
 
 mod evidence;
 mod export;
@@ -7,56 +7,56 @@
 
 use crate::{EndpointId, Micros};
 
-/// A mean over a past that fades: a sum over so many samples, as they stood so long ago.
+/// An exponentially decayed mean: a sum over a number of samples, as of some time ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayedMean {
     /// The sum of the samples.
     pub sum: f64,
     /// How many there are; older ones count for less than one.
     pub weight: f64,
-    /// Since the last of them, in microseconds.
+    /// The time since the last of them.
     pub age: Micros,
 }
 
-/// What was learned of one server.
+/// What was learned of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedEndpoint {
-    /// The server.
+    /// The endpoint.
     pub id: EndpointId,
-    /// How long its process had run, where that is known. Of another process this says nothing.
+    /// How long its process had run, where that is known. Nothing here holds for another process.
     pub uptime: Option<Micros>,
-    /// By class: time spent for each good answer, as a multiple of what the class takes in the pool.
+    /// By class: time spent for each successful answer, as a multiple of what the class takes in the pool.
     pub classes: Vec<DecayedMean>,
-    /// Failures in a row.
+    /// Failures since its last successful answer.
     pub consecutive_failures: u32,
-    /// It is left alone for so much longer; 0 where it is not.
+    /// How much longer it is ejected; 0 where it is not.
     pub ejected_for: Micros,
-    /// Calls that it would still have got while it was cold. Stated for people, and never taken in: a budget that
-    /// several hold at once would be spent more than once.
+    /// Requests that it might still get in its slow start. For operators, and never imported: a budget that
+    /// several balancers have at once would be spent more than once.
     pub slow_start_tokens: f64,
 }
 
 /// What a balancer has learned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Since it was stated, on whatever way it came, in microseconds.
+    /// The time since it was exported.
     pub age: Micros,
-    /// How long its balancer had run by then: who is new itself says so.
+    /// How long its balancer had run by then.
     pub uptime: Micros,
-    /// By server.
+    /// By endpoint.
     pub endpoints: Vec<LearnedEndpoint>,
-    /// By machine kind, as for one server's class.
+    /// By machine kind: time spent for each successful answer, as for one endpoint's class.
     pub latency_by_machine_kind: Vec<(usize, DecayedMean)>,
     /// By zone: the part of the calls that got no answer.
     pub loss_by_zone: Vec<(usize, DecayedMean)>,
-    /// By class: what a good answer takes, in microseconds.
+    /// By class: what a successful answer takes.
     pub typical_latency: Vec<DecayedMean>,
-    /// What any good answer takes, in microseconds.
+    /// What a successful answer of any class takes.
     pub pool_latency: DecayedMean,
-    /// T1 for each server that is ready, in calls in flight; 0 where there is none yet.
+    /// The base threshold for each endpoint that is ready, in requests in flight; 0 where there is none yet.
     pub threshold_per_endpoint: f64,
-    /// Where the cursor stands, as a part of the table, from 0 to 1.
+    /// The position of the admission cursor in its table, from 0 to 1.
     pub cursor_position: f64,
-    /// The latency of a quiet pool, as a part of the aim.
+    /// The latency of the quiet pool, in latency objectives.
     pub baseline_latency: Option<f64>,
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,10 +1,24 @@
 //! The decisions of a load balancer for services that call services.
 //!
-//! [`Balancer`] is one proxy's decision maker: it is told what happens ([`Event`]), and says what to do
-//! ([`Action`]). It reads no clock, does no I/O and shares nothing, so equal events give equal actions.
+//! [`Balancer`] makes the decisions of one proxy: it takes events ([`Event`]) and returns actions ([`Action`]).
+//! It reads no clock, does no I/O and shares nothing, so equal events give equal actions.
 //! [`platform_settings`] reads the settings that a deployment writes.
 //!
-//! A proxy's life, with one server and one request:
+//! # Modules
+//!
+//! - `balancer`, `dispatch`, `control_period`: hand events to the parts, and make actions of their decisions
+//! - `admission`: whether a request is let in or shed
+//! - `selection`: which endpoint an attempt goes to
+//! - `slow_start`: what a warming endpoint may get
+//! - `retry`: whether another attempt may start
+//! - `attempts`: requests and attempts in flight
+//! - `discovery`, `gossip`: when to poll for the endpoint list; what balancers tell each other of load
+//! - [`learned`]: what outlives a balancer
+//! - `endpoint_table`, `load_report`, `throughput`, `ewma`, `time`, `index`: shared state and arithmetic
+//!
+//! # Example
+//!
+//! One endpoint and one request:
 //!
 //! ```
 //! use decide::{Action, Balancer, Class, Endpoint, EndpointId, Event, NewRequest, Outcome, RequestId, Settings, UpdateScope};
@@ -16,21 +30,21 @@
 //! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
-//! // The list, as discovery tells it. Times are microseconds on a clock that never runs backwards.
+//! // The endpoint list from discovery. Times are microseconds on a clock that never runs backwards.
 //! let endpoint = Endpoint { id: EndpointId(40), ..Endpoint::default() };
 //! balancer.handle(0, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[endpoint] }, &mut actions);
-//! // The first event asks for the timer that the cursor steps by; hand it back when it is due.
+//! // The first event sets the timer of the control period; hand it back when it is due.
 //! let Action::Timer { at, token } = actions[0] else { panic!("{actions:?}") };
 //!
-//! // A request: start the attempt, and give it up at `until` with `Outcome::Timeout`.
+//! // A request: start the attempt, and end it at `deadline` with `Outcome::Timeout`.
 //! actions.clear();
 //! let request = NewRequest { id: RequestId(1), class: 0, time_left: 2_000_000, ..NewRequest::default() };
 //! balancer.handle(1_000, Event::Request(request), &mut actions);
 //! let Action::Send { request, endpoint, deadline } = actions[0] else { panic!("{actions:?}") };
 //! assert_eq!((endpoint, deadline), (EndpointId(40), 501_000));
 //!
-//! // Its outcome. A first `Ok` answers the client, so it is final and nothing more is owed; after any other
-//! // the balancer sends again, refuses or fails.
+//! // Its outcome. A first `Ok` answers the client, so it is final; after any other the balancer retries, rejects
+//! // or fails the request.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     request,
@@ -46,20 +60,20 @@
 //!
 //! balancer.handle(at, Event::Timer(token), &mut actions);
 //! assert!(matches!(actions[0], Action::Timer { .. }));
-//! // To shut down, drop it: what it held is the clients' to retry.
+//! // To shut down, drop it: clients retry what was in flight.
 //! ```
 //!
-//! # What the caller owes
+//! # Contract
 //!
 //! One event at a time, actions carried out in order, exactly one outcome for each [`Action::Send`] (at its
-//! `until` at the latest), every timer handed back, and request ids that are never used twice.
+//! `deadline` at the latest), every timer handed back, and request ids that are never used twice.
 //!
 //! # Bad input
 //!
 //! Nothing panics. [`Settings::check`] says what is wrong with settings; unusable ones are brought within
 //! bounds. Times are cut off at [`TIME_LIMIT`], a clock that runs backwards stands still, reports
-//! that are no finite number are passed over, and so are unknown requests, servers, peers and messages. A
-//! request of an unknown class is refused; an id that is already held is passed over.
+//! that are no finite number are ignored, and so are unknown requests, endpoints, peers and messages. A
+//! request of an unknown class is rejected; one whose id is in use is ignored.
 #![warn(missing_docs)]
 
 mod action;
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -5,18 +5,18 @@
 use crate::endpoint::EndpointFilter;
 use crate::time::Micros;
 
-/// A request as its proxy knows it; never reused.
+/// The id of a request at its proxy; never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected; has not run.
     Rejected,
     /// No answer in time; may have run.
     Timeout,
@@ -24,7 +24,7 @@
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -47,26 +47,26 @@
     pub class: usize,
     /// Its tenant, where there are any.
     pub tenant: Option<usize>,
-    /// Time until its client gives this try up.
+    /// Time until its client gives this request up, in microseconds.
     pub time_left: Micros,
-    /// Expected work on a standard core, where known.
+    /// Expected work on a standard core in microseconds, where known.
     pub work: Option<Micros>,
-    /// The client says that this is a repeat.
+    /// The client says that this is a retry.
     pub is_retry: bool,
-    /// The servers that it may go to, where not to all.
+    /// The endpoints that it may go to, where not to all.
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
-    /// The attempts that it may have, where that is less than the settings say; 0 says nothing.
+    /// The attempts that it may have, where that is fewer than the settings allow; 0 sets no limit.
     pub max_attempts: usize,
-    /// Its body is still on its way, for this long at most; its time counts from then.
+    /// Its body has not been received yet and will be within this time (microseconds); its time counts from then.
     pub body_pending: Micros,
-    /// The connections that callers have left, where they get no new ones.
+    /// The connections of its callers, where they get no new ones.
     pub downstream_connections: Option<DownstreamConnections>,
 }
 
-/// The connections of callers to a balancer that gets no new ones, as while it ends.
+/// The connections of callers to a balancer that accepts no new ones, as while it shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamConnections {
-    /// Those that wait for a request.
+    /// Those without a request.
     pub idle: usize,
     /// All that are open.
     pub open: usize,
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -237,7 +237,7 @@
     }
 
     fn may_end_alone(&self) -> bool {
-        self.settings.may_end_alone()
+        self.settings.may_shut_down_alone()
     }
 
     fn largest_body(&self) -> u64 {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -622,7 +622,7 @@
         };
         let mut report = LoadReport::default();
         for (name, value) in values {
-            LoadReportField::named(&name).store(&mut report, value);
+            LoadReportField::from_key(&name).store(&mut report, value);
         }
         Some(report)
     }
