--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -26,7 +26,7 @@
         };
         let mut report = LoadReport::default();
         for (name, value) in values {
-            LoadReportField::named(&name).store(&mut report, value);
+            LoadReportField::from_key(&name).store(&mut report, value);
         }
         Some(report)
     }
