--- a/crates/proxy/src/downstream/serving.rs
+++ b/crates/proxy/src/downstream/serving.rs
@@ -56,7 +56,7 @@
         match course.on_rejected(never_ran) {
             RejectionOutcome::Final => break answer,
             // What has flowed cannot be sent a second time, wherever.
-            RejectionOutcome::NextPool if message.body().flow().is_some() => break answer,
+            RejectionOutcome::NextPool if message.body().streaming().is_some() => break answer,
             RejectionOutcome::Failed => break FinalResponse::Failed,
             RejectionOutcome::NextPool => {
                 new.endpoint_filter = course.endpoint_filter();
--- a/crates/proxy/src/upstream/rpc_connection/task.rs
+++ b/crates/proxy/src/upstream/rpc_connection/task.rs
@@ -3,7 +3,7 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 
-use jsonrpc::Framer;
+use jsonrpc::FrameDecoder;
 
 use super::state::{message_bounds, ConnectionState, ReadState};
 use crate::socket::Socket;
@@ -23,7 +23,7 @@
     let state = &guard.0;
     let mut reader = socket.clone();
     let mut writer = socket;
-    let mut framer = Framer::new(state.framing(), message_bounds());
+    let mut framer = FrameDecoder::new(state.framing(), message_bounds());
     loop {
         let has_queued_frames = state.has_queued_frames();
         tokio::select! {
@@ -44,10 +44,10 @@
 }
 
 /// Takes in the messages that have been received in full.
-fn take_messages(framer: &mut Framer, state: &ConnectionState) -> ReadState {
+fn take_messages(framer: &mut FrameDecoder, state: &ConnectionState) -> ReadState {
     loop {
-        match framer.next() {
-            Ok(Some(frame)) if state.on_message(&frame) == ReadState::Open => {}
+        match framer.next_frame() {
+            Ok(Some(encode_frame)) if state.on_message(&encode_frame) == ReadState::Open => {}
             Ok(None) => return ReadState::Open,
             Ok(Some(_)) | Err(_) => return ReadState::Invalid,
         }
--- a/crates/proxy/src/upstream/rpc_connection/tests.rs
+++ b/crates/proxy/src/upstream/rpc_connection/tests.rs
@@ -34,7 +34,7 @@
 fn call(connection: &Rc<RpcConnection>, bytes: usize) -> (InFlightCall, WriteProgress) {
     let progress = WriteProgress::default();
     let pad = RawValue::from_string(format!("[\"{}\"]", "x".repeat(bytes))).expect("JSON");
-    let sent = connection.send(progress.clone(), |id| jsonrpc::request(Some(id), "m", Some(&pad)));
+    let sent = connection.send(progress.clone(), |id| jsonrpc::encode_request(Some(id), "m", Some(&pad)));
     (sent, progress)
 }
 
@@ -48,7 +48,7 @@
 
 #[test]
 fn calls_on_a_lost_connection_end_by_how_much_was_written() {
-    for framing in [Framing::Line, Framing::Length] {
+    for framing in [Framing::Line, Framing::ContentLength] {
         block_on_local(async move {
             let (connection, mut endpoint) = connection_with_small_buffers(framing).await;
             let (written_call, written_progress) = call(&connection, 10);
