--- a/crates/proxy/src/platform/config_file.rs
+++ b/crates/proxy/src/platform/config_file.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use config::{parse_endpoint_list, split_sockets, ParsedEndpointList};
-use decide::platform_settings::{self, PlatformSettings};
+use decide::platform_settings::{self, PlatformSettings, PlatformSettingsError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -57,7 +57,7 @@
     Json(serde_json::Error),
     /// Too few sockets to serve with.
     Sockets(usize),
-    Settings(String),
+    Settings(PlatformSettingsError),
     /// Peers are told apart by their addresses.
     DuplicatePeer(SocketAddr),
     /// The seed is no 64-bit number in hexadecimal digits.
@@ -92,7 +92,7 @@
             InvalidConfig::Sockets(sockets) => {
                 write!(f, "limits.sockets: too few to serve with: {sockets}")
             }
-            InvalidConfig::Settings(message) => f.write_str(message),
+            InvalidConfig::Settings(source) => source.fmt(f),
             InvalidConfig::DuplicatePeer(address) => write!(f, "peers: {address} stands in it twice"),
             InvalidConfig::Seed(seed) => {
                 write!(f, "seed: not a 64-bit number in hex digits: {seed:?}")
@@ -106,6 +106,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             InvalidConfig::Json(source) => Some(source),
+            InvalidConfig::Settings(source) => Some(source),
             _ => None,
         }
     }
