--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -13,7 +13,7 @@
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Request};
 
-use crate::body::Content;
+use crate::body::MessageBody;
 use crate::metrics::RequestOutcome;
 
 /// The largest body that is buffered, and so can be sent again by a retry; a larger one is streamed where the route
@@ -29,7 +29,7 @@
 pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
 
 /// A request in the form in which it is sent to an endpoint.
-pub type UpstreamRequest = Request<Content>;
+pub type UpstreamRequest = Request<MessageBody>;
 
 /// How long the client waits for the response, from the last byte of its request. An extension of an
 /// [`UpstreamRequest`] whose body is streamed.
@@ -86,7 +86,7 @@
     /// Its headers; the status is always 200.
     pub headers: HeaderMap,
     /// Its body, buffered or streamed.
-    pub body: Content,
+    pub body: MessageBody,
 }
 
 /// The final response to a client.
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -35,7 +35,7 @@
 
     /// The listener's tenant, or the one that has this host.
     fn tenant_of_host(&self, host: &str) -> Result<Rc<HostedTenant>, Rejection> {
-        let host = route::normal::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
+        let host = route::normalize::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
         let name = match &self.listener.tenant {
             Some(tenant) => Some(tenant.clone()),
             None => self.hosted.owner_of_host(&host.name),
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -11,7 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
 
-use crate::body::MOST_FLOW;
+use crate::body::MAX_STREAMED_BODY_BYTES;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{
@@ -104,11 +104,11 @@
     }
 
     fn may_shut_down_alone(&self) -> bool {
-        self.settings.may_end_alone()
+        self.settings.may_shut_down_alone()
     }
 
     fn max_body_bytes(&self) -> u64 {
-        MOST_FLOW
+        MAX_STREAMED_BODY_BYTES
     }
 
     fn retry_after_in_seconds(&self) -> bool {
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -13,7 +13,7 @@
 use config::{Config, Source};
 use decide::platform_settings::NameTable;
 use decide::{EndpointFilter, EndpointState, Micros, UpdateScope};
-use route::{Count, Within};
+use route::{EndpointCounts, EndpointScope};
 use tokio::time::Instant;
 
 use crate::clock::Clock;
@@ -125,18 +125,18 @@
     }
 
     /// The filter of a route, with the pool's own indexes for zones and machine kinds.
-    pub fn endpoint_filter(&self, within: &Within) -> EndpointFilter {
+    pub fn endpoint_filter(&self, within: &EndpointScope) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
         EndpointFilter {
             zones: within.zones.iter().map(|zone| names.zone(zone)).collect(),
-            machine_kinds: within.kinds.iter().map(|kind| names.kind(kind)).collect(),
+            machine_kinds: within.machine_kinds.iter().map(|kind| names.kind(kind)).collect(),
             cells: within.cells.clone(),
         }
     }
 
     /// Counts the endpoints that match a filter.
-    pub fn count(&self, filter: Option<&EndpointFilter>) -> Count {
-        let mut count = Count::default();
+    pub fn count(&self, filter: Option<&EndpointFilter>) -> EndpointCounts {
+        let mut count = EndpointCounts::default();
         self.upstreams.for_each_endpoint(|endpoint, _| {
             if filter.is_none_or(|filter| filter.matches(endpoint)) {
                 match endpoint.state {
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -10,7 +10,7 @@
 
 use config::{Config, Protocol};
 use decide::EndpointFilter;
-use route::{Count, PoolId, Route};
+use route::{EndpointCounts, PoolId, Route};
 
 use crate::learned_state::SavedState;
 use crate::metrics::{PoolGauges, RequestCounters};
@@ -126,7 +126,7 @@
     }
 
     /// Counts the endpoints of a pool that a route may use.
-    fn count(&self, route: usize, pool: PoolId) -> Count {
+    fn count(&self, route: usize, pool: PoolId) -> EndpointCounts {
         self.pools[pool.0].count(self.filters[route][pool.0].as_deref())
     }
 }
@@ -160,8 +160,8 @@
 }
 
 fn route_filters(route: &Route, pools: &[Rc<Pool>]) -> PoolFilters {
-    let is_filtered = !route.within.is_all();
-    pools.iter().map(|pool| is_filtered.then(|| Arc::new(pool.endpoint_filter(&route.within)))).collect()
+    let is_filtered = !route.scope.is_all();
+    pools.iter().map(|pool| is_filtered.then(|| Arc::new(pool.endpoint_filter(&route.scope)))).collect()
 }
 
 fn route_counters(route: &Route, config: &Config, operators: Option<&OperatorContext>) -> PoolCounters {
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use decide::{EndpointFilter, Semantics};
-use route::{PoolId, Step};
+use route::{PoolChoice, PoolId};
 
 use super::Snapshot;
 use crate::inbox::DriverHandle;
@@ -16,13 +16,14 @@
     snapshot: Rc<Snapshot>,
     /// The index of the route.
     route: usize,
-    step: Step,
+    step: PoolChoice,
 }
 
 impl PoolSelection {
     /// Starts with the route's first usable pool, beginning at the preferred one.
     pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
-        let step = snapshot.config.table.routes()[route].first(preferred, |pool| snapshot.count(route, pool));
+        let step =
+            snapshot.config.table.routes()[route].first_pool(preferred, |pool| snapshot.count(route, pool));
         PoolSelection { snapshot, route, step }
     }
 
@@ -51,7 +52,7 @@
             let has_other_pool = route.pools().nth(1).is_some();
             return if has_other_pool { RejectionOutcome::Failed } else { RejectionOutcome::Final };
         }
-        match route.after_refusal(self.step, |pool| self.snapshot.count(self.route, pool)) {
+        match route.after_rejection(self.step, |pool| self.snapshot.count(self.route, pool)) {
             Some(step) => {
                 self.step = step;
                 RejectionOutcome::NextPool
--- a/crates/proxy/src/upstream/http_connection.rs
+++ b/crates/proxy/src/upstream/http_connection.rs
@@ -4,13 +4,13 @@
 use hyper_util::rt::TokioIo;
 use tokio::task::{spawn_local, AbortHandle};
 
-use crate::body::Content;
+use crate::body::MessageBody;
 use crate::exchange::MAX_HEAD_BYTES;
-use crate::socket::{Socket, Unread};
+use crate::socket::{Socket, UnreadInput};
 
 /// The connection. Dropping it closes it.
 pub struct HttpConnection {
-    pub(super) sender: SendRequest<Content>,
+    pub(super) sender: SendRequest<MessageBody>,
     pub(super) socket: Socket,
     task: AbortHandle,
 }
@@ -32,7 +32,7 @@
 
     /// Whether a request may be sent. Asks the kernel, which knows of a closure before the connection's task does.
     pub(super) fn is_usable(&self) -> bool {
-        self.is_ready() && self.socket.unread() == Unread::Nothing
+        self.is_ready() && self.socket.unread_input() == UnreadInput::Empty
     }
 
     /// Waits until the response before was read. False if the connection closes.
