--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -51,17 +51,21 @@
     pub version: u64,
     /// Whether its pools are running.
     pub started: bool,
+    /// What its requests have used.
     pub usage: Usage,
 }
 
 /// What a process in the hosted mode is started with.
 pub struct Options<'a> {
+    /// Listeners and what the tenants share.
     pub setup: &'a Setup,
     /// The version of the tenants that are served first.
     pub version: u64,
+    /// The tenants that are served first.
     pub tenants: Arc<Tenants>,
     /// Seeds request ids and the random numbers of the decisions.
     pub seed: u64,
+    /// Commands of the administration API.
     pub commands: mpsc::UnboundedReceiver<Command>,
 }
 
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -40,7 +40,7 @@
             Some(tenant) => Some(tenant.clone()),
             None => self.hosted.owner_of_host(&host.name),
         };
-        let tenant = name.and_then(|name| self.hosted.named(&name));
+        let tenant = name.and_then(|name| self.hosted.get(&name));
         Ok(tenant.ok_or(StatusCode::NOT_FOUND)?)
     }
 
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -95,7 +95,7 @@
     }
 
     /// The tenant of this name.
-    pub fn named(&self, name: &str) -> Option<Rc<HostedTenant>> {
+    pub fn get(&self, name: &str) -> Option<Rc<HostedTenant>> {
         self.by_name.borrow().get(name).cloned()
     }
 
--- a/crates/proxy/src/platform/config_file.rs
+++ b/crates/proxy/src/platform/config_file.rs
@@ -19,22 +19,29 @@
 
 /// The configuration of a process in the platform's mode.
 pub struct Config {
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The operators' address, if there is one.
     pub operators: Option<SocketAddr>,
+    /// Seeds the random numbers of the decisions and of discovery.
     pub seed: u64,
+    /// Connections of clients.
     pub max_downstream_connections: usize,
+    /// Connections to endpoints.
     pub max_upstream_connections: usize,
     /// The endpoints known before discovery has answered.
     pub initial_list: Option<ParsedEndpointList>,
     /// Set only where the settings allow gossip.
     pub gossip: Option<GossipConfig>,
+    /// The platform's settings object.
     pub platform: PlatformSettings,
 }
 
 /// The gossip between the proxies of a tier.
 pub struct GossipConfig {
+    /// Where messages of peers arrive.
     pub listen: SocketAddr,
     /// By rank.
     pub peers: Vec<SocketAddr>,
@@ -54,14 +61,17 @@
 /// What is invalid in a configuration.
 #[derive(Debug)]
 pub enum InvalidConfig {
+    /// Not JSON, or not of the expected form.
     Json(serde_json::Error),
     /// Too few sockets to serve with.
     Sockets(usize),
+    /// The settings object cannot be used.
     Settings(PlatformSettingsError),
     /// Peers are told apart by their addresses.
     DuplicatePeer(SocketAddr),
     /// The seed is no 64-bit number in hexadecimal digits.
     Seed(String),
+    /// The list of known endpoints cannot be read.
     InitialList(String),
 }
 
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -125,27 +125,27 @@
     }
 
     /// The filter of a route, with the pool's own indexes for zones and machine kinds.
-    pub fn endpoint_filter(&self, within: &EndpointScope) -> EndpointFilter {
+    pub fn endpoint_filter(&self, scope: &EndpointScope) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
         EndpointFilter {
-            zones: within.zones.iter().map(|zone| names.zone(zone)).collect(),
-            machine_kinds: within.machine_kinds.iter().map(|kind| names.kind(kind)).collect(),
-            cells: within.cells.clone(),
+            zones: scope.zones.iter().map(|zone| names.zone(zone)).collect(),
+            machine_kinds: scope.machine_kinds.iter().map(|kind| names.kind(kind)).collect(),
+            cells: scope.cells.clone(),
         }
     }
 
     /// Counts the endpoints that match a filter.
-    pub fn count(&self, filter: Option<&EndpointFilter>) -> EndpointCounts {
-        let mut count = EndpointCounts::default();
+    pub fn endpoint_counts(&self, filter: Option<&EndpointFilter>) -> EndpointCounts {
+        let mut counts = EndpointCounts::default();
         self.upstreams.for_each_endpoint(|endpoint, _| {
             if filter.is_none_or(|filter| filter.matches(endpoint)) {
                 match endpoint.state {
-                    EndpointState::Ready => count.ready += 1,
-                    EndpointState::Draining => count.draining += 1,
+                    EndpointState::Ready => counts.ready += 1,
+                    EndpointState::Draining => counts.draining += 1,
                     EndpointState::Removed => {}
                 }
             }
         });
-        count
+        counts
     }
 }
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -126,8 +126,8 @@
     }
 
     /// Counts the endpoints of a pool that a route may use.
-    fn count(&self, route: usize, pool: PoolId) -> EndpointCounts {
-        self.pools[pool.0].count(self.filters[route][pool.0].as_deref())
+    fn endpoint_counts(&self, route: usize, pool: PoolId) -> EndpointCounts {
+        self.pools[pool.0].endpoint_counts(self.filters[route][pool.0].as_deref())
     }
 }
 
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -16,30 +16,30 @@
     snapshot: Rc<Snapshot>,
     /// The index of the route.
     route: usize,
-    step: PoolChoice,
+    choice: PoolChoice,
 }
 
 impl PoolSelection {
     /// Starts with the route's first usable pool, beginning at the preferred one.
     pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
-        let step =
-            snapshot.config.table.routes()[route].first_pool(preferred, |pool| snapshot.count(route, pool));
-        PoolSelection { snapshot, route, step }
+        let choice = snapshot.config.table.routes()[route]
+            .first_pool(preferred, |pool| snapshot.endpoint_counts(route, pool));
+        PoolSelection { snapshot, route, choice }
     }
 
     /// The counters of the current pool, if requests are counted.
     pub fn counters(&self) -> Option<Rc<RequestCounters>> {
-        self.snapshot.counters[self.route].get(&self.step.pool.0).cloned()
+        self.snapshot.counters[self.route].get(&self.choice.pool.0).cloned()
     }
 }
 
 impl PoolSequence for PoolSelection {
     fn driver(&self) -> &DriverHandle {
-        &self.snapshot.pools[self.step.pool.0].driver
+        &self.snapshot.pools[self.choice.pool.0].driver
     }
 
     fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>> {
-        self.snapshot.filters[self.route][self.step.pool.0].clone()
+        self.snapshot.filters[self.route][self.choice.pool.0].clone()
     }
 
     fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
@@ -52,9 +52,9 @@
             let has_other_pool = route.pools().nth(1).is_some();
             return if has_other_pool { RejectionOutcome::Failed } else { RejectionOutcome::Final };
         }
-        match route.after_rejection(self.step, |pool| self.snapshot.count(self.route, pool)) {
-            Some(step) => {
-                self.step = step;
+        match route.after_rejection(self.choice, |pool| self.snapshot.endpoint_counts(self.route, pool)) {
+            Some(choice) => {
+                self.choice = choice;
                 RejectionOutcome::NextPool
             }
             None => RejectionOutcome::Final,
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -38,11 +38,13 @@
 
 /// What a process in the standalone mode is started with.
 pub struct Options {
+    /// The configuration that is served first.
     pub config: Config,
     /// Seeds request ids and the random numbers of the decisions.
     pub seed: u64,
     /// Reads the configuration again on SIGHUP.
     pub load_config: LoadConfig,
+    /// Set where the configuration announces addresses.
     pub announcer: Option<Rc<dyn AddressAnnouncer>>,
 }
 
--- a/crates/testkit/src/bgp_router/message.rs
+++ b/crates/testkit/src/bgp_router/message.rs
@@ -8,35 +8,46 @@
 /// The content of an UPDATE.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Routes {
+    /// Prefixes that are no longer reachable.
     pub withdrawn: Vec<Prefix>,
+    /// Prefixes announced with the attributes below.
     pub announced: Vec<Prefix>,
+    /// AS_PATH, without segment types.
     pub path: Vec<u32>,
+    /// NEXT_HOP, of either address family.
     pub next_hop: Option<IpAddr>,
+    /// MULTI_EXIT_DISC.
     pub med: Option<u32>,
+    /// LOCAL_PREF.
     pub local_pref: Option<u32>,
+    /// COMMUNITIES.
     pub communities: Vec<u32>,
+    /// LARGE_COMMUNITIES.
     pub large_communities: Vec<[u32; 3]>,
 }
 
 /// A received message, or the end of its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BgpMessage {
+    /// OPEN.
     Open {
+        /// The four-octet AS number, if its capability is there.
         asn: u32,
         /// In seconds.
         hold_time: u16,
+        /// The BGP identifier.
         id: Ipv4Addr,
         /// Code and value of each.
         capabilities: Vec<(u8, Vec<u8>)>,
     },
+    /// UPDATE.
     Routes(Routes),
-    Notification {
-        code: u8,
-        subcode: u8,
-        data: Vec<u8>,
-    },
+    /// NOTIFICATION.
+    Notification { code: u8, subcode: u8, data: Vec<u8> },
+    /// KEEPALIVE.
     Keepalive,
     /// A message of another type.
     Other(u8),
+    /// The router's peer closed the connection.
     ConnectionClosed,
 }
--- a/crates/testkit/src/bgp_router/mod.rs
+++ b/crates/testkit/src/bgp_router/mod.rs
@@ -47,6 +47,7 @@
 
 /// A router on a loopback address.
 pub struct Router {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
--- a/crates/testkit/src/fixed_latency_endpoint.rs
+++ b/crates/testkit/src/fixed_latency_endpoint.rs
@@ -11,6 +11,7 @@
 
 /// Serves until the process ends.
 pub struct FixedLatencyEndpoint {
+    /// Where it listens.
     pub address: SocketAddr,
     served: Arc<AtomicUsize>,
 }
--- a/crates/testkit/src/http_client.rs
+++ b/crates/testkit/src/http_client.rs
@@ -10,10 +10,12 @@
 pub struct HttpClient(BufReader<TcpStream>);
 
 impl HttpClient {
+    /// A client on a connection.
     pub fn of(stream: TcpStream) -> HttpClient {
         HttpClient(BufReader::new(stream))
     }
 
+    /// Sends text as it is.
     pub fn send(&mut self, text: &str) {
         assert!(self.try_send(text), "written");
     }
--- a/crates/testkit/src/http_message.rs
+++ b/crates/testkit/src/http_message.rs
@@ -7,16 +7,20 @@
 pub struct HttpMessage {
     /// The request or status line.
     pub line: String,
+    /// Names and values in their order.
     pub headers: Vec<(String, String)>,
+    /// As long as `Content-Length` says.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
+    /// The first value of a header, by a name in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let field = self.headers.iter().find(|(field, _)| field.eq_ignore_ascii_case(name));
         field.map(|(_, value)| value.as_str())
     }
 
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status line")
     }
--- a/crates/testkit/src/json_rpc/client.rs
+++ b/crates/testkit/src/json_rpc/client.rs
@@ -15,26 +15,31 @@
 }
 
 impl RpcClient {
+    /// Connects to the proxy.
     #[track_caller]
     pub fn connect(address: SocketAddr, framing: Framing) -> RpcClient {
         RpcClient::of(TcpStream::connect(address).expect("the proxy listens"), framing)
     }
 
+    /// A client on a connection.
     pub fn of(stream: TcpStream, framing: Framing) -> RpcClient {
         stream.set_nodelay(true).expect("set");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         RpcClient { stream: BufReader::new(stream), framing }
     }
 
+    /// The connection itself.
     pub fn stream(&self) -> &TcpStream {
         self.stream.get_ref()
     }
 
+    /// Sends a message in the client's framing.
     pub fn send(&mut self, message: &str) {
         let bytes = self.framing.encode(message);
         self.send_bytes(&bytes);
     }
 
+    /// Sends bytes as they are.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.get_mut().write_all(bytes).expect("written");
     }
--- a/crates/testkit/src/mock_discovery.rs
+++ b/crates/testkit/src/mock_discovery.rs
@@ -14,6 +14,7 @@
 /// What discovery does with a poll.
 #[derive(Clone, Debug)]
 pub enum PollResponse {
+    /// Responds with this list.
     List(String),
     /// Announces a list and closes the connection in the middle of it.
     Truncated(String),
@@ -95,11 +96,13 @@
 /// Responds to each poll with the next scripted response, as soon as there is one. A poll that does not wait is answered
 /// with an empty list while there is none, and is not counted.
 pub struct MockDiscovery {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl MockDiscovery {
+    /// Starts with an empty script.
     pub fn new() -> MockDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
--- a/crates/testkit/src/mock_server.rs
+++ b/crates/testkit/src/mock_server.rs
@@ -10,6 +10,7 @@
 /// What a mock server sees, with the number of the connection, from 0.
 #[derive(Debug)]
 pub enum ServerEvent<T> {
+    /// A complete request.
     Request(usize, T),
     /// The proxy closed the connection.
     ConnectionClosed(usize),
@@ -17,6 +18,7 @@
 
 /// A server whose requests are of one type.
 pub struct MockServer<T> {
+    /// Where it listens.
     pub address: SocketAddr,
     events: Receiver<ServerEvent<T>>,
 }
--- a/crates/testkit/src/release.rs
+++ b/crates/testkit/src/release.rs
@@ -12,6 +12,7 @@
 }
 
 impl Release {
+    /// Releases all waiting threads, now and later.
     pub fn release(&self) {
         *self.released.lock().expect("unpoisoned") = true;
         self.changed.notify_all();
--- /dev/null
+++ b/tests/hosted_changes.rs
@@ -0,0 +1,183 @@
+//! Changes of the tenants of a hosted service while it serves.
+#[path = "stubs/api.rs"]
+mod api;
+mod stubs;
+
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+use api::*;
+use serde_json::json;
+use stubs::*;
+
+fn endpoint(name: &str, latency_ms: u64) -> FixedLatencyEndpoint {
+    FixedLatencyEndpoint::start(name, Duration::from_millis(latency_ms)).expect("a port")
+}
+
+/// Limits, endpoints and the name of a class change 500 times under load.
+#[test]
+fn five_hundred_changes_under_load_lose_no_request() {
+    let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 0)).collect();
+    let service = Arc::new(host_service(&hosted_file("", "")));
+    let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
+    let at = |round: usize| {
+        let of = &addresses[round % 2..2 + round % 2];
+        let limits = json!({ "requests_per_s": 100_000 + round, "in_flight": 100 + round % 7 });
+        let mut doc = tenant("club.example", of, limits);
+        let config = &mut doc["config"];
+        config["class"][0]["semantics"] = json!("at-most-once");
+        let class = ["standings", "tables"][round / 10 % 2];
+        config["class"][0]["name"] = json!(class);
+        config["route"][0]["class"] = json!(class);
+        doc
+    };
+    assert_eq!(service.put("/v1/tenants/club", &at(0)).status, 200);
+    assert_eq!(
+        service.put("/v1/tenants/other", &tenant("other.example", &[addresses[2]], json!({}))).status,
+        200
+    );
+    // The last round that was requested, and the last that was confirmed.
+    let (requested, done) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+    let stop = Arc::new(AtomicBool::new(false));
+    let callers: Vec<_> = (0..4)
+        .map(|_| {
+            let (service, stop) = (Arc::clone(&service), Arc::clone(&stop));
+            let (requested, done) = (Arc::clone(&requested), Arc::clone(&done));
+            thread::spawn(move || {
+                let (mut caller, mut asked) = (service.process.caller(), 0);
+                while !stop.load(Ordering::Relaxed) {
+                    let from = done.load(Ordering::SeqCst);
+                    let answer =
+                        caller.ask("POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 1\r\n\r\nx");
+                    assert_eq!(answer.status(), 200);
+                    // The endpoint belongs to a version that may have served the request: the first is in even ones only,
+                    // the last in odd ones.
+                    let to = requested.load(Ordering::SeqCst);
+                    let by = answer.header("X-Served-By").expect("a node");
+                    let fits = |round: usize| by == "n1" || (by == "n0") == round.is_multiple_of(2);
+                    assert!((from..=to).any(fits), "{by} in rounds {from} to {to}");
+                    asked += 1;
+                }
+                asked
+            })
+        })
+        .collect();
+    let mut tag = service.get("/v1/tenants/club").etag;
+    let untouched = service.get("/v1/tenants/other").etag;
+    for round in 1..=500 {
+        requested.store(round, Ordering::SeqCst);
+        let response =
+            service.call("PUT", "/v1/tenants/club?why=round", None, tag.as_deref(), Some(&at(round)));
+        assert_eq!(response.status, 200, "{response:?}");
+        assert_eq!(response.body["version"], round + 3);
+        tag = response.etag;
+        done.store(round, Ordering::SeqCst);
+    }
+    stop.store(true, Ordering::Relaxed);
+    let asked: usize = callers.into_iter().map(|c| c.join().expect("every request was answered")).sum();
+    let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
+    assert_eq!(served, asked, "each request ran once");
+    assert_eq!(service.get("/v1/tenants/other").etag, untouched);
+    assert_eq!(service.get("/v1/tenants/other/status").body["version"], 3, "the other was not touched");
+}
+
+#[test]
+fn concurrent_changes_need_the_current_version() {
+    let one = endpoint("one", 0);
+    let service = host_service(&hosted_file("", ""));
+    let doc = tenant("club.example", &[one.address], json!({}));
+    service.put("/v1/tenants/club", &doc);
+    let tag = service.get("/v1/tenants/club/config").etag;
+    let mut mine = doc["config"].clone();
+    mine["class"][0]["aim_ms"] = json!(1000);
+    let put =
+        |tag: Option<&str>| service.call("PUT", "/v1/tenants/club/config", None, tag, Some(&mine)).status;
+    assert_eq!(put(None), 428, "it has to be said what is changed");
+    assert_eq!(put(tag.as_deref()), 200);
+    assert_eq!(put(tag.as_deref()), 412, "the other was faster");
+    assert_eq!(service.call("PUT", "/v1/tenants/new", None, Some("\"x\""), Some(&doc)).status, 412);
+    // A dry run reports the result and changes nothing.
+    let before = service.get("/v1/versions").body;
+    let response = service.put("/v1/tenants/club/config?dry_run=true", &doc["config"]);
+    assert_eq!((response.status, &response.body["dry_run"]), (200, &json!(true)));
+    let response = service.put("/v1/tenants/club/config?dry_run=true", &json!({ "pool": 7 }));
+    assert_eq!(response.status, 422);
+    assert_eq!(service.get("/v1/versions").body, before);
+}
+
+/// A change is checked against its own tenant's expectations alone.
+#[test]
+fn a_change_is_checked_against_the_expectations_of_its_own_tenant() {
+    let (one, two) = (endpoint("one", 0), endpoint("two", 0));
+    let service = host_service(&hosted_file("", ""));
+    service.put("/v1/tenants/one", &tenant("one.example", &[one.address], json!({})));
+    service.put("/v1/tenants/two", &tenant("two.example", &[two.address], json!({})));
+    // The tenant's expectation, a pool for /x, does not hold without its route.
+    let response = service.put(
+        "/v1/tenants/one/config/routes/r",
+        &json!({ "match": { "path": "/y" }, "class": "standings", "pool": "p" }),
+    );
+    assert_eq!(response.status, 422);
+    assert_eq!(response.body["detail"]["kind"], "expectations");
+    let words = response.body["error"].as_str().expect("words");
+    assert!(words.contains("tenant `one`") && words.contains("`served`") && words.contains("404"), "{words}");
+    assert_eq!(service.ask("one.example", "/x").status(), 200, "the old one serves on");
+    // No change of one tenant changes the other's responses, version or state.
+    let seen = |what: &str| service.get(&format!("/v1/tenants/two{what}"));
+    let before = (seen("").etag, seen("/status").body["version"].clone());
+    assert_eq!(service.put("/v1/tenants/one/config", &json!({})).status, 200, "an empty one serves nothing");
+    assert_eq!(service.ask("one.example", "/x").status(), 404);
+    assert_eq!(
+        service.put("/v1/tenants/one/pools/p/nodes/n0/state", &json!({ "state": "draining" })).status,
+        404
+    );
+    assert_eq!(service.delete("/v1/tenants/one").status, 200);
+    assert_eq!(before, (seen("").etag, seen("/status").body["version"].clone()));
+    assert_eq!(service.ask("two.example", "/x").status(), 200);
+}
+
+#[test]
+fn endpoints_are_drained_and_versions_are_listed_and_rolled_back() {
+    let (one, two) = (endpoint("one", 0), endpoint("two", 0));
+    let service = host_service(&hosted_file("", ""));
+    service.put("/v1/tenants/club", &tenant("club.example", &[one.address, two.address], json!({})));
+    let state = |state: &str| {
+        let path = "/v1/tenants/club/pools/p/nodes/n0/state?why=maintenance%20of%20one";
+        service.put(path, &json!({ "state": state })).status
+    };
+    assert_eq!(state("draining"), 200);
+    for _ in 0..20 {
+        assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("two"));
+    }
+    assert_eq!(state("asleep"), 422);
+    let versions = service.get("/v1/versions").body;
+    assert_eq!(
+        (&versions[0]["number"], &versions[0]["who"], &versions[0]["why"]),
+        (&json!(3), &json!("local"), &json!("maintenance of one"))
+    );
+    assert!(versions[0]["at_ms"].as_u64() > Some(1_700_000_000_000));
+    let diff = service.get("/v1/versions/2/diff/3").body;
+    assert_eq!(diff, json!([{ "path": "/tenants/club/config/pool/p/nodes/n0/state", "after": "draining" }]));
+    let response = service.call("POST", "/v1/versions/2/rollback?why=back", None, None, None);
+    assert_eq!((response.status, &response.body["version"]), (200, &json!(4)));
+    assert_eq!(
+        service.get("/v1/versions/2").body["document"],
+        service.get("/v1/versions/4").body["document"]
+    );
+    let other = service.put("/v1/tenants/club/pools/p/nodes/n1/state", &json!({ "state": "draining" }));
+    assert_eq!(other.status, 200);
+    assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("one"), "restored");
+    assert_eq!(service.call("POST", "/v1/versions/9/rollback", None, None, None).status, 404);
+    // A rollback by the tenant keeps the limits, which the operator sets.
+    service.put("/v1/tenants/club/limits", &json!({ "weight": 3 }));
+    let tag = service.get("/v1/tenants/club").etag;
+    let response = service.call("POST", "/v1/tenants/club/rollback?to=3", None, tag.as_deref(), None);
+    assert_eq!(response.status, 200, "{response:?}");
+    let now = service.get("/v1/tenants/club").body;
+    assert_eq!(
+        (&now["limits"]["weight"], &now["config"]["pool"][0]["nodes"][0]["state"]),
+        (&json!(3), &json!("draining"))
+    );
+}
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! What operators ask of a proxy in service: an address of their own, true figures, backends out by hand, a process that
-//! takes over from another.
+//! The operators' address of a proxy in the platform's mode: readiness, metrics, maintenance of endpoints, and the
+//! hand-over to another process.
 mod stubs;
 
 use std::io::{Read, Write};
@@ -9,7 +9,7 @@
 
 use stubs::*;
 
-/// A proxy with an address for operators, and its discovery.
+/// A proxy with an operators' address, and its discovery.
 fn start(backends: &[&MockEndpoint]) -> (Process, MockDiscovery, Held) {
     let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(backends).config(discovery.address));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn each_call_of_an_operator_has_its_answer() {
+fn each_operator_request_has_its_response() {
     let backend = MockEndpoint::new([]);
     let (process, ..) = start(&[&backend]);
     let long = "x".repeat(600);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn who_hangs_on_the_operators_address_keeps_nobody_out() {
+fn hanging_operator_connections_do_not_block_others() {
     let backend = MockEndpoint::new([]);
     let (process, ..) = start(&[&backend]);
     let at = process.operators();
@@ -58,14 +58,14 @@
         hanging.push(stream);
         assert_eq!(process.call("GET", "/status", "").0, 200, "beside {n}");
     }
-    // Nor do readers of figures that stop reading.
+    // Nor do clients that stop reading the metrics.
     for _ in 0..40 {
         let mut stream = TcpStream::connect(at).expect("it listens");
         let _ = stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         hanging.push(stream);
     }
     assert_eq!(process.call("GET", "/status/metrics", "").0, 200);
-    // A call byte by byte is one all the same.
+    // A request that arrives byte by byte is served as well.
     let mut slow = TcpStream::connect(at).expect("it listens");
     slow.set_nodelay(true).expect("set");
     for byte in b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ns-0" {
@@ -77,31 +77,31 @@
 }
 
 #[test]
-fn a_backend_out_by_hand_gets_nothing_until_it_is_put_back_whatever_is_listed() {
+fn an_endpoint_in_maintenance_gets_no_request_whatever_is_listed() {
     let (first, second) = (MockEndpoint::new(vec![ok("1"); 99]), MockEndpoint::new(vec![ok("2"); 99]));
     let (process, discovery, held) = start(&[&first, &second]);
-    let asks = |n: usize, what: &str| {
+    let send_requests = |n: usize, what: &str| {
         for i in 0..n {
             assert_eq!(ask(&process, &held, &read(&format!("{what}-{i}"), 9000)).status(), 200);
         }
     };
     assert_eq!(process.call("POST", "/maintenance/enter", "s-0").0, 200);
-    asks(10, "out");
+    send_requests(10, "out");
     assert_eq!((first.requests().len(), second.requests().len()), (0, 10));
     assert_eq!((process.figure("edge_lb_pool_size"), process.figure("edge_lb_pool_ejected")), (2, 1));
-    // Discovery lists it anew, and the whole list once more.
+    // Discovery lists the endpoint again, first as a change and then in a full list.
     discovery.push(PollResponse::List(list(2, false, &[host("s-0", first.address, "SERVING")])));
     let hosts = [host("s-0", first.address, "SERVING"), host("s-1", second.address, "SERVING")];
     discovery.push(PollResponse::List(list(3, true, &hosts)));
-    // The third call is made once both are taken in.
+    // The third poll is sent once both are applied.
     discovery.wait_for_poll(2);
-    asks(10, "listed");
+    send_requests(10, "listed");
     assert_eq!(first.requests().len(), 0);
     assert_eq!(process.call("POST", "/maintenance/exit", "s-0").0, 200);
     assert_eq!(process.figure("edge_lb_pool_ejected"), 0);
     let since = Instant::now();
     for i in 0.. {
-        asks(1, &format!("back-{i}"));
+        send_requests(1, &format!("back-{i}"));
         if !first.requests().is_empty() {
             break;
         }
@@ -110,25 +110,28 @@
 }
 
 #[test]
-fn figures_agree_with_what_callers_and_backends_saw() {
+fn metrics_agree_with_what_clients_and_endpoints_saw() {
     let backend = MockEndpoint::new([ok("1"), answer("500 Internal Server Error", "", ""), ok("2"), ok("3")]);
     let (process, _discovery, held) = start(&[&backend]);
-    let mut seen = [0; 600];
+    let mut statuses = [0; 600];
     for i in 0..3 {
-        seen[usize::from(ask(&process, &held, &read(&format!("r-{i}"), 9000)).status())] += 1;
+        statuses[usize::from(ask(&process, &held, &read(&format!("r-{i}"), 9000)).status())] += 1;
     }
-    // Turned away with its class known, and with none.
+    // Rejected with a known class, and without one.
     let bad = read("bad", 9000).replace("GET", "POST");
-    seen[usize::from(ask(&process, &held, &bad).status())] += 1;
+    statuses[usize::from(ask(&process, &held, &bad).status())] += 1;
     ask(&process, &held, &read("nobody", 9000).replace("read", "nobodys"));
-    let tries = backend.requests().len() as u64;
-    assert_eq!(process.figure("edge_lb_tries_total"), tries);
-    let of = |name: &str, kind: &str| process.figure(&format!("edge_lb_{name}_total{{kind=\"{kind}\"}}"));
-    assert_eq!((of("ok", "read"), seen[200]), (3, 3));
-    // The route itself says that this class is not asked for in that way, before the request is one of it.
-    assert_eq!((of("errors", "read") + of("errors", "write") + of("shed", "read"), seen[405]), (0, 1));
+    let attempts = backend.requests().len() as u64;
+    assert_eq!(process.figure("edge_lb_tries_total"), attempts);
+    let count = |name: &str, kind: &str| process.figure(&format!("edge_lb_{name}_total{{kind=\"{kind}\"}}"));
+    assert_eq!((count("ok", "read"), statuses[200]), (3, 3));
+    // Routing rejects the method before the request counts for its class.
+    assert_eq!(
+        (count("errors", "read") + count("errors", "write") + count("shed", "read"), statuses[405]),
+        (0, 1)
+    );
     assert_eq!(process.figure("edge_lb_active"), 0);
-    // One that is open, and whose caller then leaves.
+    // A request in flight whose client then disconnects.
     let silent = MockEndpoint::new([Behavior::Hang]);
     let (process, _discovery, held) = start(&[&silent]);
     let mut caller = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
@@ -141,16 +144,16 @@
 }
 
 #[test]
-fn a_process_takes_over_with_the_socket_and_what_is_out_by_hand() {
+fn a_successor_takes_over_the_socket_and_the_maintenance_state() {
     let (first, second) = (MockEndpoint::new(vec![ok("1"); 999]), MockEndpoint::new(vec![ok("2"); 999]));
     let discovery = MockDiscovery::new();
     let held = Held::new();
     let config = with_operators(&Setup::of(&[&first, &second]).config(discovery.address));
     let mut old = held.start(&config);
     assert_eq!(old.call("POST", "/maintenance/enter", "s-0").0, 200);
-    let mut kept = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
-    assert_eq!(kept.ask(&read("kept-1", 9000)).status(), 200);
-    // Another stays open for as long as the old one lets it.
+    let mut persistent = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
+    assert_eq!(persistent.ask(&read("persistent-1", 9000)).status(), 200);
+    // Another connection stays open until the old process closes it.
     let mut idle = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     assert_eq!(idle.ask(&read("idle", 9000)).status(), 200);
 
@@ -159,15 +162,15 @@
     assert_eq!(new.figure("edge_lb_pool_ejected"), 1, "handed on");
     old.terminate();
     old.says("told to end");
-    // The connection that stands is answered, told to leave, and then closed; the next is the new one's.
-    let last = kept.ask(&read("kept-2", 9000));
+    // The open connection gets a response with `Connection: close`; the next connection is accepted by the new process.
+    let last = persistent.ask(&read("persistent-2", 9000));
     assert_eq!((last.status(), last.header("Connection")), (200, Some("close")));
     for i in 0..50 {
         assert_eq!(ask(&new, &held, &read(&format!("new-{i}"), 9000)).status(), 200);
     }
     assert_eq!(first.requests().len(), 0);
     assert_eq!(old.call("GET", "/status", "").0, 503, "it takes no clients");
-    // Put back through the new one while the old one may still serve: its word counts for both.
+    // Maintenance ends through the new process while the old one may still serve: it applies to both.
     assert_eq!(new.call("POST", "/maintenance/exit", "s-0").0, 200);
     old.figure_becomes("edge_lb_pool_ejected", 0);
     drop(idle);
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_process_takes_over_what_was_learned_and_passes_over_what_is_damaged() {
+fn a_successor_takes_over_learned_state_and_ignores_damaged_files() {
     let backend = MockEndpoint::new(vec![ok("1"); 9999]);
     let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(&[&backend]).config(discovery.address));
@@ -201,7 +204,7 @@
     let new = held.start(&config);
     assert!(new.log().contains("knowledge: from "), "{}", new.log());
     drop((old, new));
-    // Half of it, as of a process that was killed while it wrote to the name itself.
+    // Truncated, as by a process that was killed while it wrote the file in place.
     let bytes = std::fs::read(&file).expect("readable");
     std::fs::write(&file, &bytes[..6]).expect("written");
     std::fs::write(held.folder.join("amberlever.maintenance"), "amberlever-maintenance 1 0\n-s-0\n")
@@ -213,17 +216,17 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_ends_the_program_with_a_line() {
+fn a_descriptor_that_is_no_listening_socket_ends_the_program_with_one_line() {
     let config = Setup::of(&[]).config(unused_address());
     for named in ["3", "x", "", "1", "99999999999999999999"] {
         let path = folder().join("lb.json");
         std::fs::write(&path, &config).expect("written");
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_amberlever"));
         let ended = command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", named).output().expect("it runs");
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
         assert!(
-            !ended.status.success() && said.contains("LB_PASSED_SOCKET") && said.lines().count() == 1,
-            "{said}"
+            !ended.status.success() && stderr.contains("LB_PASSED_SOCKET") && stderr.lines().count() == 1,
+            "{stderr}"
         );
     }
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,4 @@
-//! What operators ask of an own installation: the same address as on the platform, several pools, sockets that outlive a
-//! process.
+//! The operators' address in the standalone mode: several pools, maintenance over reloads, and inherited sockets.
 mod stubs;
 
 use std::net::{TcpListener, TcpStream};
@@ -10,7 +9,7 @@
 
 use stubs::*;
 
-/// Two pools, of which each has a node `n1`, and the second one `n2` besides.
+/// Two pools that both have an endpoint `n1`; the second one also has `n2`.
 fn config(listen: &str, nodes: [&MockEndpoint; 3], extra: &str) -> String {
     let [a1, b1, b2] = nodes.map(|n| n.address);
     format!(
@@ -50,7 +49,7 @@
 }
 
 #[test]
-fn nodes_of_several_pools_go_out_by_hand_over_a_reload_and_are_counted_apart() {
+fn maintenance_outlasts_a_reload_and_metrics_are_separate_for_each_pool() {
     let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let text = config("127.0.0.1:0", nodes.each_ref(), "folder = \"kept\"");
     let process = serve(&text, &[]);
@@ -65,25 +64,25 @@
         let (answered, line) = process.call("POST", path, body);
         assert_eq!(answered, status, "{path} {body}: {line}");
     }
-    let asks = |n: usize, pool: &str, what: &str| {
+    let send_requests = |n: usize, pool: &str, what: &str| {
         for i in 0..n {
             assert_eq!(process.ask(&get(pool, &format!("{what}-{pool}-{i}"))).status(), 200);
         }
     };
-    asks(10, "b", "out");
-    // Another class and another pool: what is out stays so.
+    send_requests(10, "b", "out");
+    // The pool is replaced: its endpoint stays in maintenance.
     process.reload(&text.replace("\"b\"\nnodes", "\"b\"\nshare = 2\nnodes"));
     process.says("configuration 2");
-    asks(10, "b", "reloaded");
-    asks(5, "a", "other");
+    send_requests(10, "b", "reloaded");
+    send_requests(5, "a", "other");
     assert_eq!(nodes.each_ref().map(|n| n.requests().len()), [5, 0, 20]);
-    let figure = |name: &str| process.figure(name);
-    assert_eq!(figure("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 20);
-    assert_eq!(figure("edge_lb_ok_total{kind=\"read\",pool=\"a\"}"), 5);
-    assert_eq!(figure("edge_lb_tries_total{pool=\"b\"}"), 20);
-    let pool = |name: &str| ["a", "b"].map(|p| figure(&format!("edge_lb_{name}{{pool=\"{p}\"}}")));
+    let metric = |name: &str| process.figure(name);
+    assert_eq!(metric("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 20);
+    assert_eq!(metric("edge_lb_ok_total{kind=\"read\",pool=\"a\"}"), 5);
+    assert_eq!(metric("edge_lb_tries_total{pool=\"b\"}"), 20);
+    let pool = |name: &str| ["a", "b"].map(|p| metric(&format!("edge_lb_{name}{{pool=\"{p}\"}}")));
     assert_eq!((pool("pool_size"), pool("pool_ejected")), ([1, 2], [0, 1]));
-    // It is kept for the next process.
+    // The maintenance state is stored for the next process.
     drop(process);
     let folder = folder();
     let first = serve(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
@@ -99,17 +98,17 @@
 fn start_with(listener: &TcpListener, config: &str, count: usize) -> std::process::Child {
     let path = folder().join("lb.toml");
     std::fs::write(&path, config).expect("written");
-    let held = OwnedFd::from(listener.try_clone().expect("another descriptor"));
+    let inherited = OwnedFd::from(listener.try_clone().expect("another descriptor"));
     let mut command = Command::new("sh");
     let line = "LISTEN_PID=$$ exec \"$0\" serve --config \"$1\" 3<&0 </dev/null";
     command.args(["-c", line, env!("CARGO_BIN_EXE_amberlever")]).arg(&path);
     command.env("LISTEN_FDS", count.to_string()).env_remove("LB_CONFIG");
-    command.stdin(Stdio::from(held)).stdout(Stdio::null()).stderr(Stdio::piped());
+    command.stdin(Stdio::from(inherited)).stdout(Stdio::null()).stderr(Stdio::piped());
     command.spawn().expect("the proxy starts")
 }
 
 #[test]
-fn a_process_follows_another_on_a_socket_that_is_passed_on_and_loses_nothing() {
+fn a_successor_on_an_inherited_socket_loses_no_request() {
     let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
@@ -117,29 +116,29 @@
     let start = || Process::watch(start_with(&listener, &text, 1), folder());
     let mut old = start();
     assert_eq!(old.address, at);
-    let mut kept = HttpClient::of(TcpStream::connect(at).expect("it listens"));
-    assert_eq!(kept.ask(&get("a", "kept-1")).status(), 200);
+    let mut persistent = HttpClient::of(TcpStream::connect(at).expect("it listens"));
+    assert_eq!(persistent.ask(&get("a", "kept-1")).status(), 200);
     let new = start();
     assert_eq!(new.call("GET", "/status", "").0, 200);
     old.terminate();
-    // Nobody else is told; its figures say when it knows.
+    // Its operators' address shows when the signal has arrived.
     let since = Instant::now();
     while old.call("GET", "/status", "").0 != 503 {
         assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(1));
     }
-    let last = kept.ask(&get("a", "kept-2"));
+    let last = persistent.ask(&get("a", "kept-2"));
     assert_eq!((last.status(), last.header("Connection")), (200, Some("close")));
     for i in 0..30 {
         assert_eq!(new.ask(&get("b", &format!("new-{i}"))).status(), 200);
     }
-    drop(kept);
+    drop(persistent);
     assert!(old.end().success());
     assert_eq!(new.figure("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 30);
 }
 
 #[test]
-fn sockets_that_do_not_fit_the_configuration_end_the_program_with_a_line() {
+fn inherited_sockets_that_do_not_match_the_listeners_end_the_program_with_one_line() {
     let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = TcpListener::bind("127.0.0.1:0").expect("another").local_addr().expect("bound");
@@ -147,14 +146,14 @@
     for (at, count, why) in [(right.clone(), 2, "2 sockets"), (other.to_string(), 1, "listens on")] {
         let child = start_with(&listener, &config(&at, nodes.each_ref(), ""), count);
         let ended = child.wait_with_output().expect("it ends");
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(!ended.status.success() && said.contains(why), "{said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
+        assert!(!ended.status.success() && stderr.contains(why), "{stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
 
 #[test]
-fn an_operators_address_that_is_not_on_loopback_is_no_configuration() {
+fn an_operators_address_that_is_not_on_loopback_is_rejected() {
     let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let text = config("127.0.0.1:0", nodes.each_ref(), "").replacen(
         "[operators]\nlisten = \"127.0.0.1:0\"",
@@ -163,6 +162,6 @@
     );
     let (child, _) = try_serve(&text, &[]);
     let ended = child.wait_with_output().expect("it ends");
-    let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert!(!ended.status.success() && said.contains("not on loopback"), "{said}");
+    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
+    assert!(!ended.status.success() && stderr.contains("not on loopback"), "{stderr}");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reload without loss: what was taken under a configuration ends under it.
+//! Reload without loss: requests complete under the configuration that they were routed by.
 mod stubs;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -35,7 +35,7 @@
 const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
 #[test]
-fn a_pool_that_goes_away_answers_all_that_it_took() {
+fn a_removed_pool_completes_requests_in_flight() {
     let release = Arc::new(Release::default());
     let old = MockEndpoint::new([
         Behavior::RespondOnRelease(Arc::clone(&release), DONE.to_owned()),
@@ -43,31 +43,31 @@
     ]);
     let new = MockEndpoint::new([ok("new")]);
     let proxy = serve(&config(&[("old", &old), ("new", &new)], ""), &[]);
-    let (mut running, mut silent, mut kept) = (proxy.caller(), proxy.caller(), proxy.caller());
+    let (mut running, mut silent, mut persistent) = (proxy.caller(), proxy.caller(), proxy.caller());
     running.send(&post("/old/1", ""));
     old.request();
     silent.send(&post("/old/2", "X-Timeout-Ms: 2500\r\n"));
     old.request();
-    assert_eq!(kept.ask(&post("/new/1", "")).body, b"new");
+    assert_eq!(persistent.ask(&post("/new/1", "")).body, b"new");
     proxy.reload(&config(&[("new", &new)], ""));
     proxy.says("configuration 2: 1 routes, 1 pools");
-    // Nothing new goes there, on old connections either.
+    // No new request goes there, on open connections either.
     assert_eq!(proxy.ask(&post("/old/3", "")).status(), 404);
-    assert_eq!(kept.ask(&post("/new/2", "")).body, b"new");
-    // Taken before: one answer each, at its end or its deadline.
+    assert_eq!(persistent.ask(&post("/new/2", "")).body, b"new");
+    // Requests in flight: one response each, at their end or their deadline.
     release.release();
     assert_eq!(running.receive().body, b"done");
     assert_eq!(running.ask(&post("/new/3", "")).body, b"new", "its connection goes on");
     assert_eq!(silent.receive().status(), 504);
     assert_eq!(silent.ask(&post("/new/4", "")).body, b"new");
-    // Its connections are closed once nothing needs them.
+    // Its connections are closed once no request needs them.
     old.wait_for_close();
     old.wait_for_close();
     assert!(old.requests().is_empty());
 }
 
 #[test]
-fn a_pool_that_did_not_change_keeps_its_connections() {
+fn an_unchanged_pool_keeps_its_connections() {
     let (same, other) = (MockEndpoint::new([ok("same")]), MockEndpoint::new([ok("other")]));
     let proxy = serve(&config(&[("same", &same)], ""), &[]);
     let mut caller = proxy.caller();
@@ -79,7 +79,7 @@
         proxy.reload(&config(pools, ""));
         proxy.says(&format!("configuration {reload}: "));
     }
-    // Another figure of its class, and its decisions stand on other ground: a new pool.
+    // Another setting of its class: a new pool.
     proxy.reload(&config(&[("same", &same)], "").replace("aim_ms = 8000", "aim_ms = 7000"));
     proxy.says("configuration 6: ");
     caller.ask(&post("/same/1", ""));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_new_configuration_keeps_the_old_one() {
+fn an_invalid_configuration_leaves_the_current_one_in_place() {
     let node = MockEndpoint::new([ok("done")]);
     let good = config(&[("p", &node)], "");
     let expect = "[[expect]]\nname = \"p stays\"\nwhen = { method = \"POST\", path = \"/p/1\" }\nthen = { pool = \"p\" }\n";
@@ -115,9 +115,9 @@
     proxy.says("configuration 2: ");
 }
 
-/// Pools come, go and change while six callers ask without a pause: each request has its one answer.
+/// Pools are added, removed and changed while six clients send requests without a pause: each gets one response.
 #[test]
-fn two_hundred_reloads_under_load_lose_nothing_and_leave_nothing_behind() {
+fn two_hundred_reloads_under_load_lose_no_request_and_leak_nothing() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3)
         .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(1)).expect("a port"))
         .collect();
@@ -142,25 +142,25 @@
         text
     };
     let proxy = Arc::new(serve(&text(0), &[]));
-    let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
+    let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
     let callers: Vec<_> = (0..6)
         .map(|i| {
-            let (proxy, stop, asked) = (Arc::clone(&proxy), Arc::clone(&stop), Arc::clone(&asked));
+            let (proxy, stop, answered) = (Arc::clone(&proxy), Arc::clone(&stop), Arc::clone(&answered));
             thread::spawn(move || {
                 let mut caller = proxy.caller();
                 let path = if i % 2 == 0 { "/steady/1" } else { "/changing/1" };
                 while !stop.load(Ordering::Relaxed) {
                     let answer = caller.ask(&post(path, ""));
                     assert_eq!(answer.status(), 200, "{path}");
-                    asked.fetch_add(1, Ordering::Relaxed);
+                    answered.fetch_add(1, Ordering::Relaxed);
                 }
             })
         })
         .collect();
     let settled = |until: usize| {
         // Some traffic in between, so that memory and descriptors are compared in the same state.
-        let from = asked.load(Ordering::Relaxed);
-        while asked.load(Ordering::Relaxed) < from + until {
+        let from = answered.load(Ordering::Relaxed);
+        while answered.load(Ordering::Relaxed) < from + until {
             thread::sleep(Duration::from_millis(2));
         }
     };
@@ -174,7 +174,7 @@
             began = Some(proxy.holds());
         }
     }
-    eprintln!("200 reloads in {:?}, {} requests", since.elapsed(), asked.load(Ordering::Relaxed));
+    eprintln!("200 reloads in {:?}, {} requests", since.elapsed(), answered.load(Ordering::Relaxed));
     settled(200);
     let ((descriptors, memory), (before, memory_before)) = (proxy.holds(), began.expect("taken"));
     stop.store(true, Ordering::Relaxed);
@@ -182,5 +182,5 @@
     assert!(descriptors <= before + 4, "{before} descriptors, then {descriptors}");
     assert!(memory <= memory_before + 2048, "{memory_before} kB, then {memory} kB");
     let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
-    assert_eq!(served, asked.load(Ordering::Relaxed), "each request ran once");
+    assert_eq!(served, answered.load(Ordering::Relaxed), "each request ran once");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,82 +1,82 @@
-//! A thousand servers and a thousand proxies: no list is cut, and what they take is what they need.
+//! A thousand endpoints and a thousand proxies: no list is truncated, and memory and descriptors stay within limits.
 mod stubs;
 
 use std::net::SocketAddr;
 
 use stubs::*;
 
-const MANY: usize = 1024;
+const COUNT: usize = 1024;
 /// The least memory that the platform gives a proxy, in kilobytes, and the fewest descriptors.
-const LEAST_MEMORY: u64 = 32 << 10;
-const LEAST_DESCRIPTORS: u32 = 256;
+const MIN_MEMORY_KB: u64 = 32 << 10;
+const MIN_DESCRIPTORS: u32 = 256;
 
-/// A name of the greatest length that a host has in DNS.
-fn long(n: usize, generation: &str) -> String {
+/// A name of the maximum length in DNS.
+fn long_name(n: usize, generation: &str) -> String {
     format!("{generation}-{n:04}-{}", "x".repeat(253 - generation.len() - 6))
 }
 
-/// Many hosts of which one is there; the others' address nobody listens at. Indented, as lists may come.
+/// Endpoints of which only one listens. With line breaks, as lists may have.
 fn hosts(generation: &str, there: SocketAddr, away: SocketAddr, health: &str) -> Vec<String> {
-    let at = |n| if n == MANY / 2 { there } else { away };
-    let health = |n| if n == MANY / 2 { "SERVING" } else { health };
-    (0..MANY).map(|n| host(&long(n, generation), at(n), health(n)).replace(',', ",\n      ")).collect()
+    let at = |n| if n == COUNT / 2 { there } else { away };
+    let health = |n| if n == COUNT / 2 { "SERVING" } else { health };
+    (0..COUNT).map(|n| host(&long_name(n, generation), at(n), health(n)).replace(',', ",\n      ")).collect()
 }
 
 fn setup(hosts: Vec<String>) -> Setup {
     let mut setup = Setup::of(&[]);
-    // Addresses of the greatest length, one for each proxy; only the first is anybody's here.
-    let others = (1..MANY).map(|n| format!("127.255.{}.{}:65535", 100 + n / 200, 1 + n % 200));
+    // Addresses of the maximum length, one for each proxy; only the first is in use.
+    let others = (1..COUNT).map(|n| format!("127.255.{}.{}:65535", 100 + n / 200, 1 + n % 200));
     let own: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let all = std::iter::once(own).chain(others.map(|a| a.parse().expect("an address"))).collect();
     setup.peers = Some((own, all));
     setup.hosts = hosts;
-    setup.sockets = LEAST_DESCRIPTORS;
-    setup.descriptors = Some(LEAST_DESCRIPTORS);
+    setup.sockets = MIN_DESCRIPTORS;
+    setup.descriptors = Some(MIN_DESCRIPTORS);
     setup.aim_ms = 5000;
     setup
 }
 
 #[test]
-fn a_thousand_servers_are_held_served_from_and_replaced_by_a_thousand_others() {
+fn a_thousand_endpoints_are_used_and_replaced_by_a_thousand_others() {
     let (first, second) = (MockEndpoint::new([ok("first")]), MockEndpoint::new([ok("second")]));
     let away = unused_address();
-    // All but one drain: each of the thousand counts.
+    // All but one are draining.
     let proxy = setup(hosts("old", first.address, away, "DRAINING")).start();
     for n in 0..5 {
         assert_eq!(proxy.ask(&read(&format!("a-{n}"), 5000)).body, b"first");
     }
     proxy.discovery.wait_for_poll(0);
-    let news = hosts("new", second.address, away, "DRAINING");
-    proxy.discovery.push(PollResponse::List(list(2, true, &news)));
+    let endpoints = hosts("new", second.address, away, "DRAINING");
+    proxy.discovery.push(PollResponse::List(list(2, true, &endpoints)));
     proxy.discovery.wait_for_poll(1);
     for n in 0..5 {
         assert_eq!(proxy.ask(&read(&format!("b-{n}"), 5000)).body, b"second");
     }
-    // And all but one are there to be tried, of which most refuse.
-    let news = hosts("new", second.address, away, "SERVING");
-    proxy.discovery.push(PollResponse::List(list(3, true, &news)));
+    // All are ready, of which all but one refuse connections.
+    let endpoints = hosts("new", second.address, away, "SERVING");
+    proxy.discovery.push(PollResponse::List(list(3, true, &endpoints)));
     proxy.discovery.wait_for_poll(2);
     for n in 0..40 {
         assert!(matches!(proxy.ask(&read(&format!("c-{n}"), 5000)).status(), 200 | 502..=504));
     }
     let (descriptors, memory) = proxy.holds();
-    assert!(memory < LEAST_MEMORY, "{memory} kB");
-    assert!(descriptors < LEAST_DESCRIPTORS as usize / 2, "{descriptors}");
+    assert!(memory < MIN_MEMORY_KB, "{memory} kB");
+    assert!(descriptors < MIN_DESCRIPTORS as usize / 2, "{descriptors}");
 }
 
 #[test]
-fn a_proxy_that_stands_in_the_list_of_peers_twice_is_an_error_in_one_line() {
+fn a_duplicate_peer_is_an_error_in_one_line() {
     let mut setup = setup(Vec::new());
     if let Some((_, all)) = &mut setup.peers {
         all[700] = all[3];
     }
     let output = run(Some(&setup.config(unused_address())), None).wait_with_output().expect("it ends");
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
+    let stderr = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
-        said.trim_end(),
-        format!("amberlever: {}", said.trim_end().trim_start_matches("amberlever: "))
+        stderr.trim_end(),
+        format!("amberlever: {}", stderr.trim_end().trim_start_matches("amberlever: "))
     );
-    assert!(said.contains("peers: 127.255.100.4:65535 stands in it twice"), "{said}");
-    assert_eq!(said.trim_end().lines().count(), 1, "{said}");
+    assert!(stderr.contains("peers: 127.255.100.4:65535 stands in it twice"), "{stderr}");
+    assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,5 +1,5 @@
-//! Processes that take over from each other, one after the other, under load: nothing is lost, refused or turned back.
-//! As many as `UPGRADES` says, or a few: `UPGRADES=100 cargo test --release --test upgrades -- --nocapture`.
+//! Processes that take over from each other under load: no request is lost, rejected or failed.
+//! The number of upgrades is `UPGRADES`, or a few: `UPGRADES=100 cargo test --release --test upgrades -- --nocapture`.
 mod stubs;
 
 use std::net::TcpStream;
@@ -10,91 +10,91 @@
 
 use stubs::*;
 
-/// Callers of each sort.
-const CALLERS: usize = 4;
-/// For how long a process serves alone.
-const ALONE: Duration = Duration::from_millis(300);
+/// Clients with persistent connections, and as many with a connection for each request.
+const CLIENTS: usize = 4;
+/// The time between upgrades.
+const UPGRADE_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
 struct Counts {
     served: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     failed: AtomicU64,
     /// Connections that ended without an answer.
-    unheard: AtomicU64,
-    number: AtomicU64,
+    unanswered: AtomicU64,
+    next_id: AtomicU64,
 }
 
 #[test]
-fn upgrades_in_a_row_under_load_lose_nothing_and_turn_nobody_away() {
+fn consecutive_upgrades_under_load_lose_and_reject_nothing() {
     let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("how many upgrades"));
     let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
     let (discovery, held) = (MockDiscovery::new(), Held::new());
     let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
     let mut serving = held.start(&config);
-    let (heard, over) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
-    let callers: Vec<_> = (0..2 * CALLERS)
+    let (counts, stop) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
+    let callers: Vec<_> = (0..2 * CLIENTS)
         .map(|n| {
-            let (heard, over, at) = (Arc::clone(&heard), Arc::clone(&over), held.address);
+            let (counts, stop, at) = (Arc::clone(&counts), Arc::clone(&stop), held.address);
             thread::spawn(move || {
-                let mut kept = None;
-                while !over.load(Ordering::Relaxed) {
-                    ask(&heard, &mut kept, at);
-                    if n < CALLERS {
-                        kept = None;
+                let mut connection = None;
+                while !stop.load(Ordering::Relaxed) {
+                    send_request(&counts, &mut connection, at);
+                    if n < CLIENTS {
+                        connection = None;
                     }
                     thread::sleep(Duration::from_millis(1));
                 }
             })
         })
         .collect();
-    let (mut slowest, mut longest) = (Duration::ZERO, Duration::ZERO);
+    let (mut slowest_start, mut longest_shutdown) = (Duration::ZERO, Duration::ZERO);
     for _ in 0..count {
-        thread::sleep(ALONE);
+        thread::sleep(UPGRADE_INTERVAL);
         let since = Instant::now();
         let next = held.start(&config);
         while next.call("GET", "/status", "").0 != 200 {
             thread::sleep(Duration::from_millis(1));
         }
-        slowest = slowest.max(since.elapsed());
+        slowest_start = slowest_start.max(since.elapsed());
         let mut before = std::mem::replace(&mut serving, next);
         before.terminate();
         let since = Instant::now();
         assert!(before.end().success(), "{}", before.log());
-        longest = longest.max(since.elapsed());
+        longest_shutdown = longest_shutdown.max(since.elapsed());
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     callers.into_iter().for_each(|c| c.join().expect("no panic"));
     let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
     println!(
         "{count} upgrades: {} served, {} refused, {} failed, {} unheard; slowest yes {} ms, longest end {} ms",
-        of(&heard.served),
-        of(&heard.refused),
-        of(&heard.failed),
-        of(&heard.unheard),
-        slowest.as_millis(),
-        longest.as_millis()
+        of(&counts.served),
+        of(&counts.rejected),
+        of(&counts.failed),
+        of(&counts.unanswered),
+        slowest_start.as_millis(),
+        longest_shutdown.as_millis()
     );
-    assert_eq!((of(&heard.refused), of(&heard.failed), of(&heard.unheard)), (0, 0, 0));
-    assert!(of(&heard.served) > 40 * count as u64);
+    assert_eq!((of(&counts.rejected), of(&counts.failed), of(&counts.unanswered)), (0, 0, 0));
+    assert!(of(&counts.served) > 40 * count as u64);
 }
 
-fn ask(heard: &Counts, kept: &mut Option<HttpClient>, at: std::net::SocketAddr) {
-    let id = heard.number.fetch_add(1, Ordering::Relaxed);
+fn send_request(counts: &Counts, connection: &mut Option<HttpClient>, at: std::net::SocketAddr) {
+    let id = counts.next_id.fetch_add(1, Ordering::Relaxed);
     let mut caller =
-        kept.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("it listens")));
+        connection.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("it listens")));
     caller.send(&read(&format!("u-{id}"), 5000));
     let Some(answer) = caller.try_receive() else {
-        heard.unheard.fetch_add(1, Ordering::Relaxed);
+        counts.unanswered.fetch_add(1, Ordering::Relaxed);
         return;
     };
     let count = match answer.status() {
-        200 => &heard.served,
-        429 | 503 => &heard.refused,
-        _ => &heard.failed,
+        200 => &counts.served,
+        429 | 503 => &counts.rejected,
+        _ => &counts.failed,
     };
     count.fetch_add(1, Ordering::Relaxed);
     if answer.header("Connection") != Some("close") {
-        *kept = Some(caller);
+        *connection = Some(caller);
     }
 }
