--- /dev/null
+++ b/crates/decide/tests/admission.rs
@@ -0,0 +1,251 @@
+//! Admission: thresholds, cursor, priority levels and reserved connections, through the public interface.
+mod common;
+
+use common::{gossip_settings, is_rejected, pool, ready_endpoint, sent_to, settings, Proxy};
+use decide::{
+    Action, Class, DownstreamConnections, EndpointId, Event, LoadReport, NewRequest, Outcome, RequestId,
+    Settings, Tenant,
+};
+
+#[test]
+fn initial_threshold_bounds_a_start_at_full_load() {
+    let mut proxy =
+        Proxy::new(settings(), &[ready_endpoint(0, 0), ready_endpoint(1, 0), ready_endpoint(2, 0)]);
+    let answers: Vec<bool> = (0..500).map(|_| is_rejected(&proxy.request(0).1)).collect();
+    let admitted = answers.iter().filter(|r| !**r).count();
+    assert!((10..=60).contains(&admitted), "{admitted} admitted by 3 servers");
+}
+
+/// With more than that, endpoints that turn slow under a backlog stay slow.
+#[test]
+fn burst_is_admitted_up_to_half_of_what_would_take_its_whole_objective() {
+    let mut proxy = Proxy::new(settings(), &pool(2));
+    for _ in 0..1500 {
+        let (id, actions) = proxy.request(0);
+        let endpoint = sent_to(&actions)[0];
+        proxy.advance(5_000);
+        proxy.outcome(id, 0, endpoint, Outcome::Ok, 5_000);
+    }
+    // At 200 a second and an objective of half a second, 100 requests in flight would each take their objective.
+    let admitted = (0..200).filter(|_| !is_rejected(&proxy.request(0).1)).count();
+    assert!((25..=50).contains(&admitted), "{admitted} admitted at once");
+}
+
+#[test]
+fn gossip_group_meets_the_sum_of_its_thresholds() {
+    let endpoints = pool(4);
+    let settings = Settings { balancers: 60, ..gossip_settings() };
+    let mut proxy = Proxy::new(settings, &endpoints);
+    assert!(!is_rejected(&proxy.request(0).1));
+    // 40 requests are more than the initial threshold of four endpoints; this balancer has one of them in flight.
+    for peer in 1..40 {
+        proxy.handle(Event::GossipReceived { from: peer, payload: &[peer as u8 % 4, 0, 0, 0, 1, 0] });
+    }
+    assert!(is_rejected(&proxy.request(0).1));
+}
+
+#[test]
+fn cursor_moves_by_the_load_signals_of_peers() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    let early: Vec<bool> = (0..4).map(|_| is_rejected(&proxy.request(0).1)).collect();
+    assert_eq!(early, [false; 4]);
+    // Every period a peer reports a request that took twice its objective; this balancer has no samples of its own.
+    for _ in 0..40 {
+        proxy.handle(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
+        proxy.advance(125_000);
+    }
+    // Four in flight meet the last threshold of the table, far under the first.
+    assert!(is_rejected(&proxy.request(0).1));
+}
+
+#[test]
+fn cursor_that_sheds_steps_left_without_samples() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    (0..4).for_each(|_| drop(proxy.request(0)));
+    for _ in 0..40 {
+        proxy.handle(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, 128] });
+        proxy.advance(125_000);
+    }
+    assert!(is_rejected(&proxy.request(0).1));
+    proxy.advance(10_000_000);
+    assert!(!is_rejected(&proxy.request(0).1));
+}
+
+#[test]
+fn low_priority_is_shed_before_high() {
+    let class = |priority_weight| Class { priority_weight, ..settings().classes[0].clone() };
+    let settings = Settings { classes: vec![class(1.0), class(3.0)], ..settings() };
+    let mut proxy = Proxy::new(settings, &[ready_endpoint(0, 0), ready_endpoint(1, 0)]);
+    let mut admitted = [0, 0];
+    for n in 0..200 {
+        admitted[n % 2] += usize::from(!is_rejected(&proxy.request(n % 2).1));
+    }
+    assert!(admitted[0] > 0 && admitted[1] > admitted[0], "{admitted:?}");
+}
+
+#[test]
+fn retries_and_requests_over_a_tenants_quota_have_the_lowest_priority() {
+    let class = |priority_weight| Class { priority_weight, ..settings().classes[0].clone() };
+    let tenants = vec![Tenant { quota_per_s: 10.0 }; 2];
+    let settings = Settings { classes: vec![class(1.0), class(3.0)], tenants, ..settings() };
+    let mut proxy = Proxy::new(settings, &pool(2));
+    let mut next = 1000;
+    let mut send = |proxy: &mut Proxy, tenant, is_retry| {
+        next += 1;
+        let id = RequestId(next);
+        let new =
+            NewRequest { id, class: 1, tenant, is_retry, time_left: 2_000_000, ..NewRequest::default() };
+        (id, proxy.handle(Event::Request(new)))
+    };
+    // Thirty at once, where the first tenant's quota is twenty in two seconds, and a few more are tolerated.
+    for _ in 0..30 {
+        let (id, actions) = send(&mut proxy, Some(0), false);
+        sent_to(&actions).into_iter().for_each(|b| drop(proxy.outcome(id, 0, b, Outcome::Ok, 1000)));
+    }
+    // The initial threshold is 20, of which the lowest level has 16.
+    let admitted = (0..16).filter(|_| !is_rejected(&send(&mut proxy, None, false).1)).count();
+    assert_eq!(admitted, 16);
+    assert!(is_rejected(&send(&mut proxy, None, true).1), "a repeat");
+    assert!(is_rejected(&send(&mut proxy, Some(0), false).1), "over its share");
+    assert!(!is_rejected(&send(&mut proxy, Some(1), false).1), "within its share");
+}
+
+/// A caller that finds no connection free while the only balancer shuts down takes it for dead, and closes all of
+/// them. Of two, the other may be restarting as well; of three that are restarted in turn, one is up.
+#[test]
+fn last_connections_are_reserved_during_shutdown_and_longest_for_high_priority() {
+    let class = |priority_weight| Class { priority_weight, ..settings().classes[0].clone() };
+    let two = Settings { classes: vec![class(1.0), class(3.0)], send_retry_after: true, ..settings() };
+    let two = Settings { max_retry_after: 90_000, ..two };
+    let answer = |settings: &Settings, class, connections| {
+        let mut proxy = Proxy::new(settings.clone(), &pool(4));
+        let request = NewRequest {
+            id: RequestId(1),
+            class,
+            time_left: 2_000_000,
+            downstream_connections: connections,
+            ..NewRequest::default()
+        };
+        proxy.handle(Event::Request(request))
+    };
+    let min_idle = |settings: &Settings, class, all| {
+        let with_idle = |free| Some(DownstreamConnections { idle: free, open: all });
+        (0..all)
+            .find(|&free| !is_rejected(&answer(settings, class, with_idle(free))))
+            .expect("some free are enough")
+    };
+    assert_eq!([min_idle(&two, 0, 40), min_idle(&two, 1, 40)], [4, 3]);
+    // Of few connections most are used for serving.
+    assert_eq!([min_idle(&two, 0, 8), min_idle(&two, 1, 3)], [2, 0]);
+    let none_free = Some(DownstreamConnections { idle: 0, open: 40 });
+    let advice = Action::Reject { request: RequestId(1), retry_after: 90_000 };
+    assert_eq!(answer(&two, 1, none_free), [advice]);
+    // Where callers may go elsewhere, or open more connections, none is reserved.
+    assert!(is_rejected(&answer(&Settings { balancers: 2, ..two.clone() }, 1, none_free)));
+    assert!(!is_rejected(&answer(&Settings { balancers: 3, ..two.clone() }, 1, none_free)));
+    assert!(!is_rejected(&answer(&two, 1, None)));
+}
+
+#[test]
+fn cursor_moves_one_slot_a_period_in_both_directions() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    // The initial threshold is 20; the level of the only class begins to fall at the tenth slot, to 17.
+    let early: Vec<bool> = (0..18).map(|_| is_rejected(&proxy.request(0).1)).collect();
+    assert_eq!(early, [false; 18]);
+    let period = |proxy: &mut Proxy, signal| {
+        proxy.handle(Event::GossipReceived { from: 1, payload: &[0, 0, 0, 0, 3, signal] });
+        proxy.advance(125_000);
+    };
+    (0..8).for_each(|_| period(&mut proxy, 128));
+    assert!(!is_rejected(&proxy.request(0).1), "eight steps right are not enough");
+    period(&mut proxy, 128);
+    assert!(is_rejected(&proxy.request(0).1), "the ninth is");
+    period(&mut proxy, 1);
+    assert!(!is_rejected(&proxy.request(0).1), "one step back is enough again");
+}
+
+#[test]
+fn threshold_floors_do_not_hold_while_shedding() {
+    let mut proxy = Proxy::new(Settings { balancers: 10, ..settings() }, &pool(4));
+    // The initial threshold is 4: the floor holds while the cursor is in the full slots.
+    let mut requests: Vec<_> = (0..20).map(|_| proxy.request(0)).collect();
+    requests.retain(|(_, actions)| !is_rejected(actions));
+    assert!((6..8).contains(&requests.len()), "{} admitted at first", requests.len());
+    proxy.advance(1_000_000);
+    // One request a period ends, each at over twice its objective: the cursor leaves the full slots.
+    for (id, actions) in requests {
+        proxy.outcome(id, 0, sent_to(&actions)[0], Outcome::Timeout, 1_000_000);
+        proxy.advance(125_000);
+    }
+    let admitted = (0..8).filter(|_| !is_rejected(&proxy.request(0).1)).count();
+    assert!(admitted <= 4, "{admitted} admitted by one of 10 balancers before 4 slow servers");
+}
+
+#[test]
+fn request_that_cannot_meet_its_deadline_is_shed() {
+    let mut proxy = Proxy::new(settings(), &pool(2));
+    for _ in 0..20 {
+        let (id, actions) = proxy.request(0);
+        proxy.advance(100_000);
+        proxy.outcome(id, 0, sent_to(&actions)[0], Outcome::Ok, 100_000);
+    }
+    let mut send = |id, time_left| {
+        let request = NewRequest { id: RequestId(id), time_left, ..NewRequest::default() };
+        is_rejected(&proxy.handle(Event::Request(request)))
+    };
+    assert!(send(1001, 20_000) && !send(1002, 150_000));
+}
+
+#[test]
+fn client_disconnects_move_the_cursor_as_late_answers_do() {
+    let low = Class { priority_weight: 1.0, ..settings().classes[0].clone() };
+    let high = Class { priority_weight: 9.0, ..low.clone() };
+    let mut proxy = Proxy::new(Settings { classes: vec![low, high], ..settings() }, &pool(4));
+    // Each client disconnects after a tenth of the objective; no answer ever says that this was late.
+    let mut low_rejected = 0;
+    for _ in 0..30 {
+        let ids: Vec<RequestId> = (0..4).map(|_| proxy.request(1).0).collect();
+        proxy.advance(50_000);
+        ids.into_iter().for_each(|id| drop(proxy.handle(Event::ClientDisconnected(id))));
+        proxy.advance(75_000);
+        low_rejected += usize::from(is_rejected(&proxy.request(0).1));
+    }
+    assert!(low_rejected >= 10, "{low_rejected} of 30 calls of low worth refused");
+}
+
+#[test]
+fn overdue_attempts_move_the_cursor() {
+    // The initial threshold is 4, with a floor over it while the cursor is in the full slots. Nothing has an answer yet.
+    let class = Class { late_answer_value: 0.5, ..settings().classes[0].clone() };
+    let mut proxy = Proxy::new(Settings { balancers: 10, classes: vec![class], ..settings() }, &pool(4));
+    let admitted = (0..4).filter(|_| !is_rejected(&proxy.request(0).1)).count();
+    assert_eq!(admitted, 4);
+    proxy.advance(500_000);
+    assert!(!is_rejected(&proxy.request(0).1), "nothing is late yet");
+    proxy.advance(1_000_000);
+    assert!(is_rejected(&proxy.request(0).1), "all is late");
+}
+
+/// Load reports are late and of other balancers' requests too. With little of its own in flight a balancer that
+/// goes by them sheds what would be served; with much, a report is all that shows a backlog.
+#[test]
+fn reported_utilisation_does_not_move_the_cursor_while_little_is_in_flight() {
+    let shed = |admitted: usize| {
+        // The initial threshold is 40, and there is one class: its level begins to fall at the tenth slot.
+        let mut proxy = Proxy::new(settings(), &pool(4));
+        (0..admitted).for_each(|_| drop(proxy.request(0)));
+        for _ in 0..20 {
+            let report = Some(LoadReport { utilisation: Some(0.99), ..LoadReport::default() });
+            let health_check =
+                Event::HealthChecked { endpoint: EndpointId(0), outcome: Outcome::Ok, took: 1000, report };
+            proxy.handle(health_check);
+            proxy.advance(125_000);
+        }
+        is_rejected(&proxy.request(0).1)
+    };
+    assert_eq!([shed(12), shed(17)], [false, false], "under nine twentieths of T1");
+    assert!(shed(24), "a report is believed");
+}
--- a/crates/decide/tests/common/event_sequence.rs
+++ b/crates/decide/tests/common/event_sequence.rs
@@ -23,9 +23,9 @@
 const BUSY_RATE: f64 = 2.0;
 const BUSY_SLOWNESS: f64 = 12.0;
 const LIST_GAP: Micros = 400_000;
-const PEER_GAP: Micros = 20_000;
+const GOSSIP_GAP: Micros = 20_000;
 const GARBAGE_GAP: Micros = 60_000;
-const PROBE_GAP: Micros = 150_000;
+const HEALTH_CHECK_GAP: Micros = 150_000;
 /// Events between two looks at what the balancer has learned.
 const LEARNED_EVERY: usize = 250;
 const KINDS: usize = 3;
@@ -44,18 +44,18 @@
 #[derive(Clone)]
 pub struct Scenario {
     pub settings: Settings,
-    pub servers: usize,
+    pub endpoints: usize,
     pub zones: usize,
     /// The mean time between two requests while it is calm.
     pub request_gap: Micros,
     /// What an idle server takes.
-    pub service: Micros,
+    pub service_time: Micros,
     /// The part of the attempts that are not served.
     pub failures: f64,
     /// Servers report their load.
     pub reports: bool,
     /// Servers restart, and say when they did.
-    pub server_restarts: bool,
+    pub endpoint_restarts: bool,
     /// How often a fresh balancer takes the place of the one before and learns from it.
     pub handovers: usize,
     pub events: usize,
@@ -73,7 +73,7 @@
     /// Log lines that say that shedding begins, and that it ends.
     pub shedding: [usize; 2],
     /// Samples in which servers were avoided.
-    pub avoided: usize,
+    pub ejected: usize,
     pub learned: usize,
 }
 
@@ -81,14 +81,14 @@
 enum Due {
     Arrive,
     Timer(u64),
-    End { request: u64, attempt: usize, server: u32, failure: Option<usize> },
-    Came(u64),
+    End { request: u64, attempt: usize, endpoint: u32, failure: Option<usize> },
+    BodyReceived(u64),
     StreamStarted(u64),
-    ClientGone(u64),
+    ClientDisconnected(u64),
     List,
-    Peer,
+    Gossip,
     Garbage,
-    Probe,
+    HealthCheck,
 }
 
 pub fn play(scenario: &Scenario, seed: u64) -> Played {
@@ -105,8 +105,8 @@
     now: Micros,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     planned: u64,
-    servers: Vec<Endpoint>,
-    held: Vec<u32>,
+    endpoints: Vec<Endpoint>,
+    in_flight: Vec<u32>,
     next_request: u64,
     /// Attempts of each request so far.
     attempts: BTreeMap<u64, usize>,
@@ -114,7 +114,7 @@
     open: BTreeMap<(u64, usize), u32>,
     event_count: usize,
     digest: Digest,
-    told: Vec<LearnedState>,
+    exported: Vec<LearnedState>,
     played: Played,
 }
 
@@ -122,11 +122,11 @@
     fn new(scenario: Scenario, seed: u64) -> Player {
         let mut random = fastrand::Rng::with_seed(seed);
         let balancer = Balancer::new(scenario.settings.clone(), random.u64(..));
-        let servers: Vec<Endpoint> = (0..scenario.servers)
+        let endpoints: Vec<Endpoint> = (0..scenario.endpoints)
             .map(|i| Endpoint {
                 id: EndpointId(i as u32 * 3 + 1),
                 weight: random.f64() * 4.0,
-                up_since: scenario.server_restarts.then(|| START - random.i64(0..60_000_000)),
+                up_since: scenario.endpoint_restarts.then(|| START - random.i64(0..60_000_000)),
                 zone: random.usize(0..scenario.zones),
                 machine_kind: random.usize(0..KINDS),
                 cell: (random.f64() < 0.8).then(|| random.u64(0..CELLS)),
@@ -139,7 +139,7 @@
             events: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             shedding: [0; 2],
-            avoided: 0,
+            ejected: 0,
             learned: 0,
         };
         Player {
@@ -148,14 +148,14 @@
             now: START,
             due: BinaryHeap::new(),
             planned: 0,
-            held: vec![0; servers.len()],
-            servers,
+            in_flight: vec![0; endpoints.len()],
+            endpoints,
             next_request: 0,
             attempts: BTreeMap::new(),
             open: BTreeMap::new(),
             event_count: 0,
             digest: Digest::new(),
-            told: Vec::new(),
+            exported: Vec::new(),
             played,
             scenario,
         }
@@ -167,7 +167,7 @@
             self.arrive();
         }
         self.list_all(UpdateScope::Cached);
-        for due in [Due::Arrive, Due::List, Due::Peer, Due::Garbage, Due::Probe] {
+        for due in [Due::Arrive, Due::List, Due::Gossip, Due::Garbage, Due::HealthCheck] {
             self.plan(START + 1, due);
         }
         let handover_every = self.scenario.events / (self.scenario.handovers + 1);
@@ -179,7 +179,7 @@
             }
             let Some(Reverse((at, _, due))) = self.due.pop() else { break };
             self.now = self.now.max(at);
-            self.happen(due);
+            self.process(due);
         }
         self.look_at_learned();
     }
@@ -202,37 +202,37 @@
         (self.now - START) % CYCLE >= CALM
     }
 
-    fn happen(&mut self, due: Due) {
+    fn process(&mut self, due: Due) {
         match due {
             Due::Arrive => {
                 self.arrive();
                 let gap = self.scenario.request_gap as f64 / if self.busy() { BUSY_RATE } else { 1.0 };
                 self.plan_again((gap as Micros).max(1), Due::Arrive);
             }
-            Due::Timer(token) => self.tell("Timer", Event::Timer(token)),
-            Due::End { request, attempt, server, failure } => self.end(request, attempt, server, failure),
-            Due::Came(request) => self.tell("Came", Event::BodyReceived(RequestId(request))),
+            Due::Timer(token) => self.handle("Timer", Event::Timer(token)),
+            Due::End { request, attempt, endpoint, failure } => self.end(request, attempt, endpoint, failure),
+            Due::BodyReceived(request) => self.handle("Came", Event::BodyReceived(RequestId(request))),
             Due::StreamStarted(request) => {
-                self.tell("StreamStarted", Event::StreamStarted { request: RequestId(request) });
+                self.handle("StreamStarted", Event::StreamStarted { request: RequestId(request) });
             }
-            Due::ClientGone(request) => {
-                self.tell("ClientGone", Event::ClientDisconnected(RequestId(request)))
+            Due::ClientDisconnected(request) => {
+                self.handle("ClientGone", Event::ClientDisconnected(RequestId(request)))
             }
             Due::List => {
-                self.change_servers();
+                self.change_endpoints();
                 self.plan_again(LIST_GAP, Due::List);
             }
-            Due::Peer => {
-                self.peer_message();
-                self.plan_again(PEER_GAP, Due::Peer);
+            Due::Gossip => {
+                self.gossip();
+                self.plan_again(GOSSIP_GAP, Due::Gossip);
             }
             Due::Garbage => {
                 self.garbage();
                 self.plan_again(GARBAGE_GAP, Due::Garbage);
             }
-            Due::Probe => {
-                self.probed();
-                self.plan_again(PROBE_GAP, Due::Probe);
+            Due::HealthCheck => {
+                self.health_checked();
+                self.plan_again(HEALTH_CHECK_GAP, Due::HealthCheck);
             }
         }
     }
@@ -240,7 +240,7 @@
     // ---- Events ----
 
     /// Hands an event over, and takes in and records what is done about it.
-    fn tell(&mut self, kind: &'static str, event: Event<'_>) {
+    fn handle(&mut self, kind: &'static str, event: Event<'_>) {
         self.event_count += 1;
         *self.played.events.entry(kind).or_default() += 1;
         let mut actions = Vec::new();
@@ -251,35 +251,36 @@
             let word = form.split([' ', '(']).next().unwrap_or_default();
             *self.played.actions.entry(word.to_owned()).or_default() += 1;
         }
-        actions.into_iter().for_each(|action| self.carry_out(action));
-        let avoided = self.balancer.ejected_count(self.now);
-        self.played.avoided += usize::from(avoided > 0);
-        self.digest.write(&format!("{} avoided {avoided}\n", self.event_count));
+        actions.into_iter().for_each(|action| self.execute(action));
+        let ejected = self.balancer.ejected_count(self.now);
+        self.played.ejected += usize::from(ejected > 0);
+        self.digest.write(&format!("{} avoided {ejected}\n", self.event_count));
         if self.event_count.is_multiple_of(LEARNED_EVERY) {
             self.look_at_learned();
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint: backend, deadline: until } => {
-                self.sent(request.0, backend.0, until)
-            }
+            Action::Send { request, endpoint, deadline } => self.sent(request.0, endpoint.0, deadline),
             Action::Timer { at, token } => self.plan(at, Due::Timer(token)),
             Action::Cancel { request, attempt } => {
                 let cancelled = ATTEMPT_FAILURES.iter().position(|o| *o == Outcome::Cancelled);
                 let late = self.random.i64(0..20_000);
-                let server = self.open.get(&(request.0, attempt)).copied().unwrap_or_default();
+                let endpoint = self.open.get(&(request.0, attempt)).copied().unwrap_or_default();
                 self.plan(
                     self.now + late,
-                    Due::End { request: request.0, attempt, server, failure: cancelled },
+                    Due::End { request: request.0, attempt, endpoint, failure: cancelled },
                 );
             }
             Action::PollDiscovery => {
                 if self.chance(0.7) {
                     self.list_all(UpdateScope::Full);
                 } else {
-                    self.tell("Failed", Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+                    self.handle(
+                        "Failed",
+                        Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] },
+                    );
                 }
             }
             Action::Log(line) => {
@@ -290,39 +291,39 @@
         }
     }
 
-    fn sent(&mut self, request: u64, server: u32, until: Micros) {
+    fn sent(&mut self, request: u64, endpoint: u32, deadline: Micros) {
         let count = self.attempts.entry(request).or_default();
         let attempt = *count;
         *count += 1;
-        self.open.insert((request, attempt), server);
-        let index = self.server_index(server);
-        self.held[index] += 1;
+        self.open.insert((request, attempt), endpoint);
+        let index = self.endpoint_index(endpoint);
+        self.in_flight[index] += 1;
         let slowness = if self.busy() { BUSY_SLOWNESS } else { 1.0 };
-        let crowd = 1.0 + f64::from(self.held[index]) / 4.0;
+        let crowd = 1.0 + f64::from(self.in_flight[index]) / 4.0;
         let noise = 0.4 + 1.2 * self.random.f64();
-        let takes = (self.scenario.service as f64 * slowness * crowd * noise) as Micros;
+        let service_time = (self.scenario.service_time as f64 * slowness * crowd * noise) as Micros;
         let fails = self.chance(self.scenario.failures);
         let failure = fails.then(|| self.random.usize(0..ATTEMPT_FAILURES.len()));
         let (at, failure) = match failure {
-            Some(kind) => (self.now + self.random.i64(0..=takes.max(1)), Some(kind)),
-            None if self.now + takes >= until => {
-                (until, ATTEMPT_FAILURES.iter().position(|o| *o == Outcome::Timeout))
+            Some(kind) => (self.now + self.random.i64(0..=service_time.max(1)), Some(kind)),
+            None if self.now + service_time >= deadline => {
+                (deadline, ATTEMPT_FAILURES.iter().position(|o| *o == Outcome::Timeout))
             }
-            None => (self.now + takes, None),
+            None => (self.now + service_time, None),
         };
-        self.plan(at, Due::End { request, attempt, server, failure });
+        self.plan(at, Due::End { request, attempt, endpoint, failure });
         if self.chance(0.03) {
-            let early = self.random.i64(0..=takes.max(1));
+            let early = self.random.i64(0..=service_time.max(1));
             self.plan(self.now + early, Due::StreamStarted(request));
         }
         if self.chance(0.05) {
-            let early = self.random.i64(0..=takes.max(1));
-            self.plan(self.now + early, Due::ClientGone(request));
+            let early = self.random.i64(0..=service_time.max(1));
+            self.plan(self.now + early, Due::ClientDisconnected(request));
         }
     }
 
-    fn server_index(&self, id: u32) -> usize {
-        self.servers.iter().position(|server| server.id.0 == id).unwrap_or(0)
+    fn endpoint_index(&self, id: u32) -> usize {
+        self.endpoints.iter().position(|endpoint| endpoint.id.0 == id).unwrap_or(0)
     }
 
     fn arrive(&mut self) {
@@ -339,7 +340,7 @@
         };
         let with_tenant = tenants > 0 && self.chance(0.8);
         let tenant = with_tenant.then(|| self.random.usize(0..=tenants));
-        let coming = if self.chance(0.1) { self.random.i64(1..300_000) } else { 0 };
+        let body_pending = if self.chance(0.1) { self.random.i64(1..300_000) } else { 0 };
         let request = NewRequest {
             id,
             class,
@@ -347,37 +348,37 @@
             time_left,
             work: self.random.bool().then_some(20_000),
             is_retry: self.chance(0.1),
-            endpoint_filter: self.allowed(),
+            endpoint_filter: self.endpoint_filter(),
             max_attempts: if self.chance(0.1) { self.random.usize(1..4) } else { 0 },
-            body_pending: coming,
-            downstream_connections: self.ways_in(),
+            body_pending,
+            downstream_connections: self.connections(),
         };
-        if coming > 0 {
-            let at = self.now + self.random.i64(0..coming);
-            self.plan(at, Due::Came(id.0));
+        if body_pending > 0 {
+            let at = self.now + self.random.i64(0..body_pending);
+            self.plan(at, Due::BodyReceived(id.0));
         }
-        self.tell("Request", Event::Request(request));
+        self.handle("Request", Event::Request(request));
     }
 
-    fn allowed(&mut self) -> Option<Arc<EndpointFilter>> {
+    fn endpoint_filter(&mut self) -> Option<Arc<EndpointFilter>> {
         if !self.chance(0.12) {
             return None;
         }
-        let mut allowed = EndpointFilter::default();
+        let mut endpoint_filter = EndpointFilter::default();
         match self.random.usize(0..5) {
-            0 => allowed.zones = vec![self.random.usize(0..self.scenario.zones)],
-            1 => allowed.machine_kinds = vec![self.random.usize(0..KINDS), KINDS],
-            2 => allowed.cells = vec![self.random.u64(0..CELLS), self.random.u64(0..CELLS)],
+            0 => endpoint_filter.zones = vec![self.random.usize(0..self.scenario.zones)],
+            1 => endpoint_filter.machine_kinds = vec![self.random.usize(0..KINDS), KINDS],
+            2 => endpoint_filter.cells = vec![self.random.u64(0..CELLS), self.random.u64(0..CELLS)],
             3 => {
-                allowed.zones = vec![0];
-                allowed.machine_kinds = vec![0, 1];
+                endpoint_filter.zones = vec![0];
+                endpoint_filter.machine_kinds = vec![0, 1];
             }
             _ => {}
         }
-        Some(Arc::new(allowed))
+        Some(Arc::new(endpoint_filter))
     }
 
-    fn ways_in(&mut self) -> Option<DownstreamConnections> {
+    fn connections(&mut self) -> Option<DownstreamConnections> {
         if !self.chance(0.1) {
             return None;
         }
@@ -385,22 +386,22 @@
         Some(DownstreamConnections { idle: self.random.usize(0..=all), open: all })
     }
 
-    fn end(&mut self, request: u64, attempt: usize, server: u32, failure: Option<usize>) {
+    fn end(&mut self, request: u64, attempt: usize, endpoint: u32, failure: Option<usize>) {
         let outcome = failure.map_or(Outcome::Ok, |kind| ATTEMPT_FAILURES[kind]);
         if self.open.remove(&(request, attempt)).is_some() {
             *self.played.outcomes.entry(outcome_name(outcome)).or_default() += 1;
-            let index = self.server_index(server);
-            self.held[index] = self.held[index].saturating_sub(1);
+            let index = self.endpoint_index(endpoint);
+            self.in_flight[index] = self.in_flight[index].saturating_sub(1);
         }
         let is_final = if outcome == Outcome::Ok { !self.chance(0.02) } else { self.chance(0.05) };
-        let report = self.report(server);
+        let report = self.report(endpoint);
         let took = self.random.i64(0..100_000);
-        self.tell(
+        self.handle(
             "Outcome",
             Event::AttemptEnded {
                 request: RequestId(request),
                 attempt,
-                endpoint: EndpointId(server),
+                endpoint: EndpointId(endpoint),
                 outcome,
                 took,
                 is_final,
@@ -409,16 +410,16 @@
         );
     }
 
-    fn report(&mut self, server: u32) -> Option<LoadReport> {
+    fn report(&mut self, endpoint: u32) -> Option<LoadReport> {
         if !self.scenario.reports || self.chance(0.2) {
             return None;
         }
-        let held = f64::from(self.held[self.server_index(server)]);
+        let in_flight = f64::from(self.in_flight[self.endpoint_index(endpoint)]);
         let utilisation = if self.busy() { 0.8 + 0.4 * self.random.f64() } else { 0.6 * self.random.f64() };
         let odd = [f64::NAN, -1.0, f64::INFINITY, 0.0][self.random.usize(0..4)];
         let mut report = LoadReport {
-            in_flight: self.random.bool().then_some(held),
-            queued: self.random.bool().then_some((held - 2.0).max(0.0)),
+            in_flight: self.random.bool().then_some(in_flight),
+            queued: self.random.bool().then_some((in_flight - 2.0).max(0.0)),
             utilisation: self.chance(0.8).then_some(utilisation),
             service_ms: Some(20.0),
             requests_per_s: Some(50.0),
@@ -433,46 +434,50 @@
         Some(report)
     }
 
-    fn probed(&mut self) {
-        let server = self.random.usize(0..self.servers.len());
-        let backend = self.servers[server].id;
-        let report = self.report(backend.0);
+    fn health_checked(&mut self) {
+        let endpoint = self.random.usize(0..self.endpoints.len());
+        let endpoint = self.endpoints[endpoint].id;
+        let report = self.report(endpoint.0);
         let outcome = ATTEMPT_FAILURES[self.random.usize(0..ATTEMPT_FAILURES.len())];
-        self.tell("Probed", Event::HealthChecked { endpoint: backend, outcome, took: 1_000, report });
+        self.handle("Probed", Event::HealthChecked { endpoint, outcome, took: 1_000, report });
     }
 
     // ---- Discovery and peers ----
 
     fn list_all(&mut self, scope: UpdateScope) {
-        let entries = self.servers.clone();
-        self.tell(scope_name(scope), Event::EndpointUpdate { scope, endpoints: &entries });
+        let entries = self.endpoints.clone();
+        self.handle(scope_name(scope), Event::EndpointUpdate { scope, endpoints: &entries });
     }
 
-    fn change_servers(&mut self) {
-        let changes = self.random.usize(1..=1 + self.servers.len() / 6);
+    fn change_endpoints(&mut self) {
+        let changes = self.random.usize(1..=1 + self.endpoints.len() / 6);
         let mut changed = Vec::new();
         for _ in 0..changes {
-            let index = self.random.usize(0..self.servers.len());
-            self.change_server(index);
-            changed.push(self.servers[index].clone());
+            let index = self.random.usize(0..self.endpoints.len());
+            self.change_endpoint(index);
+            changed.push(self.endpoints[index].clone());
         }
         match self.random.usize(0..20) {
-            0 => {
-                self.tell("Failed", Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &changed })
-            }
+            0 => self
+                .handle("Failed", Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &changed }),
             1 => self.list_all(UpdateScope::Cached),
             2..=4 => self.list_all(UpdateScope::Full),
             5 => {
                 // Servers that are on no other list.
                 let id = EndpointId(1_000_000 + self.random.u32(0..3));
                 let entries = [Endpoint { id, state: EndpointState::Draining, ..Endpoint::default() }];
-                self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &entries });
+                self.handle(
+                    "Delta",
+                    Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &entries },
+                );
+            }
+            _ => {
+                self.handle("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &changed })
             }
-            _ => self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &changed }),
         }
     }
 
-    fn change_server(&mut self, index: usize) {
+    fn change_endpoint(&mut self, index: usize) {
         let zone = self.random.usize(0..self.scenario.zones);
         let up_since = match self.random.usize(0..6) {
             0 => None,
@@ -481,26 +486,26 @@
             3 => Some(self.now - self.random.i64(0..5_000_000)),
             _ => Some(self.now),
         };
-        let server = &mut self.servers[index];
+        let endpoint = &mut self.endpoints[index];
         match self.random.usize(0..10) {
-            0 => server.state = EndpointState::Draining,
-            1 => server.state = EndpointState::Removed,
-            2 => server.zone = zone,
-            3 => server.weight += 1.0,
+            0 => endpoint.state = EndpointState::Draining,
+            1 => endpoint.state = EndpointState::Removed,
+            2 => endpoint.zone = zone,
+            3 => endpoint.weight += 1.0,
             _ => {
-                server.state = EndpointState::Ready;
-                if self.scenario.server_restarts {
-                    server.up_since = up_since;
+                endpoint.state = EndpointState::Ready;
+                if self.scenario.endpoint_restarts {
+                    endpoint.up_since = up_since;
                 }
             }
         }
     }
 
-    fn peer_message(&mut self) {
+    fn gossip(&mut self) {
         let balancers = self.scenario.settings.balancers;
         let from = self.random.u32(0..=balancers.min(64));
-        let server = self.servers[self.random.usize(0..self.servers.len())].id.0;
-        let mut payload = server.to_le_bytes().to_vec();
+        let endpoint = self.endpoints[self.random.usize(0..self.endpoints.len())].id.0;
+        let mut payload = endpoint.to_le_bytes().to_vec();
         payload.push(self.random.u8(0..8));
         payload.push(match self.random.usize(0..8) {
             0 => 255,
@@ -508,44 +513,39 @@
             2 | 3 => 0,
             _ => self.random.u8(if self.busy() { 60..=253 } else { 1..=20 }),
         });
-        self.tell("Told", Event::GossipReceived { from, payload: &payload });
+        self.handle("Told", Event::GossipReceived { from, payload: &payload });
     }
 
     // ---- Events that make no sense ----
 
     fn garbage(&mut self) {
         match self.random.usize(0..14) {
-            0 => self.tell("Timer", Event::Timer(2)),
-            1 => self.tell("Timer", Event::Timer(u64::MAX)),
-            2 => self.tell("Came", Event::BodyReceived(RequestId(u64::MAX))),
-            3 => self.tell("ClientGone", Event::ClientDisconnected(RequestId(u64::MAX))),
-            4 => self.tell("StreamStarted", Event::StreamStarted { request: RequestId(u64::MAX) }),
+            0 => self.handle("Timer", Event::Timer(2)),
+            1 => self.handle("Timer", Event::Timer(u64::MAX)),
+            2 => self.handle("Came", Event::BodyReceived(RequestId(u64::MAX))),
+            3 => self.handle("ClientGone", Event::ClientDisconnected(RequestId(u64::MAX))),
+            4 => self.handle("StreamStarted", Event::StreamStarted { request: RequestId(u64::MAX) }),
             5 => self.unknown_outcome(),
             6 => self.repeated_request(),
             7 => self.odd_request(),
-            8 => self.odd_message(),
+            8 => self.odd_gossip(),
             9 => self.clock_back(),
-            10 => self.tell("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[] }),
+            10 => self.handle("Delta", Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[] }),
             11 => {
                 let report = Some(LoadReport { utilisation: Some(0.5), ..LoadReport::default() });
-                let backend = EndpointId(u32::MAX);
-                self.tell(
+                let endpoint = EndpointId(u32::MAX);
+                self.handle(
                     "Probed",
-                    Event::HealthChecked {
-                        endpoint: backend,
-                        outcome: Outcome::Ok,
-                        took: Micros::MIN,
-                        report,
-                    },
+                    Event::HealthChecked { endpoint, outcome: Outcome::Ok, took: Micros::MIN, report },
                 );
             }
             12 => {
                 let request = self.random.u64(0..=self.next_request);
-                self.tell("StreamStarted", Event::StreamStarted { request: RequestId(request) });
+                self.handle("StreamStarted", Event::StreamStarted { request: RequestId(request) });
             }
             _ => {
                 let request = self.random.u64(0..=self.next_request);
-                self.tell("Came", Event::BodyReceived(RequestId(request)));
+                self.handle("Came", Event::BodyReceived(RequestId(request)));
             }
         }
     }
@@ -555,19 +555,19 @@
         let request = RequestId(self.random.u64(0..=self.next_request + 1));
         let attempt = self.random.usize(5..9);
         let outcome = ATTEMPT_FAILURES[self.random.usize(0..ATTEMPT_FAILURES.len())];
-        let backend = EndpointId(self.random.u32(..));
+        let endpoint = EndpointId(self.random.u32(..));
         let report = Some(LoadReport { in_flight: Some(3.0), ..LoadReport::default() });
         let is_final = self.random.bool();
-        self.tell(
+        self.handle(
             "Outcome",
-            Event::AttemptEnded { request, attempt, endpoint: backend, outcome, took: -1, is_final, report },
+            Event::AttemptEnded { request, attempt, endpoint, outcome, took: -1, is_final, report },
         );
     }
 
     fn repeated_request(&mut self) {
         let id = self.open.keys().next().map_or(RequestId(0), |(request, _)| RequestId(*request));
         let request = NewRequest { id, time_left: 1_000_000, ..NewRequest::default() };
-        self.tell("Request", Event::Request(request));
+        self.handle("Request", Event::Request(request));
     }
 
     fn odd_request(&mut self) {
@@ -583,15 +583,15 @@
             }
             _ => NewRequest { id, tenant: Some(usize::MAX), time_left: 800_000, ..NewRequest::default() },
         };
-        self.tell("Request", Event::Request(odd));
+        self.handle("Request", Event::Request(odd));
     }
 
-    fn odd_message(&mut self) {
+    fn odd_gossip(&mut self) {
         let length = self.random.usize(0..9);
         let payload: Vec<u8> = (0..length).map(|_| self.random.u8(..)).collect();
         let from = self.random.u32(0..=self.scenario.settings.balancers.min(64));
         let from = if self.random.bool() { from } else { u32::MAX };
-        self.tell("Told", Event::GossipReceived { from, payload: &payload });
+        self.handle("Told", Event::GossipReceived { from, payload: &payload });
     }
 
     /// An event whose clock is behind that of the event before.
@@ -613,7 +613,7 @@
     /// A fresh balancer takes over: it knows its servers, and learns from those before it and from one that
     /// says what cannot be.
     fn hand_over(&mut self) {
-        self.told.push(self.balancer.learned_state(self.now));
+        self.exported.push(self.balancer.learned_state(self.now));
         let seed = self.random.u64(..);
         self.balancer = Balancer::new(self.scenario.settings.clone(), seed);
         self.due = self.due.drain().filter(|Reverse((_, _, due))| !matches!(due, Due::Timer(_))).collect();
@@ -621,18 +621,18 @@
         self.open.clear();
         self.now += 300_000;
         self.list_all(UpdateScope::Cached);
-        let mut told: Vec<LearnedState> = self.told.iter().rev().take(3).cloned().collect();
-        told.iter_mut().for_each(|learned| learned.age = 300_000);
-        if let Some(first) = told.first().cloned() {
-            match self.told.len() {
-                2 => told.push(nonsense(first)),
-                4 => told = vec![nonsense(first)],
+        let mut exported: Vec<LearnedState> = self.exported.iter().rev().take(3).cloned().collect();
+        exported.iter_mut().for_each(|learned| learned.age = 300_000);
+        if let Some(first) = exported.first().cloned() {
+            match self.exported.len() {
+                2 => exported.push(nonsense(first)),
+                4 => exported = vec![nonsense(first)],
                 _ => {}
             }
         }
         let now = self.now;
         self.balancer.import_learned_state(now, &[]);
-        self.balancer.import_learned_state(now, &told);
+        self.balancer.import_learned_state(now, &exported);
         self.look_at_learned();
     }
 }
@@ -644,10 +644,10 @@
     learned.baseline_latency = Some(f64::INFINITY);
     learned.threshold_per_endpoint = 1e9;
     learned.pool_latency.sum = f64::NAN;
-    for server in &mut learned.endpoints {
-        server.ejected_for = Micros::MAX;
-        server.uptime = server.uptime.map(|_| Micros::MAX);
-        server.classes.iter_mut().for_each(|mean| mean.weight = -1.0);
+    for endpoint in &mut learned.endpoints {
+        endpoint.ejected_for = Micros::MAX;
+        endpoint.uptime = endpoint.uptime.map(|_| Micros::MAX);
+        endpoint.classes.iter_mut().for_each(|mean| mean.weight = -1.0);
     }
     learned.latency_by_machine_kind.push((usize::MAX, learned.pool_latency));
     learned
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -18,7 +18,7 @@
 }
 
 /// A ready server of a zone.
-pub fn server(id: u32, zone: usize) -> Endpoint {
+pub fn ready_endpoint(id: u32, zone: usize) -> Endpoint {
     Endpoint { id: EndpointId(id), zone, ..Endpoint::default() }
 }
 
@@ -31,19 +31,19 @@
 }
 
 impl Proxy {
-    pub fn new(settings: Settings, servers: &[Endpoint]) -> Self {
-        Self::seeded(settings, servers, 7)
+    pub fn new(settings: Settings, endpoints: &[Endpoint]) -> Self {
+        Self::seeded(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: &[Endpoint], seed: u64) -> Self {
+    pub fn seeded(settings: Settings, endpoints: &[Endpoint], seed: u64) -> Self {
         let mut proxy =
             Proxy { balancer: Balancer::new(settings, seed), now: 1_000_000, next: 0, timers: Vec::new() };
-        proxy.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: servers });
+        proxy.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints });
         proxy
     }
 
     /// Hands an event over; timers asked for are kept and not returned.
-    pub fn tell(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         for action in &out {
@@ -56,20 +56,20 @@
     }
 
     /// Moves the clock on, and the timers with it.
-    pub fn wait(&mut self, time: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(&(at, token)) = self.timers.iter().filter(|(at, _)| *at <= end).min() {
             self.timers.retain(|t| *t != (at, token));
             self.now = self.now.max(at);
-            out.extend(self.tell(Event::Timer(token)));
+            out.extend(self.handle(Event::Timer(token)));
         }
         self.now = end;
         out
     }
 
     /// The same, up to a moment.
-    pub fn wait_until(&mut self, at: Micros) -> Vec<Action> {
-        self.wait((at - self.now).max(0))
+    pub fn advance_to(&mut self, at: Micros) -> Vec<Action> {
+        self.advance((at - self.now).max(0))
     }
 
     /// A request of a class with two seconds to go, and what was done about it.
@@ -81,39 +81,41 @@
         self.next += 1;
         let id = RequestId(self.next);
         let request = NewRequest { id, class, time_left, ..NewRequest::default() };
-        (id, self.tell(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
     pub fn outcome(
         &mut self,
         request: RequestId,
         attempt: usize,
-        backend: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
         took: Micros,
     ) -> Vec<Action> {
         let is_final = outcome == Outcome::Ok;
-        self.tell(Event::AttemptEnded {
-            request,
-            attempt,
-            endpoint: backend,
-            outcome,
-            took,
-            is_final,
-            report: None,
-        })
+        self.handle(Event::AttemptEnded { request, attempt, endpoint, outcome, took, is_final, report: None })
     }
 }
 
 /// Where the actions send a request.
-pub fn sent(actions: &[Action]) -> Vec<EndpointId> {
+pub fn sent_to(actions: &[Action]) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
-        Action::Send { endpoint: backend, .. } => Some(*backend),
+        Action::Send { endpoint, .. } => Some(*endpoint),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
+
+/// Ready endpoints of one zone.
+pub fn pool(count: u32) -> Vec<Endpoint> {
+    (0..count).map(|id| ready_endpoint(id, 0)).collect()
+}
+
+/// Two balancers that gossip.
+pub fn gossip_settings() -> Settings {
+    Settings { balancers: 2, gossip_allowed: true, ..settings() }
+}
--- a/crates/decide/tests/common/world.rs
+++ b/crates/decide/tests/common/world.rs
@@ -9,14 +9,14 @@
 };
 
 use super::digest::Digest;
+use super::ready_endpoint;
 use super::recorded_form::recorded_form;
-use super::server;
 
 /// A server: so many calls at once, each for so long, the others wait.
 #[derive(Clone, Debug)]
-pub struct Server {
+pub struct SimulatedEndpoint {
     pub slots: usize,
-    pub takes: Micros,
+    pub service_time: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     balancer: usize,
     request: RequestId,
     attempt: usize,
-    server: usize,
+    endpoint: usize,
     sent: Micros,
     running: bool,
 }
@@ -41,7 +41,7 @@
 pub struct World {
     pub now: Micros,
     pub balancers: Vec<Balancer>,
-    pub servers: Vec<Server>,
+    pub endpoints: Vec<SimulatedEndpoint>,
     /// Requests a second at each balancer; 0 for one that gets none yet.
     pub rate: Vec<f64>,
     settings: Settings,
@@ -52,7 +52,7 @@
     busy: Vec<usize>,
     waiting: Vec<VecDeque<u64>>,
     attempts: BTreeMap<(usize, RequestId), Vec<u64>>,
-    asked: BTreeMap<(usize, RequestId), Micros>,
+    landed_at: BTreeMap<(usize, RequestId), Micros>,
     next: u64,
     /// For each balancer: when a request that was served in its aim had come.
     pub served: Vec<Vec<Micros>>,
@@ -63,7 +63,7 @@
 }
 
 impl World {
-    pub fn new(settings: &Settings, servers: Vec<Server>, rate: f64, seed: u64) -> World {
+    pub fn new(settings: &Settings, endpoints: Vec<SimulatedEndpoint>, rate: f64, seed: u64) -> World {
         let balancers = settings.balancers as usize;
         let mut world = World {
             now: 1_000_000,
@@ -74,15 +74,15 @@
             due: BinaryHeap::new(),
             count: 0,
             calls: BTreeMap::new(),
-            busy: vec![0; servers.len()],
-            waiting: vec![VecDeque::new(); servers.len()],
+            busy: vec![0; endpoints.len()],
+            waiting: vec![VecDeque::new(); endpoints.len()],
             attempts: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            landed_at: BTreeMap::new(),
             next: 0,
             served: vec![Vec::new(); balancers],
             sent: vec![Vec::new(); balancers],
             digest: Digest::new(),
-            servers,
+            endpoints,
         };
         for rank in 0..balancers {
             let own = Settings { rank: rank as u32, ..settings.clone() };
@@ -99,8 +99,8 @@
     }
 
     fn list(&mut self, b: usize) {
-        let entries: Vec<Endpoint> = (0..self.servers.len()).map(|i| server(i as u32, 0)).collect();
-        self.tell(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &entries });
+        let entries: Vec<Endpoint> = (0..self.endpoints.len()).map(|i| ready_endpoint(i as u32, 0)).collect();
+        self.handle(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &entries });
     }
 
     /// A balancer's process ends, and another takes its place: what it had open is nobody's.
@@ -108,7 +108,7 @@
         let own = Settings { rank: b as u32, ..self.settings.clone() };
         self.balancers[b] = Balancer::new(own, seed);
         self.attempts.retain(|(of, _), _| *of != b);
-        self.asked.retain(|(of, _), _| *of != b);
+        self.landed_at.retain(|(of, _), _| *of != b);
         self.due = self
             .due
             .drain()
@@ -131,12 +131,12 @@
             }
             self.due.pop();
             self.now = self.now.max(at);
-            self.happen(due);
+            self.process(due);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, due: Due) {
+    fn process(&mut self, due: Due) {
         match due {
             Due::Arrive(b) => {
                 let gap =
@@ -146,41 +146,41 @@
                     self.next += 1;
                     let class = self.random.usize(0..self.settings.classes.len());
                     let id = RequestId(self.next);
-                    self.asked.insert((b, id), self.now);
+                    self.landed_at.insert((b, id), self.now);
                     let time_left = self.settings.classes[class].deadline;
                     let request = NewRequest { id, class, time_left, ..NewRequest::default() };
-                    self.tell(b, Event::Request(request));
+                    self.handle(b, Event::Request(request));
                 }
             }
-            Due::Timer(b, token) => self.tell(b, Event::Timer(token)),
-            Due::Done(server, call) => {
-                self.busy[server] -= 1;
-                if let Some(next) = self.waiting[server].pop_front() {
-                    self.begin(server, next);
+            Due::Timer(b, token) => self.handle(b, Event::Timer(token)),
+            Due::Done(endpoint, call) => {
+                self.busy[endpoint] -= 1;
+                if let Some(next) = self.waiting[endpoint].pop_front() {
+                    self.start_service(endpoint, next);
                 }
                 self.end(call, Outcome::Ok);
             }
             Due::Late(call) => {
                 if let Some(late) = self.calls.get(&call) {
-                    let server = late.server;
-                    self.waiting[server].retain(|c| *c != call);
+                    let endpoint = late.endpoint;
+                    self.waiting[endpoint].retain(|c| *c != call);
                     self.end(call, Outcome::Timeout);
                 }
             }
         }
     }
 
-    fn begin(&mut self, server: usize, call: u64) {
-        self.busy[server] += 1;
-        if let Some(begun) = self.calls.get_mut(&call) {
-            begun.running = true;
+    fn start_service(&mut self, endpoint: usize, call: u64) {
+        self.busy[endpoint] += 1;
+        if let Some(started) = self.calls.get_mut(&call) {
+            started.running = true;
         }
-        let takes = self.servers[server].takes as f64 * (0.6 + 0.8 * self.random.f64());
-        self.plan(self.now + takes as Micros, Due::Done(server, call));
+        let service_time = self.endpoints[endpoint].service_time as f64 * (0.6 + 0.8 * self.random.f64());
+        self.plan(self.now + service_time as Micros, Due::Done(endpoint, call));
     }
 
     fn end(&mut self, call: u64, outcome: Outcome) {
-        let Some(Call { balancer, request, attempt, server, sent, .. }) = self.calls.remove(&call) else {
+        let Some(Call { balancer, request, attempt, endpoint, sent, .. }) = self.calls.remove(&call) else {
             return;
         };
         // Of a process that is no more, or of a request that is over.
@@ -189,54 +189,46 @@
         }
         let is_final = outcome == Outcome::Ok;
         if is_final {
-            if let Some(asked) = self.asked.remove(&(balancer, request)) {
-                if self.now - asked <= self.settings.classes[0].latency_objective {
-                    self.served[balancer].push(asked);
+            if let Some(landed_at) = self.landed_at.remove(&(balancer, request)) {
+                if self.now - landed_at <= self.settings.classes[0].latency_objective {
+                    self.served[balancer].push(landed_at);
                 }
             }
         }
-        let (backend, took) = (EndpointId(server as u32), self.now - sent);
-        self.tell(
+        let (endpoint, took) = (EndpointId(endpoint as u32), self.now - sent);
+        self.handle(
             balancer,
-            Event::AttemptEnded {
-                request,
-                attempt,
-                endpoint: backend,
-                outcome,
-                took,
-                is_final,
-                report: None,
-            },
+            Event::AttemptEnded { request, attempt, endpoint, outcome, took, is_final, report: None },
         );
     }
 
-    fn tell(&mut self, b: usize, event: Event<'_>) {
+    fn handle(&mut self, b: usize, event: Event<'_>) {
         let mut out = Vec::new();
         self.balancers[b].handle(self.now, event, &mut out);
         for action in out {
             self.digest.write(&format!("{b} {}", recorded_form(&action)));
             match action {
-                Action::Send { request, endpoint: backend, deadline: until } => {
-                    let server = backend.0 as usize;
+                Action::Send { request, endpoint, deadline } => {
+                    let endpoint = endpoint.0 as usize;
                     self.count += 1;
                     let call = self.count;
                     let of = self.attempts.entry((b, request)).or_default();
                     let attempt = of.len();
                     of.push(call);
                     let sent = self.now;
-                    self.sent[b].push((sent, server));
+                    self.sent[b].push((sent, endpoint));
                     self.calls
-                        .insert(call, Call { balancer: b, request, attempt, server, sent, running: false });
-                    self.plan(until, Due::Late(call));
-                    if self.busy[server] < self.servers[server].slots {
-                        self.begin(server, call);
+                        .insert(call, Call { balancer: b, request, attempt, endpoint, sent, running: false });
+                    self.plan(deadline, Due::Late(call));
+                    if self.busy[endpoint] < self.endpoints[endpoint].slots {
+                        self.start_service(endpoint, call);
                     } else {
-                        self.waiting[server].push_back(call);
+                        self.waiting[endpoint].push_back(call);
                     }
                 }
                 Action::Timer { at, token } => self.plan(at, Due::Timer(b, token)),
                 Action::Reject { request, .. } | Action::Fail(request) => {
-                    self.asked.remove(&(b, request));
+                    self.landed_at.remove(&(b, request));
                 }
                 _ => {}
             }
--- a/crates/decide/tests/equality.rs
+++ b/crates/decide/tests/equality.rs
@@ -40,7 +40,7 @@
     ),
     sequence(
         "three servers",
-        three_servers,
+        three_endpoints,
         &["Send", "Refuse", "Fail"],
         [0x33e8_cc72_54a9_7bda, 0x3751_b0f8_b4c7_fa2b],
     ),
@@ -64,7 +64,7 @@
     ),
     sequence(
         "asked discovery",
-        asked_discovery,
+        polled_discovery,
         &["Send", "Subscribe"],
         [0xd89f_5cdd_b360_331c, 0xc7ea_1a64_d81b_0deb],
     ),
@@ -74,28 +74,28 @@
         &["Send", "Refuse", "Fail"],
         [0x165c_75e5_faf4_6e5c, 0x93db_81d3_b065_bf34],
     ),
-    sequence("peers", peers, &["Send", "Tell", "Refuse"], [0xd437_b99c_81b5_552b, 0x683d_2a6d_c126_f58e]),
+    sequence("peers", gossip, &["Send", "Tell", "Refuse"], [0xd437_b99c_81b5_552b, 0x683d_2a6d_c126_f58e]),
     sequence(
         "sixty balancers with peers",
-        sixty_peers,
+        sixty_with_gossip,
         &["Send", "Tell", "Refuse"],
         [0x9283_a808_8c57_fdd6, 0x464e_8061_cc7e_7e70],
     ),
     sequence(
         "sixty balancers without peers",
-        sixty_alone,
+        sixty_without_gossip,
         &["Send", "Refuse"],
         [0x6508_2cc8_0473_bcc2, 0x4b0c_3040_347d_823a],
     ),
     sequence(
         "cold servers",
-        cold_servers,
+        warming_endpoints,
         &["Send", "Refuse"],
         [0x2a0b_497e_5eb8_b62b, 0x5f0a_d0a2_59c5_1969],
     ),
     sequence(
         "cold large pool",
-        cold_large_pool,
+        large_warming_pool,
         &["Send", "Tell", "Refuse"],
         [0x915a_ed44_9906_4e96, 0x72eb_6c68_9751_ceb0],
     ),
@@ -105,7 +105,12 @@
         &["Send", "Cancel", "Refuse"],
         [0x17c6_42eb_cf3b_4415, 0x1aa0_8512_50bb_6fa2],
     ),
-    sequence("slow calls", slow_calls, &["Send", "Refuse"], [0x3fa8_5360_816c_8f6d, 0x565c_36aa_76dc_973a]),
+    sequence(
+        "slow calls",
+        slow_requests,
+        &["Send", "Refuse"],
+        [0x3fa8_5360_816c_8f6d, 0x565c_36aa_76dc_973a],
+    ),
     sequence(
         "unusable settings",
         unusable_settings,
@@ -114,14 +119,13 @@
     ),
 ];
 
-fn class(aim: Micros, gain: f64, late_value: f64, semantics: Semantics) -> Class {
-    Class {
-        latency_objective: aim,
-        deadline: 2_000_000,
-        priority_weight: gain,
-        late_answer_value: late_value,
-        semantics,
-    }
+fn class(
+    latency_objective: Micros,
+    priority_weight: f64,
+    late_answer_value: f64,
+    semantics: Semantics,
+) -> Class {
+    Class { latency_objective, deadline: 2_000_000, priority_weight, late_answer_value, semantics }
 }
 
 fn deduplicated(group: DeduplicationGroup) -> Semantics {
@@ -141,19 +145,19 @@
 fn single() -> Scenario {
     Scenario {
         settings: common::settings(),
-        servers: 12,
+        endpoints: 12,
         zones: 1,
         request_gap: 8_000,
-        service: 30_000,
+        service_time: 30_000,
         failures: 0.05,
         reports: false,
-        server_restarts: false,
+        endpoint_restarts: false,
         handovers: 0,
         events: EVENTS,
     }
 }
 
-fn three_servers() -> Scenario {
+fn three_endpoints() -> Scenario {
     let classes = vec![
         class(300_000, 1.0, 0.0, Semantics::Idempotent),
         class(300_000, 2.0, 0.0, Semantics::AtMostOnce),
@@ -168,7 +172,7 @@
         max_retry_after: 900_000,
         ..common::settings()
     };
-    Scenario { settings, servers: 3, failures: 0.15, ..single() }
+    Scenario { settings, endpoints: 3, failures: 0.15, ..single() }
 }
 
 fn all_classes() -> Scenario {
@@ -182,7 +186,7 @@
         max_retry_after: 500_000,
         ..common::settings()
     };
-    Scenario { settings, servers: 12, zones: 3, failures: 0.25, ..single() }
+    Scenario { settings, endpoints: 12, zones: 3, failures: 0.25, ..single() }
 }
 
 fn tenants() -> Scenario {
@@ -201,7 +205,7 @@
     Scenario { settings, zones: 2, reports: true, ..single() }
 }
 
-fn asked_discovery() -> Scenario {
+fn polled_discovery() -> Scenario {
     let settings = Settings {
         balancers: 10,
         rank: 3,
@@ -211,7 +215,7 @@
         timer_resolution: 1_000,
         ..common::settings()
     };
-    Scenario { settings, servers: 40, zones: 2, failures: 0.1, ..single() }
+    Scenario { settings, endpoints: 40, zones: 2, failures: 0.1, ..single() }
 }
 
 fn deeper_tier() -> Scenario {
@@ -225,10 +229,10 @@
         hedging_allowed: true,
         ..common::settings()
     };
-    Scenario { settings, zones: 2, reports: true, failures: 0.1, service: 15_000, ..single() }
+    Scenario { settings, zones: 2, reports: true, failures: 0.1, service_time: 15_000, ..single() }
 }
 
-fn peers() -> Scenario {
+fn gossip() -> Scenario {
     let settings = Settings {
         balancers: 8,
         rank: 5,
@@ -239,10 +243,10 @@
         can_cancel: true,
         ..common::settings()
     };
-    Scenario { settings, servers: 12, zones: 3, failures: 0.1, ..single() }
+    Scenario { settings, endpoints: 12, zones: 3, failures: 0.1, ..single() }
 }
 
-fn sixty_peers() -> Scenario {
+fn sixty_with_gossip() -> Scenario {
     let settings = Settings {
         balancers: 60,
         rank: 59,
@@ -251,10 +255,10 @@
         cross_zone_price: 0.1,
         ..common::settings()
     };
-    Scenario { settings, servers: 40, zones: 3, failures: 0.1, request_gap: 20_000, ..single() }
+    Scenario { settings, endpoints: 40, zones: 3, failures: 0.1, request_gap: 20_000, ..single() }
 }
 
-fn sixty_alone() -> Scenario {
+fn sixty_without_gossip() -> Scenario {
     let settings = Settings {
         balancers: 60,
         rank: 17,
@@ -266,10 +270,10 @@
         zone: 1,
         ..common::settings()
     };
-    Scenario { settings, servers: 200, zones: 3, failures: 0.1, reports: true, ..single() }
+    Scenario { settings, endpoints: 200, zones: 3, failures: 0.1, reports: true, ..single() }
 }
 
-fn cold_settings() -> Settings {
+fn slow_start_settings() -> Settings {
     Settings {
         slow_start_min_capacity: 0.1,
         slow_start_duration: 10_000_000,
@@ -279,23 +283,25 @@
     }
 }
 
-fn cold_servers() -> Scenario {
-    let settings = Settings { balancers: 2, classes: every_class(), can_cancel: true, ..cold_settings() };
-    Scenario { settings, zones: 2, server_restarts: true, failures: 0.1, ..single() }
+fn warming_endpoints() -> Scenario {
+    let settings =
+        Settings { balancers: 2, classes: every_class(), can_cancel: true, ..slow_start_settings() };
+    Scenario { settings, zones: 2, endpoint_restarts: true, failures: 0.1, ..single() }
 }
 
-fn cold_large_pool() -> Scenario {
-    let settings = Settings { balancers: 8, rank: 2, gossip_allowed: true, ..cold_settings() };
-    Scenario { settings, servers: 200, zones: 2, server_restarts: true, request_gap: 4_000, ..single() }
+fn large_warming_pool() -> Scenario {
+    let settings = Settings { balancers: 8, rank: 2, gossip_allowed: true, ..slow_start_settings() };
+    Scenario { settings, endpoints: 200, zones: 2, endpoint_restarts: true, request_gap: 4_000, ..single() }
 }
 
 fn handovers() -> Scenario {
-    let settings = Settings { balancers: 2, classes: every_class(), can_cancel: true, ..cold_settings() };
+    let settings =
+        Settings { balancers: 2, classes: every_class(), can_cancel: true, ..slow_start_settings() };
     Scenario {
         settings,
-        servers: 40,
+        endpoints: 40,
         zones: 3,
-        server_restarts: true,
+        endpoint_restarts: true,
         failures: 0.2,
         handovers: 5,
         events: 2 * EVENTS,
@@ -304,13 +310,13 @@
 }
 
 /// Few requests, of which some take many periods: figures come late or not at all.
-fn slow_calls() -> Scenario {
+fn slow_requests() -> Scenario {
     let classes = vec![
         class(200_000, 1.0, 0.0, Semantics::Idempotent),
         Class { deadline: 8_000_000, ..class(4_000_000, 2.0, 0.0, Semantics::Idempotent) },
     ];
     let settings = Settings { balancers: 2, classes, ..common::settings() };
-    Scenario { settings, servers: 3, request_gap: 100_000, service: 60_000, events: 3_000, ..single() }
+    Scenario { settings, endpoints: 3, request_gap: 100_000, service_time: 60_000, events: 3_000, ..single() }
 }
 
 /// Figures that no check lets pass; the balancer brings them within bounds.
@@ -333,7 +339,7 @@
         classes,
         ..common::settings()
     };
-    Scenario { settings, zones: 2, server_restarts: true, failures: 0.1, ..single() }
+    Scenario { settings, zones: 2, endpoint_restarts: true, failures: 0.1, ..single() }
 }
 
 #[test]
@@ -398,15 +404,15 @@
     for kind in ACTIONS.iter().chain(&EVENT_KINDS).chain(&OUTCOMES) {
         assert!(seen.contains_key(kind), "no {kind} in any sequence");
     }
-    assert!(all.map(|played| played.avoided).sum::<usize>() > 0, "no server was ever avoided");
+    assert!(all.map(|played| played.ejected).sum::<usize>() > 0, "no server was ever avoided");
 }
 
 #[test]
 fn the_recorded_form_is_literal() {
-    let (request, backend) = (RequestId(1), EndpointId(2));
+    let (request, endpoint) = (RequestId(1), EndpointId(2));
     let forms = [
         (
-            Action::Send { request, endpoint: backend, deadline: -3 },
+            Action::Send { request, endpoint, deadline: -3 },
             "Send { request: RequestId(1), backend: BackendId(2), until: -3 }",
         ),
         (Action::Reject { request, retry_after: 4 }, "Refuse { request: RequestId(1), retry_after: 4 }"),
@@ -414,7 +420,7 @@
         (Action::Cancel { request, attempt: 5 }, "Cancel { request: RequestId(1), attempt: 5 }"),
         (Action::Timer { at: 6, token: 7 }, "Timer { at: 6, token: 7 }"),
         (Action::PollDiscovery, "Subscribe"),
-        (Action::HealthCheck(backend), "Probe(BackendId(2))"),
+        (Action::HealthCheck(endpoint), "Probe(BackendId(2))"),
         (Action::SendGossip { to: 8, payload: vec![9, 255] }, "Tell { to: 8, payload: [9, 255] }"),
         (Action::Log("a \"line\"\n".to_owned()), "Log(\"a \\\"line\\\"\\n\")"),
     ];
--- a/crates/decide/tests/replay.rs
+++ b/crates/decide/tests/replay.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::settings;
-use common::world::{Server, World};
+use common::world::{SimulatedEndpoint, World};
 use decide::{Class, DeduplicationGroup, Semantics, Settings};
 
 /// A world of three balancers and ten servers, of which two are slow, from a calm into an overload and back.
 fn digest(seed: u64) -> u64 {
-    let class = |aim, gain, semantics| Class {
-        latency_objective: aim,
+    let class = |latency_objective, priority_weight, semantics| Class {
+        latency_objective,
         deadline: 2_000_000,
-        priority_weight: gain,
+        priority_weight,
         semantics,
         ..Class::default()
     };
@@ -22,12 +22,14 @@
     ];
     let settings =
         Settings { balancers: 3, classes, send_retry_after: true, max_retry_after: 900_000, ..settings() };
-    let servers = (0..10).map(|i| Server { slots: 4, takes: if i < 2 { 300_000 } else { 20_000 } }).collect();
-    let mut world = World::new(&settings, servers, 300.0, seed);
+    let endpoints = (0..10)
+        .map(|i| SimulatedEndpoint { slots: 4, service_time: if i < 2 { 300_000 } else { 20_000 } })
+        .collect();
+    let mut world = World::new(&settings, endpoints, 300.0, seed);
     world.run(4_000_000);
     world.rate = vec![900.0; 3];
     world.run(6_000_000);
-    world.servers[5].takes = 2_000_000;
+    world.endpoints[5].service_time = 2_000_000;
     world.run(4_000_000);
     world.rate = vec![200.0; 3];
     world.restart(1, seed + 1);
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -1,9 +1,9 @@
-//! The four rules over arbitrary orders of events, with fixed seeds: a model of the wire plays against the
-//! balancer and checks every action.
+//! Invariants over arbitrary orders of events, with fixed seeds: a model of the proxy plays against the balancer and
+//! checks every action.
 mod common;
 use std::collections::BTreeMap;
 
-use common::server;
+use common::ready_endpoint;
 use decide::Balancer;
 use decide::{
     Action, Class, DeduplicationGroup, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros,
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const WINDOW: Micros = 300_000;
+const DEDUPLICATION_WINDOW: Micros = 300_000;
 
 fn classes() -> Vec<Class> {
     let class = |semantics| Class {
@@ -24,20 +24,20 @@
     };
     let mut all = vec![class(Semantics::Idempotent), class(Semantics::AtMostOnce)];
     for group in [DeduplicationGroup::All, DeduplicationGroup::Zone, DeduplicationGroup::Cell] {
-        all.push(class(Semantics::Deduplicated { group, window: WINDOW }));
+        all.push(class(Semantics::Deduplicated { group, window: DEDUPLICATION_WINDOW }));
     }
     all
 }
 
 struct Attempt {
-    server: EndpointId,
-    sent: Micros,
-    until: Micros,
-    running: bool,
+    endpoint: EndpointId,
+    sent_at: Micros,
+    deadline: Micros,
+    in_flight: bool,
     may_have_run: bool,
 }
 
-struct Held {
+struct PendingRequest {
     class: usize,
     deadline: Micros,
     streaming: bool,
@@ -49,8 +49,8 @@
     balancer: Balancer,
     now: Micros,
     listed: BTreeMap<u32, Endpoint>,
-    held: BTreeMap<RequestId, Held>,
-    ended: BTreeMap<RequestId, Vec<EndpointId>>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    answered: BTreeMap<RequestId, Vec<EndpointId>>,
     timers: Vec<(Micros, u64)>,
     next: u64,
 }
@@ -62,42 +62,42 @@
             settings,
             now: 5_000_000,
             listed: BTreeMap::new(),
-            held: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            answered: BTreeMap::new(),
             timers: Vec::new(),
             next: 0,
         }
     }
 
-    fn tell(&mut self, event: Event<'_>) {
+    fn handle(&mut self, event: Event<'_>) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         for action in out {
-            self.act(action);
+            self.check(action);
         }
-        for (id, held) in &self.held {
-            let waits = held.streaming || held.attempts.iter().any(|a| a.running);
+        for (id, pending) in &self.pending {
+            let waits = pending.streaming || pending.attempts.iter().any(|a| a.in_flight);
             assert!(waits, "{id:?} is held with nothing out for it");
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn check(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint: backend, deadline: until } => {
-                let held = self.held.get_mut(&request).expect("sent for a request that is not held");
-                let entry = &self.listed[&backend.0];
+            Action::Send { request, endpoint, deadline } => {
+                let pending = self.pending.get_mut(&request).expect("sent for a request that is not held");
+                let entry = &self.listed[&endpoint.0];
                 assert_eq!(entry.state, EndpointState::Ready, "sent to a server that drains or is gone");
-                assert!(!held.streaming && until <= held.deadline && until > self.now);
-                assert!(held.attempts.len() < self.settings.max_attempts);
-                let running = held.attempts.iter().any(|a| a.running);
-                assert!(self.settings.hedging_allowed || !running, "two at once");
-                for earlier in held.attempts.iter().filter(|a| a.running || a.may_have_run) {
-                    let other = &self.listed[&earlier.server.0];
-                    match self.settings.classes[held.class].semantics {
+                assert!(!pending.streaming && deadline <= pending.deadline && deadline > self.now);
+                assert!(pending.attempts.len() < self.settings.max_attempts);
+                let in_flight = pending.attempts.iter().any(|a| a.in_flight);
+                assert!(self.settings.hedging_allowed || !in_flight, "two at once");
+                for earlier in pending.attempts.iter().filter(|a| a.in_flight || a.may_have_run) {
+                    let other = &self.listed[&earlier.endpoint.0];
+                    match self.settings.classes[pending.class].semantics {
                         Semantics::Idempotent => {}
                         Semantics::AtMostOnce => panic!("sent again though it may have run"),
                         Semantics::Deduplicated { group, window } => {
-                            assert!(self.now < earlier.sent + window, "after its window");
+                            assert!(self.now < earlier.sent_at + window, "after its window");
                             assert!(match group {
                                 DeduplicationGroup::All => true,
                                 DeduplicationGroup::Zone => other.zone == entry.zone,
@@ -106,32 +106,32 @@
                         }
                     }
                 }
-                held.attempts.push(Attempt {
-                    server: backend,
-                    sent: self.now,
-                    until,
-                    running: true,
+                pending.attempts.push(Attempt {
+                    endpoint,
+                    sent_at: self.now,
+                    deadline,
+                    in_flight: true,
                     may_have_run: true,
                 });
             }
             Action::Reject { request, .. } => {
-                let held = self.held.remove(&request).expect("a second answer");
-                let may_have_run = held.attempts.iter().any(|a| a.running || a.may_have_run);
-                match self.settings.classes[held.class].semantics {
+                let pending = self.pending.remove(&request).expect("a second answer");
+                let may_have_run = pending.attempts.iter().any(|a| a.in_flight || a.may_have_run);
+                match self.settings.classes[pending.class].semantics {
                     Semantics::Idempotent
                     | Semantics::Deduplicated { group: DeduplicationGroup::All, .. } => {}
                     _ => assert!(!may_have_run, "refused though it may have run"),
                 }
-                self.end(request, &held);
+                self.answer(request, &pending);
             }
             Action::Fail(request) => {
-                let held = self.held.remove(&request).expect("a second answer");
-                self.end(request, &held);
+                let pending = self.pending.remove(&request).expect("a second answer");
+                self.answer(request, &pending);
             }
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.can_cancel);
-                let known = self.ended.get(&request).map(Vec::len);
-                let known = known.or(self.held.get(&request).map(|h| h.attempts.len()));
+                let known = self.answered.get(&request).map(Vec::len);
+                let known = known.or(self.pending.get(&request).map(|h| h.attempts.len()));
                 assert!(known.is_some_and(|n| attempt < n), "cancelled what was never sent");
             }
             Action::Timer { at, token } => self.timers.push((at, token)),
@@ -145,8 +145,8 @@
         }
     }
 
-    fn end(&mut self, request: RequestId, held: &Held) {
-        self.ended.insert(request, held.attempts.iter().map(|a| a.server).collect());
+    fn answer(&mut self, request: RequestId, pending: &PendingRequest) {
+        self.answered.insert(request, pending.attempts.iter().map(|a| a.endpoint).collect());
     }
 
     fn request(&mut self, a: u32, b: u32) {
@@ -154,31 +154,34 @@
         let class = a as usize % self.settings.classes.len();
         let id = RequestId(self.next);
         let time_left = Micros::from(b % 2_000_000);
-        self.held
-            .insert(id, Held { class, deadline: self.now + time_left, streaming: false, attempts: vec![] });
-        self.tell(Event::Request(NewRequest { id, class, time_left, ..NewRequest::default() }));
+        self.pending.insert(
+            id,
+            PendingRequest { class, deadline: self.now + time_left, streaming: false, attempts: vec![] },
+        );
+        self.handle(Event::Request(NewRequest { id, class, time_left, ..NewRequest::default() }));
     }
 
-    /// Ends one attempt that is out, or repeats the outcome of a request that is long answered.
+    /// Ends one attempt in flight, or repeats the outcome of a request that was answered before.
     fn outcome(&mut self, a: u32, outcome: Outcome) {
         let out: Vec<(RequestId, usize)> = self
-            .held
+            .pending
             .iter()
-            .flat_map(|(id, h)| h.attempts.iter().enumerate().map(move |(n, a)| (*id, n, a.running)))
-            .filter(|(_, _, running)| *running)
+            .flat_map(|(id, h)| h.attempts.iter().enumerate().map(move |(n, a)| (*id, n, a.in_flight)))
+            .filter(|(_, _, in_flight)| *in_flight)
             .map(|(id, n, _)| (id, n))
             .collect();
         let report = Some(LoadReport { queued: Some(f64::from(a % 7)), ..LoadReport::default() });
         if out.is_empty() || a.is_multiple_of(9) {
-            let Some((id, servers)) = self.ended.iter().nth(a as usize % self.ended.len().max(1)) else {
+            let Some((id, endpoints)) = self.answered.iter().nth(a as usize % self.answered.len().max(1))
+            else {
                 return;
             };
-            let Some(&backend) = servers.first() else { return };
+            let Some(&endpoint) = endpoints.first() else { return };
             let (request, took) = (*id, 1_000);
-            self.tell(Event::AttemptEnded {
+            self.handle(Event::AttemptEnded {
                 request,
                 attempt: 0,
-                endpoint: backend,
+                endpoint,
                 outcome,
                 took,
                 is_final: true,
@@ -197,33 +200,27 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        let held = self.held.get_mut(&id).expect("held");
-        let known = &mut held.attempts[attempt];
-        (known.running, known.may_have_run) = (false, !outcome.never_ran());
-        let (backend, took) = (known.server, self.now - known.sent);
-        let is_final = outcome == Outcome::Ok || held.streaming;
+        let pending = self.pending.get_mut(&id).expect("held");
+        let known = &mut pending.attempts[attempt];
+        (known.in_flight, known.may_have_run) = (false, !outcome.never_ran());
+        let (endpoint, took) = (known.endpoint, self.now - known.sent_at);
+        let is_final = outcome == Outcome::Ok || pending.streaming;
         if is_final {
-            let held = self.held.remove(&id).expect("held");
-            self.end(id, &held);
+            let pending = self.pending.remove(&id).expect("held");
+            self.answer(id, &pending);
         }
-        self.tell(Event::AttemptEnded {
-            request: id,
-            attempt,
-            endpoint: backend,
-            outcome,
-            took,
-            is_final,
-            report,
-        });
+        self.handle(Event::AttemptEnded { request: id, attempt, endpoint, outcome, took, is_final, report });
     }
 
     /// The clock moves on; attempts whose time is up end, and timers fall due.
-    fn wait(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         self.now += time;
         loop {
-            let late =
-                |h: &Held| h.attempts.iter().position(|a| a.running && a.until <= self.now && !h.streaming);
-            let Some((id, attempt)) = self.held.iter().find_map(|(id, h)| late(h).map(|n| (*id, n))) else {
+            let late = |h: &PendingRequest| {
+                h.attempts.iter().position(|a| a.in_flight && a.deadline <= self.now && !h.streaming)
+            };
+            let Some((id, attempt)) = self.pending.iter().find_map(|(id, h)| late(h).map(|n| (*id, n)))
+            else {
                 break;
             };
             self.finish_attempt(id, attempt, Outcome::Timeout, None);
@@ -231,25 +228,25 @@
         let due: Vec<u64> = self.timers.iter().filter(|(at, _)| *at <= self.now).map(|t| t.1).collect();
         self.timers.retain(|(at, _)| *at > self.now);
         for token in due {
-            self.tell(Event::Timer(token));
+            self.handle(Event::Timer(token));
         }
-        let overdue = self.held.values().filter(|h| !h.streaming && h.deadline < self.now).count();
+        let overdue = self.pending.values().filter(|h| !h.streaming && h.deadline < self.now).count();
         assert_eq!(overdue, 0, "no answer by the deadline");
     }
 
-    fn list(&mut self, a: u32, b: u32, full: bool) {
+    fn update_endpoints(&mut self, a: u32, b: u32, full: bool) {
         let count = if full { a % 8 } else { 1 + a % 3 };
         let entries: Vec<Endpoint> = (0..count)
             .map(|i| {
                 let id = if full { i } else { b.wrapping_add(i) % 8 };
-                let stage = match b.wrapping_shr(3 * i) % 5 {
+                let state = match b.wrapping_shr(3 * i) % 5 {
                     0 => EndpointState::Draining,
                     1 if !full => EndpointState::Removed,
                     _ => EndpointState::Ready,
                 };
                 let cell = (id % 3 > 0).then_some(u64::from(id % 3));
                 let up_since = b.is_multiple_of(4).then_some(self.now - 200_000);
-                Endpoint { state: stage, cell, up_since, ..server(id, id as usize % 2) }
+                Endpoint { state, cell, up_since, ..ready_endpoint(id, id as usize % 2) }
             })
             .collect();
         if full {
@@ -257,40 +254,42 @@
         }
         self.listed.extend(entries.iter().map(|e| (e.id.0, e.clone())));
         let scope = if full { UpdateScope::Full } else { UpdateScope::Delta };
-        self.tell(Event::EndpointUpdate { scope, endpoints: &entries });
+        self.handle(Event::EndpointUpdate { scope, endpoints: &entries });
     }
 
     fn step(&mut self, (kind, a, b): (u8, u32, u32)) {
         match kind {
             0..=5 => self.request(a, b),
-            6 | 7 => self.wait(Micros::from(a % 500_000)),
+            6 | 7 => self.advance(Micros::from(a % 500_000)),
             8 => self.outcome(a, Outcome::Ok),
             9 => self.outcome(a, Outcome::Rejected),
             10 => self.outcome(a, Outcome::ConnectFailed),
             11 => self.outcome(a, Outcome::Error),
             12 => self.outcome(a, Outcome::Reset),
-            13 => self.list(a, b, false),
-            14 => self.list(a, b, b.is_multiple_of(3)),
+            13 => self.update_endpoints(a, b, false),
+            14 => self.update_endpoints(a, b, b.is_multiple_of(3)),
             15 => {
-                let Some((&id, _)) = self.held.iter().nth(a as usize % self.held.len().max(1)) else {
+                let Some((&id, _)) = self.pending.iter().nth(a as usize % self.pending.len().max(1)) else {
                     return;
                 };
-                let held = self.held.remove(&id).expect("held");
-                self.end(id, &held);
-                self.tell(Event::ClientDisconnected(id));
+                let pending = self.pending.remove(&id).expect("held");
+                self.answer(id, &pending);
+                self.handle(Event::ClientDisconnected(id));
             }
             16 => {
-                let out = |h: &Held| !h.streaming && h.attempts.iter().filter(|a| a.running).count() == 1;
-                let Some((&request, held)) = self.held.iter_mut().find(|(_, h)| out(h)) else { return };
-                held.streaming = true;
-                self.tell(Event::StreamStarted { request });
+                let out = |h: &PendingRequest| {
+                    !h.streaming && h.attempts.iter().filter(|a| a.in_flight).count() == 1
+                };
+                let Some((&request, pending)) = self.pending.iter_mut().find(|(_, h)| out(h)) else { return };
+                pending.streaming = true;
+                self.handle(Event::StreamStarted { request });
             }
-            17 => self.tell(Event::GossipReceived {
+            17 => self.handle(Event::GossipReceived {
                 from: a % 4,
                 payload: &u64::from(b).to_le_bytes()[..a as usize % 7],
             }),
-            18 => self.tell(Event::Timer(u64::from(a))),
-            _ => self.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] }),
+            18 => self.handle(Event::Timer(u64::from(a))),
+            _ => self.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] }),
         }
     }
 }
@@ -302,9 +301,9 @@
     TestRunner::new_with_rng(config, rng)
         .run(&(steps, any::<u64>()), |(steps, seed)| {
             let mut world = World::new(settings.clone(), seed);
-            world.list(5, 0x7fff_fffe, true);
+            world.update_endpoints(5, 0x7fff_fffe, true);
             steps.into_iter().for_each(|step| world.step(step));
-            world.wait(3_000_000);
+            world.advance(3_000_000);
             Ok(())
         })
         .unwrap_or_else(|e| panic!("{e}"));
@@ -332,17 +331,17 @@
 }
 
 #[test]
-fn rules_hold_with_a_pushed_list() {
+fn invariants_hold_with_a_pushed_list() {
     run(&settings());
 }
 
 #[test]
-fn rules_hold_where_balancers_talk_and_copies_are_forbidden() {
+fn invariants_hold_with_gossip_and_without_hedging() {
     run(&Settings { gossip_allowed: true, hedging_allowed: false, can_cancel: false, ..settings() });
 }
 
 #[test]
-fn rules_hold_deep_in_the_chain_with_a_list_that_must_be_asked_for() {
+fn invariants_hold_in_a_deeper_tier_with_polled_discovery() {
     run(&Settings { poll_discovery: true, tier: 1, max_attempts: 2, ..settings() });
 }
 
@@ -350,11 +349,11 @@
 fn equal_events_give_equal_actions() {
     let play = || {
         let mut balancer = Balancer::new(settings(), 11);
-        let servers: Vec<Endpoint> = (0..20).map(|id| server(id, id as usize % 3)).collect();
+        let endpoints: Vec<Endpoint> = (0..20).map(|id| ready_endpoint(id, id as usize % 3)).collect();
         let mut out = Vec::new();
         balancer.handle(
             0,
-            Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &servers },
+            Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &endpoints },
             &mut out,
         );
         for id in 0..300u64 {
@@ -367,7 +366,7 @@
 }
 
 #[test]
-fn unusable_settings_and_absurd_figures_never_panic() {
+fn unusable_settings_and_absurd_events_never_panic() {
     let (far, odd) = (Micros::MAX, f64::NAN);
     let wild = Settings {
         balancers: 0,
@@ -390,7 +389,7 @@
         let mut balancer = Balancer::new(settings, 3);
         let mut out = Vec::new();
         for now in [0, far, Micros::MIN, 0, 5] {
-            let entry = Endpoint { up_since: Some(far - now.max(0)), ..server(3, usize::MAX) };
+            let entry = Endpoint { up_since: Some(far - now.max(0)), ..ready_endpoint(3, usize::MAX) };
             balancer.handle(
                 now,
                 Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[entry] },
@@ -408,13 +407,13 @@
             }
             let report =
                 LoadReport { in_flight: Some(odd), utilisation: Some(-1.0), ..LoadReport::default() };
-            for (request, attempt, backend) in [(1, usize::MAX, 3), (77, 0, 99), (1, 0, 3)] {
+            for (request, attempt, endpoint) in [(1, usize::MAX, 3), (77, 0, 99), (1, 0, 3)] {
                 balancer.handle(
                     now,
                     Event::AttemptEnded {
                         request: RequestId(request),
                         attempt,
-                        endpoint: EndpointId(backend),
+                        endpoint: EndpointId(endpoint),
                         outcome: Outcome::Reset,
                         took: Micros::MIN,
                         is_final: false,
--- /dev/null
+++ b/crates/decide/tests/selection.rs
@@ -0,0 +1,240 @@
+//! Selection: ranking, gossip, outlier detection and filters, through the public interface.
+mod common;
+
+use common::{gossip_settings, is_rejected, pool, ready_endpoint, sent_to, settings, Proxy};
+use decide::{
+    Action, Endpoint, EndpointFilter, EndpointId, Event, Micros, NewRequest, Outcome, RequestId, Settings,
+};
+
+#[test]
+fn request_without_endpoints_is_rejected() {
+    let mut proxy = Proxy::new(settings(), &[]);
+    assert!(is_rejected(&proxy.request(0).1));
+}
+
+#[test]
+fn unreachable_zone_is_avoided_before_each_of_its_endpoints_has_failed() {
+    let endpoints: Vec<Endpoint> = (0..48).map(|id| ready_endpoint(id, 1 + id as usize % 2)).collect();
+    let mut proxy = Proxy::new(Settings { max_attempts: 9, ..settings() }, &endpoints);
+    // Zone 1 is cut off: it never connects. Zone 2 answers.
+    let mut failed = std::collections::BTreeSet::new();
+    for _ in 0..200 {
+        let (id, actions) = proxy.request(0);
+        let mut to = sent_to(&actions);
+        for attempt in 0..9 {
+            let Some(&endpoint) = to.first() else { break };
+            proxy.advance(10_000);
+            if endpoint.0 % 2 == 1 {
+                proxy.outcome(id, attempt, endpoint, Outcome::Ok, 10_000);
+                break;
+            }
+            failed.insert(endpoint);
+            to = sent_to(&proxy.outcome(id, attempt, endpoint, Outcome::ConnectFailed, 10_000));
+        }
+    }
+    assert!(failed.len() <= 12, "{} of 24 servers had to fail", failed.len());
+}
+
+#[test]
+fn endpoint_crowded_by_peers_is_avoided() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    for _ in 0..40 {
+        for crowded in 0..3u8 {
+            proxy.handle(Event::GossipReceived { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
+        }
+        let (id, actions) = proxy.request(0);
+        let messages = actions.iter().filter(|a| matches!(a, Action::SendGossip { to: 1, .. })).count();
+        assert_eq!((sent_to(&actions), messages), (vec![EndpointId(3)], 1));
+        proxy.advance(1_000);
+        proxy.outcome(id, 0, EndpointId(3), Outcome::Ok, 1_000);
+    }
+}
+
+#[test]
+fn peer_load_expires() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    for crowded in 0..3u8 {
+        proxy.handle(Event::GossipReceived { from: 1, payload: &[crowded, 0, 0, 0, 9, 0] });
+    }
+    proxy.advance(60_000_000);
+    let used: std::collections::BTreeSet<EndpointId> =
+        (0..4).flat_map(|_| sent_to(&proxy.request(0).1)).collect();
+    assert_eq!(used.len(), 4);
+}
+
+#[test]
+fn malformed_gossip_and_gossip_of_unknown_peers_is_ignored() {
+    let endpoints = pool(4);
+    let (mut plain, mut disturbed) =
+        (Proxy::new(gossip_settings(), &endpoints), Proxy::new(gossip_settings(), &endpoints));
+    for _ in 0..30 {
+        for payload in [&[][..], &[1], &[255; 256], &[9, 9, 9, 9, 9, 9], &[0, 0, 0, 0, 9]] {
+            assert!(disturbed.handle(Event::GossipReceived { from: 1, payload }).is_empty());
+        }
+        disturbed.handle(Event::GossipReceived { from: 77, payload: &[0, 0, 0, 0, 200, 0] });
+        disturbed.handle(Event::GossipReceived { from: 0, payload: &[1, 0, 0, 0, 200, 0] });
+        assert_eq!(plain.request(0), disturbed.request(0));
+    }
+}
+
+#[test]
+fn endpoint_that_rejects_is_ejected_for_a_while() {
+    let endpoints = pool(4);
+    let mut proxy = Proxy::new(gossip_settings(), &endpoints);
+    for _ in 0..20 {
+        let (id, actions) = proxy.request(0);
+        proxy.advance(100_000);
+        proxy.outcome(id, 0, sent_to(&actions)[0], Outcome::Ok, 100_000);
+    }
+    let (id, actions) = proxy.request(0);
+    let full = sent_to(&actions)[0];
+    proxy.outcome(id, 0, full, Outcome::Rejected, 500);
+    // A peer was rejected by another one.
+    let other = EndpointId((full.0 + 1) % 4);
+    proxy.handle(Event::GossipReceived { from: 1, payload: &[other.0 as u8, 0, 0, 0, 0, 255] });
+    let busy: Vec<EndpointId> = (0..8).flat_map(|_| sent_to(&proxy.request(0).1)).collect();
+    assert_eq!(busy.len(), 8);
+    assert!(!busy.contains(&full) && !busy.contains(&other), "{busy:?}");
+    proxy.advance(100_000);
+    assert!((0..8).any(|_| sent_to(&proxy.request(0).1).contains(&full)), "it is asked again later");
+}
+
+/// Plays requests of 10 ms each against a pool of three in which endpoint 0 ends them as given, and counts what it
+/// got of the second half.
+fn share_of_an_odd_endpoint(outcome: Outcome, took: Micros) -> usize {
+    let mut proxy = Proxy::new(Settings { max_attempts: 1, ..settings() }, &pool(3));
+    let mut got = 0;
+    for n in 0..60 {
+        let (id, actions) = proxy.request(0);
+        let Some(&endpoint) = sent_to(&actions).first() else { continue };
+        got += usize::from(n >= 30 && endpoint == EndpointId(0));
+        let odd = endpoint == EndpointId(0);
+        let (outcome, took) = if odd { (outcome, took) } else { (Outcome::Ok, 10_000) };
+        proxy.advance(took);
+        proxy.outcome(id, 0, endpoint, outcome, took);
+    }
+    got
+}
+
+/// How many of eighty requests an endpoint gets after so many resets in a row.
+fn share_after_resets(resets: usize) -> usize {
+    let mut proxy = Proxy::new(Settings { max_attempts: 1, ..settings() }, &pool(2));
+    let mut left = resets;
+    for _ in 0..2000 {
+        let (id, actions) = proxy.request(0);
+        let endpoint = sent_to(&actions)[0];
+        proxy.advance(10_000);
+        // In a row, once both are known.
+        let odd = endpoint == EndpointId(0) && left > 0 && proxy.now > 1_500_000;
+        left -= usize::from(odd);
+        let outcome = if odd { Outcome::Reset } else { Outcome::Ok };
+        proxy.outcome(id, 0, endpoint, outcome, 10_000);
+        if odd && left == 0 {
+            break;
+        }
+    }
+    assert_eq!(left, 0);
+    (0..80).filter(|_| sent_to(&proxy.request(0).1).first() == Some(&EndpointId(0))).count()
+}
+
+#[test]
+fn two_resets_eject_an_endpoint_and_one_does_not() {
+    let (one, two) = (share_after_resets(1), share_after_resets(2));
+    assert!(one > 5 * two, "{one} calls after one, {two} after two");
+}
+
+#[test]
+fn endpoint_that_fails_fast_does_not_rank_first() {
+    assert!(share_of_an_odd_endpoint(Outcome::Ok, 10_000) >= 1);
+    assert_eq!(share_of_an_odd_endpoint(Outcome::Error, 500), 0);
+}
+
+#[test]
+fn cancelled_attempts_count_against_their_endpoint() {
+    assert_eq!(share_of_an_odd_endpoint(Outcome::Cancelled, 300_000), 0);
+}
+
+#[test]
+fn errors_of_a_deeper_tier_exclude_no_endpoint() {
+    let mut proxy = Proxy::new(Settings { max_attempts: 1, ..settings() }, &pool(6));
+    let mut got = [0; 6];
+    let mut n = 0;
+    for _ in 0..400 {
+        let requests: Vec<_> = (0..18).map(|_| proxy.request(0)).collect();
+        proxy.advance(50_000);
+        for (id, actions) in requests {
+            let Some(&endpoint) = sent_to(&actions).first() else { continue };
+            got[endpoint.0 as usize] += 1;
+            n += 1;
+            let outcome = if n % 5 == 0 { Outcome::Error } else { Outcome::Ok };
+            proxy.outcome(id, 0, endpoint, outcome, 50_000);
+        }
+    }
+    let (least, most) = (got.iter().min().unwrap(), got.iter().max().unwrap());
+    assert!(*least > 0 && most / least < 3, "{got:?}");
+}
+
+#[test]
+fn endpoint_that_fails_one_class_still_serves_the_other() {
+    let class = settings().classes[0].clone();
+    let settings = Settings { classes: vec![class.clone(), class], max_attempts: 1, ..settings() };
+    let mut proxy = Proxy::new(settings, &pool(3));
+    let mut got = [0; 2];
+    for round in 0..60 {
+        let requests: Vec<_> = (0..12).map(|n| (n % 2, proxy.request(n % 2))).collect();
+        proxy.advance(20_000);
+        for (class, (id, actions)) in requests {
+            let Some(&endpoint) = sent_to(&actions).first() else { continue };
+            let odd = endpoint == EndpointId(0);
+            got[class] += usize::from(odd && round >= 20);
+            let outcome = if odd && class == 1 { Outcome::Error } else { Outcome::Ok };
+            proxy.outcome(id, 0, endpoint, outcome, 20_000);
+        }
+    }
+    assert!(got[0] >= 40 && got[1] * 4 <= got[0], "{got:?}");
+}
+
+/// In a pool that is ranked whole, and in one that is sampled.
+#[test]
+fn endpoint_filter_holds_for_every_attempt() {
+    for count in [4, 100] {
+        let entries: Vec<_> = (0..count)
+            .map(|id| Endpoint {
+                machine_kind: id as usize % 2,
+                cell: Some(id.into()),
+                ..ready_endpoint(id, id as usize % 4)
+            })
+            .collect();
+        let mut proxy = Proxy::new(settings(), &entries);
+        let mut destinations = |filter: EndpointFilter, id: u64| {
+            let endpoint_filter = Some(std::sync::Arc::new(filter));
+            let id = RequestId(id);
+            let request = NewRequest { id, time_left: 2_000_000, endpoint_filter, ..NewRequest::default() };
+            let actions = proxy.handle(Event::Request(request));
+            let chosen = sent_to(&actions).first().copied();
+            if let Some(endpoint) = chosen {
+                // A retry is held to the filter as well.
+                let again = sent_to(&proxy.outcome(id, 0, endpoint, Outcome::ConnectFailed, 1_000));
+                if let Some(&endpoint) = again.first() {
+                    proxy.outcome(id, 1, endpoint, Outcome::Ok, 1_000);
+                }
+                proxy.advance(1_000_000);
+                return again.into_iter().chain(chosen).map(|b| b.0).collect::<Vec<u32>>();
+            }
+            assert!(is_rejected(&actions));
+            Vec::new()
+        };
+        for id in 0..40 {
+            let zone = EndpointFilter { zones: vec![3], ..EndpointFilter::default() };
+            let got = destinations(zone, 3 * id + 1);
+            assert!(!got.is_empty() && got.iter().all(|b| b % 4 == 3), "{got:?}");
+            let cell = EndpointFilter { cells: vec![2], ..EndpointFilter::default() };
+            assert!(destinations(cell, 3 * id + 2).iter().all(|b| *b == 2));
+            // Zone 1 has no machine of kind 0.
+            let none = EndpointFilter { zones: vec![1], machine_kinds: vec![0], ..EndpointFilter::default() };
+            assert!(destinations(none, 3 * id + 3).is_empty());
+        }
+    }
+}
