--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,8 +1,10 @@
-//! A balancer with a clock, for tests through the public interface.
+//! Helpers of the tests: a balancer with a clock, and what drives it.
 #![allow(dead_code)]
 pub mod digest;
 pub mod event_sequence;
+pub mod model;
 pub mod recorded_form;
+pub mod scenarios;
 pub mod world;
 
 use decide::Balancer;
@@ -10,19 +12,19 @@
     Action, Class, Endpoint, EndpointId, Event, Micros, NewRequest, Outcome, RequestId, Settings, UpdateScope,
 };
 
-/// One class that may be repeated, one tier, one balancer.
+/// One idempotent class, one tier, one balancer.
 pub fn settings() -> Settings {
     let class =
         Class { latency_objective: 500_000, deadline: 2_000_000, priority_weight: 1.0, ..Class::default() };
     Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() }
 }
 
-/// A ready server of a zone.
+/// A ready endpoint of a zone.
 pub fn ready_endpoint(id: u32, zone: usize) -> Endpoint {
     Endpoint { id: EndpointId(id), zone, ..Endpoint::default() }
 }
 
-/// What a test drives.
+/// A balancer with a clock and its timers.
 pub struct Proxy {
     pub balancer: Balancer,
     pub now: Micros,
@@ -42,7 +44,7 @@
         proxy
     }
 
-    /// Hands an event over; timers asked for are kept and not returned.
+    /// Hands an event to the balancer; timers that it sets are kept and not returned.
     pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
@@ -55,7 +57,7 @@
         out
     }
 
-    /// Moves the clock on, and the timers with it.
+    /// Advances the clock, and hands back the timers that fall due.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let (end, mut out) = (self.now + time, Vec::new());
         while let Some(&(at, token)) = self.timers.iter().filter(|(at, _)| *at <= end).min() {
@@ -67,12 +69,12 @@
         out
     }
 
-    /// The same, up to a moment.
+    /// The same, up to a point in time.
     pub fn advance_to(&mut self, at: Micros) -> Vec<Action> {
         self.advance((at - self.now).max(0))
     }
 
-    /// A request of a class with two seconds to go, and what was done about it.
+    /// A request of a class with two seconds left, and the actions on it.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.request_with(class, 2_000_000)
     }
@@ -97,7 +99,7 @@
     }
 }
 
-/// Where the actions send a request.
+/// The endpoints that the actions send a request to.
 pub fn sent_to(actions: &[Action]) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
         Action::Send { endpoint, .. } => Some(*endpoint),
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/common/model.rs
@@ -1,33 +1,13 @@
-//! Invariants over arbitrary orders of events, with fixed seeds: a model of the proxy plays against the balancer and
-//! checks every action.
-mod common;
+//! A model of the proxy around a balancer: it plays events and checks every action against the invariants.
+
 use std::collections::BTreeMap;
 
-use common::ready_endpoint;
-use decide::Balancer;
 use decide::{
-    Action, Class, DeduplicationGroup, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros,
+    Action, Balancer, DeduplicationGroup, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros,
     NewRequest, Outcome, RequestId, Semantics, Settings, UpdateScope,
 };
-use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-
-const DEDUPLICATION_WINDOW: Micros = 300_000;
 
-fn classes() -> Vec<Class> {
-    let class = |semantics| Class {
-        latency_objective: 400_000,
-        deadline: 2_000_000,
-        priority_weight: 1.0,
-        late_answer_value: 0.3,
-        semantics,
-    };
-    let mut all = vec![class(Semantics::Idempotent), class(Semantics::AtMostOnce)];
-    for group in [DeduplicationGroup::All, DeduplicationGroup::Zone, DeduplicationGroup::Cell] {
-        all.push(class(Semantics::Deduplicated { group, window: DEDUPLICATION_WINDOW }));
-    }
-    all
-}
+use super::ready_endpoint;
 
 struct Attempt {
     endpoint: EndpointId,
@@ -44,7 +24,7 @@
     attempts: Vec<Attempt>,
 }
 
-struct World {
+pub struct Model {
     settings: Settings,
     balancer: Balancer,
     now: Micros,
@@ -55,9 +35,9 @@
     next: u64,
 }
 
-impl World {
-    fn new(settings: Settings, seed: u64) -> Self {
-        World {
+impl Model {
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Model {
             balancer: Balancer::new(settings.clone(), seed),
             settings,
             now: 5_000_000,
@@ -83,47 +63,8 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint, deadline } => {
-                let pending = self.pending.get_mut(&request).expect("sent for a request that is not held");
-                let entry = &self.listed[&endpoint.0];
-                assert_eq!(entry.state, EndpointState::Ready, "sent to a server that drains or is gone");
-                assert!(!pending.streaming && deadline <= pending.deadline && deadline > self.now);
-                assert!(pending.attempts.len() < self.settings.max_attempts);
-                let in_flight = pending.attempts.iter().any(|a| a.in_flight);
-                assert!(self.settings.hedging_allowed || !in_flight, "two at once");
-                for earlier in pending.attempts.iter().filter(|a| a.in_flight || a.may_have_run) {
-                    let other = &self.listed[&earlier.endpoint.0];
-                    match self.settings.classes[pending.class].semantics {
-                        Semantics::Idempotent => {}
-                        Semantics::AtMostOnce => panic!("sent again though it may have run"),
-                        Semantics::Deduplicated { group, window } => {
-                            assert!(self.now < earlier.sent_at + window, "after its window");
-                            assert!(match group {
-                                DeduplicationGroup::All => true,
-                                DeduplicationGroup::Zone => other.zone == entry.zone,
-                                DeduplicationGroup::Cell => other.cell.is_some() && other.cell == entry.cell,
-                            });
-                        }
-                    }
-                }
-                pending.attempts.push(Attempt {
-                    endpoint,
-                    sent_at: self.now,
-                    deadline,
-                    in_flight: true,
-                    may_have_run: true,
-                });
-            }
-            Action::Reject { request, .. } => {
-                let pending = self.pending.remove(&request).expect("a second answer");
-                let may_have_run = pending.attempts.iter().any(|a| a.in_flight || a.may_have_run);
-                match self.settings.classes[pending.class].semantics {
-                    Semantics::Idempotent
-                    | Semantics::Deduplicated { group: DeduplicationGroup::All, .. } => {}
-                    _ => assert!(!may_have_run, "refused though it may have run"),
-                }
-                self.answer(request, &pending);
-            }
+            Action::Send { request, endpoint, deadline } => self.check_send(request, endpoint, deadline),
+            Action::Reject { request, .. } => self.check_reject(request),
             Action::Fail(request) => {
                 let pending = self.pending.remove(&request).expect("a second answer");
                 self.answer(request, &pending);
@@ -145,6 +86,43 @@
         }
     }
 
+    fn check_send(&mut self, request: RequestId, endpoint: EndpointId, deadline: Micros) {
+        let pending = self.pending.get_mut(&request).expect("sent for a request that is not held");
+        let entry = &self.listed[&endpoint.0];
+        assert_eq!(entry.state, EndpointState::Ready, "sent to a server that drains or is gone");
+        assert!(!pending.streaming && deadline <= pending.deadline && deadline > self.now);
+        assert!(pending.attempts.len() < self.settings.max_attempts);
+        let in_flight = pending.attempts.iter().any(|a| a.in_flight);
+        assert!(self.settings.hedging_allowed || !in_flight, "two at once");
+        for earlier in pending.attempts.iter().filter(|a| a.in_flight || a.may_have_run) {
+            let other = &self.listed[&earlier.endpoint.0];
+            match self.settings.classes[pending.class].semantics {
+                Semantics::Idempotent => {}
+                Semantics::AtMostOnce => panic!("sent again though it may have run"),
+                Semantics::Deduplicated { group, window } => {
+                    assert!(self.now < earlier.sent_at + window, "after its window");
+                    assert!(match group {
+                        DeduplicationGroup::All => true,
+                        DeduplicationGroup::Zone => other.zone == entry.zone,
+                        DeduplicationGroup::Cell => other.cell.is_some() && other.cell == entry.cell,
+                    });
+                }
+            }
+        }
+        let sent_at = self.now;
+        pending.attempts.push(Attempt { endpoint, sent_at, deadline, in_flight: true, may_have_run: true });
+    }
+
+    fn check_reject(&mut self, request: RequestId) {
+        let pending = self.pending.remove(&request).expect("a second answer");
+        let may_have_run = pending.attempts.iter().any(|a| a.in_flight || a.may_have_run);
+        match self.settings.classes[pending.class].semantics {
+            Semantics::Idempotent | Semantics::Deduplicated { group: DeduplicationGroup::All, .. } => {}
+            _ => assert!(!may_have_run, "refused though it may have run"),
+        }
+        self.answer(request, &pending);
+    }
+
     fn answer(&mut self, request: RequestId, pending: &PendingRequest) {
         self.answered.insert(request, pending.attempts.iter().map(|a| a.endpoint).collect());
     }
@@ -213,7 +191,7 @@
     }
 
     /// The clock moves on; attempts whose time is up end, and timers fall due.
-    fn advance(&mut self, time: Micros) {
+    pub fn advance(&mut self, time: Micros) {
         self.now += time;
         loop {
             let late = |h: &PendingRequest| {
@@ -234,7 +212,7 @@
         assert_eq!(overdue, 0, "no answer by the deadline");
     }
 
-    fn update_endpoints(&mut self, a: u32, b: u32, full: bool) {
+    pub fn update_endpoints(&mut self, a: u32, b: u32, full: bool) {
         let count = if full { a % 8 } else { 1 + a % 3 };
         let entries: Vec<Endpoint> = (0..count)
             .map(|i| {
@@ -257,7 +235,7 @@
         self.handle(Event::EndpointUpdate { scope, endpoints: &entries });
     }
 
-    fn step(&mut self, (kind, a, b): (u8, u32, u32)) {
+    pub fn step(&mut self, (kind, a, b): (u8, u32, u32)) {
         match kind {
             0..=5 => self.request(a, b),
             6 | 7 => self.advance(Micros::from(a % 500_000)),
@@ -293,140 +271,3 @@
         }
     }
 }
-
-fn run(settings: &Settings) {
-    let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
-    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let steps = prop::collection::vec((0u8..20, any::<u32>(), any::<u32>()), 1..250);
-    TestRunner::new_with_rng(config, rng)
-        .run(&(steps, any::<u64>()), |(steps, seed)| {
-            let mut world = World::new(settings.clone(), seed);
-            world.update_endpoints(5, 0x7fff_fffe, true);
-            steps.into_iter().for_each(|step| world.step(step));
-            world.advance(3_000_000);
-            Ok(())
-        })
-        .unwrap_or_else(|e| panic!("{e}"));
-}
-
-fn settings() -> Settings {
-    Settings {
-        balancers: 3,
-        rank: 1,
-        tiers: 2,
-        classes: classes(),
-        max_attempts: 3,
-        hedging_allowed: true,
-        can_cancel: true,
-        timer_resolution: 1_000,
-        slow_start_min_capacity: 0.2,
-        slow_start_duration: 5_000_000,
-        overload_multiple: 3.0,
-        overload_window: 2_000_000,
-        max_poll_interval: 10_000_000,
-        send_retry_after: true,
-        max_retry_after: 1_000_000,
-        ..Settings::default()
-    }
-}
-
-#[test]
-fn invariants_hold_with_a_pushed_list() {
-    run(&settings());
-}
-
-#[test]
-fn invariants_hold_with_gossip_and_without_hedging() {
-    run(&Settings { gossip_allowed: true, hedging_allowed: false, can_cancel: false, ..settings() });
-}
-
-#[test]
-fn invariants_hold_in_a_deeper_tier_with_polled_discovery() {
-    run(&Settings { poll_discovery: true, tier: 1, max_attempts: 2, ..settings() });
-}
-
-#[test]
-fn equal_events_give_equal_actions() {
-    let play = || {
-        let mut balancer = Balancer::new(settings(), 11);
-        let endpoints: Vec<Endpoint> = (0..20).map(|id| ready_endpoint(id, id as usize % 3)).collect();
-        let mut out = Vec::new();
-        balancer.handle(
-            0,
-            Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &endpoints },
-            &mut out,
-        );
-        for id in 0..300u64 {
-            let request = NewRequest { id: RequestId(id), time_left: 1_000_000, ..NewRequest::default() };
-            balancer.handle(id as Micros * 500, Event::Request(request), &mut out);
-        }
-        out
-    };
-    assert_eq!(play(), play());
-}
-
-#[test]
-fn unusable_settings_and_absurd_events_never_panic() {
-    let (far, odd) = (Micros::MAX, f64::NAN);
-    let wild = Settings {
-        balancers: 0,
-        rank: 9,
-        tier: 7,
-        classes: vec![
-            Class { latency_objective: far, priority_weight: odd, ..Class::default() },
-            Class::default(),
-        ],
-        cross_zone_price: f64::INFINITY,
-        timer_resolution: far,
-        slow_start_duration: Micros::MIN,
-        overload_window: far,
-        max_poll_interval: far,
-        poll_discovery: true,
-        ..settings()
-    };
-    assert!(wild.check().is_err() && settings().check().is_ok());
-    for settings in [wild, Settings { classes: Vec::new(), ..settings() }, settings()] {
-        let mut balancer = Balancer::new(settings, 3);
-        let mut out = Vec::new();
-        for now in [0, far, Micros::MIN, 0, 5] {
-            let entry = Endpoint { up_since: Some(far - now.max(0)), ..ready_endpoint(3, usize::MAX) };
-            balancer.handle(
-                now,
-                Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &[entry] },
-                &mut out,
-            );
-            for (id, class) in [(1, 0), (1, 0), (2, usize::MAX), (u64::MAX, 1)] {
-                let request = NewRequest {
-                    id: RequestId(id),
-                    class,
-                    time_left: if id == 1 { far } else { -far },
-                    tenant: Some(usize::MAX),
-                    ..NewRequest::default()
-                };
-                balancer.handle(now, Event::Request(request), &mut out);
-            }
-            let report =
-                LoadReport { in_flight: Some(odd), utilisation: Some(-1.0), ..LoadReport::default() };
-            for (request, attempt, endpoint) in [(1, usize::MAX, 3), (77, 0, 99), (1, 0, 3)] {
-                balancer.handle(
-                    now,
-                    Event::AttemptEnded {
-                        request: RequestId(request),
-                        attempt,
-                        endpoint: EndpointId(endpoint),
-                        outcome: Outcome::Reset,
-                        took: Micros::MIN,
-                        is_final: false,
-                        report: Some(report),
-                    },
-                    &mut out,
-                );
-            }
-            balancer.handle(now, Event::Timer(0), &mut out);
-        }
-        // The request of an unknown class got its one answer, each time it came.
-        let answers =
-            |id| out.iter().filter(move |a| matches!(a, Action::Reject { request, .. } if request.0 == id));
-        assert_eq!(answers(2).count(), 5);
-    }
-}
--- a/crates/decide/tests/common/world.rs
+++ b/crates/decide/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! Servers with queues, balancers that share them, and time that is simulated: the same run from the same seed.
+//! A simulation of endpoints with queues and of balancers that share them: the same run from the same seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -12,10 +12,11 @@
 use super::ready_endpoint;
 use super::recorded_form::recorded_form;
 
-/// A server: so many calls at once, each for so long, the others wait.
+/// An endpoint: serves as many attempts at once as it has slots, the others wait.
 #[derive(Clone, Debug)]
 pub struct SimulatedEndpoint {
     pub slots: usize,
+    /// The mean time that an attempt takes, in microseconds.
     pub service_time: Micros,
 }
 
@@ -23,9 +24,9 @@
 enum Due {
     Arrive(usize),
     Timer(usize, u64),
-    /// A server is done with a call.
+    /// An endpoint has served an attempt.
     Done(usize, u64),
-    /// A call's time is up.
+    /// The deadline of an attempt.
     Late(u64),
 }
 
@@ -54,11 +55,11 @@
     attempts: BTreeMap<(usize, RequestId), Vec<u64>>,
     landed_at: BTreeMap<(usize, RequestId), Micros>,
     next: u64,
-    /// For each balancer: when a request that was served in its aim had come.
+    /// For each balancer: when the requests that were served within their objective had arrived.
     pub served: Vec<Vec<Micros>>,
     /// For each balancer: when it sent, and where to.
     pub sent: Vec<Vec<(Micros, usize)>>,
-    /// All actions, as one figure.
+    /// All actions, as one hash.
     pub digest: Digest,
 }
 
@@ -92,7 +93,7 @@
         world
     }
 
-    /// Tells a balancer its servers, and lets requests come to it.
+    /// Gives a balancer its endpoints, and lets requests arrive at it.
     fn start(&mut self, b: usize) {
         self.list(b);
         self.plan(self.now, Due::Arrive(b));
@@ -103,7 +104,7 @@
         self.handle(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &entries });
     }
 
-    /// A balancer's process ends, and another takes its place: what it had open is nobody's.
+    /// Replaces a balancer by a new process; what it had in flight is dropped.
     pub fn restart(&mut self, b: usize, seed: u64) {
         let own = Settings { rank: b as u32, ..self.settings.clone() };
         self.balancers[b] = Balancer::new(own, seed);
@@ -122,7 +123,7 @@
         self.due.push(Reverse((at, self.count, due)));
     }
 
-    /// Lets so much time pass.
+    /// Advances the clock by this time.
     pub fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(Reverse((at, _, due))) = self.due.peek().copied() {
@@ -183,7 +184,7 @@
         let Some(Call { balancer, request, attempt, endpoint, sent, .. }) = self.calls.remove(&call) else {
             return;
         };
-        // Of a process that is no more, or of a request that is over.
+        // Of a process that was replaced, or of a request that has its answer.
         if !self.attempts.contains_key(&(balancer, request)) {
             return;
         }
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Requests that came to a balancer in a span of time and were served in their aim.
+    /// Requests that arrived at a balancer in a span of time and were served within their objective.
     pub fn served_in(&self, b: usize, from: Micros, to: Micros) -> usize {
         self.served[b].iter().filter(|at| (from..to).contains(*at)).count()
     }
--- a/crates/decide/tests/equality.rs
+++ b/crates/decide/tests/equality.rs
@@ -1,5 +1,5 @@
 //! Every action of seeded event sequences is, to the byte, the one that was recorded before the decisions were
-//! renamed and split. What the balancer has learned and which servers it avoids are compared as well.
+//! renamed and split. What the balancer has learned and which endpoints it ejects are compared as well.
 //!
 //! The figures hold for the platform's `exp`, `sqrt` and `ln`, as those of `replay.rs` do.
 mod common;
@@ -8,10 +8,14 @@
 
 use common::event_sequence::{play, Played, Scenario};
 use common::recorded_form::recorded_form;
-use decide::{Action, Class, DeduplicationGroup, EndpointId, Micros, RequestId, Semantics, Settings, Tenant};
+use common::scenarios::{
+    all_classes, deeper_tier, gossip, handovers, large_warming_pool, load_reports, polled_discovery, single,
+    sixty_with_gossip, sixty_without_gossip, slow_requests, tenants, three_endpoints, unusable_settings,
+    warming_endpoints,
+};
+use decide::{Action, EndpointId, RequestId};
 
 const SEEDS: [u64; 2] = [11, 12];
-const EVENTS: usize = 6_000;
 
 /// A sequence by name, what must be among its actions, and the digest recorded for each seed.
 struct Sequence {
@@ -119,229 +123,6 @@
     ),
 ];
 
-fn class(
-    latency_objective: Micros,
-    priority_weight: f64,
-    late_answer_value: f64,
-    semantics: Semantics,
-) -> Class {
-    Class { latency_objective, deadline: 2_000_000, priority_weight, late_answer_value, semantics }
-}
-
-fn deduplicated(group: DeduplicationGroup) -> Semantics {
-    Semantics::Deduplicated { group, window: 400_000 }
-}
-
-fn every_class() -> Vec<Class> {
-    vec![
-        class(500_000, 1.0, 0.0, Semantics::Idempotent),
-        class(500_000, 4.0, 0.0, Semantics::AtMostOnce),
-        class(800_000, 2.0, 0.5, deduplicated(DeduplicationGroup::All)),
-        class(600_000, 2.0, 0.0, deduplicated(DeduplicationGroup::Zone)),
-        class(400_000, 3.0, 0.2, deduplicated(DeduplicationGroup::Cell)),
-    ]
-}
-
-fn single() -> Scenario {
-    Scenario {
-        settings: common::settings(),
-        endpoints: 12,
-        zones: 1,
-        request_gap: 8_000,
-        service_time: 30_000,
-        failures: 0.05,
-        reports: false,
-        endpoint_restarts: false,
-        handovers: 0,
-        events: EVENTS,
-    }
-}
-
-fn three_endpoints() -> Scenario {
-    let classes = vec![
-        class(300_000, 1.0, 0.0, Semantics::Idempotent),
-        class(300_000, 2.0, 0.0, Semantics::AtMostOnce),
-    ];
-    let settings = Settings {
-        balancers: 2,
-        rank: 1,
-        classes,
-        max_attempts: 2,
-        can_cancel: true,
-        send_retry_after: true,
-        max_retry_after: 900_000,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 3, failures: 0.15, ..single() }
-}
-
-fn all_classes() -> Scenario {
-    let settings = Settings {
-        balancers: 2,
-        classes: every_class(),
-        cross_zone_price: 0.02,
-        can_cancel: true,
-        hedging_allowed: true,
-        send_retry_after: true,
-        max_retry_after: 500_000,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 12, zones: 3, failures: 0.25, ..single() }
-}
-
-fn tenants() -> Scenario {
-    let quotas = [5.0, 25.0, 0.0];
-    let tenants = quotas.map(|quota_per_s| Tenant { quota_per_s }).to_vec();
-    let classes = vec![
-        class(500_000, 1.0, 0.5, Semantics::Idempotent),
-        class(300_000, 5.0, 0.0, Semantics::Idempotent),
-    ];
-    let settings = Settings { classes, tenants, send_retry_after: true, ..common::settings() };
-    Scenario { settings, ..single() }
-}
-
-fn load_reports() -> Scenario {
-    let settings = Settings { balancers: 2, health_checks_allowed: true, ..common::settings() };
-    Scenario { settings, zones: 2, reports: true, ..single() }
-}
-
-fn polled_discovery() -> Scenario {
-    let settings = Settings {
-        balancers: 10,
-        rank: 3,
-        poll_discovery: true,
-        max_poll_interval: 2_000_000,
-        classes: every_class(),
-        timer_resolution: 1_000,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 40, zones: 2, failures: 0.1, ..single() }
-}
-
-fn deeper_tier() -> Scenario {
-    let settings = Settings {
-        balancers: 2,
-        tier: 1,
-        tiers: 3,
-        classes: every_class(),
-        send_retry_after: true,
-        max_retry_after: 900_000,
-        hedging_allowed: true,
-        ..common::settings()
-    };
-    Scenario { settings, zones: 2, reports: true, failures: 0.1, service_time: 15_000, ..single() }
-}
-
-fn gossip() -> Scenario {
-    let settings = Settings {
-        balancers: 8,
-        rank: 5,
-        gossip_allowed: true,
-        tier: 1,
-        tiers: 2,
-        classes: every_class(),
-        can_cancel: true,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 12, zones: 3, failures: 0.1, ..single() }
-}
-
-fn sixty_with_gossip() -> Scenario {
-    let settings = Settings {
-        balancers: 60,
-        rank: 59,
-        gossip_allowed: true,
-        classes: every_class(),
-        cross_zone_price: 0.1,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 40, zones: 3, failures: 0.1, request_gap: 20_000, ..single() }
-}
-
-fn sixty_without_gossip() -> Scenario {
-    let settings = Settings {
-        balancers: 60,
-        rank: 17,
-        poll_discovery: true,
-        max_poll_interval: 3_000_000,
-        classes: every_class(),
-        hedging_allowed: true,
-        cross_zone_price: 0.05,
-        zone: 1,
-        ..common::settings()
-    };
-    Scenario { settings, endpoints: 200, zones: 3, failures: 0.1, reports: true, ..single() }
-}
-
-fn slow_start_settings() -> Settings {
-    Settings {
-        slow_start_min_capacity: 0.1,
-        slow_start_duration: 10_000_000,
-        overload_multiple: 1.5,
-        overload_window: 1_000_000,
-        ..common::settings()
-    }
-}
-
-fn warming_endpoints() -> Scenario {
-    let settings =
-        Settings { balancers: 2, classes: every_class(), can_cancel: true, ..slow_start_settings() };
-    Scenario { settings, zones: 2, endpoint_restarts: true, failures: 0.1, ..single() }
-}
-
-fn large_warming_pool() -> Scenario {
-    let settings = Settings { balancers: 8, rank: 2, gossip_allowed: true, ..slow_start_settings() };
-    Scenario { settings, endpoints: 200, zones: 2, endpoint_restarts: true, request_gap: 4_000, ..single() }
-}
-
-fn handovers() -> Scenario {
-    let settings =
-        Settings { balancers: 2, classes: every_class(), can_cancel: true, ..slow_start_settings() };
-    Scenario {
-        settings,
-        endpoints: 40,
-        zones: 3,
-        endpoint_restarts: true,
-        failures: 0.2,
-        handovers: 5,
-        events: 2 * EVENTS,
-        ..single()
-    }
-}
-
-/// Few requests, of which some take many periods: figures come late or not at all.
-fn slow_requests() -> Scenario {
-    let classes = vec![
-        class(200_000, 1.0, 0.0, Semantics::Idempotent),
-        Class { deadline: 8_000_000, ..class(4_000_000, 2.0, 0.0, Semantics::Idempotent) },
-    ];
-    let settings = Settings { balancers: 2, classes, ..common::settings() };
-    Scenario { settings, endpoints: 3, request_gap: 100_000, service_time: 60_000, events: 3_000, ..single() }
-}
-
-/// Figures that no check lets pass; the balancer brings them within bounds.
-fn unusable_settings() -> Scenario {
-    let classes = vec![
-        class(Micros::MAX, f64::NAN, -1.0, deduplicated(DeduplicationGroup::Zone)),
-        class(0, f64::INFINITY, f64::NAN, Semantics::Idempotent),
-        class(400_000, -3.0, 1.0, Semantics::AtMostOnce),
-    ];
-    let settings = Settings {
-        balancers: 0,
-        rank: 9,
-        tier: 4,
-        tiers: 0,
-        max_attempts: 0,
-        timer_resolution: 20_000,
-        cross_zone_price: f64::NAN,
-        slow_start_duration: Micros::MIN,
-        overload_window: Micros::MAX,
-        classes,
-        ..common::settings()
-    };
-    Scenario { settings, zones: 2, endpoint_restarts: true, failures: 0.1, ..single() }
-}
-
 #[test]
 fn every_action_is_the_one_that_was_recorded() {
     let mut all = Vec::new();
--- a/crates/decide/tests/replay.rs
+++ b/crates/decide/tests/replay.rs
@@ -1,12 +1,11 @@
-//! The decisions take the very actions that they took when these figures were written down: whatever is added beside
-//! them, and not asked for, changes nothing.
+//! The actions of simulated runs are those that were recorded: a change that is not meant to change decisions does not.
 mod common;
 
 use common::settings;
 use common::world::{SimulatedEndpoint, World};
 use decide::{Class, DeduplicationGroup, Semantics, Settings};
 
-/// A world of three balancers and ten servers, of which two are slow, from a calm into an overload and back.
+/// Three balancers and ten endpoints, two of them slow, from light load into an overload and back.
 fn digest(seed: u64) -> u64 {
     let class = |latency_objective, priority_weight, semantics| Class {
         latency_objective,
