--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 
 use super::{serving, Caller, Callers, Frontend};
-use crate::body::{Content, Cut};
+use crate::body::{BodyError, MessageBody};
 use crate::exchange::{FinalResponse, UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::metrics::{RequestOutcome, Tally};
+use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::panic_guard::caught;
 use crate::request_reader::{self, Taken};
 use crate::router::Rejection;
@@ -31,7 +31,7 @@
 
 /// An answer's body on its way to the caller, and what ends with it.
 struct Outgoing {
-    content: Content,
+    content: MessageBody,
     /// Of one that flows.
     open: Option<Open>,
 }
@@ -39,29 +39,32 @@
 /// A request whose answer is on its way.
 struct Open {
     caller: Rc<Caller>,
-    tally: Rc<Tally>,
-    content: Content,
+    tally: Rc<RequestRecorder>,
+    content: MessageBody,
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        let whole = self.content.flow().is_some_and(|flow| flow.ended().is_some());
-        self.tally.end(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
+        let whole = self.content.streaming().is_some_and(|flow| flow.completed_at().is_some());
+        self.tally.record(if whole { RequestOutcome::Served } else { RequestOutcome::Failed });
         self.caller.free();
     }
 }
 
 impl Outgoing {
-    fn whole(content: Content) -> Outgoing {
+    fn whole(content: MessageBody) -> Outgoing {
         Outgoing { content, open: None }
     }
 }
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         Pin::new(&mut self.content).poll_frame(cx)
     }
 
@@ -128,24 +131,24 @@
         return reply(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
     }
     let gate = &callers.gate;
-    let tally = Rc::<Tally>::default();
+    let tally = Rc::<RequestRecorder>::default();
     let read = request_reader::read(&*gate.router, &gate.ids, &caller.socket, &caller.kept, &tally, request);
     let answer = match read.await {
         // Its time counts from its last byte; one that flows brings along how long it may take to come.
         Ok(Taken::Sound(sound)) => serving::serve(callers, *sound, &caller.client(), Instant::now()).await,
         Ok(Taken::Known(answer)) => answer,
         Err(turned) => {
-            tally.end(turned.request_outcome());
+            tally.record(turned.request_outcome());
             return turned_away(gate, turned);
         }
     };
     // One that flows ends with its last byte.
-    if !matches!(answer, FinalResponse::Served(UpstreamResponse { body: Content::Flowing(_), .. })) {
-        tally.end(answer.request_outcome());
+    if !matches!(answer, FinalResponse::Served(UpstreamResponse { body: MessageBody::Streaming(_), .. })) {
+        tally.record(answer.request_outcome());
     }
     match answer {
         FinalResponse::Served(UpstreamResponse { headers, body }) => {
-            let open = body.flow().is_some().then(|| Open {
+            let open = body.streaming().is_some().then(|| Open {
                 caller: Rc::clone(caller),
                 tally: Rc::clone(&tally),
                 content: body.clone(),
@@ -171,7 +174,7 @@
     let mut reply = reply(turned.status);
     if let Some(cause) = turned.cause {
         reply.headers_mut().insert(CAUSE, HeaderValue::from_static(cause));
-        if cause == limit::Cause::Connections.name() {
+        if cause == limit::RejectReason::Connections.name() {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
     }
@@ -195,7 +198,7 @@
 }
 
 fn reply(status: StatusCode) -> Reply {
-    let mut reply = Response::new(Outgoing::whole(Content::default()));
+    let mut reply = Response::new(Outgoing::whole(MessageBody::default()));
     *reply.status_mut() = status;
     reply
 }
--- a/crates/proxy/src/idempotency_keys.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -123,7 +123,7 @@
     pub fn record_response(&mut self, response: &FinalResponse) {
         let FinalResponse::Served(UpstreamResponse { headers, body }) = response else { return };
         // Responses of classes with keys are never streamed.
-        let Some(body) = body.whole() else { return };
+        let Some(body) = body.buffered() else { return };
         self.completed = true;
         let response = BufferedResponse { headers: headers.clone(), body };
         let bytes = response.size_bytes();
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -11,7 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
 
-use crate::body::MOST_FLOW;
+use crate::body::MAX_STREAMED_BODY_BYTES;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{
@@ -108,7 +108,7 @@
     }
 
     fn max_body_bytes(&self) -> u64 {
-        MOST_FLOW
+        MAX_STREAMED_BODY_BYTES
     }
 
     fn retry_after_in_seconds(&self) -> bool {
--- a/crates/proxy/src/upstream/http_attempt.rs
+++ b/crates/proxy/src/upstream/http_attempt.rs
@@ -28,9 +28,9 @@
 /// Waits until the client of a streamed request gives up, from the last byte that it sent. Forever where the deadline
 /// alone counts.
 async fn client_timeout(request: &AttemptRequest) {
-    match (request.message.body().flow(), request.client_timeout) {
+    match (request.message.body().streaming(), request.client_timeout) {
         (Some(body), Some(timeout)) => {
-            let last_byte_at = body.end_of_it().await;
+            let last_byte_at = body.wait_complete().await;
             sleep_until(last_byte_at + timeout).await;
         }
         _ => pending().await,
@@ -51,7 +51,7 @@
 
 /// Whether the body is streamed and its last byte has not been sent: an endpoint executes nothing before that.
 fn is_body_incomplete(message: &UpstreamRequest) -> bool {
-    message.body().flow().is_some_and(|body| body.ended().is_none())
+    message.body().streaming().is_some_and(|body| body.completed_at().is_none())
 }
 
 /// Connects, sends the request and reads the response. Where a reused connection has closed before anything was written
@@ -90,14 +90,14 @@
 ) -> Result<Response<Incoming>, AttemptError> {
     let message = with_timeout_header(&request.message, time_left);
     request.write_started.set(true);
-    let written_before = connection.socket.written();
+    let written_before = connection.socket.bytes_written();
     count_when_written(pool, request, connection);
     let error = match connection.sender.try_send_request(message).await {
         Ok(response) => return Ok(response),
         Err(error) => error,
     };
-    connection.socket.counted().not();
-    let is_written = connection.socket.written() > written_before;
+    connection.socket.write_counter().cancel();
+    let is_written = connection.socket.bytes_written() > written_before;
     let failure = classify_send_error(request, error, is_written);
     if matches!(failure, AttemptError::ClosedBeforeWrite) {
         request.write_started.set(false);
@@ -114,12 +114,12 @@
 
 /// Counts the attempt once its last byte is written.
 fn count_when_written(pool: &UpstreamPool, request: &AttemptRequest, connection: &HttpConnection) {
-    match request.message.body().flow() {
-        None => connection.socket.counted().at_next_write(&pool.attempts_written),
+    match request.message.body().streaming() {
+        None => connection.socket.write_counter().count_next_write(&pool.attempts_written),
         Some(body) => {
             let socket = connection.socket.clone();
             let counter = pool.attempts_written.clone();
-            body.at_end(move || socket.counted().at_next_write(&counter));
+            body.on_complete(move || socket.write_counter().count_next_write(&counter));
         }
     }
 }
@@ -130,7 +130,7 @@
     mut error: hyper::client::conn::TrySendError<UpstreamRequest>,
     is_written: bool,
 ) -> AttemptError {
-    if request.message.body().flow().is_some_and(|body| body.is_begun()) {
+    if request.message.body().streaming().is_some_and(|body| body.is_read_started()) {
         // What was read of the body is gone, so it cannot be sent on another connection.
         return if is_body_incomplete(&request.message) {
             AttemptError::IncompleteRequest
--- a/crates/proxy/src/upstream/rpc_connection/state.rs
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -9,7 +9,7 @@
 use std::task::{ready, Context, Poll};
 
 use bytes::Bytes;
-use jsonrpc::{code, Body, Bounds, Framing, Invalid, Parsed, Response};
+use jsonrpc::{code, Framing, InvalidMessage, Limits, Message, Parsed, Response};
 use serde_json::value::RawValue;
 use tokio::io::AsyncWrite;
 use tokio::sync::{oneshot, Notify};
@@ -93,8 +93,8 @@
 }
 
 /// The bounds of a message from an endpoint.
-pub fn message_bounds() -> Bounds {
-    Bounds { bytes: MAX_FRAME_BYTES, ..Bounds::default() }
+pub fn message_bounds() -> Limits {
+    Limits { message_bytes: MAX_FRAME_BYTES, ..Limits::default() }
 }
 
 impl ConnectionState {
@@ -167,7 +167,7 @@
 
     /// A message in its frame.
     pub fn frame(&self, message: &[u8]) -> Bytes {
-        jsonrpc::frame(self.settings.framing, message).into()
+        jsonrpc::encode_frame(self.settings.framing, message).into()
     }
 
     /// The bytes of a frame of this length after which an endpoint may execute the call. A lenient one takes a line without
@@ -175,7 +175,7 @@
     pub fn message_len(&self, frame_len: usize) -> usize {
         match self.settings.framing {
             Framing::Line => frame_len - 1,
-            Framing::Length => frame_len,
+            Framing::ContentLength => frame_len,
         }
     }
 
@@ -207,7 +207,7 @@
             return;
         }
         let params = RawValue::from_string(format!("{{\"id\":\"{id}\"}}")).ok();
-        let message = jsonrpc::request(None, method, params.as_deref());
+        let message = jsonrpc::encode_request(None, method, params.as_deref());
         let frame = self.frame(&message);
         self.enqueue(OutgoingFrame { call_id: None, frame, progress: WriteProgress::default() });
     }
@@ -270,11 +270,11 @@
         ReadState::Open
     }
 
-    fn on_entry(&self, entry: Result<Body<'_>, Invalid<'_>>) -> ReadState {
+    fn on_entry(&self, entry: Result<Message<'_>, InvalidMessage<'_>>) -> ReadState {
         match entry {
-            Ok(Body::Response(response)) => self.on_response(&response),
+            Ok(Message::Response(response)) => self.on_response(&response),
             // Endpoints call nothing, and their notifications have no receiver.
-            Ok(Body::Call(_)) => ReadState::Open,
+            Ok(Message::Call(_)) => ReadState::Open,
             Err(invalid) => {
                 if let Some(call) = invalid.id.and_then(|id| self.take_call(id)) {
                     call.end(CallResult::Unknown);
@@ -307,6 +307,6 @@
         Ok(result) if result.get().len() <= MAX_BUFFERED_BODY_BYTES => CallResult::Result(result.to_owned()),
         // As over HTTP: it was executed, and its response cannot be used.
         Ok(_) => CallResult::Unknown,
-        Err(_) => CallResult::Error(response.error().map_or(code::INTERNAL, |(code, _)| code)),
+        Err(_) => CallResult::Error(response.error().map_or(code::INTERNAL_ERROR, |(code, _)| code)),
     }
 }
--- a/crates/proxy/src/upstream/socket_limit.rs
+++ b/crates/proxy/src/upstream/socket_limit.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::log::say;
-use crate::socket::Slot;
+use crate::socket::DescriptorGuard;
 
 /// Counts open sockets against a limit.
 pub struct SocketLimit {
@@ -35,8 +35,8 @@
     }
 
     /// Counts a socket for as long as its slot lives.
-    pub fn open(&self) -> Slot {
-        Slot::new(&self.open)
+    pub fn open(&self) -> DescriptorGuard {
+        DescriptorGuard::new(&self.open)
     }
 
     /// Logs, once, that the limit kept an attempt from being sent.
