--- a/crates/emulate/src/restart.rs
+++ b/crates/emulate/src/restart.rs
@@ -4,7 +4,7 @@
 
 use decide::Balancer;
 use decide::{Class, EndpointId, EndpointState, Event, Micros, Semantics, Settings, UpdateScope};
-use membership::{InitialList, LeaseTerms, Policy, Watch};
+use membership::{DiscoveryMode, DiscoveryWatch, InitialList, LeaseTerms, WatchPolicy};
 
 use crate::node::FALL;
 use crate::world::{Proxy, What, World, AIM, DEADLINE, GRACE, MUST_ASK};
@@ -42,15 +42,15 @@
     }
 }
 
-fn watch(seed: u64, now: Micros) -> Watch {
+fn watch(seed: u64, now: Micros) -> DiscoveryWatch {
     let terms = LeaseTerms {
         drain_grace: GRACE,
         margin: MARGIN,
-        longest_stop: 4 * MUST_ASK,
-        believed_outage: MUST_ASK * 4 / 5,
+        max_suspension: 4 * MUST_ASK,
+        presumed_outage: MUST_ASK * 4 / 5,
     };
-    let policy = Policy { answers_each: true, lease: Some(terms) };
-    Watch::new(policy, InitialList::Unconfirmed, now, seed)
+    let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: Some(terms) };
+    DiscoveryWatch::new(policy, InitialList::Unconfirmed, now, seed)
 }
 
 impl Proxy {
@@ -58,10 +58,14 @@
     pub fn running(fleet: &Fleet, rank: usize) -> Proxy {
         let mut proxy = Proxy::start(fleet, rank, 0, 0);
         let mut actions = Vec::new();
-        proxy.watch.handle(0, membership::Event::Wake, &mut actions);
+        proxy.watch.handle(0, membership::WatchEvent::TimerDue, &mut actions);
         for action in actions {
-            if let membership::Action::Ask(id, _) = action {
-                proxy.watch.handle(0, membership::Event::Answered(id, false), &mut Vec::new());
+            if let membership::WatchAction::Poll { call: id, .. } = action {
+                proxy.watch.handle(
+                    0,
+                    membership::WatchEvent::ResponseCompleted { call: id, changed: false },
+                    &mut Vec::new(),
+                );
             }
         }
         proxy.answered = Some(0);
--- a/crates/emulate/src/world.rs
+++ b/crates/emulate/src/world.rs
@@ -7,7 +7,7 @@
     Action, Endpoint, EndpointId, EndpointState, Event, Micros, NewRequest, Outcome, RequestId, UpdateScope,
 };
 use fastrand::Rng;
-use membership::{CallId, Watch};
+use membership::{CallId, DiscoveryWatch};
 
 use crate::discovery::{Discovery, End};
 use crate::node::{Node, CORES, WORK};
@@ -73,7 +73,7 @@
 
 pub struct Proxy {
     pub balancer: Balancer,
-    pub watch: Watch,
+    pub watch: DiscoveryWatch,
     /// How often it has started, and when it did last; None while it is killed.
     pub life: u32,
     pub started: Option<Micros>,
@@ -189,7 +189,7 @@
             // One that was put before another moment was asked for is passed over.
             What::Wake(p) if self.proxies[p].wakes == Some(self.now) => {
                 self.proxies[p].wakes = None;
-                self.watch(p, membership::Event::Wake);
+                self.watch(p, membership::WatchEvent::TimerDue);
             }
             What::Wake(_) => {}
             What::Call(p, life, id, ending) if self.proxies[p].life == life => {
@@ -354,21 +354,21 @@
                 Action::Timer { at, token } => {
                     self.at(at.max(self.now), What::Timer(p, self.proxies[p].life, token))
                 }
-                Action::PollDiscovery => self.watch(p, membership::Event::Begin),
+                Action::PollDiscovery => self.watch(p, membership::WatchEvent::StartWatch),
                 _ => {}
             }
         }
     }
 
-    fn watch(&mut self, p: usize, event: membership::Event) {
+    fn watch(&mut self, p: usize, event: membership::WatchEvent) {
         let mut actions = Vec::new();
         self.proxies[p].watch.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                membership::Action::Ask(id, wait) => self.call(p, id, wait),
+                membership::WatchAction::Poll { call: id, wait } => self.call(p, id, wait),
                 // Its end is passed over by the watch.
-                membership::Action::Drop(_) => {}
-                membership::Action::Ended => {
+                membership::WatchAction::CloseCall { .. } => {}
+                membership::WatchAction::WatchEnded => {
                     self.decide(p, Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
                 }
             }
@@ -405,9 +405,15 @@
     fn call_ends(&mut self, p: usize, id: CallId, ending: Ending) {
         let version = match ending {
             Ending::Whole(version) => version,
-            Ending::Broken => return self.watch(p, membership::Event::Broke(id)),
+            Ending::Broken => return self.watch(p, membership::WatchEvent::ResponseTruncated { call: id }),
             Ending::Failed => {
-                return self.watch(p, membership::Event::Failed(id, membership::Failure::Answered))
+                return self.watch(
+                    p,
+                    membership::WatchEvent::CallFailed {
+                        call: id,
+                        failure: membership::CallFailure::ErrorResponse,
+                    },
+                )
             }
         };
         let seen = self.proxies[p].seen;
@@ -423,7 +429,7 @@
             self.proxies[p].seen = version;
             self.decide(p, Event::EndpointUpdate { scope: UpdateScope::Delta, endpoints: &entries });
         }
-        self.watch(p, membership::Event::Answered(id, version > seen));
+        self.watch(p, membership::WatchEvent::ResponseCompleted { call: id, changed: version > seen });
     }
 
     /// The oldest node drains, and a new one takes its place.
--- a/crates/membership/src/call.rs
+++ b/crates/membership/src/call.rs
@@ -1,54 +1,58 @@
-//! One call of discovery that is out: when it is late, and when what it was to bring counts as notified.
+//! One call to discovery in flight: when it is overdue, and when the changes it was to bring count as notified.
 
-use crate::lease::{NOTIFIED_AFTER_WAIT, NOTIFIED_ANYHOW};
-use crate::time::{Micros, MS, S};
+use std::ops::Range;
 
-/// An answer is late when it has not begun by this time after the wait that was asked for.
-pub(crate) const LATE: Micros = 250 * MS;
-/// Discovery takes calls in turn and turns away one that would wait for longer than this, by the platform's page.
-pub(crate) const QUEUE_LIMIT: Micros = 2 * S;
-/// A call that ends this long after it was made was turned away at the limit.
-const TURNED_AWAY: std::ops::Range<Micros> = QUEUE_LIMIT - 20 * MS..QUEUE_LIMIT + 150 * MS;
-/// An answer that has begun is to be whole after this.
-const BODY_LIMIT: Micros = S;
+use crate::lease::{NOTIFIED_AFTER_CALL, NOTIFIED_AFTER_WAIT};
+use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// Numbers the calls of one watch.
+/// A call is overdue when its response has not started by this time after the requested wait.
+pub(crate) const RESPONSE_GRACE: Micros = 250 * MILLISECOND;
+/// Discovery serves calls in turn and rejects one that would queue for longer than this (platform's rule).
+pub(crate) const QUEUE_LIMIT: Micros = 2 * SECOND;
+/// A call that ends at this age was rejected at the queue limit.
+const QUEUE_LIMIT_WINDOW: Range<Micros> = QUEUE_LIMIT - 20 * MILLISECOND..QUEUE_LIMIT + 150 * MILLISECOND;
+/// A response that has started must be complete after this.
+const BODY_TIMEOUT: Micros = SECOND;
+
+/// Identifies a call among those of one watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-pub(crate) struct Call {
+/// A call in flight.
+pub(crate) struct DiscoveryCall {
     pub id: CallId,
-    pub asked_at: Micros,
-    /// How long discovery may wait for news; 0: it is asked for the whole list.
+    pub started_at: Micros,
+    /// How long discovery may hold the call until there is a change; 0 requests the full list.
     pub wait: Micros,
-    pub answer_began_at: Option<Micros>,
-    /// It has been found late, and another is to make up for it.
-    pub is_late: bool,
-    /// It goes on with the watch of the last answer, with no turn to wait for.
+    pub response_started_at: Option<Micros>,
+    /// It has been found overdue, and another call makes up for it.
+    pub is_overdue: bool,
+    /// It continues the watch of the last response, and skips discovery's queue.
     pub continues_watch: bool,
 }
 
-impl Call {
-    /// When it is late.
-    pub fn due_at(&self) -> Micros {
-        let begins_by = self.asked_at + self.wait.max(QUEUE_LIMIT) + LATE;
-        self.answer_began_at.map_or(begins_by, |began| began + BODY_LIMIT)
+impl DiscoveryCall {
+    /// When the call is overdue.
+    pub fn overdue_at(&self) -> Micros {
+        let response_due = self.started_at + self.wait.max(QUEUE_LIMIT) + RESPONSE_GRACE;
+        self.response_started_at.map_or(response_due, |started| started + BODY_TIMEOUT)
     }
 
-    /// When what it was to bring counts as notified, whether it arrived or not.
+    /// When the changes that it was to bring count as notified, whether they arrived or not.
     pub fn notified_at(&self) -> Micros {
-        let after = if self.wait > 0 { self.wait + NOTIFIED_AFTER_WAIT } else { NOTIFIED_ANYHOW };
-        let without_answer = self.asked_at + after;
-        self.answer_began_at.map_or(without_answer, |began| without_answer.min(began + NOTIFIED_AFTER_WAIT))
+        let delay = if self.wait > 0 { self.wait + NOTIFIED_AFTER_WAIT } else { NOTIFIED_AFTER_CALL };
+        let without_response = self.started_at + delay;
+        self.response_started_at
+            .map_or(without_response, |started| without_response.min(started + NOTIFIED_AFTER_WAIT))
     }
 
-    /// Is this the time at which discovery turns away a call that has not come to its turn?
+    /// Whether `now` is the time at which discovery rejects a call that is still queued.
     pub fn is_at_queue_limit(&self, now: Micros) -> bool {
-        TURNED_AWAY.contains(&(now - self.asked_at))
+        QUEUE_LIMIT_WINDOW.contains(&(now - self.started_at))
     }
 
-    /// Was it watching, as far as its time tells?
+    /// Whether, judged by its age, the call had left the queue and was watching.
     pub fn was_watching(&self, now: Micros) -> bool {
-        self.continues_watch || now > self.asked_at + QUEUE_LIMIT + LATE
+        self.continues_watch || now > self.started_at + QUEUE_LIMIT + RESPONSE_GRACE
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,9 @@
-//! Membership: when a pool's discovery is asked for the list of endpoints, and for how long a list may be relied on.
+//! Membership of a pool: when its discovery is polled for the list of endpoints, for how long a list may be relied on, and which
+//! endpoints operators have drained.
 //!
-//! Pure: no I/O and no clock; times come in as microseconds, chance comes from a seed. [`Watch`] is the state machine
-//! of one proxy that watches one discovery, and owns the lease on its list. Which endpoints are listed is none of its business.
-//! [`Maintenance`] is what operators say of endpoints beside it.
+//! Pure: no I/O and no clock; times come in as microseconds, chance comes from a seed. [`DiscoveryWatch`] is the state machine of
+//! one proxy that watches one discovery, and owns the lease on its list; it does not look at the endpoints in it.
+//! [`Maintenance`] holds what operators set for endpoints beside it.
 #![warn(missing_docs)]
 
 mod call;
@@ -12,7 +13,7 @@
 mod watch;
 
 pub use call::CallId;
-pub use lease::{Expiry, ExpiryCause, Failure, InitialList, LeaseTerms};
-pub use maintenance::{Maintenance, Refused};
+pub use lease::{CallFailure, Expiry, ExpiryCause, InitialList, LeaseTerms};
+pub use maintenance::{Maintenance, MaintenanceRejection};
 pub use time::Micros;
-pub use watch::{Action, Event, Policy, Watch};
+pub use watch::{DiscoveryMode, DiscoveryWatch, WatchAction, WatchEvent, WatchPolicy};
--- a/crates/membership/src/maintenance.rs
+++ b/crates/membership/src/maintenance.rs
@@ -1,152 +1,171 @@
-//! Which nodes operators have taken out by hand.
+//! Which endpoints operators have drained for maintenance.
 //!
-//! Discovery and operators are two sources of one roster, and the stricter word holds: a node that is out is not used,
-//! whatever discovery lists, until an operator puts it back. No clock and no I/O; what outlives a process or is shared
-//! with another one goes through [`Maintenance::encode`] and [`Maintenance::decode`].
+//! Discovery and operators are two sources of one registry, and the more restrictive state holds: a drained endpoint is not
+//! used, whatever discovery lists, until an operator restores it. No clock and no I/O; state that outlives a process, or is
+//! shared with another one, goes through [`Maintenance::encode`] and [`Maintenance::decode`].
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 
-/// Nodes that may be out at once. One more is turned away: the operator hears it, and none that is out comes back by itself.
-pub const MOST_OUT: usize = 1024;
-/// Names that are known to have been listed, beside those that are out. The one known for longest is forgotten first.
-pub const MOST_KNOWN: usize = 8192;
+/// Most endpoints that are drained at once. One more is rejected; none that is drained returns by itself.
+pub const MAX_DRAINED: usize = 1024;
+/// Most names of listed endpoints that are remembered beside the drained ones. The oldest is forgotten first.
+pub const MAX_KNOWN_NAMES: usize = 8192;
 /// The longest name, in bytes.
-pub const MOST_NAME: usize = 320;
+pub const MAX_NAME_BYTES: usize = 320;
 
-/// The first line of what [`Maintenance::encode`] writes, before the checksum.
+/// The first line of the stored form, before the checksum.
 const MAGIC: &str = "amberlever-maintenance 1 ";
 
-/// Why an operator's word is not followed.
+/// Marks a drained endpoint in the stored form.
+const DRAINED_PREFIX: char = '-';
+/// Marks a known name in the stored form.
+const KNOWN_PREFIX: char = '+';
+
+/// Why an operator's request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// No list has ever had a node of this name.
-    Unknown,
-    /// [`MOST_OUT`] are out.
-    TooMany,
-    /// Several pools have a node of this name.
-    Several,
+pub enum MaintenanceRejection {
+    /// No list has ever had an endpoint of this name.
+    UnknownEndpoint,
+    /// [`MAX_DRAINED`] endpoints are drained.
+    TooManyDrained,
+    /// Several pools have an endpoint of this name.
+    AmbiguousName,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for MaintenanceRejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Unknown => f.write_str("no such backend was ever listed"),
-            Refused::Several => f.write_str("several pools have it: write POOL/NAME"),
-            Refused::TooMany => write!(f, "{MOST_OUT} backends are out already"),
+            MaintenanceRejection::UnknownEndpoint => f.write_str("no such backend was ever listed"),
+            MaintenanceRejection::AmbiguousName => f.write_str("several pools have it: write POOL/NAME"),
+            MaintenanceRejection::TooManyDrained => write!(f, "{MAX_DRAINED} backends are out already"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for MaintenanceRejection {}
 
-/// What operators said, and of which nodes they may speak.
+/// Which endpoints are drained, and which names operators may use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Maintenance {
-    out: BTreeSet<String>,
+    drained: BTreeSet<String>,
     known: BTreeSet<String>,
-    /// The names of `known`, the one known for longest first.
-    order: VecDeque<String>,
+    /// The names in `known`, the oldest first.
+    known_order: VecDeque<String>,
 }
 
 impl Maintenance {
-    /// A list has a node of this name. True where that was not known.
-    pub fn listed(&mut self, name: &str) -> bool {
-        if self.known.contains(name) || !(1..=MOST_NAME).contains(&name.len()) || name.contains('\n') {
+    /// Records that a list has an endpoint of this name. Returns whether the name is new.
+    pub fn record_listed(&mut self, name: &str) -> bool {
+        if self.known.contains(name) || !is_valid_name(name) {
             return false;
         }
-        if self.order.len() == MOST_KNOWN {
-            if let Some(oldest) = self.order.pop_front() {
+        if self.known_order.len() == MAX_KNOWN_NAMES {
+            if let Some(oldest) = self.known_order.pop_front() {
                 self.known.remove(&oldest);
             }
         }
         self.known.insert(name.to_owned());
-        self.order.push_back(name.to_owned());
+        self.known_order.push_back(name.to_owned());
         true
     }
 
-    /// Takes a node out; as often as anybody likes.
+    /// Drains an endpoint. Draining it again changes nothing.
     ///
     /// # Errors
-    /// It was never listed, or too many are out.
-    pub fn enter(&mut self, name: &str) -> Result<(), Refused> {
+    /// The name was never listed, or too many endpoints are drained.
+    pub fn drain(&mut self, name: &str) -> Result<(), MaintenanceRejection> {
         if !self.is_known(name) {
-            return Err(Refused::Unknown);
+            return Err(MaintenanceRejection::UnknownEndpoint);
         }
-        if self.out.len() >= MOST_OUT && !self.out.contains(name) {
-            return Err(Refused::TooMany);
+        if self.drained.len() >= MAX_DRAINED && !self.drained.contains(name) {
+            return Err(MaintenanceRejection::TooManyDrained);
         }
-        self.out.insert(name.to_owned());
+        self.drained.insert(name.to_owned());
         Ok(())
     }
 
-    /// Puts a node back; one call is enough however often it was taken out.
+    /// Restores an endpoint; one request is enough however often it was drained.
     ///
     /// # Errors
-    /// It was never listed.
-    pub fn exit(&mut self, name: &str) -> Result<(), Refused> {
+    /// The name was never listed.
+    pub fn restore(&mut self, name: &str) -> Result<(), MaintenanceRejection> {
         if !self.is_known(name) {
-            return Err(Refused::Unknown);
+            return Err(MaintenanceRejection::UnknownEndpoint);
         }
-        // It goes on to be known, also where its name was forgotten while it was out.
-        self.listed(name);
-        self.out.remove(name);
+        // The name stays known, also where it was forgotten while the endpoint was drained.
+        self.record_listed(name);
+        self.drained.remove(name);
         Ok(())
     }
 
-    /// Is it out by hand?
+    /// Whether an operator drained the endpoint.
     #[must_use]
-    pub fn is_out(&self, name: &str) -> bool {
-        self.out.contains(name)
+    pub fn is_drained(&self, name: &str) -> bool {
+        self.drained.contains(name)
     }
 
-    /// Those that are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.out.iter().map(String::as_str)
+    /// The names of the drained endpoints.
+    pub fn drained(&self) -> impl Iterator<Item = &str> {
+        self.drained.iter().map(String::as_str)
     }
 
-    /// Takes over what another process wrote later: its word on what is out, and the names that it knows beside the own.
-    /// The names whose state that changes.
+    /// Adopts the later state of another process: its drained endpoints, and its names beside the own ones. Returns the names
+    /// of the endpoints that this drains or restores.
     pub fn adopt(&mut self, later: &Maintenance) -> Vec<String> {
-        later.order.iter().for_each(|name| {
-            self.listed(name);
-        });
-        let changed = self.out.symmetric_difference(&later.out).cloned().collect();
-        self.out.clone_from(&later.out);
+        for name in &later.known_order {
+            self.record_listed(name);
+        }
+        let changed = self.drained.symmetric_difference(&later.drained).cloned().collect();
+        self.drained.clone_from(&later.drained);
         changed
     }
 
     fn is_known(&self, name: &str) -> bool {
-        self.known.contains(name) || self.out.contains(name)
+        self.known.contains(name) || self.drained.contains(name)
     }
 
-    /// As bytes: a line with a version and a checksum, then a name a line, those that are out with `-` before them.
+    /// The stored form: a line with a version and a checksum, then a line for each drained and each known name.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut names = String::new();
-        self.out.iter().for_each(|name| names.extend(["-", name, "\n"]));
-        self.order.iter().for_each(|name| names.extend(["+", name, "\n"]));
+        for name in &self.drained {
+            push_line(&mut names, DRAINED_PREFIX, name);
+        }
+        for name in &self.known_order {
+            push_line(&mut names, KNOWN_PREFIX, name);
+        }
         format!("{MAGIC}{:08x}\n{names}", crc32c::crc32c(names.as_bytes())).into_bytes()
     }
 
-    /// What bytes say; None where they are not whole, of another version, or not as they were written.
+    /// Reads the stored form; `None` where it is incomplete, damaged or of another version.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Maintenance> {
         let (head, names) = std::str::from_utf8(bytes).ok()?.split_once('\n')?;
-        let sum = u32::from_str_radix(head.strip_prefix(MAGIC)?, 16).ok()?;
-        if sum != crc32c::crc32c(names.as_bytes()) {
+        let checksum = u32::from_str_radix(head.strip_prefix(MAGIC)?, 16).ok()?;
+        if checksum != crc32c::crc32c(names.as_bytes()) {
             return None;
         }
-        let mut read = Maintenance::default();
+        let mut state = Maintenance::default();
         for line in names.lines() {
-            if let Some(name) = line.strip_prefix('-') {
-                if read.out.len() < MOST_OUT {
-                    read.out.insert(name.to_owned());
+            if let Some(name) = line.strip_prefix(DRAINED_PREFIX) {
+                if state.drained.len() < MAX_DRAINED {
+                    state.drained.insert(name.to_owned());
                 }
             } else {
-                read.listed(line.strip_prefix('+')?);
+                state.record_listed(line.strip_prefix(KNOWN_PREFIX)?);
             }
         }
-        Some(read)
+        Some(state)
     }
 }
+
+fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains('\n')
+}
+
+fn push_line(lines: &mut String, prefix: char, name: &str) {
+    lines.push(prefix);
+    lines.push_str(name);
+    lines.push('\n');
+}
--- a/crates/membership/src/time.rs
+++ b/crates/membership/src/time.rs
@@ -3,7 +3,7 @@
 /// Microseconds on a monotonic clock.
 pub type Micros = i64;
 
-/// A millisecond.
-pub(crate) const MS: Micros = 1_000;
-/// A second.
-pub(crate) const S: Micros = 1_000 * MS;
+/// One millisecond.
+pub(crate) const MILLISECOND: Micros = 1_000;
+/// One second.
+pub(crate) const SECOND: Micros = 1_000 * MILLISECOND;
--- /dev/null
+++ b/crates/membership/src/watch/mod.rs
@@ -0,0 +1,290 @@
+//! One proxy's watch of discovery: when discovery is polled, which calls are in flight, and what to do when one fails, breaks off
+//! or stays without a response. For how long the list may be used meanwhile is up to its [lease](crate::lease).
+//!
+//! A call can go wrong in two ways:
+//!
+//! - **It fails**: it is refused, reset, or answered with an error. Then it notified nothing; but changes that discovery had while
+//!   it [could be reached](CallFailure) count as notified six seconds later all the same.
+//! - **It may have notified a change that was not received**: its response broke off, cannot be parsed, or does not come although
+//!   the requested wait is over.
+//!
+//! In both cases the watch polls again by itself. Where no terms bound the list, a failure ends the watch
+//! ([`WatchAction::WatchEnded`]), and its caller starts it again.
+
+mod backoff;
+mod event;
+
+pub use event::{DiscoveryMode, WatchAction, WatchEvent, WatchPolicy};
+
+use fastrand::Rng;
+
+use crate::call::{CallId, DiscoveryCall};
+use crate::lease::{CallFailure, Expiry, InitialList, Lease};
+use crate::time::{Micros, MILLISECOND, SECOND};
+
+/// The next call after an unchanged response starts no sooner than this after the call before, against a discovery that does not
+/// hold calls. Well under [`WATCH_CONTINUES`].
+const MIN_CALL_INTERVAL: Micros = 100 * MILLISECOND;
+/// A call that starts this soon after a response continues the same watch (platform's rule).
+const WATCH_CONTINUES: Micros = 200 * MILLISECOND;
+/// The first call of a process without a list is drawn from this time, so that a fleet that starts at once does not poll at once.
+const FIRST_CALL_SPREAD: Micros = SECOND;
+/// Most calls in flight: one without a response, and one beside it.
+const MAX_CALLS: usize = 2;
+
+/// The state of one proxy's watch.
+pub struct DiscoveryWatch {
+    policy: WatchPolicy,
+    rng: Rng,
+    last_call: u64,
+    is_active: bool,
+    /// There is a list whose version discovery knows.
+    has_version: bool,
+    lease: Lease,
+    /// The calls in flight, the oldest first.
+    calls: Vec<DiscoveryCall>,
+    next_call_at: Option<Micros>,
+    last_response_at: Option<Micros>,
+    /// Retries in a row that brought nothing.
+    retries: usize,
+    /// The last call that failed was answered with an error.
+    was_rejected: bool,
+}
+
+impl DiscoveryWatch {
+    /// The watch of a process that starts now, with this list in hand.
+    #[must_use]
+    pub fn new(policy: WatchPolicy, list: InitialList, now: Micros, seed: u64) -> DiscoveryWatch {
+        let mut rng = Rng::with_seed(seed);
+        let has_version = list != InitialList::Absent;
+        // A list of unknown age is of use only once it is confirmed; without one nothing can be served at all.
+        let first_call_at = if has_version { now } else { now + rng.i64(0..FIRST_CALL_SPREAD) };
+        let is_active = policy.lease.is_some();
+        DiscoveryWatch {
+            policy,
+            rng,
+            last_call: 0,
+            is_active,
+            has_version,
+            lease: Lease::new(policy.lease, policy.mode, list, now),
+            calls: Vec::new(),
+            next_call_at: is_active.then_some(first_call_at),
+            last_response_at: None,
+            retries: 0,
+            was_rejected: false,
+        }
+    }
+
+    /// The next moment at which it needs [`WatchEvent::TimerDue`].
+    #[must_use]
+    pub fn wake_at(&self) -> Option<Micros> {
+        let in_time = self.calls.iter().filter(|call| !call.is_overdue);
+        let overdue_at = in_time.map(DiscoveryCall::overdue_at);
+        overdue_at.chain(self.next_call_at).chain(self.silence_confirms_at()).min()
+    }
+
+    fn silence_confirms_at(&self) -> Option<Micros> {
+        self.calls.first().and_then(|call| self.lease.silence_confirms_at(call.started_at))
+    }
+
+    /// The period in which nothing new may be forwarded to any endpoint, if there is one as things stand. It ends early once a
+    /// response has come.
+    #[must_use]
+    pub fn expiry(&self) -> Option<Expiry> {
+        self.lease.expiry(&self.calls)
+    }
+
+    /// Whether the list that the process started with still lacks its first proof.
+    #[must_use]
+    pub fn is_unconfirmed(&self) -> bool {
+        self.lease.is_unconfirmed()
+    }
+
+    /// Whether it has started, and has not ended since.
+    #[must_use]
+    pub fn is_active(&self) -> bool {
+        self.is_active
+    }
+
+    /// Takes in one event and appends the actions that follow.
+    pub fn handle(&mut self, now: Micros, event: WatchEvent, actions: &mut Vec<WatchAction>) {
+        match event {
+            WatchEvent::StartWatch => self.on_start(now, actions),
+            WatchEvent::AddressChanged => self.on_address_changed(now, actions),
+            WatchEvent::ResponseStarted { call } => self.on_response_started(now, call),
+            WatchEvent::ResponseCompleted { call, changed } => {
+                self.on_response_completed(now, call, changed, actions);
+            }
+            WatchEvent::ResponseTruncated { call } => self.on_response_truncated(now, call),
+            WatchEvent::CallFailed { call, failure } => self.on_call_failed(now, call, failure, actions),
+            WatchEvent::TimerDue => self.on_timer_due(now, actions),
+        }
+    }
+
+    fn on_start(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        if self.is_active {
+            return self.poll_if_due(now, actions);
+        }
+        if !self.has_version && self.last_call == 0 {
+            // Nothing can be served before its response.
+            self.is_active = true;
+            self.next_call_at = Some(now + self.rng.i64(0..FIRST_CALL_SPREAD));
+            return;
+        }
+        self.poll(now, actions);
+    }
+
+    fn on_address_changed(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        // It may count its versions in its own way: only a full list tells the version.
+        self.has_version = false;
+        self.lease.change_address(now);
+        self.close_all(actions);
+        self.poll(now, actions);
+    }
+
+    fn on_response_started(&mut self, now: Micros, id: CallId) {
+        if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
+            call.response_started_at.get_or_insert(now);
+        }
+    }
+
+    fn on_response_completed(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        changed: bool,
+        actions: &mut Vec<WatchAction>,
+    ) {
+        let Some(call) = self.take_call(id) else { return };
+        // An older call's response would bring the same list again, or an older one.
+        self.close_all(actions);
+        self.lease.confirm(now);
+        self.has_version = true;
+        self.retries = 0;
+        self.was_rejected = false;
+        self.last_response_at = Some(now);
+        let min_interval = if changed { 0 } else { call.wait.min(MIN_CALL_INTERVAL) };
+        let next_call_at = call.started_at + min_interval;
+        if next_call_at <= now {
+            self.poll(now, actions);
+        } else {
+            self.next_call_at = Some(next_call_at);
+        }
+    }
+
+    fn on_response_truncated(&mut self, now: Micros, id: CallId) {
+        let Some(mut call) = self.take_call(id) else { return };
+        call.response_started_at.get_or_insert(now);
+        self.lease.miss_response(call.notified_at());
+        self.plan_retry(now);
+    }
+
+    fn on_call_failed(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        failure: CallFailure,
+        actions: &mut Vec<WatchAction>,
+    ) {
+        let Some(call) = self.take_call(id) else { return };
+        self.lease.fail(now, &call, failure);
+        self.was_rejected = failure == CallFailure::ErrorResponse;
+        self.retry_or_end(now, actions);
+    }
+
+    fn on_timer_due(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        if self.silence_confirms_at().is_some_and(|at| at <= now) {
+            self.lease.confirm(now);
+        }
+        let mut index = 0;
+        while let Some(call) = self.calls.get(index) {
+            let is_due = !call.is_overdue && call.overdue_at() <= now;
+            let may_be_slow = self.policy.mode == DiscoveryMode::Polled && call.response_started_at.is_none();
+            if is_due && !may_be_slow {
+                // The calls behind it move up.
+                self.close_overdue(index, now, actions);
+                continue;
+            }
+            if is_due {
+                self.mark_overdue(index, now);
+            }
+            index += 1;
+        }
+        self.poll_if_due(now, actions);
+    }
+
+    /// Keeps an overdue call open beside its retry, since it may only be slow.
+    fn mark_overdue(&mut self, index: usize, now: Micros) {
+        let call = &mut self.calls[index];
+        call.is_overdue = true;
+        let notified_at = call.notified_at();
+        let is_first = !self.lease.is_in_doubt();
+        self.lease.miss_response(notified_at);
+        if is_first {
+            self.next_call_at = Some(now);
+        } else {
+            self.plan_retry(now);
+        }
+    }
+
+    fn close_overdue(&mut self, index: usize, now: Micros, actions: &mut Vec<WatchAction>) {
+        let call = self.calls.remove(index);
+        actions.push(WatchAction::CloseCall { call: call.id });
+        if call.response_started_at.is_some() {
+            self.lease.miss_response(call.notified_at());
+            self.plan_retry(now);
+        } else {
+            self.retry_or_end(now, actions);
+        }
+    }
+
+    /// After a call that failed: the watch retries, or ends.
+    fn retry_or_end(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        let polls_by_itself = self.policy.lease.is_some() && self.policy.mode == DiscoveryMode::Polled;
+        if self.lease.is_in_doubt() || (polls_by_itself && !self.has_version) {
+            self.plan_retry(now);
+        } else if self.calls.is_empty() {
+            self.is_active = false;
+            self.next_call_at = None;
+            actions.push(WatchAction::WatchEnded);
+        }
+    }
+
+    fn take_call(&mut self, id: CallId) -> Option<DiscoveryCall> {
+        let index = self.calls.iter().position(|call| call.id == id)?;
+        Some(self.calls.remove(index))
+    }
+
+    fn close_all(&mut self, actions: &mut Vec<WatchAction>) {
+        actions.extend(self.calls.drain(..).map(|call| WatchAction::CloseCall { call: call.id }));
+        self.next_call_at = None;
+    }
+
+    fn poll_if_due(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        if self.next_call_at.is_some_and(|at| at <= now) {
+            self.poll(now, actions);
+        }
+    }
+
+    fn poll(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+        if self.calls.len() >= MAX_CALLS {
+            let oldest = self.calls.remove(0);
+            actions.push(WatchAction::CloseCall { call: oldest.id });
+        }
+        self.last_call += 1;
+        let id = CallId(self.last_call);
+        let wait = self.draw_wait();
+        let is_soon = self.last_response_at.is_some_and(|at| now <= at + WATCH_CONTINUES);
+        self.calls.push(DiscoveryCall {
+            id,
+            started_at: now,
+            wait,
+            response_started_at: None,
+            is_overdue: false,
+            continues_watch: wait > 0 && is_soon,
+        });
+        self.is_active = true;
+        self.next_call_at = None;
+        actions.push(WatchAction::Poll { call: id, wait });
+    }
+}
--- a/crates/membership/tests/maintenance.rs
+++ b/crates/membership/tests/maintenance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use membership::maintenance::{MOST_KNOWN, MOST_OUT};
-use membership::{Maintenance, Refused};
+use membership::maintenance::{MAX_DRAINED, MAX_KNOWN_NAMES};
+use membership::{Maintenance, MaintenanceRejection};
 use proptest::prelude::*;
 
 proptest! {
@@ -16,18 +16,18 @@
             let name = format!("s-{node}");
             match step {
                 0 => {
-                    prop_assert_eq!(state.listed(&name), listed.insert(name));
+                    prop_assert_eq!(state.record_listed(&name), listed.insert(name));
                 }
                 1 | 2 => {
                     let known = listed.contains(&name);
-                    prop_assert_eq!(state.enter(&name), known.then_some(()).ok_or(Refused::Unknown));
+                    prop_assert_eq!(state.drain(&name), known.then_some(()).ok_or(MaintenanceRejection::UnknownEndpoint));
                     if known {
                         out.insert(name);
                     }
                 }
                 3 => {
                     let known = listed.contains(&name);
-                    prop_assert_eq!(state.exit(&name), known.then_some(()).ok_or(Refused::Unknown));
+                    prop_assert_eq!(state.restore(&name), known.then_some(()).ok_or(MaintenanceRejection::UnknownEndpoint));
                     out.remove(&name);
                 }
                 // Another process takes over.
@@ -36,7 +36,7 @@
                 _ => {
                     let mut other = Maintenance::decode(&state.encode()).expect("sound");
                     let was = out.contains(&name);
-                    let done = if was { other.exit(&name) } else { other.enter(&name) };
+                    let done = if was { other.restore(&name) } else { other.drain(&name) };
                     let expected = if done.is_ok() { vec![name.clone()] } else { Vec::new() };
                     prop_assert_eq!(state.adopt(&other), expected);
                     if done.is_ok() && !out.remove(&name) {
@@ -44,7 +44,7 @@
                     }
                 }
             }
-            prop_assert_eq!(state.out().map(str::to_owned).collect::<BTreeSet<_>>(), out.clone());
+            prop_assert_eq!(state.drained().map(str::to_owned).collect::<BTreeSet<_>>(), out.clone());
         }
     }
 
@@ -52,8 +52,8 @@
     fn damage_is_seen(names in prop::collection::vec("[a-z0-9-]{1,12}", 1..20), at: prop::sample::Index, bit in 0..8_u8) {
         let mut state = Maintenance::default();
         for name in &names {
-            state.listed(name);
-            state.enter(name).expect("listed");
+            state.record_listed(name);
+            state.drain(name).expect("listed");
         }
         let bytes = state.encode();
         prop_assert_eq!(Maintenance::decode(&bytes), Some(state));
@@ -69,22 +69,25 @@
 #[test]
 fn the_bounds_are_kept_and_nothing_that_is_out_comes_back_by_itself() {
     let mut state = Maintenance::default();
-    for node in 0..=MOST_OUT {
+    for node in 0..=MAX_DRAINED {
         let name = format!("s-{node}");
-        assert!(state.listed(&name));
-        assert_eq!(state.enter(&name), if node < MOST_OUT { Ok(()) } else { Err(Refused::TooMany) });
+        assert!(state.record_listed(&name));
+        assert_eq!(
+            state.drain(&name),
+            if node < MAX_DRAINED { Ok(()) } else { Err(MaintenanceRejection::TooManyDrained) }
+        );
     }
-    assert_eq!(state.enter("s-0"), Ok(()), "again");
-    for node in 0..MOST_KNOWN {
-        state.listed(&format!("t-{node}"));
+    assert_eq!(state.drain("s-0"), Ok(()), "again");
+    for node in 0..MAX_KNOWN_NAMES {
+        state.record_listed(&format!("t-{node}"));
     }
-    assert!(state.is_out("s-0") && state.out().count() == MOST_OUT);
+    assert!(state.is_drained("s-0") && state.drained().count() == MAX_DRAINED);
     assert_eq!(
-        state.enter(&format!("s-{MOST_OUT}")),
-        Err(Refused::Unknown),
+        state.drain(&format!("s-{MAX_DRAINED}")),
+        Err(MaintenanceRejection::UnknownEndpoint),
         "known for longest, and forgotten"
     );
-    assert_eq!(state.exit("s-0"), Ok(()), "still spoken of while it is out");
-    assert!(!state.listed(""), "no name");
-    assert!(!state.listed("two\nlines"));
+    assert_eq!(state.restore("s-0"), Ok(()), "still spoken of while it is out");
+    assert!(!state.record_listed(""), "no name");
+    assert!(!state.record_listed("two\nlines"));
 }
--- a/crates/membership/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -1,231 +1,272 @@
 //! A watch against a discovery that misbehaves, in simulated time.
 //!
-//! The stand-in follows the platform's page: what it begins to write counts as told two seconds after the wait of its
-//! call ended, whether it arrives or not. The test holds what is sent against that, not against the watch's own books.
+//! The stand-in follows the platform's rule: a change that it begins to write counts as notified two seconds after the wait of its
+//! call ended, whether it arrives or not. The test checks what is forwarded against that, not against the state of the watch.
 
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use membership::{Action, CallId, Event, Expiry, Failure, InitialList, LeaseTerms, Micros, Policy, Watch};
+use membership::{
+    CallFailure, CallId, DiscoveryMode, DiscoveryWatch, Expiry, InitialList, LeaseTerms, Micros, WatchAction,
+    WatchEvent, WatchPolicy,
+};
 use proptest::prelude::*;
 
-const MS: Micros = 1_000;
-const S: Micros = 1_000 * MS;
-const GRACE: Micros = 500 * MS;
-const MARGIN: Micros = 150 * MS;
-const TERMS: LeaseTerms =
-    LeaseTerms { drain_grace: GRACE, margin: MARGIN, longest_stop: 40 * S, believed_outage: 8 * S };
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000 * MILLISECOND;
+const DRAIN_GRACE: Micros = 500 * MILLISECOND;
+const DRAIN_MARGIN: Micros = 150 * MILLISECOND;
+const LEASE_TERMS: LeaseTerms = LeaseTerms {
+    drain_grace: DRAIN_GRACE,
+    margin: DRAIN_MARGIN,
+    max_suspension: 40 * SECOND,
+    presumed_outage: 8 * SECOND,
+};
 
 /// How a call ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    Whole,
-    /// Its head comes, and then the connection breaks.
-    Breaks,
-    /// Its head comes, and nothing more.
-    Stalls,
+enum CallOutcome {
+    Completed,
+    /// Its head is received, and then the connection breaks.
+    Truncated,
+    /// Its head is received, and nothing more.
+    Stalled,
     Malformed,
     Silent,
     /// Refused at once.
-    Down,
-    /// In turn for two seconds, and then turned away.
-    TurnedAway,
+    ConnectionRefused,
+    /// Queued for two seconds, and then rejected.
+    QueuedRejection,
 }
 
-const WAYS: [Way; 7] =
-    [Way::Whole, Way::Breaks, Way::Stalls, Way::Malformed, Way::Silent, Way::Down, Way::TurnedAway];
+const OUTCOMES: [CallOutcome; 7] = [
+    CallOutcome::Completed,
+    CallOutcome::Truncated,
+    CallOutcome::Stalled,
+    CallOutcome::Malformed,
+    CallOutcome::Silent,
+    CallOutcome::ConnectionRefused,
+    CallOutcome::QueuedRejection,
+];
 
-/// One proxy and one discovery, whose list changes at one moment: a node drains.
+/// One proxy and one discovery, whose list changes at one moment: an endpoint drains.
 struct World {
-    watch: Watch,
+    watch: DiscoveryWatch,
     now: Micros,
-    /// Events on their way, in the order of their times.
-    coming: BTreeMap<(Micros, u64), Event>,
-    numbers: u64,
-    drain: Micros,
-    /// The version that the list in hand has: 1 with the drain.
-    seen: u64,
-    /// What each call that is out will bring.
-    brings: BTreeMap<CallId, u64>,
-    /// When the drain counts as told.
-    told: Option<Micros>,
-    /// From when on anything may have been told, a drain or not, since the last whole answer.
-    unsure: Option<Micros>,
-    asked: Vec<(Micros, Micros)>,
-    ended: Vec<Micros>,
-    most_out: usize,
+    /// Scheduled events, in the order of their times.
+    pending_events: BTreeMap<(Micros, u64), WatchEvent>,
+    scheduled_count: u64,
+    drained_at: Micros,
+    /// The version of the list in hand: 1 with the drain.
+    received_version: u64,
+    /// The version that each call in flight will bring.
+    version_by_call: BTreeMap<CallId, u64>,
+    /// When the drain counts as notified.
+    notified_at: Option<Micros>,
+    /// From when on a change may have been notified since the last complete response.
+    in_doubt_from: Option<Micros>,
+    polls: Vec<(Micros, Micros)>,
+    watch_ends: Vec<Micros>,
+    max_calls: usize,
 }
 
 impl World {
-    fn new(policy: Policy, seed: u64, drain: Micros) -> World {
+    fn new(policy: WatchPolicy, seed: u64, drained_at: Micros) -> World {
         World {
             watch: running(policy, seed),
             now: 0,
-            coming: BTreeMap::new(),
-            numbers: 0,
-            drain,
-            seen: 0,
-            brings: BTreeMap::new(),
-            told: None,
-            unsure: None,
-            asked: Vec::new(),
-            ended: Vec::new(),
-            most_out: 0,
+            pending_events: BTreeMap::new(),
+            scheduled_count: 0,
+            drained_at,
+            received_version: 0,
+            version_by_call: BTreeMap::new(),
+            notified_at: None,
+            in_doubt_from: None,
+            polls: Vec::new(),
+            watch_ends: Vec::new(),
+            max_calls: 0,
         }
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.numbers += 1;
-        self.coming.insert((at, self.numbers), event);
+    fn schedule(&mut self, at: Micros, event: WatchEvent) {
+        self.scheduled_count += 1;
+        self.pending_events.insert((at, self.scheduled_count), event);
     }
 
-    fn tell(&mut self, at: Micros) {
-        self.told = Some(self.told.map_or(at, |told| told.min(at)));
+    fn notify(&mut self, at: Micros) {
+        self.notified_at = Some(self.notified_at.map_or(at, |notified_at| notified_at.min(at)));
     }
 
-    /// A call of which discovery knows how it will end it.
-    fn call(&mut self, id: CallId, wait: Micros, way: Way) {
-        self.asked.push((self.now, wait));
-        let ends = if self.drain <= self.now { self.now } else { self.drain.min(self.now + wait) };
-        let version = u64::from(self.drain <= ends);
-        // What is new at a time is written then, or when the wait is over; on the way it takes 30 ms.
-        let has_news = version > self.seen;
-        let here = ends + 30 * MS;
-        let limit = ends + 2 * S;
-        self.brings.insert(id, version);
-        match way {
-            Way::Whole => {
-                self.at(here, Event::Heard(id));
-                self.at(here + 5 * MS, Event::Answered(id, has_news));
+    /// Schedules the events of a call that ends in this way.
+    fn call(&mut self, id: CallId, wait: Micros, outcome: CallOutcome) {
+        self.polls.push((self.now, wait));
+        let held_until =
+            if self.drained_at <= self.now { self.now } else { self.drained_at.min(self.now + wait) };
+        let version = u64::from(self.drained_at <= held_until);
+        // A change is written at once, or when the wait is over, and arrives 30 ms later.
+        let has_change = version > self.received_version;
+        let responds_at = held_until + 30 * MILLISECOND;
+        let notified_by = held_until + 2 * SECOND;
+        self.version_by_call.insert(id, version);
+        match outcome {
+            CallOutcome::Completed => {
+                self.schedule(responds_at, WatchEvent::ResponseStarted { call: id });
+                self.schedule(
+                    responds_at + 5 * MILLISECOND,
+                    WatchEvent::ResponseCompleted { call: id, changed: has_change },
+                );
             }
-            Way::Breaks | Way::Malformed => {
-                self.at(here, Event::Heard(id));
-                self.at(here + 200 * MS, Event::Broke(id));
+            CallOutcome::Truncated | CallOutcome::Malformed => {
+                self.schedule(responds_at, WatchEvent::ResponseStarted { call: id });
+                self.schedule(responds_at + 200 * MILLISECOND, WatchEvent::ResponseTruncated { call: id });
             }
-            Way::Stalls => self.at(here, Event::Heard(id)),
-            Way::Silent => {}
-            Way::Down => self.at(self.now + MS, Event::Failed(id, Failure::Refused)),
-            Way::TurnedAway => self.at(self.now + 2 * S, Event::Failed(id, Failure::Answered)),
+            CallOutcome::Stalled => self.schedule(responds_at, WatchEvent::ResponseStarted { call: id }),
+            CallOutcome::Silent => {}
+            CallOutcome::ConnectionRefused => self.schedule(
+                self.now + MILLISECOND,
+                WatchEvent::CallFailed { call: id, failure: CallFailure::ConnectionRefused },
+            ),
+            CallOutcome::QueuedRejection => self.schedule(
+                self.now + 2 * SECOND,
+                WatchEvent::CallFailed { call: id, failure: CallFailure::ErrorResponse },
+            ),
         }
-        let unsure = match way {
-            Way::Breaks | Way::Malformed | Way::Stalls => Some(limit),
-            Way::Silent => Some(self.now + wait + 2 * S),
+        let in_doubt_from = match outcome {
+            CallOutcome::Truncated | CallOutcome::Malformed | CallOutcome::Stalled => Some(notified_by),
+            CallOutcome::Silent => Some(self.now + wait + 2 * SECOND),
             _ => None,
         };
-        self.unsure = unsure.map(|at| self.unsure.map_or(at, |u| u.min(at))).or(self.unsure);
-        match way {
-            Way::Whole if has_news => self.tell(here),
-            Way::Breaks | Way::Malformed | Way::Stalls if has_news => self.tell(limit),
+        self.in_doubt_from = in_doubt_from
+            .map(|at| self.in_doubt_from.map_or(at, |earlier| earlier.min(at)))
+            .or(self.in_doubt_from);
+        match outcome {
+            CallOutcome::Completed if has_change => self.notify(responds_at),
+            CallOutcome::Truncated | CallOutcome::Malformed | CallOutcome::Stalled if has_change => {
+                self.notify(notified_by)
+            }
             // Silence can be known only when the wait is over.
-            Way::Silent if has_news => self.tell(self.now + wait + 2 * S),
+            CallOutcome::Silent if has_change => self.notify(self.now + wait + 2 * SECOND),
             _ => {}
         }
     }
 
-    /// Plays until `end`; `way` says how each call ends, by its number and time.
-    fn play(&mut self, end: Micros, rng: &mut Rng, way: &mut dyn FnMut(usize, Micros) -> Way) {
-        self.at(0, Event::Begin);
-        let mut out = 0_usize;
-        while self.now < end && !(self.seen == 1 && self.unsure.is_none() && self.now > 60 * S) {
-            let event = self.coming.first_key_value().map(|(&(at, _), _)| at);
+    /// Runs until `end`; `outcome` says how each call ends, by its number and time.
+    fn run(&mut self, end: Micros, rng: &mut Rng, outcome: &mut dyn FnMut(usize, Micros) -> CallOutcome) {
+        self.schedule(0, WatchEvent::StartWatch);
+        let mut calls_in_flight = 0_usize;
+        while self.now < end
+            && !(self.received_version == 1 && self.in_doubt_from.is_none() && self.now > 60 * SECOND)
+        {
+            let event = self.pending_events.first_key_value().map(|(&(at, _), _)| at);
             let wake = self.watch.wake_at().map(|at| at.max(self.now));
             let Some(at) = event.into_iter().chain(wake).min() else { break };
-            // Requests come all the time: is any sent that must not be?
-            self.look(self.now, at.min(end));
+            // Requests come all the time: is any forwarded that must not be?
+            self.check_no_late_forward(self.now, at.min(end));
             self.now = at;
             let event = match event {
-                Some(e) if e <= at => self.coming.pop_first().expect("there is one").1,
-                _ => Event::Wake,
+                Some(event) if event <= at => self.pending_events.pop_first().expect("there is one").1,
+                _ => WatchEvent::TimerDue,
             };
-            if let Event::Answered(id, _) = event {
-                if let Some(version) = self.brings.get(&id) {
-                    self.seen = self.seen.max(*version);
+            if let WatchEvent::ResponseCompleted { call: id, .. } = event {
+                if let Some(version) = self.version_by_call.get(&id) {
+                    self.received_version = self.received_version.max(*version);
                 }
-                self.unsure = None;
+                self.in_doubt_from = None;
             }
             let mut actions = Vec::new();
             self.watch.handle(at, event, &mut actions);
-            if matches!(event, Event::Answered(..) | Event::Broke(_) | Event::Failed(..)) {
-                out = out.saturating_sub(1);
+            if matches!(
+                event,
+                WatchEvent::ResponseCompleted { .. }
+                    | WatchEvent::ResponseTruncated { .. }
+                    | WatchEvent::CallFailed { .. }
+            ) {
+                calls_in_flight = calls_in_flight.saturating_sub(1);
             }
             for action in actions {
                 match action {
-                    Action::Ask(id, wait) => {
-                        out += 1;
-                        self.most_out = self.most_out.max(out);
-                        let way = way(self.asked.len(), at);
-                        self.call(id, wait, way);
+                    WatchAction::Poll { call: id, wait } => {
+                        calls_in_flight += 1;
+                        self.max_calls = self.max_calls.max(calls_in_flight);
+                        let outcome = outcome(self.polls.len(), at);
+                        self.call(id, wait, outcome);
                     }
-                    Action::Drop(id) => {
-                        out = out.saturating_sub(1);
-                        self.brings.remove(&id);
-                        self.coming.retain(
-                            |_, e| !matches!(e, Event::Heard(i) | Event::Answered(i, _) | Event::Broke(i) | Event::Failed(i, _) if *i == id),
+                    WatchAction::CloseCall { call: id } => {
+                        calls_in_flight = calls_in_flight.saturating_sub(1);
+                        self.version_by_call.remove(&id);
+                        self.pending_events.retain(
+                            |_, event| !matches!(event, WatchEvent::ResponseStarted { call: other } | WatchEvent::ResponseCompleted { call: other, .. } | WatchEvent::ResponseTruncated { call: other } | WatchEvent::CallFailed { call: other, .. } if *other == id),
                         );
                     }
-                    Action::Ended => {
-                        self.ended.push(at);
-                        // As the decisions do.
-                        let pause = rng.i64(1..=S);
-                        self.at(at + pause, Event::Begin);
+                    WatchAction::WatchEnded => {
+                        self.watch_ends.push(at);
+                        // As the balancer does.
+                        let pause = rng.i64(1..=SECOND);
+                        self.schedule(at + pause, WatchEvent::StartWatch);
                     }
                 }
             }
         }
     }
 
-    /// From one moment to the next nothing changes but time: was anything sent to the draining node too late?
-    fn look(&self, from: Micros, to: Micros) {
-        let Some(told) = self.told.filter(|_| self.seen == 0) else { return };
-        let late = told + GRACE;
-        // After that the list is relied on again, whatever comes: the note says why.
-        let last = self.unsure.map_or(Micros::MAX, |u| u + GRACE - MARGIN + TERMS.longest_stop - S / 2);
-        let (from, to) = (from.max(late), to.min(last));
+    /// Checks a time without events: was anything forwarded to the draining endpoint too late?
+    fn check_no_late_forward(&self, from: Micros, to: Micros) {
+        let Some(notified_at) = self.notified_at.filter(|_| self.received_version == 0) else { return };
+        let forwarding_ends = notified_at + DRAIN_GRACE;
+        // After that the list is relied on again, whatever comes.
+        let last = self.in_doubt_from.map_or(Micros::MAX, |doubt| {
+            doubt + DRAIN_GRACE - DRAIN_MARGIN + LEASE_TERMS.max_suspension - SECOND / 2
+        });
+        let (from, to) = (from.max(forwarding_ends), to.min(last));
         if from < to {
-            let held = self.watch.expiry().map(|e| (e.from, e.until));
+            let suspended = self.watch.expiry().map(|expiry| (expiry.from, expiry.until));
             assert!(
-                held.is_some_and(|(begin, end)| begin <= from && to <= end),
-                "sent to a draining node between {from} and {to}, told at {told}: {held:?}, calls {:?}",
-                self.asked
+                suspended.is_some_and(|(begin, end)| begin <= from && to <= end),
+                "forwarded to a draining endpoint between {from} and {to}, notified at {notified_at}: {suspended:?}, calls {:?}",
+                self.polls
             );
         }
     }
 }
 
-/// A watch whose list was confirmed a second before the play begins.
-fn running(policy: Policy, seed: u64) -> Watch {
-    let mut watch = Watch::new(policy, InitialList::Unconfirmed, -S, seed);
+/// A watch whose list was confirmed a second before the run starts.
+fn running(policy: WatchPolicy, seed: u64) -> DiscoveryWatch {
+    let mut watch = DiscoveryWatch::new(policy, InitialList::Unconfirmed, -SECOND, seed);
     let mut actions = Vec::new();
-    watch.handle(-S, Event::Begin, &mut actions);
-    watch.handle(-S, Event::Wake, &mut actions);
-    if let Some(Action::Ask(id, _)) = actions.first() {
-        watch.handle(-S, Event::Answered(*id, false), &mut Vec::new());
+    watch.handle(-SECOND, WatchEvent::StartWatch, &mut actions);
+    watch.handle(-SECOND, WatchEvent::TimerDue, &mut actions);
+    if let Some(WatchAction::Poll { call: id, .. }) = actions.first() {
+        watch.handle(-SECOND, WatchEvent::ResponseCompleted { call: *id, changed: false }, &mut Vec::new());
     }
     watch
 }
 
-fn asked() -> Policy {
-    Policy { answers_each: true, lease: Some(TERMS) }
+fn polled_policy() -> WatchPolicy {
+    WatchPolicy { mode: DiscoveryMode::Polled, lease: Some(LEASE_TERMS) }
 }
 
 #[test]
-fn no_way_to_answer_at_any_moment_of_a_drain_lets_anything_through_after_the_bound() {
-    // The call that the drain falls into ends in one way, and those after it in another, for as long as it takes.
-    for first in WAYS {
-        for then in WAYS {
+fn no_call_outcome_during_a_drain_lets_requests_through_after_the_bound() {
+    // The call that is in flight at the drain has one outcome, and those after it another.
+    for first in OUTCOMES {
+        for later in OUTCOMES {
             for step in 0..160 {
-                let drain = step * 125 * MS;
+                let drained_at = step * 125 * MILLISECOND;
                 let seed = step as u64;
-                let mut world = World::new(asked(), seed, drain);
-                let mut way = |_: usize, at: Micros| match at {
-                    at if at + 7 * S < drain => Way::Whole,
-                    at if at <= drain => first,
-                    at if at < drain + 25 * S => then,
-                    _ => Way::Whole,
+                let mut world = World::new(polled_policy(), seed, drained_at);
+                let mut outcome = |_: usize, at: Micros| match at {
+                    at if at + 7 * SECOND < drained_at => CallOutcome::Completed,
+                    at if at <= drained_at => first,
+                    at if at < drained_at + 25 * SECOND => later,
+                    _ => CallOutcome::Completed,
                 };
-                world.play(60 * S, &mut Rng::with_seed(seed), &mut way);
-                assert!(world.most_out <= 2, "{first:?} {then:?} {drain}: {} calls at once", world.most_out);
-                assert_eq!(world.seen, 1, "{first:?} {then:?} {drain}: never heard of");
+                world.run(60 * SECOND, &mut Rng::with_seed(seed), &mut outcome);
+                assert!(
+                    world.max_calls <= 2,
+                    "{first:?} {later:?} {drained_at}: {} calls at once",
+                    world.max_calls
+                );
+                assert_eq!(world.received_version, 1, "{first:?} {later:?} {drained_at}: never received");
             }
         }
     }
@@ -235,118 +276,144 @@
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_is_sent_after_the_bound_whatever_the_order(
+    fn nothing_is_forwarded_after_the_bound_in_any_order_of_outcomes(
         seed: u64,
-        drain in 0..30 * S,
-        ways in proptest::collection::vec(0..WAYS.len(), 1..60),
+        drained_at in 0..30 * SECOND,
+        outcomes in proptest::collection::vec(0..OUTCOMES.len(), 1..60),
     ) {
-        let mut world = World::new(asked(), seed, drain);
-        world.play(600 * S, &mut Rng::with_seed(seed), &mut |n, _| {
-            ways.get(n).map_or(Way::Whole, |&w| WAYS[w])
+        let mut world = World::new(polled_policy(), seed, drained_at);
+        world.run(600 * SECOND, &mut Rng::with_seed(seed), &mut |number, _| {
+            outcomes.get(number).map_or(CallOutcome::Completed, |&index| OUTCOMES[index])
         });
-        prop_assert!(world.most_out <= 2);
-        prop_assert_eq!(world.seen, 1);
-        // However it answers it is not asked in a spin.
-        for at in &world.asked {
-            let second = world.asked.iter().filter(|o| o.0 >= at.0 && o.0 < at.0 + S).count();
-            prop_assert!(second <= 12, "{} calls in a second", second);
+        prop_assert!(world.max_calls <= 2);
+        prop_assert_eq!(world.received_version, 1);
+        // Whatever the outcomes, discovery is not polled in a tight loop.
+        for at in &world.polls {
+            let calls_per_second = world.polls.iter().filter(|other| other.0 >= at.0 && other.0 < at.0 + SECOND).count();
+            prop_assert!(calls_per_second <= 12, "{} calls in a second", calls_per_second);
         }
     }
 }
 
 #[test]
-fn what_broke_off_is_asked_for_again_in_time_to_hold_nothing_back() {
+fn a_truncated_response_is_retried_before_forwarding_is_suspended() {
     for seed in 0..200 {
-        for first in [Way::Breaks, Way::Stalls, Way::Malformed, Way::Silent] {
-            let mut world = World::new(asked(), seed, 2 * S);
-            let mut held = false;
-            world.play(20 * S, &mut Rng::with_seed(seed), &mut |n, _| {
-                if n == 0 {
+        for first in
+            [CallOutcome::Truncated, CallOutcome::Stalled, CallOutcome::Malformed, CallOutcome::Silent]
+        {
+            let mut world = World::new(polled_policy(), seed, 2 * SECOND);
+            let mut suspended = false;
+            world.run(20 * SECOND, &mut Rng::with_seed(seed), &mut |number, _| {
+                if number == 0 {
                     first
                 } else {
-                    Way::Whole
+                    CallOutcome::Completed
                 }
             });
-            held |= world.watch.expiry().is_none_or(|expiry| expiry.from <= world.now + 2 * S);
-            let (again, wait) = world.asked[1];
-            assert!(!held && again < world.told.expect("told"), "{first:?}, seed {seed}: again at {again}");
-            assert!(wait <= 250 * MS, "a long wait would show late whether anything was missed");
+            suspended |= world.watch.expiry().is_none_or(|expiry| expiry.from <= world.now + 2 * SECOND);
+            let (retried_at, wait) = world.polls[1];
+            assert!(
+                !suspended && retried_at < world.notified_at.expect("notified"),
+                "{first:?}, seed {seed}: again at {retried_at}"
+            );
+            assert!(wait <= 250 * MILLISECOND, "a long wait would show late whether anything was missed");
         }
     }
 }
 
 #[test]
-fn an_outage_of_discovery_is_none_of_the_proxies() {
-    // Nobody can reach it, so nothing counts as told, for however long.
-    let mut world = World::new(asked(), 7, 300 * S);
+fn an_outage_of_discovery_does_not_suspend_forwarding() {
+    // Nobody can reach it, so nothing counts as notified, for however long.
+    let mut world = World::new(polled_policy(), 7, 300 * SECOND);
     let mut rng = Rng::with_seed(7);
-    world.play(120 * S, &mut rng, &mut |_, at| if at < 10 * S { Way::Whole } else { Way::Down });
+    world.run(120 * SECOND, &mut rng, &mut |_, at| {
+        if at < 10 * SECOND {
+            CallOutcome::Completed
+        } else {
+            CallOutcome::ConnectionRefused
+        }
+    });
     assert!(
-        world.watch.expiry().is_some_and(|expiry| expiry.from > 122 * S),
-        "nothing was told: {:?}",
+        world.watch.expiry().is_some_and(|expiry| expiry.from > 122 * SECOND),
+        "nothing was notified: {:?}",
         world.watch.expiry()
     );
-    let calls = world.asked.iter().filter(|(at, _)| *at > 20 * S).count();
-    assert!((50..=200).contains(&calls), "it is asked all the time, and in no spin: {calls}");
-    // Own installations: nothing says in which time drains must be kept.
-    for way in [Way::Down, Way::TurnedAway] {
-        let mut world = World::new(Policy { answers_each: true, lease: None }, 7, 300 * S);
-        world.play(120 * S, &mut rng, &mut |_, at| if at < 10 * S { Way::Whole } else { way });
-        assert!(world.watch.expiry().is_none(), "{way:?}: the list is relied on");
-        assert!(world.ended.len() > 10, "{way:?}: asking again is up to the decisions");
+    let calls = world.polls.iter().filter(|(at, _)| *at > 20 * SECOND).count();
+    assert!((50..=200).contains(&calls), "it is polled steadily, and in no tight loop: {calls}");
+    // Standalone mode: nothing bounds the time of a drain.
+    for outcome in [CallOutcome::ConnectionRefused, CallOutcome::QueuedRejection] {
+        let mut world = World::new(WatchPolicy { mode: DiscoveryMode::Polled, lease: None }, 7, 300 * SECOND);
+        world.run(120 * SECOND, &mut rng, &mut |_, at| {
+            if at < 10 * SECOND {
+                CallOutcome::Completed
+            } else {
+                outcome
+            }
+        });
+        assert!(world.watch.expiry().is_none(), "{outcome:?}: the list is relied on");
+        assert!(world.watch_ends.len() > 10, "{outcome:?}: polling again is up to the balancer");
     }
-    // Lists that are pushed: an agent that says nothing has nothing to say.
-    let pushed = Policy { answers_each: false, lease: Some(TERMS) };
-    let mut world = World::new(pushed, 7, 300 * S);
-    world.play(120 * S, &mut Rng::with_seed(7), &mut |_, _| Way::Silent);
-    assert!(world.watch.expiry().is_none() && world.ended.len() > 10);
+    // Lists that are pushed: the silence of an agent means that nothing has changed.
+    let pushed = WatchPolicy { mode: DiscoveryMode::Pushed, lease: Some(LEASE_TERMS) };
+    let mut world = World::new(pushed, 7, 300 * SECOND);
+    world.run(120 * SECOND, &mut Rng::with_seed(7), &mut |_, _| CallOutcome::Silent);
+    assert!(world.watch.expiry().is_none() && world.watch_ends.len() > 10);
 }
 
 #[test]
-fn what_is_held_back_is_held_back_for_so_long_and_no_longer() {
-    let mut world = World::new(asked(), 3, 2 * S);
-    world.play(200 * S, &mut Rng::with_seed(3), &mut |_, _| Way::Breaks);
-    let Expiry { from, until, .. } = world.watch.expiry().expect("held");
-    let told = world.told.expect("told");
+fn forwarding_is_suspended_for_a_bounded_time() {
+    let mut world = World::new(polled_policy(), 3, 2 * SECOND);
+    world.run(200 * SECOND, &mut Rng::with_seed(3), &mut |_, _| CallOutcome::Truncated);
+    let Expiry { from, until, .. } = world.watch.expiry().expect("suspended");
+    let notified_at = world.notified_at.expect("notified");
     assert!(
-        from <= told + GRACE - 100 * MS && until == from + TERMS.longest_stop,
-        "{from} to {until}, told at {told}"
+        from <= notified_at + DRAIN_GRACE - 100 * MILLISECOND && until == from + LEASE_TERMS.max_suspension,
+        "{from} to {until}, notified at {notified_at}"
     );
-    // The calls that make up for it come seldom by then.
-    let late = world.asked.iter().filter(|(at, _)| *at > 100 * S).count();
-    assert!((15..90).contains(&late), "{late} calls in 100 s");
+    // Retries are rare by then.
+    let late_calls = world.polls.iter().filter(|(at, _)| *at > 100 * SECOND).count();
+    assert!((15..90).contains(&late_calls), "{late_calls} calls in 100 s");
 }
 
 #[test]
-fn proxies_that_began_together_come_back_apart() {
-    // Forty proxies, and a discovery that falls silent in their first calls.
-    let mut again: Vec<Micros> = (0..40)
+fn proxies_that_started_together_retry_at_different_times() {
+    // Forty proxies, and a discovery that does not respond to their first calls.
+    let mut retried_at: Vec<Micros> = (0..40)
         .map(|seed| {
-            let mut world = World::new(asked(), seed, 300 * S);
-            let mut way = |n: usize, _: Micros| if n == 0 { Way::Silent } else { Way::Whole };
-            world.play(15 * S, &mut Rng::with_seed(seed), &mut way);
-            world.asked[1].0
+            let mut world = World::new(polled_policy(), seed, 300 * SECOND);
+            let mut outcome = |number: usize, _: Micros| {
+                if number == 0 {
+                    CallOutcome::Silent
+                } else {
+                    CallOutcome::Completed
+                }
+            };
+            world.run(15 * SECOND, &mut Rng::with_seed(seed), &mut outcome);
+            world.polls[1].0
         })
         .collect();
-    again.sort_unstable();
-    let crowd = again.iter().map(|at| again.iter().filter(|o| (*at..at + S).contains(*o)).count()).max();
-    assert!(crowd < Some(20), "{crowd:?} of 40 ask within a second");
+    retried_at.sort_unstable();
+    let max_in_a_second = retried_at
+        .iter()
+        .map(|at| retried_at.iter().filter(|other| (*at..at + SECOND).contains(*other)).count())
+        .max();
+    assert!(max_in_a_second < Some(20), "{max_in_a_second:?} of 40 retry within a second");
 }
 
 #[test]
-fn another_discovery_is_asked_for_all_it_has_at_once() {
-    let mut watch = running(asked(), 1);
-    let mut out = Vec::new();
-    watch.handle(0, Event::Begin, &mut out);
-    watch.handle(S, Event::Moved, &mut out);
-    let Action::Ask(first, _) = out[0] else { panic!("{out:?}") };
-    let Action::Ask(second, 0) = out[2] else { panic!("{out:?}") };
-    assert_eq!(out[1], Action::Drop(first));
-    // Nothing that the old one still says counts.
-    out.clear();
-    watch.handle(S, Event::Broke(first), &mut out);
-    let expiry = watch.expiry().expect("a list is never sent by without bound");
-    assert!(out.is_empty() && expiry.from >= S + 6 * S, "{expiry:?}");
-    watch.handle(S, Event::Answered(second, true), &mut out);
-    assert!(matches!(out[..], [Action::Ask(_, wait)] if wait >= 3 * S), "{out:?}");
+fn a_changed_address_is_polled_for_the_full_list_at_once() {
+    let mut watch = running(polled_policy(), 1);
+    let mut actions = Vec::new();
+    watch.handle(0, WatchEvent::StartWatch, &mut actions);
+    watch.handle(SECOND, WatchEvent::AddressChanged, &mut actions);
+    let WatchAction::Poll { call: first, .. } = actions[0] else { panic!("{actions:?}") };
+    let WatchAction::Poll { call: second, wait: 0 } = actions[2] else { panic!("{actions:?}") };
+    assert_eq!(actions[1], WatchAction::CloseCall { call: first });
+    // Reports of calls to the old address are ignored.
+    actions.clear();
+    watch.handle(SECOND, WatchEvent::ResponseTruncated { call: first }, &mut actions);
+    let expiry = watch.expiry().expect("a list never lacks a bound");
+    assert!(actions.is_empty() && expiry.from >= SECOND + 6 * SECOND, "{expiry:?}");
+    watch.handle(SECOND, WatchEvent::ResponseCompleted { call: second, changed: true }, &mut actions);
+    assert!(matches!(actions[..], [WatchAction::Poll { wait, .. }] if wait >= 3 * SECOND), "{actions:?}");
 }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -44,7 +44,7 @@
         say(format_args!("knowledge: passing over {}: not as it was written", path.display()));
         return;
     };
-    known.teach(told, clock, names, handle);
+    known.import_learned_state(told, clock, names, handle);
 }
 
 /// Leaves what is learned for the next process, until this one is told to end: then the next one knows better.
@@ -60,7 +60,7 @@
     let mut complained = false;
     while !ending.get() {
         if let Some(learned) = handle.learned_state().await {
-            let pools = vec![known.named_state(POOL, &learned, clock, &names.borrow())];
+            let pools = vec![known.export_learned_state(POOL, &learned, clock, &names.borrow())];
             let snapshot =
                 timestamped(learned_state::Snapshot { pools, ..learned_state::Snapshot::default() });
             // Not synced: it is for a process that follows on this machine.
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -19,7 +19,7 @@
 use hyper::{header, StatusCode};
 use jsonrpc::Call;
 use limit::{Admitted, Cause, Limiter, TenantId, Usage};
-use membership::Refused;
+use membership::MaintenanceRejection;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
@@ -285,8 +285,8 @@
         })
     }
 
-    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
-        let office = self.office.as_ref().ok_or(Refused::Unknown)?;
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), MaintenanceRejection> {
+        let office = self.office.as_ref().ok_or(MaintenanceRejection::UnknownEndpoint)?;
         let called = self.running().iter().flat_map(|snapshot| snapshot.operator_names(id)).collect();
         Ok((&office.maintenance, only(id, called)?))
     }
--- /dev/null
+++ b/crates/proxy/src/membership/discovery/call.rs
@@ -0,0 +1,139 @@
+//! One HTTP call to discovery, over an idle connection if there is one.
+
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use config::ParsedEndpointList;
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::header::{HeaderValue, HOST};
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use membership::CallFailure;
+use tokio::net::TcpStream;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use crate::socket::Socket;
+
+/// A connection that takes longer is given up: the handshake survives two lost packets, and the watch makes another call sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
+/// The largest list that is read, in bytes.
+const MAX_LIST_BYTES: usize = 8 << 20;
+
+/// What a call reports. All but [`CallProgress::ResponseStarted`] end the call.
+pub(super) enum CallProgress {
+    /// The head of a response was received.
+    ResponseStarted,
+    /// A list was received.
+    ResponseCompleted {
+        /// The list.
+        list: ParsedEndpointList,
+        /// The connection that it came over, for the next call.
+        connection: Connection,
+    },
+    /// The response cannot be parsed: why.
+    ResponseMalformed(String),
+    /// The response broke off.
+    ResponseTruncated,
+    /// There was no response.
+    Failed(CallFailure),
+}
+
+/// A connection to discovery. Dropping it closes it.
+pub(super) struct Connection {
+    sender: SendRequest<Empty<Bytes>>,
+    _task: JoinSet<hyper::Result<()>>,
+}
+
+/// What became of a request.
+enum SendOutcome {
+    Response(Response<Incoming>),
+    /// The connection was closed before any of the request was sent.
+    NotSent(Request<Empty<Bytes>>),
+    Lost,
+}
+
+impl Connection {
+    async fn open(address: SocketAddr) -> Result<Connection, CallFailure> {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+                return Err(CallFailure::ConnectionRefused);
+            }
+            Ok(Err(_)) | Err(_) => return Err(CallFailure::Unreachable),
+        };
+        let io = TokioIo::new(Socket::new(stream, None));
+        let handshake = http1::handshake(io).await;
+        let (sender, connection) = handshake.map_err(|_| CallFailure::ConnectionLost)?;
+        let mut task = JoinSet::new();
+        task.spawn_local(connection);
+        Ok(Connection { sender, _task: task })
+    }
+
+    async fn send(&mut self, request: Request<Empty<Bytes>>) -> SendOutcome {
+        if self.sender.ready().await.is_err() {
+            return SendOutcome::NotSent(request);
+        }
+        match self.sender.try_send_request(request).await {
+            Ok(response) => SendOutcome::Response(response),
+            Err(mut error) => error.take_message().map_or(SendOutcome::Lost, SendOutcome::NotSent),
+        }
+    }
+}
+
+/// Makes a call, and calls `on_response_started` when its response starts.
+pub(super) async fn call(
+    address: SocketAddr,
+    path: &str,
+    idle: Option<Connection>,
+    on_response_started: impl Fn(),
+) -> CallProgress {
+    let mut request = Request::new(Empty::new());
+    let Ok(uri) = path.parse() else { return CallProgress::Failed(CallFailure::Unreachable) };
+    *request.uri_mut() = uri;
+    request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
+    let (response, connection) = match send(address, request, idle).await {
+        Ok(sent) => sent,
+        Err(failure) => return CallProgress::Failed(failure),
+    };
+    if response.status() != StatusCode::OK {
+        return CallProgress::Failed(CallFailure::ErrorResponse);
+    }
+    on_response_started();
+    read_list(response, connection).await
+}
+
+/// Sends over the idle connection, and over a new one if discovery has closed that.
+async fn send(
+    address: SocketAddr,
+    request: Request<Empty<Bytes>>,
+    idle: Option<Connection>,
+) -> Result<(Response<Incoming>, Connection), CallFailure> {
+    let mut request = request;
+    if let Some(mut connection) = idle {
+        match connection.send(request).await {
+            SendOutcome::Response(response) => return Ok((response, connection)),
+            SendOutcome::NotSent(unsent) => request = unsent,
+            SendOutcome::Lost => return Err(CallFailure::ConnectionLost),
+        }
+    }
+    let mut connection = Connection::open(address).await?;
+    match connection.send(request).await {
+        SendOutcome::Response(response) => Ok((response, connection)),
+        SendOutcome::NotSent(_) | SendOutcome::Lost => Err(CallFailure::ConnectionLost),
+    }
+}
+
+async fn read_list(response: Response<Incoming>, connection: Connection) -> CallProgress {
+    let Ok(body) = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await else {
+        return CallProgress::ResponseTruncated;
+    };
+    match config::parse_endpoint_list(&body.to_bytes()) {
+        Ok(list) => CallProgress::ResponseCompleted { list, connection },
+        Err(fault) => CallProgress::ResponseMalformed(fault),
+    }
+}
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -1,8 +1,8 @@
 //! A watched file with a list in discovery's form, replaced by a rename or written in place.
 //!
-//! The file is looked at in short intervals rather than through the kernel's notices: those differ by file system,
-//! are lost under load, and miss a folder that is mounted anew. A list that cannot be read, or is no whole list,
-//! changes nothing: JSON that is cut off is no JSON, so a half-written list is never taken for a short one.
+//! The file is checked at short intervals rather than through the kernel's notices: those differ by file system, are lost under
+//! load, and miss a folder that is mounted anew. A list that cannot be read, or is not a full list, changes nothing: truncated
+//! JSON cannot be parsed, so a half-written list is never taken for a short one.
 
 use std::fs;
 use std::os::unix::fs::MetadataExt;
@@ -16,75 +16,90 @@
 use crate::log::say;
 use crate::membership::EndpointRegistry;
 
-/// How often the file is looked at.
-const LOOK: Duration = Duration::from_millis(200);
+/// How often the file is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The largest list that is read, in bytes.
-const MOST_LIST: u64 = 8 << 20;
+const MAX_LIST_BYTES: u64 = 8 << 20;
 
-/// What tells one state of a file from another.
-type Mark = (u64, u64, i64, i64);
+/// Tells one content of a file from another.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    size: u64,
+    modified_s: i64,
+    modified_ns: i64,
+}
+
+impl FileVersion {
+    fn of(path: &Path) -> Option<FileVersion> {
+        let metadata = fs::metadata(path).ok()?;
+        Some(FileVersion {
+            inode: metadata.ino(),
+            size: metadata.size(),
+            modified_s: metadata.mtime(),
+            modified_ns: metadata.mtime_nsec(),
+        })
+    }
+}
 
 /// Watches a file for as long as it is polled.
 pub struct FileWatch {
-    pub pool: String,
-    pub path: PathBuf,
-    pub registry: EndpointRegistry,
-    mark: Option<Mark>,
-    said: Option<String>,
+    pool: String,
+    path: PathBuf,
+    registry: EndpointRegistry,
+    /// The content that was read last.
+    version: Option<FileVersion>,
+    logged_fault: Option<String>,
 }
 
 impl FileWatch {
-    pub fn new(pool: String, path: PathBuf, roster: EndpointRegistry) -> FileWatch {
-        FileWatch { pool, path, registry: roster, mark: None, said: None }
+    /// Watches a file that lists the endpoints of this pool.
+    pub fn new(pool: String, path: PathBuf, registry: EndpointRegistry) -> FileWatch {
+        FileWatch { pool, path, registry, version: None, logged_fault: None }
     }
 
+    /// Applies the file whenever it changes.
     pub async fn run(mut self) {
         loop {
-            self.look();
-            sleep(LOOK).await;
+            self.check();
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
-    fn look(&mut self) {
-        let mark = mark(&self.path);
-        if mark.is_some() && mark == self.mark {
-            if self.said.is_none() {
-                self.registry.heard.set(Instant::now());
+    fn check(&mut self) {
+        let version = FileVersion::of(&self.path);
+        if version.is_some() && version == self.version {
+            if self.logged_fault.is_none() {
+                self.registry.last_contact.set(Instant::now());
             }
             return;
         }
         match self.read() {
-            Ok(()) => self.said = None,
-            Err(fault) => {
-                // A fault that stays is said once.
-                if self.said.as_ref() != Some(&fault) {
-                    say(format_args!(
-                        "pool `{}`: keeping the list as it was: {}: {fault}",
-                        self.pool,
-                        self.path.display()
-                    ));
-                }
-                self.said = Some(fault);
-            }
+            Ok(()) => self.logged_fault = None,
+            Err(fault) => self.log_fault(fault),
         }
-        self.mark = mark;
+        self.version = version;
+    }
+
+    /// A fault that persists is logged once.
+    fn log_fault(&mut self, fault: String) {
+        if self.logged_fault.as_ref() != Some(&fault) {
+            let (pool, path) = (&self.pool, self.path.display());
+            say(format_args!("pool `{pool}`: keeping the list as it was: {path}: {fault}"));
+        }
+        self.logged_fault = Some(fault);
     }
 
     fn read(&mut self) -> Result<(), String> {
         let size = fs::metadata(&self.path).map_err(|e| e.to_string())?.len();
-        if size > MOST_LIST {
+        if size > MAX_LIST_BYTES {
             return Err(format!("{size} bytes are too many for a list"));
         }
         let list = parse_full_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
         // Checked as a whole, and applied in the form in which it came.
-        let nodes = list.clone().nodes()?.len();
+        let endpoint_count = list.clone().nodes()?.len();
         self.registry.apply(list, UpdateScope::Full);
-        say(format_args!("pool `{}`: {nodes} nodes from {}", self.pool, self.path.display()));
+        say(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
         Ok(())
     }
 }
-
-fn mark(path: &Path) -> Option<Mark> {
-    let meta = fs::metadata(path).ok()?;
-    Some((meta.ino(), meta.size(), meta.mtime(), meta.mtime_nsec()))
-}
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Where the nodes of a pool are told: by discovery's protocol, or in a file that is watched. Each source keeps a
-//! [`EndpointRegistry`]; none decides what follows from it.
+//! The sources of a pool's endpoints: discovery's protocol, or a watched file. Each source feeds an [`EndpointRegistry`], which
+//! passes lists on to the balancer and the connections.
 
 mod discovery;
 mod file;
--- /dev/null
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -0,0 +1,153 @@
+//! The registry of a pool's endpoints: applies lists, whatever their source, and passes them on to the balancer and the
+//! connections. Where operators drained an endpoint, that restricts what is listed.
+
+mod registered;
+mod view;
+
+pub use registered::RegisteredEndpoints;
+pub use view::{RegistryObserver, RegistryView};
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+use config::{EndpointList, ListedEndpoint, ListedState, ParsedEndpointList};
+use decide::platform_settings::NameTable;
+use decide::{Endpoint, EndpointId, EndpointState, UpdateScope};
+use tokio::time::Instant;
+
+use crate::clock::Clock;
+use crate::inbox::DriverHandle;
+use crate::log::say;
+use crate::maintenance::MaintenanceOverrides;
+use crate::upstream::Upstreams;
+use registered::ListedAddress;
+
+/// Applies lists, and passes them on to the balancer and the connections.
+pub struct EndpointRegistry {
+    pub clock: Clock,
+    pub names: Rc<RefCell<NameTable>>,
+    pub driver: DriverHandle,
+    pub upstreams: Rc<Upstreams>,
+    /// Set once there is a list.
+    pub ready: Rc<Cell<bool>>,
+    /// When the source was last heard from.
+    pub last_contact: Rc<Cell<Instant>>,
+    /// The version of the list.
+    pub version: Option<u64>,
+    pub endpoints: Rc<RegisteredEndpoints>,
+    /// What operators drained, where there is an address for operators.
+    pub overrides: Option<MaintenanceOverrides>,
+    /// A malformed entry has been logged.
+    malformed_entry_logged: bool,
+}
+
+/// The more restrictive of the state that is listed, and that which operators set.
+fn most_restrictive(mut endpoint: Endpoint, is_drained: bool) -> Endpoint {
+    if is_drained && endpoint.state == EndpointState::Ready {
+        endpoint.state = EndpointState::Draining;
+    }
+    endpoint
+}
+
+impl EndpointRegistry {
+    /// An empty registry.
+    pub fn new(
+        clock: Clock,
+        names: Rc<RefCell<NameTable>>,
+        driver: DriverHandle,
+        upstreams: Rc<Upstreams>,
+        ready: Rc<Cell<bool>>,
+    ) -> EndpointRegistry {
+        EndpointRegistry {
+            clock,
+            names,
+            driver,
+            upstreams,
+            ready,
+            last_contact: Rc::new(Cell::new(Instant::now())),
+            version: None,
+            endpoints: Rc::default(),
+            overrides: None,
+            malformed_entry_logged: false,
+        }
+    }
+
+    /// Applies a list of discovery, as far as it can be parsed. An endpoint whose entry cannot be parsed may be draining, so it
+    /// gets no new requests.
+    pub fn apply_parsed(&mut self, parsed: ParsedEndpointList, scope: UpdateScope) {
+        if let Some(fault) = &parsed.fault {
+            self.log_malformed_entry(fault);
+        }
+        self.apply_entries(parsed.list, &parsed.unreadable, scope);
+    }
+
+    /// Applies a list, before any further request is forwarded.
+    pub fn apply(&mut self, list: EndpointList, scope: UpdateScope) {
+        self.apply_entries(list, &BTreeSet::new(), scope);
+    }
+
+    fn apply_entries(&mut self, list: EndpointList, unreadable: &BTreeSet<String>, scope: UpdateScope) {
+        self.version = Some(list.version);
+        self.last_contact.set(Instant::now());
+        let mut endpoints: Vec<Endpoint> =
+            list.endpoints.into_iter().map(|listed| self.apply_entry(listed)).collect();
+        endpoints.extend(unreadable.iter().filter_map(|name| self.drain_unreadable(name)));
+        if scope != UpdateScope::Delta {
+            let listed: BTreeSet<EndpointId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
+            self.upstreams.retain(|id| listed.contains(&id));
+            self.endpoints.remove_all_but(&listed);
+        }
+        self.endpoints.forget_removed();
+        self.driver.endpoint_update(scope, endpoints);
+        // A list that came with the configuration is unconfirmed.
+        if scope != UpdateScope::Cached {
+            self.ready.set(true);
+        }
+        self.endpoints.count_update();
+        self.endpoints.import_pending_state(self.clock, &self.names.borrow(), &self.driver);
+    }
+
+    fn apply_entry(&self, listed: ListedEndpoint) -> Endpoint {
+        let address = listed.address;
+        let name = listed.name.clone();
+        let endpoint = self.endpoint(listed);
+        self.endpoints.set_last_listed(&name, ListedAddress { endpoint: endpoint.clone(), address });
+        let is_drained = self.overrides.as_ref().is_some_and(|overrides| overrides.record_listed(&name));
+        let endpoint = most_restrictive(endpoint, is_drained);
+        self.upstreams.update(&endpoint, address);
+        endpoint
+    }
+
+    /// The endpoint as it was listed last, draining.
+    fn drain_unreadable(&self, name: &str) -> Option<Endpoint> {
+        let ListedAddress { mut endpoint, address } = self.endpoints.last_listed(name)?;
+        endpoint.state = EndpointState::Draining;
+        self.upstreams.update(&endpoint, address);
+        Some(endpoint)
+    }
+
+    fn endpoint(&self, listed: ListedEndpoint) -> Endpoint {
+        let mut names = self.names.borrow_mut();
+        Endpoint {
+            id: self.endpoints.id(&listed.name, listed.state),
+            state: match listed.state {
+                ListedState::Serving => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Deleted => EndpointState::Removed,
+            },
+            weight: listed.weight,
+            up_since: self.clock.at_unix_ms(listed.started_unix_ms),
+            zone: names.zone(&listed.zone),
+            machine_kind: names.kind(&listed.machine_kind),
+            cell: listed.cell,
+        }
+    }
+
+    fn log_malformed_entry(&mut self, fault: &str) {
+        if !self.malformed_entry_logged {
+            self.malformed_entry_logged = true;
+            say(format_args!("passing over a malformed entry in the list of backends: {fault}"));
+        }
+    }
+}
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use membership::Refused;
+use membership::MaintenanceRejection;
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// Several have that name.
-    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused>;
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), MaintenanceRejection>;
 }
 
 type Reply = Response<Full<Bytes>>;
@@ -62,11 +62,11 @@
 ///
 /// # Errors
 /// Several have it.
-pub fn only(id: &str, mut called: Vec<String>) -> Result<String, Refused> {
+pub fn only(id: &str, mut called: Vec<String>) -> Result<String, MaintenanceRejection> {
     match (called.pop(), called.is_empty()) {
         (None, _) => Ok(id.to_owned()),
         (Some(one), true) => Ok(one),
-        _ => Err(Refused::Several),
+        _ => Err(MaintenanceRejection::AmbiguousName),
     }
 }
 
@@ -158,11 +158,14 @@
     if id.is_empty() {
         return say(StatusCode::BAD_REQUEST, "the body is to be a backend's id");
     }
-    let done = operations.meant(id).and_then(|(desk, id)| if out { desk.enter(&id) } else { desk.exit(&id) });
+    let done =
+        operations.meant(id).and_then(|(desk, id)| if out { desk.drain(&id) } else { desk.restore(&id) });
     match done {
         Ok(()) => say(StatusCode::OK, if out { "out" } else { "in use" }),
-        Err(refused @ Refused::Unknown) => say(StatusCode::NOT_FOUND, &refused.to_string()),
-        Err(refused @ (Refused::TooMany | Refused::Several)) => {
+        Err(refused @ MaintenanceRejection::UnknownEndpoint) => {
+            say(StatusCode::NOT_FOUND, &refused.to_string())
+        }
+        Err(refused @ (MaintenanceRejection::TooManyDrained | MaintenanceRejection::AmbiguousName)) => {
             say(StatusCode::CONFLICT, &refused.to_string())
         }
     }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -11,7 +11,7 @@
 use config::{parse_endpoint_list, split_sockets, ParsedEndpointList};
 use decide::platform_settings::{self, PlatformSettings};
 use decide::Micros;
-use membership::{LeaseTerms, Policy, Refused};
+use membership::{DiscoveryMode, LeaseTerms, MaintenanceRejection, WatchPolicy};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use tokio::net::TcpListener;
@@ -97,10 +97,10 @@
     }
 
     fn figures(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
-        Box::pin(async { self.figures.text(&[self.retold.now(Labels::new()).await]) })
+        Box::pin(async { self.figures.text(&[self.retold.gauges(Labels::new()).await]) })
     }
 
-    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), MaintenanceRejection> {
         Ok((&self.retold.overrides.store, id.to_owned()))
     }
 }
@@ -179,14 +179,15 @@
 /// How discovery is watched, and what bounds the use of a list: by the settings, drains are kept within a time. Four
 /// times that in which discovery must be asked is what they allow to a list after a failed call. An outage is believed
 /// in for four fifths of it: the longest that the operators name is eight seconds.
-fn watch_policy(site: &PlatformSettings) -> Policy {
+fn watch_policy(site: &PlatformSettings) -> WatchPolicy {
     let terms = LeaseTerms {
         drain_grace: site.transport.drain_grace,
         margin: DRAIN_MARGIN.as_micros() as Micros,
-        longest_stop: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4,
-        believed_outage: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4 / 5,
+        max_suspension: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4,
+        presumed_outage: site.settings.max_poll_interval.max(MUST_ASK_IN) * 4 / 5,
     };
-    Policy { answers_each: site.settings.poll_discovery, lease: Some(terms) }
+    let mode = if site.settings.poll_discovery { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
+    WatchPolicy { mode, lease: Some(terms) }
 }
 
 /// Runs until SIGTERM or SIGINT, and then until all that was taken has its answer.
@@ -237,7 +238,7 @@
     // Only one who shares its socket has a successor.
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     if let Some(folder) = folder.clone().filter(|_| shared) {
-        let (known, handle, ending) = (Rc::clone(&roster.known), handle.clone(), Rc::clone(&ending));
+        let (known, handle, ending) = (Rc::clone(&roster.endpoints), handle.clone(), Rc::clone(&ending));
         let names = Rc::clone(&roster.names);
         handover::take_up(&folder, &known, clock, &names.borrow(), &handle);
         spawn_local(async move {
@@ -248,9 +249,10 @@
         let desk = Rc::new(MaintenanceStore::new(folder));
         let bans = MaintenanceOverrides { store: Rc::clone(&desk), pool: None };
         roster.overrides = Some(bans.clone());
-        let (known, handle, backends) = (Rc::clone(&roster.known), handle.clone(), Rc::clone(&backends));
-        let retold = Rc::new(RegistryView { known, handle, backends, overrides: bans });
-        desk.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
+        let (known, handle, backends) = (Rc::clone(&roster.endpoints), handle.clone(), Rc::clone(&backends));
+        let retold =
+            Rc::new(RegistryView { endpoints: known, driver: handle, upstreams: backends, overrides: bans });
+        desk.subscribe(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
         let operations = Operations {
             figures: Rc::clone(&figures),
             retold,
@@ -263,10 +265,10 @@
     let discovery = Discovery {
         address: address_of_discovery,
         registry: roster,
-        subscribe: site.settings.poll_discovery.then_some(subscribe),
+        poll_requested: site.settings.poll_discovery.then_some(subscribe),
         policy,
         seed: config.seed,
-        complained: false,
+        malformed_list_logged: false,
     };
     spawn_local(driver.run());
     spawn_local(discovery.run(config.initial_list));
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -9,7 +9,7 @@
 };
 use decide::platform_settings::{NameTable, Transport};
 use decide::{EndpointFilter, EndpointState, Micros, UpdateScope};
-use membership::Policy;
+use membership::{DiscoveryMode, WatchPolicy};
 use route::{Count, Within};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
@@ -146,17 +146,21 @@
         let retold = office.map(|office| {
             let bans = office.bans(&pool.name);
             roster.overrides = Some(bans.clone());
-            let (known, handle) = (Rc::clone(&roster.known), handle.clone());
-            let retold =
-                Rc::new(RegistryView { known, handle, backends: Rc::clone(&backends), overrides: bans });
-            office.maintenance.tell(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
+            let (known, handle) = (Rc::clone(&roster.endpoints), handle.clone());
+            let retold = Rc::new(RegistryView {
+                endpoints: known,
+                driver: handle,
+                upstreams: Rc::clone(&backends),
+                overrides: bans,
+            });
+            office.maintenance.subscribe(Rc::downgrade(&(Rc::clone(&retold) as Rc<dyn RegistryObserver>)));
             (retold, office.place(&pool.name))
         });
         let sweeper = Rc::clone(&backends);
         let mut tasks = vec![spawn_local(driver.run()), spawn_local(async move { sweeper.sweep().await })];
         let mut listed = None;
-        let heard = Rc::clone(&roster.heard);
-        let known = Rc::clone(&roster.known);
+        let heard = Rc::clone(&roster.last_contact);
+        let known = Rc::clone(&roster.endpoints);
         match &pool.source {
             Source::List(nodes) => {
                 let mut roster = roster;
@@ -171,10 +175,16 @@
                 // Another address is another source, and so another pool.
                 let (moves, address) = watch::channel(*address);
                 // Nothing says in which time drains must be kept, so the list is relied on while discovery is away.
-                let policy = Policy { answers_each: true, lease: None };
+                let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: None };
                 let subscribe = Some(subscribe);
-                let discovery =
-                    Discovery { address, registry: roster, subscribe, policy, seed, complained: false };
+                let discovery = Discovery {
+                    address,
+                    registry: roster,
+                    poll_requested: subscribe,
+                    policy,
+                    seed,
+                    malformed_list_logged: false,
+                };
                 tasks.push(spawn_local(async move {
                     let _moves = moves;
                     discovery.run(None).await;
@@ -199,29 +209,32 @@
 
     /// What others have learned of it, or a process before.
     pub fn import_learned_state(&self, told: SavedPool) {
-        self.known.teach(told, self.clock, &self.names.borrow(), &self.handle);
+        self.known.import_learned_state(told, self.clock, &self.names.borrow(), &self.handle);
     }
 
     /// What it has learned.
     pub async fn learned_state(&self) -> Option<learned_state::Pool> {
         let learned = self.handle.learned_state().await?;
-        Some(self.known.named_state(&self.name, &learned, self.clock, &self.names.borrow()))
+        Some(self.known.export_learned_state(&self.name, &learned, self.clock, &self.names.borrow()))
     }
 
     /// What operators call a node of this name, if it lists one.
     pub fn operator_name(&self, name: &str) -> Option<String> {
-        self.retold.as_ref().filter(|_| self.known.has(name)).map(|(retold, _)| retold.overrides.called(name))
+        self.retold
+            .as_ref()
+            .filter(|_| self.known.contains(name))
+            .map(|(retold, _)| retold.overrides.operator_name(name))
     }
 
     /// What it is now, as operators read it.
     pub async fn gauges(&self) -> Option<PoolGauges> {
         let (retold, place) = self.retold.as_ref()?;
-        Some(retold.now(place.clone()).await)
+        Some(retold.gauges(place.clone()).await)
     }
 
     /// How many lists of nodes it has had.
     pub fn list_count(&self) -> u64 {
-        self.known.lists()
+        self.known.update_count()
     }
 
     /// Its nodes, for whoever announces what they serve.
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -13,7 +13,7 @@
 use hyper::http::request::Parts;
 use hyper::StatusCode;
 use jsonrpc::Call;
-use membership::Refused;
+use membership::MaintenanceRejection;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -227,7 +227,7 @@
         Box::pin(async move { self.office.metrics.text(&snapshot.gauges().await) })
     }
 
-    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), Refused> {
+    fn meant(&self, id: &str) -> Result<(&MaintenanceStore, String), MaintenanceRejection> {
         Ok((&self.office.maintenance, only(id, self.current.borrow().operator_names(id))?))
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -159,7 +159,7 @@
     match cause {
         ExpiryCause::Unconfirmed => "discovery has not confirmed the list that this process started with",
         ExpiryCause::CallsFailed => "calls to discovery failed, and it may have told others of a drain",
-        ExpiryCause::AnswerMissing => "discovery may have told of a drain that was not heard",
+        ExpiryCause::ResponseMissing => "discovery may have told of a drain that was not heard",
     }
 }
 
