--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -13,7 +13,7 @@
 
 use config::Protocol;
 use decide::{DownstreamConnections, Micros};
-use shutdown::{Fate, Shutdown, Terms};
+use shutdown::{ConnectionAction, ConnectionState, Shutdown, ShutdownPolicy};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
@@ -86,18 +86,18 @@
 
 /// Serves callers until `stop`, and then until all that was taken has its answer.
 pub async fn run(gate: Frontend, listener: TcpListener, most: usize, stop: impl Future<Output = ()>) {
-    let terms = Terms {
-        longest_wait: gate.router.longest_wait().as_micros() as Micros,
+    let policy = ShutdownPolicy {
+        longest_client_timeout: gate.router.longest_wait().as_micros() as Micros,
         is_killed: gate.router.has_termination_deadline(),
-        is_alone: gate.router.may_end_alone(),
-        is_shared: gate.shared,
+        is_only_proxy: gate.router.may_end_alone(),
+        shares_listener: gate.shared,
     };
     let callers = Rc::new(Callers {
         gate,
         most,
         all: RefCell::default(),
         room: Notify::new(),
-        shutdown: RefCell::new(Shutdown::new(terms)),
+        shutdown: RefCell::new(Shutdown::new(policy)),
         clock: Clock::new(),
         leaving: Cell::new(false),
         time_up: watch::Sender::new(false),
@@ -109,14 +109,14 @@
         () = stop.as_mut() => {}
         () = accept(&callers, &listener, &mut accepted) => {}
     }
-    callers.shutdown.borrow_mut().tell(callers.clock.now());
-    let serving = Duration::from_micros(callers.shutdown.borrow().serves_on() as u64);
+    callers.shutdown.borrow_mut().begin(callers.clock.now());
+    let serving = Duration::from_micros(callers.shutdown.borrow().accept_time() as u64);
     say(format_args!(
         "told to end: serving on for {:.1} s, on {} connections",
         serving.as_secs_f64(),
         callers.all.borrow().len()
     ));
-    if callers.shutdown.borrow().accepts(callers.clock.now()) {
+    if callers.shutdown.borrow().accepts_connections(callers.clock.now()) {
         let _ = timeout(serving, accept(&callers, &listener, &mut accepted)).await;
         // What the kernel has accepted by now is taken, too.
         let Ok(listener) = listener.into_std() else { return };
@@ -139,7 +139,7 @@
     loop {
         let due = Instant::now() + LOOK;
         tokio::time::sleep_until(due).await;
-        callers.shutdown.borrow_mut().was_late(due.elapsed().as_micros() as Micros);
+        callers.shutdown.borrow_mut().observe_lateness(due.elapsed().as_micros() as Micros);
         let is_over = |c: &&Rc<Caller>| c.is_stuck() || (c.busy.get() && c.socket.is_ended());
         callers.all.borrow().values().filter(is_over).for_each(|c| c.drop.notify_one());
         for caller in callers.all.borrow().values().filter(|c| !c.busy.get()) {
@@ -186,7 +186,7 @@
 
     /// Was the proxy told to end?
     fn is_ending(&self) -> bool {
-        self.shutdown.borrow().is_told()
+        self.shutdown.borrow().has_begun()
     }
 
     /// Nothing more is accepted: closes what may be closed, until all that was taken has its answer.
@@ -195,7 +195,7 @@
             let now = self.clock.now();
             let (is_over, is_time_up) = {
                 let shutdown = self.shutdown.borrow();
-                (shutdown.serves_until().is_some_and(|until| until <= now), shutdown.is_time_up(now))
+                (shutdown.accepts_until().is_some_and(|until| until <= now), shutdown.is_time_up(now))
             };
             self.leaving.set(is_over);
             if is_time_up {
@@ -204,15 +204,15 @@
             let open: Vec<_> = self.all.borrow().values().cloned().collect();
             // What lies there unread was taken all the same.
             let busy = open.iter().filter(|c| c.busy.get() || c.socket.unread() == Unread::Data).count();
-            if self.shutdown.borrow().may_leave(now, open.len(), busy) {
+            if self.shutdown.borrow().may_exit(now, open.len(), busy) {
                 return;
             }
             for caller in open {
-                match self.shutdown.borrow().fate(now, &caller.state(self.clock, is_over)) {
-                    Fate::Keep => {}
-                    Fate::AfterAnswer => caller.closing.set(true),
-                    Fate::Close if is_time_up => caller.give_up.notify_one(),
-                    Fate::Close => caller.ask_to_close(),
+                match self.shutdown.borrow().connection_action(now, &caller.state(self.clock, is_over)) {
+                    ConnectionAction::Keep => {}
+                    ConnectionAction::CloseAfterResponse => caller.closing.set(true),
+                    ConnectionAction::Close if is_time_up => caller.give_up.notify_one(),
+                    ConnectionAction::Close => caller.ask_to_close(),
                 }
             }
             // Thousands that end together are looked at together.
@@ -226,8 +226,8 @@
         let came = self.clock.now() - received.elapsed().as_micros() as Micros;
         let mut shutdown = self.shutdown.borrow_mut();
         let waits = Micros::try_from(patience.as_micros()).unwrap_or(Micros::MAX / 4);
-        shutdown.waits(waits);
-        Duration::from_micros(shutdown.time_for(came, waits) as u64)
+        shutdown.observe_client_timeout(waits);
+        Duration::from_micros(shutdown.request_time(came, waits) as u64)
     }
 
     /// Is the kill so near that nothing can come of a request any more?
@@ -288,12 +288,12 @@
     }
 
     /// What its end depends on; whether its next request has begun is asked of the kernel, and only where that counts.
-    fn state(&self, clock: Clock, closes: bool) -> shutdown::Connection {
-        shutdown::Connection {
-            is_busy: self.busy.get(),
-            has_asked: self.asked.get(),
-            has_begun: closes && !self.busy.get() && self.has_begun(),
-            used: clock.now() - self.used.get().elapsed().as_micros() as Micros,
+    fn state(&self, clock: Clock, closes: bool) -> ConnectionState {
+        ConnectionState {
+            has_open_request: self.busy.get(),
+            has_had_request: self.asked.get(),
+            has_partial_request: closes && !self.busy.get() && self.has_begun(),
+            last_used_at: clock.now() - self.used.get().elapsed().as_micros() as Micros,
         }
     }
 
