--- a/crates/atomic-file/src/folder.rs
+++ b/crates/atomic-file/src/folder.rs
@@ -1,76 +1,76 @@
-//! A folder of the file system, held by one process.
+//! A folder of the file system, which one process holds.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use crate::{Files, MOST_BYTES};
+use crate::{FileStorage, MAX_FILE_BYTES};
 
-/// Held for as long as a process has the folder.
-const LOCK: &str = "lock";
+/// The file that a process locks for as long as it holds the folder.
+const LOCK_NAME: &str = "lock";
 
-/// Why a folder cannot be had.
+/// Why a folder cannot be opened.
 #[derive(Debug)]
-pub enum Unopened {
-    /// Another process has it.
+pub enum OpenError {
+    /// Another process holds it.
     InUse,
-    /// The system says why.
+    /// The operating system's error.
     Io(io::Error),
 }
 
-impl std::fmt::Display for Unopened {
+impl std::fmt::Display for OpenError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unopened::InUse => f.write_str("another process uses it"),
-            Unopened::Io(fault) => fault.fmt(f),
+            OpenError::InUse => f.write_str("another process uses it"),
+            OpenError::Io(error) => error.fmt(f),
         }
     }
 }
 
-impl std::error::Error for Unopened {}
+impl std::error::Error for OpenError {}
 
-/// A folder.
+/// A folder of the file system.
 pub struct Folder {
     path: PathBuf,
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// One that is there, and that something else holds for this process.
+    /// An existing folder, without a lock: the caller holds it by other means, or only reads.
     #[must_use]
-    pub fn held(path: &Path) -> Folder {
+    pub fn without_lock(path: &Path) -> Folder {
         Folder { path: path.to_owned(), _lock: None }
     }
 
-    /// Makes the folder where it is missing, and takes it for this process.
+    /// Creates the folder where it is missing, and locks it for this process.
     ///
     /// # Errors
-    /// Why it cannot be had.
-    pub fn open(path: &Path) -> Result<Folder, Unopened> {
-        fs::create_dir_all(path).map_err(Unopened::Io)?;
-        let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK));
-        let lock = lock.map_err(Unopened::Io)?;
-        // The system lets go of it when the process ends, however it does.
+    /// Another process holds it, or it cannot be created or locked.
+    pub fn open(path: &Path) -> Result<Folder, OpenError> {
+        fs::create_dir_all(path).map_err(OpenError::Io)?;
+        let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK_NAME));
+        let lock = lock.map_err(OpenError::Io)?;
+        // The operating system releases the lock when the process ends, in whatever way.
         match lock.try_lock() {
             Ok(()) => Ok(Folder { path: path.to_owned(), _lock: Some(lock) }),
-            Err(TryLockError::WouldBlock) => Err(Unopened::InUse),
-            Err(TryLockError::Error(fault)) => Err(Unopened::Io(fault)),
+            Err(TryLockError::WouldBlock) => Err(OpenError::InUse),
+            Err(TryLockError::Error(error)) => Err(OpenError::Io(error)),
         }
     }
 }
 
-impl Files for Folder {
+impl FileStorage for Folder {
     fn list(&self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.path)?;
-        let name = |entry: io::Result<fs::DirEntry>| entry.map(|e| e.file_name().into_string().ok());
+        let name = |entry: io::Result<fs::DirEntry>| entry.map(|entry| entry.file_name().into_string().ok());
         entries.filter_map(|entry| name(entry).transpose()).collect()
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        // One that is larger than any that was put is none of ours.
-        File::open(self.path.join(name))?.take(MOST_BYTES + 1).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 > MOST_BYTES {
+        // A larger file was not written by a store.
+        File::open(self.path.join(name))?.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > MAX_FILE_BYTES {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "too large"));
         }
         Ok(bytes)
--- a/crates/atomic-file/tests/kills.rs
+++ b/crates/atomic-file/tests/kills.rs
@@ -1,21 +1,21 @@
-//! Real processes in a real folder: killed in mid-write, two at once, a folder that cannot be written.
+//! Real processes in a real folder: killed while writing, two at once, a folder that cannot be written.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use atomic_file::{Folder, Keeper, Unopened};
+use atomic_file::{AtomicFileStore, Folder, OpenError};
 
-const CHILD: &str = "KEEP_CHILD_FOLDER";
-const KILLS: usize = 500;
+const CHILD_FOLDER_VARIABLE: &str = "KEEP_CHILD_FOLDER";
+const KILL_COUNT: usize = 500;
 
-fn file(number: u32) -> Vec<u8> {
+fn content(number: u32) -> Vec<u8> {
     number.to_le_bytes().repeat(20_000)
 }
 
-fn whole(bytes: &[u8]) -> Option<u32> {
+fn decode(bytes: &[u8]) -> Option<u32> {
     let first: [u8; 4] = bytes.get(..4)?.try_into().ok()?;
-    (bytes.len() == 80_000 && bytes.chunks(4).all(|c| c == first)).then(|| u32::from_le_bytes(first))
+    (bytes.len() == 80_000 && bytes.chunks(4).all(|chunk| chunk == first)).then(|| u32::from_le_bytes(first))
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -24,58 +24,62 @@
     path
 }
 
-/// Not a test of its own: writes for ever, once another one starts it.
+/// Not a test of its own: writes forever, when another test starts it.
 #[test]
 fn child_that_writes() {
-    let Some(path) = std::env::var_os(CHILD) else { return };
-    let mut keeper = Keeper::open(Folder::open(Path::new(&path)).expect("free"), 2).expect("opened");
-    let from = keeper.newest(whole).expect("there is a whole one");
+    let Some(path) = std::env::var_os(CHILD_FOLDER_VARIABLE) else { return };
+    let mut store = AtomicFileStore::open(Folder::open(Path::new(&path)).expect("free"), 2).expect("opened");
+    let from = store.newest_valid(decode).expect("a valid file");
     for number in from + 1.. {
-        keeper.put(&file(number)).expect("kept");
+        store.put(&content(number)).expect("stored");
         // The harness has begun a line.
         println!("\n{number}");
     }
 }
 
 #[test]
-fn kills_in_mid_write_leave_whole_files() {
+fn kills_while_writing_leave_valid_files() {
     let path = folder("kills");
-    let open = || Keeper::open(Folder::open(&path).expect("free"), 2).expect("opened");
-    open().put(&file(0)).expect("kept");
+    let open = || AtomicFileStore::open(Folder::open(&path).expect("free"), 2).expect("opened");
+    open().put(&content(0)).expect("stored");
     let mut random = fastrand::Rng::with_seed(5);
     let mut last = 0;
-    for kill in 0..KILLS {
+    for kill in 0..KILL_COUNT {
         let mut child = Command::new(std::env::current_exe().expect("a path"))
             .args(["--exact", "child_that_writes", "--nocapture"])
-            .env(CHILD, &path)
+            .env(CHILD_FOLDER_VARIABLE, &path)
             .stdout(Stdio::piped())
             .spawn()
             .expect("it starts");
         std::thread::sleep(Duration::from_micros(random.u64(1_000..9_000)));
         child.kill().expect("killed");
         let output = child.wait_with_output().expect("ended");
-        let told = String::from_utf8_lossy(&output.stdout);
-        let kept = told.lines().filter_map(|l| l.trim().parse::<u32>().ok()).max().unwrap_or(last);
-        let found = open().newest(whole).expect("a whole one");
-        assert!(found >= kept && found >= last, "kill {kill}: {found}, after {kept} was kept");
-        assert!(found <= kept + 1, "kill {kill}: {found} after {kept}");
-        last = found;
+        let output_text = String::from_utf8_lossy(&output.stdout);
+        let acknowledged =
+            output_text.lines().filter_map(|line| line.trim().parse::<u32>().ok()).max().unwrap_or(last);
+        let newest = open().newest_valid(decode).expect("a valid file");
+        assert!(
+            newest >= acknowledged && newest >= last,
+            "kill {kill}: {newest}, after {acknowledged} was acknowledged"
+        );
+        assert!(newest <= acknowledged + 1, "kill {kill}: {newest} after {acknowledged}");
+        last = newest;
     }
-    println!("{KILLS} kills, {last} files");
+    println!("{KILL_COUNT} kills, {last} files");
     assert!(last > 10, "it was killed before it wrote anything");
     let files = std::fs::read_dir(&path).expect("a folder").count();
     assert!(files <= 5, "{files} files are left");
 }
 
 #[test]
-fn two_processes_do_not_share_a_folder() {
+fn two_processes_cannot_open_the_same_folder() {
     let path = folder("two");
     let first = Folder::open(&path).expect("free");
-    assert!(matches!(Folder::open(&path), Err(Unopened::InUse)));
+    assert!(matches!(Folder::open(&path), Err(OpenError::InUse)));
     drop(first);
     assert!(Folder::open(&path).is_ok());
-    // What is no folder is told.
+    // A path that is not a folder is an error.
     let file = path.join("file");
     std::fs::write(&file, "x").expect("written");
-    assert!(matches!(Folder::open(&file), Err(Unopened::Io(_))));
+    assert!(matches!(Folder::open(&file), Err(OpenError::Io(_))));
 }
--- a/crates/atomic-file/tests/power.rs
+++ b/crates/atomic-file/tests/power.rs
@@ -5,14 +5,14 @@
 use std::io;
 use std::rc::Rc;
 
-use atomic_file::{Files, Keeper};
+use atomic_file::{AtomicFileStore, FileStorage};
 
-/// A file's content, by number; names point at them.
+/// The index of the content of each file, by name.
 type Names = BTreeMap<String, usize>;
 
 enum Change {
-    Name(String, usize),
-    Gone(String),
+    Named(String, usize),
+    Removed(String),
 }
 
 #[derive(Default)]
@@ -20,52 +20,52 @@
     /// As the running system sees it.
     names: Names,
     contents: Vec<Vec<u8>>,
-    /// What would be left, at the least.
+    /// What is durable.
     synced_names: Names,
     synced: Vec<Option<Vec<u8>>>,
     /// Changes of names since the folder was synced.
-    pending: Vec<Change>,
-    /// Operations until the power goes; and whether it does in the middle of that one.
-    left: usize,
-    full: bool,
+    unsynced_changes: Vec<Change>,
+    /// Operations until the power loss.
+    operations_left: usize,
+    is_full: bool,
 }
 
 #[derive(Clone)]
-struct Shim(Rc<RefCell<Disk>>);
+struct SimulatedStorage(Rc<RefCell<Disk>>);
 
-impl Shim {
-    fn new() -> Shim {
-        Shim(Rc::new(RefCell::new(Disk { left: usize::MAX, ..Disk::default() })))
+impl SimulatedStorage {
+    fn new() -> SimulatedStorage {
+        SimulatedStorage(Rc::new(RefCell::new(Disk { operations_left: usize::MAX, ..Disk::default() })))
     }
 
     /// Counts an operation; an error once there is no power.
-    fn step(&self) -> io::Result<()> {
+    fn count_operation(&self) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        match disk.left.checked_sub(1) {
-            Some(left) => {
-                disk.left = left;
+        match disk.operations_left.checked_sub(1) {
+            Some(operations_left) => {
+                disk.operations_left = operations_left;
                 Ok(())
             }
             None => Err(io::Error::other("no power")),
         }
     }
 
-    /// What is left after the power was gone, by chance.
-    fn crash(&self, random: &mut fastrand::Rng) -> Shim {
+    /// What is left after a power loss, at random.
+    fn crash(&self, random: &mut fastrand::Rng) -> SimulatedStorage {
         let disk = self.0.borrow();
         let mut names = disk.synced_names.clone();
-        // Changes of names may each have come to the disk or not, in any order that the system likes.
-        let mut changes: Vec<&Change> = disk.pending.iter().filter(|_| random.bool()).collect();
+        // Each change of a name may be durable or not, in any order.
+        let mut changes: Vec<&Change> = disk.unsynced_changes.iter().filter(|_| random.bool()).collect();
         if random.bool() {
             random.shuffle(&mut changes);
         }
         for change in changes {
             match change {
-                Change::Name(name, content) => drop(names.insert(name.clone(), *content)),
-                Change::Gone(name) => drop(names.remove(name)),
+                Change::Named(name, content) => drop(names.insert(name.clone(), *content)),
+                Change::Removed(name) => drop(names.remove(name)),
             }
         }
-        let torn = |content: usize, random: &mut fastrand::Rng| match &disk.synced[content] {
+        let content_after_crash = |content: usize, random: &mut fastrand::Rng| match &disk.synced[content] {
             Some(bytes) => bytes.clone(),
             // Never synced: a part of it, with holes, or nothing.
             None => {
@@ -78,50 +78,51 @@
                 bytes
             }
         };
-        let contents: Vec<Vec<u8>> = (0..disk.contents.len()).map(|c| torn(c, random)).collect();
+        let contents: Vec<Vec<u8>> =
+            (0..disk.contents.len()).map(|index| content_after_crash(index, random)).collect();
         let synced = contents.iter().cloned().map(Some).collect();
-        let after = Disk {
+        let after_crash = Disk {
             names: names.clone(),
             synced_names: names,
             contents,
             synced,
-            left: usize::MAX,
+            operations_left: usize::MAX,
             ..Disk::default()
         };
-        Shim(Rc::new(RefCell::new(after)))
+        SimulatedStorage(Rc::new(RefCell::new(after_crash)))
     }
 }
 
-impl Files for Shim {
+impl FileStorage for SimulatedStorage {
     fn list(&self) -> io::Result<Vec<String>> {
-        self.step()?;
+        self.count_operation()?;
         Ok(self.0.borrow().names.keys().cloned().collect())
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        self.step()?;
+        self.count_operation()?;
         let disk = self.0.borrow();
         let content = disk.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(disk.contents[*content].clone())
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let powered = self.step();
+        let power = self.count_operation();
         let mut disk = self.0.borrow_mut();
-        let part = if powered.is_err() || disk.full { bytes.len() / 2 } else { bytes.len() };
+        let part = if power.is_err() || disk.is_full { bytes.len() / 2 } else { bytes.len() };
         disk.contents.push(bytes[..part].to_vec());
         disk.synced.push(None);
         let content = disk.contents.len() - 1;
         disk.names.insert(name.to_owned(), content);
-        disk.pending.push(Change::Name(name.to_owned(), content));
-        if disk.full {
+        disk.unsynced_changes.push(Change::Named(name.to_owned(), content));
+        if disk.is_full {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        powered
+        power
     }
 
     fn sync(&self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut disk = self.0.borrow_mut();
         let content = *disk.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         disk.synced[content] = Some(disk.contents[content].clone());
@@ -129,107 +130,110 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut disk = self.0.borrow_mut();
         let content = disk.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         disk.names.insert(to.to_owned(), content);
-        disk.pending.push(Change::Gone(from.to_owned()));
-        disk.pending.push(Change::Name(to.to_owned(), content));
+        disk.unsynced_changes.push(Change::Removed(from.to_owned()));
+        disk.unsynced_changes.push(Change::Named(to.to_owned(), content));
         Ok(())
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut disk = self.0.borrow_mut();
         disk.synced_names = disk.names.clone();
-        disk.pending.clear();
+        disk.unsynced_changes.clear();
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut disk = self.0.borrow_mut();
         disk.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        disk.pending.push(Change::Gone(name.to_owned()));
+        disk.unsynced_changes.push(Change::Removed(name.to_owned()));
         Ok(())
     }
 }
 
-/// A file that tells whether it is whole.
-fn file(number: u8) -> Vec<u8> {
+/// A content with a checksum.
+fn content_of(number: u8) -> Vec<u8> {
     let mut bytes = vec![number + 1; 300];
-    bytes.push(bytes.iter().fold(0, |sum: u8, b| sum.wrapping_add(*b)));
+    bytes.push(bytes.iter().fold(0, |sum: u8, byte| sum.wrapping_add(*byte)));
     bytes
 }
 
-fn whole(bytes: &[u8]) -> Option<u8> {
+fn decode(bytes: &[u8]) -> Option<u8> {
     let (sum, body) = bytes.split_last()?;
-    let same = body.iter().all(|b| *b == body[0]);
-    (body.len() == 300 && same && body.iter().fold(0, |s: u8, b| s.wrapping_add(*b)) == *sum)
+    let is_uniform = body.iter().all(|byte| *byte == body[0]);
+    (body.len() == 300 && is_uniform && body.iter().fold(0, |sum: u8, byte| sum.wrapping_add(*byte)) == *sum)
         .then(|| body[0] - 1)
 }
 
 #[test]
-fn a_loss_of_power_at_any_operation_leaves_the_one_before_or_the_one_after() {
+fn a_power_loss_at_any_operation_leaves_the_previous_or_the_new_file() {
     let mut random = fastrand::Rng::with_seed(11);
-    let mut at_a_put = 0;
-    for most in 1..4 {
-        for left in 0..60 {
+    let mut losses_during_put = 0;
+    for max_files in 1..4 {
+        for operations_left in 0..60 {
             for _ in 0..40 {
-                let shim = Shim::new();
-                shim.0.borrow_mut().left = left;
-                let mut kept = None;
-                let mut tried = None;
-                if let Ok(mut keeper) = Keeper::open(shim.clone(), most) {
+                let storage = SimulatedStorage::new();
+                storage.0.borrow_mut().operations_left = operations_left;
+                let mut acknowledged = None;
+                let mut attempted = None;
+                if let Ok(mut store) = AtomicFileStore::open(storage.clone(), max_files) {
                     for number in 0..8 {
-                        tried = Some(number);
-                        if keeper.put(&file(number)).is_err() {
+                        attempted = Some(number);
+                        if store.put(&content_of(number)).is_err() {
                             break;
                         }
-                        kept = Some(number);
+                        acknowledged = Some(number);
                     }
                 }
-                at_a_put += usize::from(kept != tried);
-                let after = shim.crash(&mut random);
-                let mut keeper = Keeper::open(after.clone(), most).expect("power is back");
-                let found = keeper.newest(whole);
-                // The last that was told to be kept, or one that came after.
+                losses_during_put += usize::from(acknowledged != attempted);
+                let after_crash = storage.crash(&mut random);
+                let mut store = AtomicFileStore::open(after_crash.clone(), max_files).expect("power is back");
+                let newest = store.newest_valid(decode);
+                // The last that was acknowledged, or the one that was being written.
                 assert!(
-                    found == kept || found == tried,
-                    "{left} operations, {most} kept: {found:?}, not {kept:?} or {tried:?}"
+                    newest == acknowledged || newest == attempted,
+                    "{operations_left} operations, {max_files} files: {newest:?}, not {acknowledged:?} or {attempted:?}"
+                );
+                // The store can be written again.
+                store.put(&content_of(100)).expect("stored");
+                assert_eq!(
+                    AtomicFileStore::open(after_crash, max_files).expect("opened").newest_valid(decode),
+                    Some(100)
                 );
-                // And it goes on from there.
-                keeper.put(&file(100)).expect("kept");
-                assert_eq!(Keeper::open(after, most).expect("opened").newest(whole), Some(100));
             }
         }
     }
-    assert!(at_a_put > 1_000, "{at_a_put} losses within a put");
+    assert!(losses_during_put > 1_000, "{losses_during_put} power losses during a put");
 }
 
 #[test]
-fn a_full_disk_costs_the_new_file_and_nothing_else() {
-    let shim = Shim::new();
-    let mut keeper = Keeper::open(shim.clone(), 2).expect("opened");
-    (0..3).for_each(|n| keeper.put(&file(n)).expect("kept"));
-    shim.0.borrow_mut().full = true;
+fn a_full_disk_costs_only_the_new_file() {
+    let storage = SimulatedStorage::new();
+    let mut store = AtomicFileStore::open(storage.clone(), 2).expect("opened");
+    (0..3).for_each(|number| store.put(&content_of(number)).expect("stored"));
+    storage.0.borrow_mut().is_full = true;
     for _ in 0..3 {
-        assert!(keeper.put(&file(9)).is_err());
-        assert_eq!((keeper.newest(whole), shim.0.borrow().names.len()), (Some(2), 2));
+        assert!(store.put(&content_of(9)).is_err());
+        assert_eq!((store.newest_valid(decode), storage.0.borrow().names.len()), (Some(2), 2));
     }
-    shim.0.borrow_mut().full = false;
-    keeper.put(&file(10)).expect("there is room again");
-    assert_eq!((keeper.newest(whole), shim.0.borrow().names.len()), (Some(10), 2));
+    storage.0.borrow_mut().is_full = false;
+    store.put(&content_of(10)).expect("there is room again");
+    assert_eq!((store.newest_valid(decode), storage.0.borrow().names.len()), (Some(10), 2));
 }
 
 #[test]
-fn a_damaged_file_costs_itself() {
-    let shim = Shim::new();
-    let mut keeper = Keeper::open(shim.clone(), 3).expect("opened");
-    (0..3).for_each(|n| keeper.put(&file(n)).expect("kept"));
-    let mut disk = shim.0.borrow_mut();
+fn a_damaged_file_does_not_affect_the_others() {
+    let storage = SimulatedStorage::new();
+    let mut store = AtomicFileStore::open(storage.clone(), 3).expect("opened");
+    (0..3).for_each(|number| store.put(&content_of(number)).expect("stored"));
+    let mut disk = storage.0.borrow_mut();
     let newest = *disk.names.last_key_value().expect("some").1;
     disk.contents[newest][7] ^= 4;
     drop(disk);
-    assert_eq!(keeper.newest(whole), Some(1));
+    assert_eq!(store.newest_valid(decode), Some(1));
 }
--- a/crates/learned-state/tests/format.rs
+++ b/crates/learned-state/tests/format.rs
@@ -1,133 +1,152 @@
-//! The format: what is written is read, damage costs a section, versions meet, and no bytes panic or take memory.
+//! The format: what is encoded is decoded, damage costs one section, versions are compatible, and no bytes cause a panic or take memory.
 
-use learned_state::{read, write, Faults, Mean, Node, Pool, Snapshot, Unreadable, VERY_OLD};
+use learned_state::{
+    decode, encode, DecayedMean, DecodeError, EndpointRecord, NamedMean, PoolRecord, SkippedSections,
+    Snapshot, MAX_AGE,
+};
 use proptest::prelude::*;
 
-fn mean(random: &mut fastrand::Rng) -> Mean {
-    Mean { sum: random.f64() * 1e6, weight: random.f64() * 100.0, age: random.u64(..1 << 50) }
+fn mean(random: &mut fastrand::Rng) -> DecayedMean {
+    DecayedMean { sum: random.f64() * 1e6, weight: random.f64() * 100.0, age: random.u64(..1 << 50) }
 }
 
 fn name(random: &mut fastrand::Rng) -> String {
     (0..random.usize(..20)).map(|_| random.char('a'..='\u{2ff}')).collect()
 }
 
-fn snapshot(seed: u64, pools: usize, nodes: usize) -> Snapshot {
+fn named_mean(random: &mut fastrand::Rng) -> NamedMean {
+    NamedMean { name: name(random), mean: mean(random) }
+}
+
+fn snapshot(seed: u64, pools: usize, endpoints: usize) -> Snapshot {
     let mut random = fastrand::Rng::with_seed(seed);
-    let r = &mut random;
-    let pool = |r: &mut fastrand::Rng| {
-        let classes = r.usize(..4);
-        let node = |r: &mut fastrand::Rng| Node {
-            name: name(r),
-            started_ms: r.bool().then(|| r.u64(..1 << 42)),
-            fails: r.u32(..),
-            out_for: r.u64(..1 << 40),
-            cold_tokens: r.f64(),
-            classes: (0..classes).map(|_| mean(r)).collect(),
+    let random = &mut random;
+    let pool = |random: &mut fastrand::Rng| {
+        let classes = random.usize(..4);
+        let endpoint = |random: &mut fastrand::Rng| EndpointRecord {
+            name: name(random),
+            started_ms: random.bool().then(|| random.u64(..1 << 42)),
+            consecutive_failures: random.u32(..),
+            ejected_for: random.u64(..1 << 40),
+            slow_start_tokens: random.f64(),
+            latency_by_class: (0..classes).map(|_| mean(random)).collect(),
         };
-        Pool {
-            name: name(r),
-            classes: (0..classes).map(|_| name(r)).collect(),
-            usual: (0..classes).map(|_| mean(r)).collect(),
-            any: mean(r),
-            kinds: (0..r.usize(..3)).map(|_| (name(r), mean(r))).collect(),
-            zones: (0..r.usize(..3)).map(|_| (name(r), mean(r))).collect(),
-            up_for: r.u64(..1 << 40),
-            threshold: r.bool().then(|| r.f64()),
-            cursor: r.f64(),
-            baseline: r.bool().then(|| r.f64()),
-            nodes: (0..nodes).map(|_| node(r)).collect(),
+        PoolRecord {
+            name: name(random),
+            classes: (0..classes).map(|_| name(random)).collect(),
+            typical_latency: (0..classes).map(|_| mean(random)).collect(),
+            pool_latency: mean(random),
+            latency_by_machine_kind: (0..random.usize(..3)).map(|_| named_mean(random)).collect(),
+            loss_by_zone: (0..random.usize(..3)).map(|_| named_mean(random)).collect(),
+            uptime: random.u64(..1 << 40),
+            threshold_per_endpoint: random.bool().then(|| random.f64()),
+            cursor_position: random.f64(),
+            baseline_latency: random.bool().then(|| random.f64()),
+            endpoints: (0..endpoints).map(|_| endpoint(random)).collect(),
         }
     };
-    let written_ms = r.bool().then(|| r.u64(..));
-    Snapshot { written_ms, pools: (0..pools).map(|_| pool(r)).collect() }
+    let written_ms = random.bool().then(|| random.u64(..));
+    Snapshot { written_ms, pools: (0..pools).map(|_| pool(random)).collect() }
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn an_encoded_snapshot_is_decoded() {
     for seed in 0..100 {
-        let all = snapshot(seed, (seed % 5) as usize, (seed * 37 % 1500) as usize);
-        assert_eq!(read(&write(&all)), Ok((all, Faults::default())), "seed {seed}");
+        let original = snapshot(seed, (seed % 5) as usize, (seed * 37 % 1500) as usize);
+        assert_eq!(decode(&encode(&original)), Ok((original, SkippedSections::default())), "seed {seed}");
     }
 }
 
 #[test]
-fn a_clock_that_went_back_or_leapt_makes_it_very_old() {
+fn a_clock_that_was_set_makes_a_snapshot_of_maximum_age() {
     let written = |written_ms| Snapshot { written_ms, pools: Vec::new() };
     let now = 1_700_000_000_000;
     assert_eq!(written(Some(now - 2500)).age(now), 2_500_000);
     for strange in [None, Some(now + 1), Some(u64::MAX), Some(0)] {
-        assert_eq!(written(strange).age(now), VERY_OLD, "{strange:?}");
+        assert_eq!(written(strange).age(now), MAX_AGE, "{strange:?}");
     }
 }
 
 #[test]
-fn a_long_name_is_cut_and_its_nodes_stay_its_own() {
-    let mut all = snapshot(7, 1, 3);
-    all.pools[0].name = "ü".repeat(200);
-    let (found, faults) = read(&write(&all)).expect("good");
-    assert_eq!((faults, found.pools[0].name.len(), found.pools[0].nodes.len()), (Faults::default(), 256, 3));
+fn a_long_pool_name_is_cut_and_its_endpoints_still_belong_to_it() {
+    let mut original = snapshot(7, 1, 3);
+    original.pools[0].name = "ü".repeat(200);
+    let (decoded, skipped) = decode(&encode(&original)).expect("good");
+    assert_eq!(
+        (skipped, decoded.pools[0].name.len(), decoded.pools[0].endpoints.len()),
+        (SkippedSections::default(), 256, 3)
+    );
 }
 
 #[test]
 fn a_flipped_bit_costs_its_section() {
-    let all = snapshot(1, 3, 700);
-    let good = write(&all);
+    let original = snapshot(1, 3, 700);
+    let encoded = encode(&original);
     let mut random = fastrand::Rng::with_seed(2);
     for _ in 0..500 {
-        let mut bytes = good.clone();
-        let at = random.usize(..bytes.len());
-        bytes[at] ^= 1 << random.u8(..8);
-        match read(&bytes) {
+        let mut bytes = encoded.clone();
+        let position = random.usize(..bytes.len());
+        bytes[position] ^= 1 << random.u8(..8);
+        match decode(&bytes) {
             // Only in the head.
-            Err(fault) => assert!(at < 16, "{at}: {fault}"),
-            Ok((found, faults)) => {
-                assert!(faults != Faults::default(), "{at}: not seen");
-                // What is read is what was written: whole pools, and of each some sections of nodes.
-                for pool in &found.pools {
-                    let was =
-                        all.pools.iter().find(|p| p.name == pool.name).expect("a pool that was written");
-                    assert_eq!((&pool.usual, pool.up_for), (&was.usual, was.up_for));
-                    assert!(pool.nodes.iter().all(|n| was.nodes.contains(n)), "{at}");
+            Err(fault) => assert!(position < 16, "{position}: {fault}"),
+            Ok((decoded, skipped)) => {
+                assert!(skipped != SkippedSections::default(), "{position}: not seen");
+                // What is decoded is what was encoded: complete pools, and some sections of endpoints of each.
+                for pool in &decoded.pools {
+                    let written = original
+                        .pools
+                        .iter()
+                        .find(|candidate| candidate.name == pool.name)
+                        .expect("a pool that was written");
+                    assert_eq!(
+                        (&pool.typical_latency, pool.uptime),
+                        (&written.typical_latency, written.uptime)
+                    );
+                    assert!(
+                        pool.endpoints.iter().all(|endpoint| written.endpoints.contains(endpoint)),
+                        "{position}"
+                    );
                 }
                 // A flipped length may hide what follows; anything else costs one section, or a pool.
-                let nodes: usize = found.pools.iter().map(|p| p.nodes.len()).sum();
-                let length = faults.cut || faults.damaged > 2;
-                assert!(length || nodes >= 2 * 700, "{at}: {faults:?}, {nodes} nodes");
+                let endpoints: usize = decoded.pools.iter().map(|pool| pool.endpoints.len()).sum();
+                let length = skipped.truncated || skipped.damaged > 2;
+                assert!(length || endpoints >= 2 * 700, "{position}: {skipped:?}, {endpoints} endpoints");
             }
         }
     }
 }
 
-/// The section of a pool is lost, and what stands behind it must not become another's.
+/// The section of a pool is lost, and its endpoints must not become those of another pool.
 #[test]
-fn nodes_of_a_pool_that_is_lost_are_nobodys() {
-    let mut all = snapshot(6, 2, 20);
-    for (pool, name) in all.pools.iter_mut().zip(["first", "second"]) {
-        (pool.name, pool.classes, pool.usual) = (name.to_owned(), Vec::new(), Vec::new());
-        pool.nodes.iter_mut().for_each(|n| n.classes.clear());
+fn endpoints_of_a_lost_pool_are_skipped() {
+    let mut original = snapshot(6, 2, 20);
+    for (pool, name) in original.pools.iter_mut().zip(["first", "second"]) {
+        (pool.name, pool.classes, pool.typical_latency) = (name.to_owned(), Vec::new(), Vec::new());
+        pool.endpoints.iter_mut().for_each(|endpoint| endpoint.latency_by_class.clear());
     }
-    let mut bytes = write(&all);
-    let at = bytes.windows(6).position(|w| w == b"second").expect("it is there");
-    bytes[at] ^= 1;
-    let (found, faults) = read(&bytes).expect("a good head");
-    assert_eq!((found.pools, faults.damaged), (vec![all.pools[0].clone()], 2));
+    let mut bytes = encode(&original);
+    let position = bytes.windows(6).position(|window| window == b"second").expect("it is there");
+    bytes[position] ^= 1;
+    let (decoded, skipped) = decode(&bytes).expect("a good head");
+    assert_eq!((decoded.pools, skipped.damaged), (vec![original.pools[0].clone()], 2));
 }
 
 #[test]
-fn a_cut_file_gives_what_came_whole() {
-    let all = snapshot(3, 2, 600);
-    let good = write(&all);
-    let mut most = 0;
-    for cut in (0..good.len()).step_by(61) {
-        let Ok((found, _)) = read(&good[..cut]) else {
-            assert!(cut < 16);
+fn a_truncated_file_gives_its_complete_sections() {
+    let original = snapshot(3, 2, 600);
+    let encoded = encode(&original);
+    let mut max_endpoints = 0;
+    for truncated in (0..encoded.len()).step_by(61) {
+        let Ok((decoded, _)) = decode(&encoded[..truncated]) else {
+            assert!(truncated < 16);
             continue;
         };
-        let nodes: usize = found.pools.iter().map(|p| p.nodes.len()).sum();
-        assert!(nodes >= most, "more bytes, fewer nodes");
-        most = nodes;
+        let endpoints: usize = decoded.pools.iter().map(|pool| pool.endpoints.len()).sum();
+        assert!(endpoints >= max_endpoints, "more bytes, fewer endpoints");
+        max_endpoints = endpoints;
     }
-    assert!(most >= 512 + 600, "{most}");
+    assert!(max_endpoints >= 512 + 600, "{max_endpoints}");
 }
 
 /// A section as any version writes it.
@@ -147,60 +166,66 @@
 }
 
 #[test]
-fn a_newer_version_is_read_as_far_as_it_is_known() {
-    let all = snapshot(4, 1, 3);
+fn a_newer_version_is_decoded_as_far_as_it_is_known() {
+    let original = snapshot(4, 1, 3);
     let mut bytes = head(2, 1);
     bytes.extend(section(900, b"what nobody here knows"));
-    bytes.extend(&write(&all)[16..]);
-    assert_eq!(read(&bytes), Ok((all, Faults { unknown: 1, ..Faults::default() })));
-    assert_eq!(read(&head(3, 2)), Err(Unreadable::TooNew(3)));
+    bytes.extend(&encode(&original)[16..]);
+    assert_eq!(decode(&bytes), Ok((original, SkippedSections { unknown: 1, ..SkippedSections::default() })));
+    assert_eq!(decode(&head(3, 2)), Err(DecodeError::UnsupportedVersion(3)));
     let mut damaged = head(1, 1);
     damaged[8] = 9;
-    assert_eq!(read(&damaged), Err(Unreadable::Damaged));
-    assert_eq!(read(b"something else"), Err(Unreadable::NoKnowledge));
+    assert_eq!(decode(&damaged), Err(DecodeError::DamagedHead));
+    assert_eq!(decode(b"something else"), Err(DecodeError::NotLearnedState));
 }
 
-/// Of version 1, made from its description by other means, and kept: later versions read it to the same.
+/// A file of version 1, made from its description by other means: later versions decode it to the same.
 #[test]
-fn the_file_of_version_1_stays_readable() {
-    let kept = include_bytes!("version-1.bin");
-    let node = |name: &str, started_ms| Node {
+fn a_file_of_version_1_stays_readable() {
+    let stored = include_bytes!("version-1.bin");
+    let endpoint = |name: &str, started_ms| EndpointRecord {
         name: name.to_owned(),
         started_ms,
-        fails: 2,
-        out_for: 1_500_000,
-        cold_tokens: 0.25,
-        classes: vec![Mean { sum: 12.5, weight: 5.0, age: 250_000 }],
+        consecutive_failures: 2,
+        ejected_for: 1_500_000,
+        slow_start_tokens: 0.25,
+        latency_by_class: vec![DecayedMean { sum: 12.5, weight: 5.0, age: 250_000 }],
     };
-    let all = Snapshot {
+    let original = Snapshot {
         written_ms: None,
-        pools: vec![Pool {
+        pools: vec![PoolRecord {
             name: "pairings".to_owned(),
             classes: vec!["standings".to_owned()],
-            usual: vec![Mean { sum: 90_000.0, weight: 4.5, age: 1_000 }],
-            any: Mean { sum: 90_000.0, weight: 4.5, age: 1_000 },
-            kinds: vec![("m5".to_owned(), Mean { sum: 9.0, weight: 9.0, age: 2_000 })],
-            zones: vec![("south".to_owned(), Mean { sum: 0.5, weight: 30.0, age: 3_000 })],
-            up_for: 86_400_000_000,
-            threshold: Some(17.25),
-            cursor: 0.125,
-            baseline: None,
-            nodes: vec![node("pairing-1", Some(1_790_000_000_000)), node("pairing-2", None)],
+            typical_latency: vec![DecayedMean { sum: 90_000.0, weight: 4.5, age: 1_000 }],
+            pool_latency: DecayedMean { sum: 90_000.0, weight: 4.5, age: 1_000 },
+            latency_by_machine_kind: vec![NamedMean {
+                name: "m5".to_owned(),
+                mean: DecayedMean { sum: 9.0, weight: 9.0, age: 2_000 },
+            }],
+            loss_by_zone: vec![NamedMean {
+                name: "south".to_owned(),
+                mean: DecayedMean { sum: 0.5, weight: 30.0, age: 3_000 },
+            }],
+            uptime: 86_400_000_000,
+            threshold_per_endpoint: Some(17.25),
+            cursor_position: 0.125,
+            baseline_latency: None,
+            endpoints: vec![endpoint("pairing-1", Some(1_790_000_000_000)), endpoint("pairing-2", None)],
         }],
     };
-    assert_eq!(write(&all), kept, "version 1 is written otherwise than it was");
-    assert_eq!(read(kept), Ok((all, Faults::default())));
+    assert_eq!(encode(&original), stored, "version 1 is written otherwise than it was");
+    assert_eq!(decode(stored), Ok((original, SkippedSections::default())));
 }
 
 proptest! {
     #[test]
     fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), kind in 0_u16..4) {
-        let _ = read(&bytes);
-        // With sums that are right, so that all of it is looked at.
+        let _ = decode(&bytes);
+        // With valid checksums, so that all of it is decoded.
         let mut sound = head(1, 1);
-        sound.extend(section(1, &write(&snapshot(5, 1, 0))[26..]));
+        sound.extend(section(1, &encode(&snapshot(5, 1, 0))[26..]));
         sound.extend(section(kind, &bytes));
-        let (found, _) = read(&sound).expect("a good head");
-        prop_assert!(found.pools.iter().all(|p| p.nodes.len() <= 600));
+        let (decoded, _) = decode(&sound).expect("a good head");
+        prop_assert!(decoded.pools.iter().all(|pool| pool.endpoints.len() <= 600));
     }
 }
--- a/crates/membership/tests/notification_bound.rs
+++ b/crates/membership/tests/notification_bound.rs
@@ -235,7 +235,7 @@
 
     /// Checks the time until then, in which there is no event.
     fn check_until(&mut self, to: Micros) {
-        let expiry = self.watch.expiry().map(|event| (event.from, event.until));
+        let expiry = self.watch.expiry().map(|expiry| (expiry.from, expiry.until));
         if let Some((from, until)) = expiry {
             self.suspended_time += (to.min(until) - self.now.max(from)).max(0);
         }
--- a/crates/membership/tests/notification_bound_fleet.rs
+++ b/crates/membership/tests/notification_bound_fleet.rs
@@ -138,7 +138,7 @@
                 .enumerate()
                 .filter_map(|(index, watch)| Some((watch.wake_at()?, index)))
                 .min();
-            let Some(now) = event.into_iter().chain(wake.map(|watch| watch.0)).min().filter(|at| *at < end)
+            let Some(now) = event.into_iter().chain(wake.map(|(at, _)| at)).min().filter(|at| *at < end)
             else {
                 break;
             };
@@ -146,7 +146,7 @@
                 Some(at) if at <= now => self.pending_events.pop_first().expect("there is one").1,
                 _ => (wake.expect("it is due").1, WatchEvent::TimerDue),
             };
-            let expiry = self.watches[proxy].expiry().map(|event| (event.from, event.until));
+            let expiry = self.watches[proxy].expiry().map(|expiry| (expiry.from, expiry.until));
             let (mut suspended_time, from) = (0, last[proxy]);
             if let Some((begin, until)) = expiry {
                 suspended_time = (now.min(until) - begin.max(from)).max(0);
@@ -265,13 +265,8 @@
             fleet.call_cost = SECOND / calls_per_second;
             fleet.watches = (0..100_usize)
                 .map(|index| {
-                    let start_spread = start_of(index, 100 * MILLISECOND);
-                    DiscoveryWatch::new(
-                        POLLED,
-                        InitialList::Absent,
-                        start_spread,
-                        seed * 1_000 + index as u64,
-                    )
+                    let started_at = start_of(index, 100 * MILLISECOND);
+                    DiscoveryWatch::new(POLLED, InitialList::Absent, started_at, seed * 1_000 + index as u64)
                 })
                 .collect();
             fleet.run(60 * SECOND);
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,12 +1,13 @@
-//! What was learned, on its way from a process to the one that takes over: a file in the folder that both share. It
-//! is believed as what outlives a process always is, by its age and as far as its servers are the same ones.
+//! Passes learned state from a process to the one that takes over: a file in the folder that both share. It is imported as any
+//! saved state, with regard to its age and to the endpoints that are still the same processes.
 
 use std::cell::{Cell, RefCell};
-use std::fs;
 use std::path::Path;
 use std::time::Duration;
+use std::{fs, io};
 
 use decide::platform_settings::NameTable;
+use learned_state::Snapshot;
 use tokio::time::sleep;
 
 use crate::clock::Clock;
@@ -15,62 +16,67 @@
 use crate::log::say;
 use crate::membership::RegisteredEndpoints;
 
-/// The names of the file, and of what will be it.
-const FILE: &str = "amberlever.learned";
-const NEW: &str = "amberlever.learned.new";
-/// The one pool of the platform's mode.
-const POOL: &str = "platform";
-/// How often it is written. The one that takes over may be started at any moment.
-const EVERY: Duration = Duration::from_secs(1);
-/// Not in the first while, in which little is learned that the process before did not know better.
-const FIRST: Duration = Duration::from_secs(3);
+const FILE_NAME: &str = "amberlever.learned";
+/// The name of a file that is being written.
+const TEMPORARY_NAME: &str = "amberlever.learned.new";
+/// The name of the one pool of the platform mode.
+const POOL_NAME: &str = "platform";
+/// How often the file is written: the next process may start at any moment.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
+/// The first write comes after this: before, little is learned that the previous process did not know.
+const FIRST_WRITE_DELAY: Duration = Duration::from_secs(3);
 /// The largest file that is read, in bytes.
-const MOST_BYTES: u64 = 4 << 20;
+const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// What the process before left in this folder, if anything.
-pub fn take_up(
+/// Imports the state that the previous process left in this folder, if any.
+pub fn import(
     folder: &Path,
-    known: &RegisteredEndpoints,
+    endpoints: &RegisteredEndpoints,
     clock: Clock,
     names: &NameTable,
-    handle: &DriverHandle,
+    driver: &DriverHandle,
 ) {
-    let path = folder.join(FILE);
-    if !fs::metadata(&path).is_ok_and(|m| m.len() <= MOST_BYTES) {
+    let path = folder.join(FILE_NAME);
+    if !fs::metadata(&path).is_ok_and(|metadata| metadata.len() <= MAX_FILE_BYTES) {
         return;
     }
     let Ok(bytes) = fs::read(&path) else { return };
-    let Some(told) = SavedState::decode(&bytes).and_then(|past| past.pool(POOL)) else {
+    let Some(saved) = SavedState::decode(&bytes).and_then(|state| state.pool(POOL_NAME)) else {
         say(format_args!("knowledge: passing over {}: not as it was written", path.display()));
         return;
     };
-    known.import_learned_state(told, clock, names, handle);
+    endpoints.import_learned_state(saved, clock, names, driver);
 }
 
-/// Leaves what is learned for the next process, until this one is told to end: then the next one knows better.
-pub async fn leave(
+/// Writes the state for the next process, until this one begins to shut down: from then on the next one knows more.
+pub async fn export(
     folder: &Path,
-    known: &RegisteredEndpoints,
+    endpoints: &RegisteredEndpoints,
     clock: Clock,
     names: &RefCell<NameTable>,
-    handle: DriverHandle,
-    ending: &Cell<bool>,
+    driver: DriverHandle,
+    shutting_down: &Cell<bool>,
 ) {
-    sleep(FIRST).await;
-    let mut complained = false;
-    while !ending.get() {
-        if let Some(learned) = handle.learned_state().await {
-            let pools = vec![known.export_learned_state(POOL, &learned, clock, &names.borrow())];
-            let snapshot =
-                timestamped(learned_state::Snapshot { pools, ..learned_state::Snapshot::default() });
-            // Not synced: it is for a process that follows on this machine.
-            let made = fs::write(folder.join(NEW), learned_state::write(&snapshot))
-                .and_then(|()| fs::rename(folder.join(NEW), folder.join(FILE)));
-            if let (Err(e), false) = (made, complained) {
-                complained = true;
-                say(format_args!("knowledge: the next process will learn anew: {e}"));
+    sleep(FIRST_WRITE_DELAY).await;
+    let mut fault_logged = false;
+    while !shutting_down.get() {
+        if let Some(learned) = driver.learned_state().await {
+            let pool = endpoints.export_learned_state(POOL_NAME, &learned, clock, &names.borrow());
+            let snapshot = timestamped(Snapshot { pools: vec![pool], ..Snapshot::default() });
+            if let Err(error) = write(folder, &snapshot) {
+                if !fault_logged {
+                    fault_logged = true;
+                    say(format_args!("knowledge: the next process will learn anew: {error}"));
+                }
             }
         }
-        sleep(EVERY).await;
+        sleep(WRITE_INTERVAL).await;
     }
 }
+
+/// Replaces the file. It is not synced: it is for a process that follows on this machine.
+fn write(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
+    let temporary = folder.join(TEMPORARY_NAME);
+    fs::write(&temporary, learned_state::encode(snapshot))?;
+    fs::rename(&temporary, folder.join(FILE_NAME))
+}
--- /dev/null
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -0,0 +1,128 @@
+//! Writes learned state to a folder, on a thread of its own, so that a slow disk delays no request.
+
+use std::path::PathBuf;
+use std::sync::mpsc;
+use std::thread;
+use std::time::Duration;
+
+use atomic_file::{AtomicFileStore, Folder};
+use config::LearnedStateSettings;
+use learned_state::Snapshot;
+use tokio::sync::oneshot;
+use tokio::time::{timeout, Instant};
+
+use super::timestamped;
+use crate::log::say;
+
+/// The last write is awaited for this long, so that a disk that hangs does not delay the shutdown.
+const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often the last write is submitted again while the thread is busy.
+const RESUBMIT_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A snapshot to write.
+struct WriteJob {
+    snapshot: Snapshot,
+    /// Notified when it is written, or failed.
+    done: Option<oneshot::Sender<()>>,
+}
+
+/// Writes learned state. Its thread ends with it.
+pub struct StateWriter {
+    jobs: mpsc::SyncSender<WriteJob>,
+    interval: Duration,
+}
+
+impl StateWriter {
+    /// Starts the thread, which opens the folder as soon as that can be had.
+    pub fn start(settings: &LearnedStateSettings) -> StateWriter {
+        let (jobs, job_receiver) = mpsc::sync_channel(1);
+        let writer = FolderWriter::new(settings.folder.clone(), settings.files);
+        let thread = thread::Builder::new().name("memory".to_owned());
+        if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
+            say(format_args!("knowledge: not kept: {error}"));
+        }
+        StateWriter { jobs, interval: settings.every }
+    }
+
+    /// Writes the state at every interval, for as long as it is polled.
+    pub async fn write_periodically(&self, state: impl AsyncFn() -> Snapshot) {
+        loop {
+            tokio::time::sleep(self.interval).await;
+            // A snapshot that still waits is recent enough: a slow disk gets no second one.
+            let _ = self.jobs.try_send(WriteJob { snapshot: timestamped(state().await), done: None });
+        }
+    }
+
+    /// Writes for the last time.
+    pub async fn write_last(&self, snapshot: Snapshot) {
+        let (done, written) = oneshot::channel();
+        let mut job = WriteJob { snapshot: timestamped(snapshot), done: Some(done) };
+        let deadline = Instant::now() + LAST_WRITE_TIMEOUT;
+        while let Err(mpsc::TrySendError::Full(unsent)) = self.jobs.try_send(job) {
+            if Instant::now() >= deadline {
+                return;
+            }
+            job = unsent;
+            tokio::time::sleep(RESUBMIT_INTERVAL).await;
+        }
+        let _ = timeout(LAST_WRITE_TIMEOUT, written).await;
+    }
+}
+
+/// What the thread owns.
+struct FolderWriter {
+    folder: PathBuf,
+    max_files: usize,
+    store: Option<AtomicFileStore<Folder>>,
+    logged_fault: Option<String>,
+}
+
+impl FolderWriter {
+    fn new(folder: PathBuf, max_files: usize) -> FolderWriter {
+        FolderWriter { folder, max_files, store: None, logged_fault: None }
+    }
+
+    fn run(mut self, jobs: &mpsc::Receiver<WriteJob>) {
+        let opened = self.open().map(|_| ());
+        self.log(opened);
+        while let Ok(WriteJob { snapshot, done }) = jobs.recv() {
+            let written = self.write(&snapshot);
+            self.log(written);
+            if let Some(done) = done {
+                let _ = done.send(());
+            }
+        }
+    }
+
+    fn write(&mut self, snapshot: &Snapshot) -> Result<(), String> {
+        let store = self.open()?;
+        store.put(&learned_state::encode(snapshot)).map_err(|error| error.to_string())
+    }
+
+    fn open(&mut self) -> Result<&mut AtomicFileStore<Folder>, String> {
+        let store = match self.store.take() {
+            Some(store) => store,
+            None => {
+                let folder = Folder::open(&self.folder).map_err(|error| error.to_string())?;
+                AtomicFileStore::open(folder, self.max_files).map_err(|error| error.to_string())?
+            }
+        };
+        Ok(self.store.insert(store))
+    }
+
+    /// Logs a fault once, and that it is over.
+    fn log(&mut self, result: Result<(), String>) {
+        let folder = self.folder.display();
+        match result {
+            Err(fault) if self.logged_fault.as_ref() != Some(&fault) => {
+                say(format_args!("knowledge: not kept in {folder}: {fault}"));
+                self.logged_fault = Some(fault);
+            }
+            Ok(()) if self.logged_fault.is_some() => {
+                say(format_args!("knowledge: kept in {folder} again"));
+                self.logged_fault = None;
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/proxy/src/membership/registry/registered.rs
+++ b/crates/proxy/src/membership/registry/registered.rs
@@ -158,7 +158,7 @@
             clock.at_unix_ms(started_ms as f64).map(|started_at| now.saturating_sub(started_at))
         };
         let endpoint_names = endpoint_names(&by_name, names);
-        let learned = names::with_indexes(&saved.pool, saved.age(), &endpoint_names, uptime);
+        let learned = names::to_learned_state(&saved.record, saved.age(), &endpoint_names, uptime);
         driver.import_learned_state(vec![learned]);
     }
 
@@ -169,11 +169,11 @@
         learned: &LearnedState,
         clock: Clock,
         names: &NameTable,
-    ) -> learned_state::Pool {
+    ) -> learned_state::PoolRecord {
         let by_name = self.by_name.borrow();
         let now = clock.now();
         let started_ms = |uptime| clock.unix_ms(now.saturating_sub(uptime));
-        names::with_names(pool, learned, &endpoint_names(&by_name, names), started_ms)
+        names::to_pool_record(pool, learned, &endpoint_names(&by_name, names), started_ms)
     }
 }
 
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -240,9 +240,9 @@
     if let Some(folder) = folder.clone().filter(|_| shared) {
         let (known, handle, ending) = (Rc::clone(&roster.endpoints), handle.clone(), Rc::clone(&ending));
         let names = Rc::clone(&roster.names);
-        handover::take_up(&folder, &known, clock, &names.borrow(), &handle);
+        handover::import(&folder, &known, clock, &names.borrow(), &handle);
         spawn_local(async move {
-            handover::leave(&folder, &known, clock, &names, handle, &ending).await;
+            handover::export(&folder, &known, clock, &names, handle, &ending).await;
         });
     }
     if let Some(mgmt) = mgmt {
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -213,7 +213,7 @@
     }
 
     /// What it has learned.
-    pub async fn learned_state(&self) -> Option<learned_state::Pool> {
+    pub async fn learned_state(&self) -> Option<learned_state::PoolRecord> {
         let learned = self.handle.learned_state().await?;
         Some(self.known.export_learned_state(&self.name, &learned, self.clock, &self.names.borrow()))
     }
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -96,7 +96,7 @@
     });
     let keeping = memory.clone().map(|memory| {
         let current = Rc::clone(&current);
-        spawn_local(async move { memory.keep(async || learned(&current).await).await })
+        spawn_local(async move { memory.write_periodically(async || learned(&current).await).await })
     });
     let ending = Rc::clone(&current);
     let open = doors.open(callers, |listener, place| {
@@ -136,7 +136,7 @@
     open.close().await;
     if let (Some(memory), Some(keeping)) = (memory, keeping) {
         keeping.abort();
-        memory.end(learned(&ending).await).await;
+        memory.write_last(learned(&ending).await).await;
     }
     Ok(())
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-use atomic_file::{Files, Folder};
+use atomic_file::{FileStorage, Folder};
 use redb::{Database, ReadableTable, TableDefinition};
 
 use crate::{Record, StoreError, Versions, KEPT};
@@ -95,7 +95,7 @@
     /// Writes a file whole or not at all.
     fn write(&self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
         // The store's own lock holds the folder.
-        let files = Folder::held(&self.folder);
+        let files = Folder::without_lock(&self.folder);
         files.replace(&format!("{name}.next"), name, bytes)?;
         files.sync_folder()
     }
--- a/src/bin/amberlever/state.rs
+++ b/src/bin/amberlever/state.rs
@@ -1,23 +1,25 @@
-//! `amberlever state`: files of what was learned, for people and for tools.
+//! `amberlever state`: shows and compares files of learned state, for people and for tools.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::process::ExitCode;
 
-use learned_state::{Faults, Mean, Snapshot};
+use learned_state::{DecayedMean, DecodeError, PoolRecord, SkippedSections, Snapshot};
 use serde_json::json;
 
 use crate::cli::{Format, StateCommand};
 use crate::{failed, BAD_CONFIGURATION};
 
+const MICROS_PER_SECOND: f64 = 1e6;
+const MICROS_PER_MILLISECOND: f64 = 1e3;
+
+/// Runs the command.
 pub fn run(command: &StateCommand, format: Format) -> ExitCode {
-    let told = match command {
-        StateCommand::Show { file } => read(file).map(|(figures, faults)| show(&figures, faults, format)),
-        StateCommand::Diff { before, after } => read(before)
-            .and_then(|(before, _)| Ok((before, read(after)?.0)))
-            .map(|(before, after)| diff(&before, &after, format)),
+    let text = match command {
+        StateCommand::Show { file } => read(file).map(|file| show(&file, format)),
+        StateCommand::Diff { before, after } => compare(before, after, format),
     };
-    match told {
+    match text {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
@@ -26,123 +28,168 @@
     }
 }
 
-/// What a thing is called, and its figures by name.
-type Figures = BTreeMap<String, BTreeMap<&'static str, f64>>;
+/// The figures of a pool, endpoint, class, machine kind or zone, by their names.
+type Figures = BTreeMap<&'static str, f64>;
+/// Figures by subject.
+type FiguresBySubject = BTreeMap<String, Figures>;
+
+/// A file that was read.
+struct StateFile {
+    figures: FiguresBySubject,
+    skipped: SkippedSections,
+}
 
-fn read(path: &Path) -> Result<(Figures, Faults), String> {
-    let fault = |why: String| format!("{}: {why}", path.display());
-    // A file that is no such file may be of any size.
-    let size = std::fs::metadata(path).map_err(|e| fault(e.to_string()))?.len();
-    if size > learned_state::MOST_BYTES as u64 {
-        return Err(fault(learned_state::Unreadable::TooLarge.to_string()));
+fn read(path: &Path) -> Result<StateFile, String> {
+    let fault = |reason: String| format!("{}: {reason}", path.display());
+    // A file of another kind may be of any size.
+    let size = std::fs::metadata(path).map_err(|error| fault(error.to_string()))?.len();
+    if size > learned_state::MAX_FILE_BYTES as u64 {
+        return Err(fault(DecodeError::TooLarge.to_string()));
     }
-    let bytes = std::fs::read(path).map_err(|e| fault(e.to_string()))?;
-    let (snapshot, faults) = learned_state::read(&bytes).map_err(|e| fault(e.to_string()))?;
-    Ok((figures(&snapshot), faults))
+    let bytes = std::fs::read(path).map_err(|error| fault(error.to_string()))?;
+    let (snapshot, skipped) = learned_state::decode(&bytes).map_err(|error| fault(error.to_string()))?;
+    Ok(StateFile { figures: figures(&snapshot), skipped })
 }
 
-/// Names come from elsewhere: nothing in them reaches a terminal as it is.
-fn called(parts: &[&str]) -> String {
+/// The name of a subject. Its parts come from elsewhere, so they are escaped for terminals.
+fn subject(parts: &[&str]) -> String {
     parts.iter().map(|part| part.escape_default().to_string()).collect::<Vec<_>>().join(" / ")
 }
 
-fn figures(snapshot: &Snapshot) -> Figures {
-    let mut all = Figures::new();
-    let mut put = |name: String, figures: &[(&'static str, f64)]| {
-        all.insert(name, figures.iter().copied().filter(|(_, x)| !x.is_nan()).collect());
-    };
-    let mean = |m: &Mean, unit: &'static str, scale: f64| {
-        let of = if m.weight > 0.0 { m.sum / m.weight / scale } else { f64::NAN };
-        [(unit, of), ("samples", m.weight), ("age_s", m.age as f64 / 1e6)]
-    };
+fn figures(snapshot: &Snapshot) -> FiguresBySubject {
+    let mut all = FiguresBySubject::new();
     for pool in &snapshot.pools {
-        let own = [
-            ("up_s", pool.up_for as f64 / 1e6),
-            ("t1_a_server", pool.threshold.unwrap_or(f64::NAN)),
-            ("cursor", pool.cursor),
-            ("baseline", pool.baseline.unwrap_or(f64::NAN)),
-        ];
-        put(called(&[&pool.name]), &own);
-        for (class, m) in pool.classes.iter().zip(&pool.usual) {
-            put(called(&[&pool.name, "class", class]), &mean(m, "answer_ms", 1e3));
-        }
-        for (kind, m) in &pool.kinds {
-            put(called(&[&pool.name, "kind", kind]), &mean(m, "times_the_pools", 1.0));
-        }
-        for (zone, m) in &pool.zones {
-            put(called(&[&pool.name, "zone", zone]), &mean(m, "lost", 1.0));
-        }
-        for node in &pool.nodes {
-            let own = [
-                ("fails", f64::from(node.fails)),
-                ("left_alone_s", node.out_for as f64 / 1e6),
-                ("cold_calls", node.cold_tokens),
-            ];
-            put(called(&[&pool.name, "node", &node.name]), &own);
-            for (class, m) in pool.classes.iter().zip(&node.classes) {
-                put(called(&[&pool.name, "node", &node.name, class]), &mean(m, "times_the_pools", 1.0));
-            }
-        }
+        all.insert(subject(&[&pool.name]), pool_figures(pool));
+        insert_pool_means(&mut all, pool);
+        insert_endpoints(&mut all, pool);
     }
     all
 }
 
-fn number(x: f64) -> String {
-    let text = format!("{x:.3}");
+/// The figures that are known: not NaN.
+fn known(figures: impl IntoIterator<Item = (&'static str, f64)>) -> Figures {
+    figures.into_iter().filter(|(_, value)| !value.is_nan()).collect()
+}
+
+fn pool_figures(pool: &PoolRecord) -> Figures {
+    known([
+        ("up_s", pool.uptime as f64 / MICROS_PER_SECOND),
+        ("t1_a_server", pool.threshold_per_endpoint.unwrap_or(f64::NAN)),
+        ("cursor", pool.cursor_position),
+        ("baseline", pool.baseline_latency.unwrap_or(f64::NAN)),
+    ])
+}
+
+/// The figures of a mean, which has this name and is divided by this scale.
+fn mean_figures(mean: &DecayedMean, name: &'static str, scale: f64) -> Figures {
+    let value = if mean.weight > 0.0 { mean.sum / mean.weight / scale } else { f64::NAN };
+    known([(name, value), ("samples", mean.weight), ("age_s", mean.age as f64 / MICROS_PER_SECOND)])
+}
+
+fn insert_pool_means(all: &mut FiguresBySubject, pool: &PoolRecord) {
+    for (class, mean) in pool.classes.iter().zip(&pool.typical_latency) {
+        let figures = mean_figures(mean, "answer_ms", MICROS_PER_MILLISECOND);
+        all.insert(subject(&[&pool.name, "class", class]), figures);
+    }
+    for kind in &pool.latency_by_machine_kind {
+        let figures = mean_figures(&kind.mean, "times_the_pools", 1.0);
+        all.insert(subject(&[&pool.name, "kind", &kind.name]), figures);
+    }
+    for zone in &pool.loss_by_zone {
+        all.insert(subject(&[&pool.name, "zone", &zone.name]), mean_figures(&zone.mean, "lost", 1.0));
+    }
+}
+
+fn insert_endpoints(all: &mut FiguresBySubject, pool: &PoolRecord) {
+    for endpoint in &pool.endpoints {
+        let figures = known([
+            ("fails", f64::from(endpoint.consecutive_failures)),
+            ("left_alone_s", endpoint.ejected_for as f64 / MICROS_PER_SECOND),
+            ("cold_calls", endpoint.slow_start_tokens),
+        ]);
+        all.insert(subject(&[&pool.name, "node", &endpoint.name]), figures);
+        for (class, mean) in pool.classes.iter().zip(&endpoint.latency_by_class) {
+            let figures = mean_figures(mean, "times_the_pools", 1.0);
+            all.insert(subject(&[&pool.name, "node", &endpoint.name, class]), figures);
+        }
+    }
+}
+
+fn number(value: f64) -> String {
+    let text = format!("{value:.3}");
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
 
-fn show(all: &Figures, faults: Faults, format: Format) -> String {
+fn show(file: &StateFile, format: Format) -> String {
+    let SkippedSections { damaged, unknown, truncated } = file.skipped;
     if format == Format::Json {
-        let faults = json!({ "damaged": faults.damaged, "unknown": faults.unknown, "cut": faults.cut });
-        return json!({ "figures": all, "faults": faults }).to_string() + "\n";
+        let faults = json!({ "damaged": damaged, "unknown": unknown, "cut": truncated });
+        return json!({ "figures": file.figures, "faults": faults }).to_string() + "\n";
     }
-    let width = all.keys().map(|name| name.chars().count()).max().unwrap_or(0);
+    let width = file.figures.keys().map(|subject| subject.chars().count()).max().unwrap_or(0);
     let mut out = String::new();
-    for (name, figures) in all {
-        let row: Vec<String> = figures.iter().map(|(what, x)| format!("{what} {}", number(*x))).collect();
-        out += &format!("{name:<width$}  {}\n", row.join(", "));
+    for (subject, figures) in &file.figures {
+        let row: Vec<String> =
+            figures.iter().map(|(name, value)| format!("{name} {}", number(*value))).collect();
+        out += &format!("{subject:<width$}  {}\n", row.join(", "));
     }
-    if faults != Faults::default() {
-        let Faults { damaged, unknown, cut } = faults;
-        let end = if cut { ", and it is cut off" } else { "" };
+    if file.skipped != SkippedSections::default() {
+        let end = if truncated { ", and it is cut off" } else { "" };
         out += &format!("{damaged} damaged and {unknown} unknown sections were passed over{end}\n");
     }
     out
 }
 
 /// A figure that differs.
-struct Row<'a> {
-    of: &'a str,
-    what: &'static str,
+struct Difference<'a> {
+    subject: &'a str,
+    figure: &'static str,
     before: Option<f64>,
     after: Option<f64>,
 }
 
-fn rows<'a>(before: &'a Figures, after: &'a Figures) -> Vec<Row<'a>> {
-    let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
-    let mut rows = Vec::new();
-    for of in names {
-        let (was, is) = (before.get(of), after.get(of));
-        let all: BTreeSet<&'static str> = was.into_iter().chain(is).flat_map(|f| f.keys().copied()).collect();
-        for what in all {
-            let figure = |figures: Option<&BTreeMap<&'static str, f64>>| figures?.get(what).copied();
-            let (before, after) = (figure(was), figure(is));
+fn compare(before: &Path, after: &Path, format: Format) -> Result<String, String> {
+    let before = read(before)?;
+    let after = read(after)?;
+    Ok(show_differences(&differences(&before.figures, &after.figures), format))
+}
+
+fn differences<'a>(before: &'a FiguresBySubject, after: &'a FiguresBySubject) -> Vec<Difference<'a>> {
+    let subjects: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
+    let mut differences = Vec::new();
+    for subject in subjects {
+        let figures_before = before.get(subject);
+        let figures_after = after.get(subject);
+        let both = figures_before.into_iter().chain(figures_after);
+        let names: BTreeSet<&'static str> = both.flat_map(|figures| figures.keys().copied()).collect();
+        for figure in names {
+            let value = |figures: Option<&Figures>| figures?.get(figure).copied();
+            let before = value(figures_before);
+            let after = value(figures_after);
             if before != after {
-                rows.push(Row { of, what, before, after });
+                differences.push(Difference { subject, figure, before, after });
             }
         }
     }
-    rows
+    differences
 }
 
-fn diff(before: &Figures, after: &Figures, format: Format) -> String {
-    let rows = rows(before, after);
+fn show_differences(differences: &[Difference<'_>], format: Format) -> String {
     if format == Format::Json {
-        let row = |r: &Row<'_>| json!({ "of": r.of, "figure": r.what, "before": r.before, "after": r.after });
-        return json!(rows.iter().map(row).collect::<Vec<_>>()).to_string() + "\n";
+        let row = |difference: &Difference<'_>| {
+            json!({
+                "of": difference.subject,
+                "figure": difference.figure,
+                "before": difference.before,
+                "after": difference.after,
+            })
+        };
+        return json!(differences.iter().map(row).collect::<Vec<_>>()).to_string() + "\n";
     }
-    let told = |x: Option<f64>| x.map_or("none".to_owned(), number);
-    let row = |r: &Row<'_>| format!("{}: {} {} -> {}\n", r.of, r.what, told(r.before), told(r.after));
-    rows.iter().map(row).collect()
+    let value = |value: Option<f64>| value.map_or("none".to_owned(), number);
+    let row = |difference: &Difference<'_>| {
+        let Difference { subject, figure, before, after } = difference;
+        format!("{subject}: {figure} {} -> {}\n", value(*before), value(*after))
+    };
+    differences.iter().map(row).collect()
 }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -116,10 +116,10 @@
     for (hours, words) in [(6, "knowledge: from 21"), (-30_000, "knowledge: very old")] {
         let file = newest(&folder);
         let bytes = std::fs::read(&file).expect("kept");
-        let (mut learned, _) = learned_state::read(&bytes).expect("sound");
+        let (mut learned, _) = learned_state::decode(&bytes).expect("sound");
         let written = learned.written_ms.expect("says when");
         learned.written_ms = written.checked_add_signed(-hours * 3_600_000);
-        std::fs::write(&file, learned_state::write(&learned)).expect("written");
+        std::fs::write(&file, learned_state::encode(&learned)).expect("written");
         let third = serve(&config, &[]);
         assert!(third.log().contains(words), "{}", third.log());
         let forgot = slow_of_eight(&third, &nodes);
@@ -148,7 +148,7 @@
     until("never more than four", || files(&folder).len() == 4);
     until("a sound file", || {
         let bytes = std::fs::read(newest(&folder)).unwrap_or_default();
-        learned_state::read(&bytes).is_ok_and(|(learned, _)| learned.pools[0].nodes.len() == 2)
+        learned_state::decode(&bytes).is_ok_and(|(learned, _)| learned.pools[0].endpoints.len() == 2)
     });
 }
 
--- /dev/null
+++ b/tests/notification_bound.rs
@@ -0,0 +1,184 @@
+//! A change counts as notified six seconds after discovery had it and could be reached, whatever became of the calls: a proxy with
+//! real sockets, and a discovery that fails in different ways.
+
+mod stubs;
+
+use std::io::{BufReader, Write};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use stubs::*;
+
+/// The drain grace in the settings: after it no request may be forwarded.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+
+/// Sends requests, each on a connection of its own, until the time is up; returns when each response with status 200 came.
+fn send_until(proxy: &Process, until: Instant) -> Vec<Instant> {
+    let mut served = Vec::new();
+    let mut number = 0;
+    while Instant::now() < until {
+        let mut caller = proxy.caller();
+        number += 1;
+        if caller.ask(&read(&format!("asked-{number}"), 9_000)).status() == 200 {
+            served.push(Instant::now());
+        }
+        thread::sleep(Duration::from_millis(20));
+    }
+    served
+}
+
+fn setup(address: std::net::SocketAddr) -> Setup {
+    let mut setup = Setup::of(&[]);
+    setup.hosts = vec![host("s-0", address, "SERVING")];
+    setup
+}
+
+#[test]
+fn nothing_is_forwarded_by_a_list_that_failed_calls_cannot_confirm() {
+    let cases = [News::Fails, News::Closes].map(|failure| {
+        thread::spawn(move || {
+            let (address, received_at) = noting_backend();
+            let proxy = setup(address).start();
+            proxy.discovery.call(0);
+            proxy.discovery.tell(News::List(list(1, false, &[])));
+            proxy.discovery.meanwhile(Some(failure.clone()));
+            // From then on there may be a drain that discovery does not report.
+            let (_, called_at) = proxy.discovery.call(1);
+            let served =
+                send_until(&proxy, called_at + NOTIFIED_AFTER + DRAIN_GRACE + Duration::from_secs(2));
+            let last = *received_at.lock().expect("unpoisoned").last().expect("some were forwarded");
+            assert!(
+                last < called_at + NOTIFIED_AFTER + DRAIN_GRACE,
+                "{failure:?}: forwarded {:?} after the call",
+                last - called_at
+            );
+            let before =
+                served.iter().filter(|at| **at > called_at + NOTIFIED_AFTER - Duration::from_secs(1)).count();
+            assert!(before > 0, "{failure:?}: stopped long before it had to");
+            assert!(
+                (4..=20).contains(&proxy.discovery.calls()),
+                "{failure:?}: {} calls",
+                proxy.discovery.calls()
+            );
+            // Its next response settles it.
+            proxy.discovery.meanwhile(None);
+            proxy.discovery.tell(News::List(list(2, true, &[host("s-0", address, "SERVING")])));
+            let until = Instant::now() + PATIENCE;
+            while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
+                assert!(Instant::now() < until, "{failure:?}: does not go on");
+            }
+        })
+    });
+    for case in cases {
+        case.join().expect("as said");
+    }
+}
+
+#[test]
+fn a_drain_is_received_in_time_where_every_second_call_is_rejected() {
+    let (address, received_at) = noting_backend();
+    let (other, other_received_at) = noting_backend();
+    let mut setup = setup(address);
+    setup.hosts.push(host("s-1", other, "SERVING"));
+    let proxy = setup.start();
+    let drained_list = [host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")];
+    proxy.discovery.tell(News::List(list(2, true, &[])));
+    proxy.discovery.tell(News::Fails);
+    proxy.discovery.tell(News::List(list(3, true, &drained_list)));
+    proxy.discovery.meanwhile(Some(News::Fails));
+    // The rejected call is the second; it could have reported the drain.
+    let (_, failed_call_at) = proxy.discovery.call(1);
+    let served = send_until(&proxy, failed_call_at + NOTIFIED_AFTER + DRAIN_GRACE + Duration::from_secs(1));
+    let late_requests: Vec<_> = received_at
+        .lock()
+        .expect("unpoisoned")
+        .iter()
+        .filter(|at| **at > failed_call_at + NOTIFIED_AFTER + DRAIN_GRACE)
+        .copied()
+        .collect();
+    assert!(late_requests.is_empty(), "forwarded {} times to a draining endpoint", late_requests.len());
+    let (_, polled_at) = proxy.discovery.call(2);
+    assert!(
+        polled_at < failed_call_at + NOTIFIED_AFTER,
+        "polled again after {:?}",
+        polled_at - failed_call_at
+    );
+    assert!(
+        !served.is_empty() && !other_received_at.lock().expect("unpoisoned").is_empty(),
+        "the other serves"
+    );
+}
+
+#[test]
+fn an_outage_with_refused_connections_does_not_suspend_forwarding_and_its_end_is_noticed_in_time() {
+    let (address, received_at) = noting_backend();
+    let closed = Closed::new();
+    let (other, _others) = noting_backend();
+    let mut setup = setup(address);
+    setup.hosts.push(host("s-1", other, "SERVING"));
+    let config = setup.config(closed.address());
+    let proxy = start_config(&config);
+    let started_at = Instant::now();
+    let served = send_until(&proxy, started_at + Duration::from_secs(9));
+    let last = served.last().expect("served all the time");
+    assert!(started_at + Duration::from_millis(8_500) < *last, "stopped after {:?}", *last - started_at);
+    // Discovery recovers, and the drain was made in the last moment of the outage.
+    let recovered_at = Instant::now();
+    let listener = closed.open();
+    let discovery = thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("polled");
+        let polled_at = Instant::now();
+        hear(&mut BufReader::new(stream.try_clone().expect("a copy"))).expect("a call");
+        let body = list(2, true, &[host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")]);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        stream.write_all((head + &body).as_bytes()).expect("written");
+        (polled_at, listener, stream)
+    });
+    send_until(&proxy, recovered_at + NOTIFIED_AFTER + DRAIN_GRACE);
+    let (polled_at, ..) = discovery.join().expect("polled");
+    assert!(
+        polled_at < recovered_at + Duration::from_millis(2_500),
+        "polled {:?} after its return",
+        polled_at - recovered_at
+    );
+    let late_requests =
+        received_at.lock().expect("unpoisoned").iter().filter(|at| **at > polled_at + DRAIN_GRACE).count();
+    assert_eq!(late_requests, 0, "forwarded to a draining endpoint");
+}
+
+#[test]
+fn a_process_without_a_list_polls_until_it_has_one_and_is_ready_then() {
+    let (address, _) = noting_backend();
+    let mut setup = setup(address);
+    setup.hosts.clear();
+    let discovery = Discovery::new();
+    // The first response breaks off, the second cannot be parsed, three calls are rejected; then come 1,024 endpoints, indented.
+    let hosts: Vec<String> =
+        (0..1_024).map(|index| host(&format!("s-{index}"), address, "SERVING")).collect();
+    let full_list = list(2, true, &hosts).replace(",\"", ",\n  \"").replace("},{", "},\n {");
+    discovery.tell(News::Breaks(full_list.clone()));
+    discovery.tell(News::List("{\"seq\":2,\"whole\":true,\"hosts\":[[".to_owned()));
+    for _ in 0..3 {
+        discovery.tell(News::Fails);
+    }
+    discovery.tell(News::List(full_list));
+    let config = setup.config(discovery.address);
+    let from = config.find("\"known\":").expect("there");
+    let to = from + config[from..].find("]},").expect("its end") + 3;
+    let proxy = start_config(&(config[..from].to_owned() + &config[to..]));
+    let started_at = Instant::now();
+    // Clients come before the list: they are rejected, and nothing else.
+    assert_eq!(proxy.caller().ask(&read("early", 9_000)).status(), 503);
+    let health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    while proxy.caller().ask(health).status() != 200 {
+        assert!(
+            started_at.elapsed() < Duration::from_secs(10),
+            "not ready, after {} calls",
+            discovery.calls()
+        );
+        thread::sleep(Duration::from_millis(10));
+    }
+    println!("ready after {:?} and {} calls", started_at.elapsed(), discovery.calls());
+    assert_eq!(proxy.caller().ask(&read("late", 9_000)).status(), 200);
+}
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -1,5 +1,5 @@
-//! A process that starts with a list in hand: the list proves no age, so what changed while the process was away binds from its
-//! first moment, and nothing is sent by the list past the grace until discovery has confirmed it.
+//! A process that starts with a list from its configuration: nothing proves the age of the list, so changes that were made while the
+//! process was down count as notified from its start, and nothing is forwarded past the drain grace until discovery confirms the list.
 
 mod stubs;
 
@@ -9,12 +9,12 @@
 
 use stubs::*;
 
-/// What the settings of the stand-in allow to a drain, after which nothing may be begun.
-const GRACE: Duration = Duration::from_millis(500);
-/// So long requests come.
-const PLAYED: Duration = Duration::from_secs(4);
+/// The drain grace in the settings: after it no request may be forwarded.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// For how long requests come.
+const RUN_TIME: Duration = Duration::from_secs(4);
 
-/// The configuration of one proxy of a large fleet, whose decisions take their time over the first question.
+/// The configuration of one proxy of a large fleet, whose balancer polls late for the first time.
 fn fleet_config(hosts: Vec<String>, discovery: SocketAddr, seed: u64) -> String {
     let mut setup = Setup::of(&[]);
     (setup.hosts, setup.balancers) = (hosts, 300);
@@ -22,8 +22,8 @@
     config.replace("8c1f30d27a5be964", &format!("{seed:016x}"))
 }
 
-/// Sends requests until the time is up; how many were served.
-fn ask_for(proxy: &Process, time: Duration) -> usize {
+/// Sends requests until the time is up; returns how many were served.
+fn send_for(proxy: &Process, time: Duration) -> usize {
     let until = Instant::now() + time;
     let (mut served, mut number) = (0, 0);
     while Instant::now() < until {
@@ -36,45 +36,52 @@
 }
 
 #[test]
-fn a_restarted_process_keeps_a_drain_that_came_while_it_was_away() {
-    let plays = (1..=3).map(|seed| {
+fn a_restarted_process_keeps_a_drain_that_was_made_while_it_was_down() {
+    let runs = (1..=3).map(|seed| {
         thread::spawn(move || {
-            let ((drained, seen), (other, _)) = (noting_backend(), noting_backend());
+            let ((draining, received_at), (other, _)) = (noting_backend(), noting_backend());
             let discovery = Discovery::new();
-            // It has been draining for an hour; the list in hand is older.
-            let hosts = [host("s-0", drained, "DRAINING"), host("s-1", other, "SERVING")];
+            // The endpoint has been draining for an hour; the list in hand is older.
+            let hosts = [host("s-0", draining, "DRAINING"), host("s-1", other, "SERVING")];
             discovery.tell(News::List(list(2, true, &hosts)));
-            let old = vec![host("s-0", drained, "SERVING"), host("s-1", other, "SERVING")];
-            let proxy = start_config(&fleet_config(old, discovery.address, seed));
+            let stale_hosts = vec![host("s-0", draining, "SERVING"), host("s-1", other, "SERVING")];
+            let proxy = start_config(&fleet_config(stale_hosts, discovery.address, seed));
             let started = Instant::now();
-            let served = ask_for(&proxy, PLAYED);
-            let late = seen.lock().expect("unpoisoned").iter().filter(|at| **at > started + GRACE).count();
-            assert_eq!(late, 0, "seed {seed}: sent past the grace, {served} served");
-            assert!(served > 20, "seed {seed}: {served} served: sends next to nothing");
+            let served = send_for(&proxy, RUN_TIME);
+            let late_requests = received_at
+                .lock()
+                .expect("unpoisoned")
+                .iter()
+                .filter(|at| **at > started + DRAIN_GRACE)
+                .count();
+            assert_eq!(late_requests, 0, "seed {seed}: forwarded past the grace, {served} served");
+            assert!(served > 20, "seed {seed}: {served} served: forwards next to nothing");
         })
     });
-    for play in plays.collect::<Vec<_>>() {
-        play.join().expect("as said");
+    for run in runs.collect::<Vec<_>>() {
+        run.join().expect("as said");
     }
 }
+
 #[test]
-fn a_list_that_discovery_does_not_confirm_is_not_sent_by() {
-    for way in [News::Fails, News::Closes] {
-        let (address, seen) = noting_backend();
+fn nothing_is_forwarded_by_a_list_that_discovery_does_not_confirm() {
+    for failure in [News::Fails, News::Closes] {
+        let (address, received_at) = noting_backend();
         let discovery = Discovery::new();
-        discovery.meanwhile(Some(way.clone()));
+        discovery.meanwhile(Some(failure.clone()));
         let hosts = vec![host("s-0", address, "SERVING")];
         let proxy = start_config(&fleet_config(hosts.clone(), discovery.address, 7));
         let started = Instant::now();
-        ask_for(&proxy, PLAYED);
-        let late = seen.lock().expect("unpoisoned").iter().filter(|at| **at > started + GRACE).count();
-        assert_eq!(late, 0, "{way:?}: sent by a list that nothing proves");
-        // Its word that nothing has changed is enough.
+        send_for(&proxy, RUN_TIME);
+        let late_requests =
+            received_at.lock().expect("unpoisoned").iter().filter(|at| **at > started + DRAIN_GRACE).count();
+        assert_eq!(late_requests, 0, "{failure:?}: forwarded by a list that nothing proves");
+        // A response without a change is enough.
         discovery.meanwhile(None);
         discovery.tell(News::List(list(1, false, &[])));
         let until = Instant::now() + PATIENCE;
         while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
-            assert!(Instant::now() < until, "{way:?}: does not go on");
+            assert!(Instant::now() < until, "{failure:?}: does not go on");
         }
     }
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use api::*;
-use learned_state::{Faults, Snapshot};
+use learned_state::{SkippedSections, Snapshot};
 use serde_json::json;
 use store::{Disk, Opened, Record, Versions};
 use stubs::*;
@@ -51,22 +51,22 @@
 
 // ---- Learned state ----
 
-/// Every field, and no byte that is not accounted for: what was read is written as the same bytes.
+/// Checks every field and every byte: what was decoded is encoded as the same bytes.
 #[track_caller]
-fn holds(name: &str, expected: &Snapshot) {
+fn assert_holds(name: &str, expected: &Snapshot) {
     let bytes = bytes(name);
-    let (read, faults) = learned_state::read(&bytes).expect("readable");
-    assert_eq!(faults, Faults::default(), "{name}");
+    let (read, skipped) = learned_state::decode(&bytes).expect("readable");
+    assert_eq!(skipped, SkippedSections::default(), "{name}");
     assert_eq!(&read, expected, "{name}");
-    assert!(learned_state::write(&read) == bytes, "{name} is written as other bytes");
-    assert!(learned_state::write(expected) == bytes, "{name} is written as other bytes");
+    assert!(learned_state::encode(&read) == bytes, "{name} is written as other bytes");
+    assert!(learned_state::encode(expected) == bytes, "{name} is written as other bytes");
 }
 
 #[test]
 fn learned_state_is_read_field_by_field_and_written_as_the_same_bytes() {
-    holds(EVERY_FIELD, &stored::every_field());
-    holds(IN_A_FOLDER, &stored::learned_in_a_folder());
-    holds(HANDED_OVER, &stored::handed_over());
+    assert_holds(EVERY_FIELD, &stored::every_field());
+    assert_holds(IN_A_FOLDER, &stored::learned_in_a_folder());
+    assert_holds(HANDED_OVER, &stored::handed_over());
 }
 
 #[test]
@@ -126,38 +126,38 @@
     )
 }
 
-/// Starts with a folder, ends without a request, and tells what it wrote at its end under this name.
-fn started_with(folder: &Path, written: &str) -> (String, Snapshot) {
+/// Starts with a folder and stops without a request; returns the log and the state that was written under this name.
+fn start_and_stop(folder: &Path, written: &str) -> (String, Snapshot) {
     let mut proxy = serve(&two_pools(folder), &[]);
     proxy.terminate();
     assert!(proxy.end().success());
     let bytes = fs::read(folder.join(written)).expect("the next number");
-    let (left, faults) = learned_state::read(&bytes).expect("sound");
-    assert_eq!(faults, Faults::default());
+    let (left, skipped) = learned_state::decode(&bytes).expect("sound");
+    assert_eq!(skipped, SkippedSections::default());
     (proxy.log(), left)
 }
 
-/// What it knows of the read calls of a node.
+/// The samples of an endpoint in the class `read`.
 fn samples(learned: &Snapshot, pool: &str, node: &str) -> f64 {
     let pool = learned.pools.iter().find(|p| p.name == pool).expect("the pool");
     let class = pool.classes.iter().position(|class| class == "read").expect("the class");
-    pool.nodes.iter().find(|n| n.name == node).expect("the node").classes[class].weight
+    pool.endpoints.iter().find(|n| n.name == node).expect("the node").latency_by_class[class].weight
 }
 
 #[test]
-fn a_proxy_starts_from_the_folder_and_knows_what_is_in_it() {
+fn a_proxy_starts_with_the_learned_state_of_its_folder() {
     let folder = folder().join("learned");
     let kept = copy(IN_A_FOLDER, &folder);
-    let (log, _) = started_with(&folder, "00000000000000000004.known");
-    // The older the file gets, the less it counts.
+    let (log, _) = start_and_stop(&folder, "00000000000000000004.known");
+    // The older the file is, the less it counts.
     let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
     assert!(is_read && !log.contains("in part"), "{log}");
     assert!(fs::read(&kept).expect("still there") == bytes(IN_A_FOLDER), "as it was");
-    // The same, as if it were of this moment.
+    // The same state, as if it were written now.
     let written_ms = Some(unix_ms());
-    let fresh = Snapshot { written_ms, ..learned_state::read(&bytes(IN_A_FOLDER)).expect("readable").0 };
-    fs::write(folder.join("00000000000000000005.known"), learned_state::write(&fresh)).expect("written");
-    let (log, left) = started_with(&folder, "00000000000000000006.known");
+    let fresh = Snapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
+    fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&fresh)).expect("written");
+    let (log, left) = start_and_stop(&folder, "00000000000000000006.known");
     assert!(log.contains("knowledge: from "), "{log}");
     for (pool, node) in [("near", "n0"), ("far", "n0")] {
         let (told, known) = (samples(&fresh, pool, node), samples(&left, pool, node));
@@ -166,10 +166,10 @@
     assert!(samples(&left, "near", "n1") < 1.0, "nothing was known of it");
 }
 
-// ---- What a process of the platform leaves for the next ----
+// ---- The handover to the next process of the platform mode ----
 
 #[test]
-fn a_process_takes_up_what_the_one_before_learned_and_had_out_by_hand() {
+fn a_process_takes_over_learned_state_and_maintenance() {
     let nodes: Vec<Backend> = (0..2).map(|_| Backend::of(|_| ok("done"))).collect();
     let (discovery, held) = (Discovery::new(), Held::new());
     let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
@@ -184,7 +184,7 @@
         assert_eq!(process.ask(&read(&format!("r-{i}"), 5000)).status(), 200);
     }
     assert_eq!(nodes.iter().map(|n| n.requests().len()).collect::<Vec<_>>(), [10, 0]);
-    // Out already: what is written is what was there, to the byte.
+    // The endpoint is drained already: the file stays the same, to the byte.
     assert_eq!(process.call("POST", "/maintenance/enter", "s-1").0, 200);
     assert_eq!(fs::read_to_string(&maintenance).expect("kept"), text(MAINTENANCE));
     assert_eq!(text(MAINTENANCE), "amberlever-maintenance 1 29c25ce6\n-s-1\n+s-0\n+s-1\n");
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_hosted_service_starts_from_the_versions_and_knows_its_tokens() {
+fn a_hosted_service_starts_with_the_stored_versions_and_tokens() {
     let service = start_in(&state_with(&VERSION_FILES), &hosted_file("", ""));
     let get = |path: &str, token: &str| service.call("GET", path, Some(token), None, None);
     let [operator, administrator, reader, own_reader] = BEARERS;
