--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use decide::{Micros, Settings};
-use route::Table;
+use route::RouteTable;
 
 use crate::announce::Bgp;
 use crate::fleet::Node;
@@ -26,7 +26,7 @@
     /// Times and bounds for all pools.
     pub limits: Limits,
     /// Keys that are known at once, and bytes of their answers.
-    pub idempotency_keys: idempotency::Bounds,
+    pub idempotency_keys: idempotency::TableLimits,
     /// Where what was learned is kept, if it is.
     pub learned_state: Option<LearnedStateSettings>,
     /// Where operators call, if they do.
@@ -42,7 +42,7 @@
     /// The pools, by index.
     pub pools: Vec<Pool>,
     /// The routes.
-    pub table: Table,
+    pub table: RouteTable,
     /// Where each route stands: its file's name and line.
     pub origins: Vec<(String, usize)>,
     /// All zones that are named anywhere, and all kinds.
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -20,7 +20,7 @@
 use crate::inbox::DriverHandle;
 use crate::log::say;
 use crate::maintenance::MaintenanceOverrides;
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 use registered::ListedAddress;
 
 /// Applies lists, and passes them on to the balancer and the connections.
@@ -28,7 +28,7 @@
     pub clock: Clock,
     pub names: Rc<RefCell<NameTable>>,
     pub driver: DriverHandle,
-    pub upstreams: Rc<Upstreams>,
+    pub upstreams: Rc<UpstreamPool>,
     /// Set once there is a list.
     pub ready: Rc<Cell<bool>>,
     /// When the source was last heard from.
@@ -56,7 +56,7 @@
         clock: Clock,
         names: Rc<RefCell<NameTable>>,
         driver: DriverHandle,
-        upstreams: Rc<Upstreams>,
+        upstreams: Rc<UpstreamPool>,
         ready: Rc<Cell<bool>>,
     ) -> EndpointRegistry {
         EndpointRegistry {
@@ -95,7 +95,7 @@
         endpoints.extend(unreadable.iter().filter_map(|name| self.drain_unreadable(name)));
         if scope != UpdateScope::Delta {
             let listed: BTreeSet<EndpointId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
-            self.upstreams.retain(|id| listed.contains(&id));
+            self.upstreams.retain_listed(|id| listed.contains(&id));
             self.endpoints.remove_all_but(&listed);
         }
         self.endpoints.forget_removed();
@@ -115,7 +115,7 @@
         self.endpoints.set_last_listed(&name, ListedAddress { endpoint: endpoint.clone(), address });
         let is_drained = self.overrides.as_ref().is_some_and(|overrides| overrides.record_listed(&name));
         let endpoint = most_restrictive(endpoint, is_drained);
-        self.upstreams.update(&endpoint, address);
+        self.upstreams.update_endpoint(&endpoint, address);
         endpoint
     }
 
@@ -123,7 +123,7 @@
     fn drain_unreadable(&self, name: &str) -> Option<Endpoint> {
         let ListedAddress { mut endpoint, address } = self.endpoints.last_listed(name)?;
         endpoint.state = EndpointState::Draining;
-        self.upstreams.update(&endpoint, address);
+        self.upstreams.update_endpoint(&endpoint, address);
         Some(endpoint)
     }
 
--- a/crates/proxy/src/membership/registry/view.rs
+++ b/crates/proxy/src/membership/registry/view.rs
@@ -8,7 +8,7 @@
 use crate::inbox::DriverHandle;
 use crate::maintenance::MaintenanceOverrides;
 use crate::metrics::{Labels, PoolGauges};
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 
 /// Notified of changes that operators make.
 pub trait RegistryObserver {
@@ -20,7 +20,7 @@
 pub struct RegistryView {
     pub endpoints: Rc<RegisteredEndpoints>,
     pub driver: DriverHandle,
-    pub upstreams: Rc<Upstreams>,
+    pub upstreams: Rc<UpstreamPool>,
     pub overrides: MaintenanceOverrides,
 }
 
@@ -29,7 +29,7 @@
     pub async fn gauges(&self, labels: Labels) -> PoolGauges {
         let ejected = self.driver.ejected_count().await;
         let counts = self.endpoints.counts(&self.overrides);
-        PoolGauges { place: labels, listed: counts.listed, ejected: counts.drained + ejected }
+        PoolGauges { labels, endpoints: counts.listed, ejected: counts.drained + ejected }
     }
 }
 
@@ -38,7 +38,7 @@
         let Some(name) = self.overrides.endpoint_name(operator_name) else { return };
         let Some(listed) = self.endpoints.last_listed(name) else { return };
         let endpoint = most_restrictive(listed.endpoint, self.overrides.is_drained(name));
-        self.upstreams.update(&endpoint, listed.address);
+        self.upstreams.update_endpoint(&endpoint, listed.address);
         self.driver.endpoint_update(UpdateScope::Delta, vec![endpoint]);
     }
 }
--- a/crates/proxy/src/request_reader.rs
+++ b/crates/proxy/src/request_reader.rs
@@ -11,14 +11,17 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::time::Instant;
 
-use crate::body::{self, Content, Flow, Gathered, MayFlow};
-use crate::exchange::{remove_hop_by_hop, Answer, Called, Message, Patience, ID, KEY, MOST_BODY, TIMEOUT};
+use crate::body::{self, BufferOutcome, MessageBody, StreamedResponseLimit, StreamingBody};
+use crate::exchange::{
+    remove_hop_by_hop, ClientTimeout, FinalResponse, RpcCall, UpstreamRequest, IDEMPOTENCY_KEY_HEADER,
+    MAX_BUFFERED_BODY_BYTES, REQUEST_ID_HEADER, TIMEOUT_HEADER,
+};
 use crate::framing;
 use crate::idempotency_keys::{KeyLookup, KeyScope, ReservedKey};
-use crate::metrics::{RequestCounters, Tally};
+use crate::metrics::{RequestCounters, RequestRecorder};
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
 use crate::router::{single_header_value, Connection, PoolSequence, Rejection, RouteDecision, Router};
-use crate::socket::{Socket, Unread};
+use crate::socket::{Socket, UnreadInput};
 
 /// The longest wait that makes sense, in milliseconds.
 const MOST_TIMEOUT: u64 = 24 * 3600 * 1000;
@@ -31,7 +34,7 @@
 /// A request that can be served.
 pub struct Sound {
     pub new: NewRequest,
-    pub message: Rc<Message>,
+    pub message: Rc<UpstreamRequest>,
     /// Where it goes.
     pub course: Box<dyn PoolSequence>,
     /// How long the client waits.
@@ -46,7 +49,7 @@
 pub enum Taken {
     Sound(Box<Sound>),
     /// It was served before: that answer again.
-    Known(Answer),
+    Known(FinalResponse),
 }
 
 /// A request as its head says; its body may still be on its way.
@@ -77,21 +80,21 @@
     head: &mut Parts,
     body_most: u64,
 ) -> Result<Opened, Rejection> {
-    if single_header_value(&head.headers, ID)?.is_none() {
-        if let Some(id) = router.new_id().and_then(|id| HeaderValue::try_from(id).ok()) {
-            head.headers.insert(ID, id);
+    if single_header_value(&head.headers, REQUEST_ID_HEADER)?.is_none() {
+        if let Some(id) = router.generate_request_id().and_then(|id| HeaderValue::try_from(id).ok()) {
+            head.headers.insert(REQUEST_ID_HEADER, id);
         }
     }
-    let id = single_header_value(&head.headers, ID)?
+    let id = single_header_value(&head.headers, REQUEST_ID_HEADER)?
         .filter(|id| is_name(id))
         .ok_or(StatusCode::BAD_REQUEST)?
         .to_owned();
-    if body_most > router.largest_body() {
+    if body_most > router.max_body_bytes() {
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
     let way = router.route(head, &id, body_most, connection)?;
     let RouteDecision {
-        ids,
+        open_request_ids: ids,
         class,
         semantics,
         deadline,
@@ -102,12 +105,12 @@
         pools: course,
     } = way;
     let one = |name: &str| single_header_value(&head.headers, name);
-    let key = one(KEY)?;
+    let key = one(IDEMPOTENCY_KEY_HEADER)?;
     let keyed = matches!(semantics, Semantics::Deduplicated { .. });
     if key.map_or(keyed, |key| !is_name(key)) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
-    let ms = match one(TIMEOUT)? {
+    let ms = match one(TIMEOUT_HEADER)? {
         Some(ms) => whole(ms).filter(|ms| (1..=MOST_TIMEOUT).contains(ms)).ok_or(StatusCode::BAD_REQUEST)?,
         None => (deadline / 1000).clamp(1, MOST_TIMEOUT as i64) as u64,
     };
@@ -147,8 +150,8 @@
     pub fn close(
         self,
         mut head: Parts,
-        body: Content,
-        called: Option<Called>,
+        body: MessageBody,
+        called: Option<RpcCall>,
         ids: &OpenRequestIds,
     ) -> Result<Taken, Rejection> {
         let Opened { new, id, key, ids: own, once, method, course, patience, flows, .. } = self;
@@ -159,23 +162,26 @@
             None => None,
         };
         let mut new = new;
-        if let Some(flow) = body.flow() {
+        if let Some(flow) = body.streaming() {
             // What has flowed cannot be sent a second time.
-            let most = body.size_hint().exact().or(flows).unwrap_or(MOST_BODY as u64);
+            let most = body.size_hint().exact().or(flows).unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
             new.max_attempts = 1;
-            new.body_pending =
-                if flow.ended().is_some() { 0 } else { body::most_time(most).as_micros() as Micros };
+            new.body_pending = if flow.completed_at().is_some() {
+                0
+            } else {
+                body::max_transfer_time(most).as_micros() as Micros
+            };
         }
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
-        if body.flow().is_some() {
-            head.extensions.insert(Patience(patience));
+        if body.streaming().is_some() {
+            head.extensions.insert(ClientTimeout(patience));
         }
         // An answer that is kept for repeats is held whole.
         if let Some(most) = flows.filter(|_| held.is_none()) {
-            head.extensions.insert(MayFlow(most));
+            head.extensions.insert(StreamedResponseLimit(most));
         }
-        let by_method = |method| Called { method, params: None, by_http: true };
+        let by_method = |method| RpcCall { method, params: None, received_over_http: true };
         if let Some(called) = called.or_else(|| method.map(by_method)) {
             head.extensions.insert(called);
         }
@@ -191,10 +197,10 @@
     ids: &OpenRequestIds,
     socket: &Socket,
     connection: &Connection,
-    tally: &Rc<Tally>,
+    tally: &Rc<RequestRecorder>,
     request: Request<Incoming>,
 ) -> Result<Taken, Rejection> {
-    let began = socket.since().unwrap_or_else(Instant::now);
+    let began = socket.message_started_at().unwrap_or_else(Instant::now);
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let raw = socket.take_head();
     let head_length = framing::check(&raw)?;
@@ -203,36 +209,44 @@
         return Err(StatusCode::BAD_REQUEST.into());
     }
     // One of unknown length is over the bound once it is.
-    let body_most = body.size_hint().exact().unwrap_or(MOST_BODY as u64);
+    let body_most = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
     let mut opened = open(router, connection, &mut head, body_most)?;
-    tally.is(opened.counts.take());
+    tally.set_counters(opened.counts.take());
     if head.method == Method::GET && body.size_hint().exact() != Some(0) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     // Nodes that speak JSON-RPC are sent whole messages.
-    let flows =
-        Some(router.largest_body()).filter(|most| *most > MOST_BODY as u64 && opened.method.is_none());
+    let flows = Some(router.max_body_bytes())
+        .filter(|most| *most > MAX_BUFFERED_BODY_BYTES as u64 && opened.method.is_none());
     opened.flows = flows;
-    if flows.is_none() && body_most > MOST_BODY as u64 {
+    if flows.is_none() && body_most > MAX_BUFFERED_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
-    let most = body_most.min(MOST_BODY as u64);
-    let until = began + if flows.is_some() { body::most_time(most) } else { WHOLE.min(opened.patience) };
-    let body = match body::gather(body, MOST_BODY, until).await.map_err(|_| StatusCode::BAD_REQUEST)? {
-        Gathered::Whole(body) => body,
-        Gathered::Part(first, rest) if flows.is_some() && (Instant::now() < until || first.is_empty()) => {
-            let flow = Rc::new(Flow::of_request(rest, first, router.largest_body()));
+    let most = body_most.min(MAX_BUFFERED_BODY_BYTES as u64);
+    let until =
+        began + if flows.is_some() { body::max_transfer_time(most) } else { WHOLE.min(opened.patience) };
+    let body = match body::buffer(body, MAX_BUFFERED_BODY_BYTES, until)
+        .await
+        .map_err(|_| StatusCode::BAD_REQUEST)?
+    {
+        BufferOutcome::Complete(body) => body,
+        BufferOutcome::Partial { prefix: first, rest }
+            if flows.is_some() && (Instant::now() < until || first.is_empty()) =>
+        {
+            let flow = Rc::new(StreamingBody::for_request(rest, first, router.max_body_bytes()));
             let tally = Rc::clone(tally);
-            flow.at_end(move || tally.taken());
-            return opened.close(head, Content::Flowing(flow), None, ids);
+            flow.on_complete(move || tally.on_received());
+            return opened.close(head, MessageBody::Streaming(flow), None, ids);
+        }
+        BufferOutcome::Partial { .. } if Instant::now() < until => {
+            return Err(StatusCode::PAYLOAD_TOO_LARGE.into())
         }
-        Gathered::Part(..) if Instant::now() < until => return Err(StatusCode::PAYLOAD_TOO_LARGE.into()),
-        Gathered::Part(..) => return Err(StatusCode::REQUEST_TIMEOUT.into()),
+        BufferOutcome::Partial { .. } => return Err(StatusCode::REQUEST_TIMEOUT.into()),
     };
-    tally.taken();
+    tally.on_received();
     // A caller sends one request at a time: what comes along with this one was miscounted or is hidden in it.
     let counted = (head_length + body.len()) as u64;
-    if !chunked && socket.bytes_in() > counted || socket.unread() == Unread::Data {
+    if !chunked && socket.message_bytes() > counted || socket.unread_input() == UnreadInput::Data {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     opened.close(head, body.into(), None, ids)
