--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -70,30 +70,30 @@
 
     /// Imports the state that another process learned.
     pub fn import_learned_state(&self, saved: SavedPool) {
-        self.endpoints.teach(saved, self.clock, &self.names.borrow(), &self.driver);
+        self.endpoints.import_learned_state(saved, self.clock, &self.names.borrow(), &self.driver);
     }
 
     /// The state learned so far. None where the decisions do not answer.
-    pub async fn learned_state(&self) -> Option<learned_state::Pool> {
+    pub async fn learned_state(&self) -> Option<learned_state::PoolRecord> {
         let learned = self.driver.learned_state().await?;
-        Some(self.endpoints.named_state(&self.name, &learned, self.clock, &self.names.borrow()))
+        Some(self.endpoints.export_learned_state(&self.name, &learned, self.clock, &self.names.borrow()))
     }
 
     /// The name by which operators refer to this endpoint, if the pool lists it.
     pub fn operator_name(&self, endpoint: &str) -> Option<String> {
-        let view = self.operator_view.as_ref().filter(|_| self.endpoints.has(endpoint))?;
-        Some(view.registry.overrides.called(endpoint))
+        let view = self.operator_view.as_ref().filter(|_| self.endpoints.contains(endpoint))?;
+        Some(view.registry.overrides.operator_name(endpoint))
     }
 
     /// The gauges of this pool. None where the process has no operators' address.
     pub async fn gauges(&self) -> Option<PoolGauges> {
         let view = self.operator_view.as_ref()?;
-        Some(view.registry.now(view.labels.clone()).await)
+        Some(view.registry.gauges(view.labels.clone()).await)
     }
 
     /// The number of endpoint lists received.
     pub fn list_count(&self) -> u64 {
-        self.endpoints.lists()
+        self.endpoints.update_count()
     }
 
     /// The endpoints as the announcer of addresses needs them. `slow_start_duration` in microseconds.
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -7,7 +7,7 @@
 use config::{Config, Protocol, Source};
 use decide::platform_settings::{NameTable, Transport};
 use decide::UpdateScope;
-use membership::Policy;
+use membership::{DiscoveryMode, WatchPolicy};
 use tokio::sync::{watch, Notify};
 
 use super::staleness::warn_when_stale;
@@ -45,8 +45,8 @@
         );
         let operator_view =
             operators.map(|operators| OperatorView::attach(operators, &pool.name, &mut registry));
-        let endpoints = Rc::clone(&registry.known);
-        let last_update = Rc::clone(&registry.heard);
+        let endpoints = Rc::clone(&registry.endpoints);
+        let last_update = Rc::clone(&registry.last_contact);
 
         let mut tasks = TaskSet::default();
         tasks.spawn(decision_driver.run());
@@ -117,7 +117,7 @@
     seed: u64,
     tasks: &mut TaskSet,
 ) -> Option<RefCell<EndpointRegistry>> {
-    let last_update = Rc::clone(&registry.heard);
+    let last_update = Rc::clone(&registry.last_contact);
     match &pool.source {
         Source::List(nodes) => {
             registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
@@ -144,8 +144,15 @@
     // The address never changes: another address is another source, and so another pool.
     let (_address_sender, address) = watch::channel(address);
     // The configuration has no time limit for drains, so the list may be used while discovery is down.
-    let policy = Policy { answers_each: true, lease: None };
+    let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: None };
     let subscribe = Some(poll_requested);
-    let discovery = Discovery { address, registry, subscribe, policy, seed, complained: false };
+    let discovery = Discovery {
+        address,
+        registry,
+        poll_requested: subscribe,
+        policy,
+        seed,
+        malformed_list_logged: false,
+    };
     discovery.run(None).await;
 }
