--- a/src/bin/amberlever-simulator/main.rs
+++ b/src/bin/amberlever-simulator/main.rs
@@ -1,19 +1,31 @@
-//! Reads the simulator's wire on standard input and answers on standard output; it decides nothing.
+//! Runs the decisions behind the simulator's protocol: events on standard input, actions on standard output.
+//!
+//! [`session`] takes batches of lines; [`event`] and [`endpoint_list`] parse them, [`action`] writes what follows. Nothing
+//! is decided here.
 
-mod wire;
+mod action;
+mod endpoint_list;
+mod error;
+mod event;
+mod fields;
+mod instance;
+mod session;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// The size of the buffers of input and output, in bytes.
+const BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    // The text of a panic goes out on the wire; the default hook would only repeat it.
+    // The text of a panic is part of the protocol; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
-    let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    match wire::run(input, output) {
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    match session::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("amberlever-simulator: {fault}");
+        Err(error) => {
+            eprintln!("amberlever-simulator: {error}");
             ExitCode::FAILURE
         }
     }
