--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -1,5 +1,5 @@
-//! One generated sequence of requests and faults, played over either protocol on each side: the same outcomes, attempts
-//! and executions.
+//! Generated sequences of requests and faults, sent over either protocol on the downstream and the upstream side: the same
+//! outcomes, attempts and executions.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -12,46 +12,72 @@
 use rpc::*;
 use serde_json::json;
 use stubs::*;
-use testkit::rpc::request;
+use testkit::rpc::request as rpc_request;
 
-/// Sequences that are played.
+/// The number of sequences.
 const SEEDS: u64 = 200;
-/// Of these, also with one protocol on one side and the other on the other.
-const MIXED: u64 = 50;
+/// Those that are also sent with different protocols on the two sides.
+const MIXED_SEEDS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// It ran, and says that it failed.
+    /// Executed, with an error.
     Error,
-    /// Turned away unseen.
-    Full,
-    /// Read whole, and the connection closed.
-    Break,
+    /// Rejected without being executed.
+    Rejected,
+    /// Executed, and the connection is closed without a response.
+    ConnectionClosed,
 }
 
 #[derive(Clone, Debug)]
 struct Request {
     class: &'static str,
     key: Option<u32>,
-    /// Of each of its attempts; the last from there on.
+    /// The fault of each of its attempts; the last one applies to all further ones.
     faults: Vec<Fault>,
 }
 
-/// What came of a request: its outcome, how often it arrived, and how often it may have run.
-type Came = (&'static str, usize, usize);
+/// The outcome of a request for its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Outcome {
+    Served,
+    Rejected,
+    Failed,
+    TimedOut,
+}
+
+/// What endpoints saw of a request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct Arrivals {
+    attempts: usize,
+    executions: usize,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct RequestResult {
+    outcome: Outcome,
+    arrivals: Arrivals,
+}
+
+/// The protocols of the two sides.
+#[derive(Clone, Copy, Debug)]
+struct Protocols {
+    downstream_is_rpc: bool,
+    upstream_is_rpc: bool,
+}
 
 fn sequence(seed: u64) -> Vec<Request> {
     let mut random = fastrand::Rng::with_seed(seed);
     (0..12)
         .map(|_| {
             let class = ["standings", "report-result", "close-round"][random.usize(..3)];
-            // Few keys, so that some come again.
+            // Few keys, so that some are repeated.
             let key = (class == "report-result").then(|| random.u32(..4));
             let fault = |random: &mut fastrand::Rng| match random.u8(..8) {
                 0 => Fault::Error,
-                1 => Fault::Full,
-                2 => Fault::Break,
+                1 => Fault::Rejected,
+                2 => Fault::ConnectionClosed,
                 _ => Fault::None,
             };
             Request { class, key, faults: (0..4).map(|_| fault(&mut random)).collect() }
@@ -59,165 +85,163 @@
         .collect()
 }
 
-/// The sequence as the nodes play it: what is asked now, and what has arrived for each.
+/// The sequence as the endpoints follow it.
 struct Script {
     requests: Vec<Request>,
-    now: AtomicUsize,
-    arrived: Mutex<Vec<(usize, usize)>>,
+    /// The index of the request that is being sent.
+    current: AtomicUsize,
+    arrivals: Mutex<Vec<Arrivals>>,
 }
 
 impl Script {
-    fn arrive(&self) -> Fault {
-        let now = self.now.load(Ordering::SeqCst);
-        let (arrived, ran) = &mut self.arrived.lock().expect("unpoisoned")[now];
-        let faults = &self.requests[now].faults;
-        let fault = faults[(*arrived).min(faults.len() - 1)];
-        *arrived += 1;
-        *ran += usize::from(fault != Fault::Full);
+    /// Records an attempt, and returns its fault.
+    fn next_fault(&self) -> Fault {
+        let current = self.current.load(Ordering::SeqCst);
+        let arrivals = &mut self.arrivals.lock().expect("unpoisoned")[current];
+        let faults = &self.requests[current].faults;
+        let fault = faults[arrivals.attempts.min(faults.len() - 1)];
+        arrivals.attempts += 1;
+        arrivals.executions += usize::from(fault != Fault::Rejected);
         fault
     }
 }
 
-/// Nodes that follow it, of either protocol.
-enum Nodes {
+/// Endpoints that follow a script, of either protocol.
+enum Endpoints {
     Http(Vec<Backend>),
     Rpc(Vec<RpcNode>),
 }
 
-impl Nodes {
-    fn start(script: &Arc<Script>, speak_rpc: bool) -> Nodes {
+impl Endpoints {
+    fn start(script: &Arc<Script>, is_rpc: bool) -> Endpoints {
         let script = || Arc::clone(script);
-        if speak_rpc {
+        if is_rpc {
             let node = |script: Arc<Script>| {
-                RpcNode::of(Frames::Lines, move |_| match script.arrive() {
+                RpcNode::of(Frames::Lines, move |_| match script.next_fault() {
                     Fault::None => Reply::Result(json!("done")),
                     Fault::Error => Reply::Error(-32050),
-                    Fault::Full => Reply::Error(-32004),
-                    Fault::Break => Reply::Break,
+                    Fault::Rejected => Reply::Error(-32004),
+                    Fault::ConnectionClosed => Reply::Break,
                 })
             };
-            return Nodes::Rpc(vec![node(script()), node(script())]);
+            return Endpoints::Rpc(vec![node(script()), node(script())]);
         }
         let node = |script: Arc<Script>| {
-            Backend::of(move |_| match script.arrive() {
+            Backend::of(move |_| match script.next_fault() {
                 Fault::None => ok("done"),
                 Fault::Error => answer("500 Internal Server Error", "", ""),
-                Fault::Full => full(),
-                Fault::Break => Deed::Break,
+                Fault::Rejected => full(),
+                Fault::ConnectionClosed => Deed::Break,
             })
         };
-        Nodes::Http(vec![node(script()), node(script())])
+        Endpoints::Http(vec![node(script()), node(script())])
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
         match self {
-            Nodes::Http(nodes) => nodes.iter().map(|n| n.address).collect(),
-            Nodes::Rpc(nodes) => nodes.iter().map(|n| n.address).collect(),
+            Endpoints::Http(nodes) => nodes.iter().map(|n| n.address).collect(),
+            Endpoints::Rpc(nodes) => nodes.iter().map(|n| n.address).collect(),
         }
     }
 }
 
-fn by_http(caller: &mut Caller, n: usize, asked: &Request) -> &'static str {
-    let verb = if asked.class == "standings" { "GET" } else { "POST" };
-    let key = asked.key.map_or(String::new(), |key| format!("Idempotency-Key: k{key}\r\n"));
-    let length = if verb == "POST" { "Content-Length: 0\r\n" } else { "" };
-    let head = format!("{verb} /{}/{n} HTTP/1.1\r\nHost: h\r\n{key}{length}\r\n", asked.class);
-    match caller.ask(&head).status() {
-        200 => "served",
-        503 | 429 => "refused",
-        502 => "failed",
-        504 => "late",
+fn send_http(client: &mut Caller, index: usize, request: &Request) -> Outcome {
+    let method = if request.class == "standings" { "GET" } else { "POST" };
+    let key = request.key.map_or(String::new(), |key| format!("Idempotency-Key: k{key}\r\n"));
+    let length = if method == "POST" { "Content-Length: 0\r\n" } else { "" };
+    let head = format!("{method} /{}/{index} HTTP/1.1\r\nHost: h\r\n{key}{length}\r\n", request.class);
+    match client.ask(&head).status() {
+        200 => Outcome::Served,
+        503 | 429 => Outcome::Rejected,
+        502 => Outcome::Failed,
+        504 => Outcome::TimedOut,
         status => panic!("{status}"),
     }
 }
 
-fn by_rpc(caller: &mut RpcCaller, n: usize, asked: &Request) -> &'static str {
-    let params = asked.key.map_or(json!({}), |key| json!({ "key": format!("k{key}") }));
-    let answer = caller.ask(&request(n, asked.class, params));
-    match answer["error"]["code"].as_i64() {
-        None => "served",
-        Some(-32000) => "refused",
-        Some(-32001) => "failed",
-        Some(-32002) => "late",
+fn send_rpc(client: &mut RpcCaller, index: usize, request: &Request) -> Outcome {
+    let params = request.key.map_or(json!({}), |key| json!({ "key": format!("k{key}") }));
+    let response = client.ask(&rpc_request(index, request.class, params));
+    match response["error"]["code"].as_i64() {
+        None => Outcome::Served,
+        Some(-32000) => Outcome::Rejected,
+        Some(-32001) => Outcome::Failed,
+        Some(-32002) => Outcome::TimedOut,
         Some(code) => panic!("{code}"),
     }
 }
 
-fn play(requests: &[Request], ask_rpc: bool, speak_rpc: bool) -> Vec<Came> {
+/// Sends a sequence, one request after the other.
+fn play(requests: &[Request], protocols: Protocols) -> Vec<RequestResult> {
     let script = Arc::new(Script {
         requests: requests.to_vec(),
-        now: AtomicUsize::new(0),
-        arrived: Mutex::new(vec![(0, 0); requests.len()]),
+        current: AtomicUsize::new(0),
+        arrivals: Mutex::new(vec![Arrivals::default(); requests.len()]),
     });
-    let nodes = Nodes::start(&script, speak_rpc);
-    let site = Site { speaks: speak_rpc, ..Site::http(&nodes.addresses()) };
+    let endpoints = Endpoints::start(&script, protocols.upstream_is_rpc);
+    let site = Site { speaks: protocols.upstream_is_rpc, ..Site::http(&endpoints.addresses()) };
     let proxy = Both::start(&site);
-    let (mut http, mut rpc) = (proxy.process.caller(), proxy.rpc());
-    let outcomes: Vec<&'static str> = requests
-        .iter()
-        .enumerate()
-        .map(|(n, asked)| {
-            script.now.store(n, Ordering::SeqCst);
-            if ask_rpc {
-                by_rpc(&mut rpc, n, asked)
-            } else {
-                by_http(&mut http, n, asked)
-            }
-        })
-        .collect();
-    let arrived = script.arrived.lock().expect("unpoisoned");
-    outcomes
-        .into_iter()
-        .zip(arrived.iter())
-        .map(|(outcome, (arrived, ran))| (outcome, *arrived, *ran))
-        .collect()
+    let mut http_client = proxy.process.caller();
+    let mut rpc_client = proxy.rpc();
+    let mut outcomes = Vec::with_capacity(requests.len());
+    for (index, request) in requests.iter().enumerate() {
+        script.current.store(index, Ordering::SeqCst);
+        outcomes.push(if protocols.downstream_is_rpc {
+            send_rpc(&mut rpc_client, index, request)
+        } else {
+            send_http(&mut http_client, index, request)
+        });
+    }
+    let arrivals = script.arrivals.lock().expect("unpoisoned");
+    let results = outcomes.into_iter().zip(arrivals.iter());
+    results.map(|(outcome, arrivals)| RequestResult { outcome, arrivals: *arrivals }).collect()
+}
+
+/// Sends the sequence of a seed over each pair of protocols, and compares the results.
+fn compare_protocols(seed: u64) -> Vec<RequestResult> {
+    let requests = sequence(seed);
+    let http = Protocols { downstream_is_rpc: false, upstream_is_rpc: false };
+    let expected = play(&requests, http);
+    let mut others = vec![Protocols { downstream_is_rpc: true, upstream_is_rpc: true }];
+    if seed < MIXED_SEEDS {
+        others.push(Protocols { downstream_is_rpc: true, upstream_is_rpc: false });
+        others.push(Protocols { downstream_is_rpc: false, upstream_is_rpc: true });
+    }
+    for protocols in others {
+        assert_eq!(play(&requests, protocols), expected, "seed {seed}, {protocols:?}: {requests:#?}");
+    }
+    for (result, request) in expected.iter().zip(&requests) {
+        let is_at_most_once = request.class == "close-round";
+        assert!(!is_at_most_once || result.arrivals.executions <= 1, "seed {seed}: executed twice");
+    }
+    expected
 }
 
 #[test]
-fn both_protocols_come_to_the_same() {
-    let next = Arc::new(AtomicUsize::new(0));
+fn both_protocols_give_the_same_results() {
+    let next_seed = Arc::new(AtomicUsize::new(0));
     let workers: Vec<_> = (0..4)
         .map(|_| {
-            let next = Arc::clone(&next);
+            let next_seed = Arc::clone(&next_seed);
             thread::spawn(move || {
-                let mut all = Vec::new();
-                loop {
-                    let seed = next.fetch_add(1, Ordering::SeqCst) as u64;
-                    if seed >= SEEDS {
-                        return all;
-                    }
-                    let requests = sequence(seed);
-                    let plain = play(&requests, false, false);
-                    let mut others = vec![(true, true)];
-                    if seed < MIXED {
-                        others.extend([(true, false), (false, true)]);
-                    }
-                    for (ask, speak) in others {
-                        let other = play(&requests, ask, speak);
-                        assert_eq!(
-                            other, plain,
-                            "seed {seed}, JSON-RPC asked {ask}, spoken {speak}: {requests:#?}"
-                        );
-                    }
-                    for (came, asked) in plain.iter().zip(&requests) {
-                        assert!(asked.class != "close-round" || came.2 <= 1, "seed {seed}: ran twice");
-                    }
-                    all.extend(plain);
-                }
+                let seeds = std::iter::repeat_with(|| next_seed.fetch_add(1, Ordering::SeqCst) as u64);
+                seeds.take_while(|seed| *seed < SEEDS).flat_map(compare_protocols).collect::<Vec<_>>()
             })
         })
         .collect();
-    let all: Vec<Came> = workers.into_iter().flat_map(|w| w.join().expect("the same")).collect();
-    // It is of no use unless all of it occurs.
-    let count = |outcome: &str| all.iter().filter(|came| came.0 == outcome).count();
-    let again = all.iter().filter(|came| came.0 == "served" && came.1 == 0).count();
-    let tried = all.iter().filter(|came| came.1 > 1).count();
+    let all: Vec<RequestResult> =
+        workers.into_iter().flat_map(|worker| worker.join().expect("the same")).collect();
+    // The test is of no use unless every case occurs.
+    let count = |is_counted: &dyn Fn(&RequestResult) -> bool| all.iter().filter(|r| is_counted(r)).count();
+    let served = count(&|result| result.outcome == Outcome::Served);
+    let replayed = count(&|result| result.outcome == Outcome::Served && result.arrivals.attempts == 0);
+    let rejected = count(&|result| result.outcome == Outcome::Rejected);
+    let failed = count(&|result| result.outcome == Outcome::Failed);
+    let retried = count(&|result| result.arrivals.attempts > 1);
     println!(
-        "{} requests: served {}, of which {again} from the table of keys; refused {}, failed {}; {tried} tried again",
+        "{} requests: served {served}, of which {replayed} from the table of keys; refused {rejected}, failed {failed}; \
+         {retried} tried again",
         all.len(),
-        count("served"),
-        count("refused"),
-        count("failed")
     );
-    assert!(again > 50 && tried > 50 && count("failed") > 50 && count("refused") > 5);
+    assert!(replayed > 50 && retried > 50 && failed > 50 && rejected > 5);
 }
--- /dev/null
+++ b/tests/request_outcomes.rs
@@ -0,0 +1,318 @@
+//! Every way in which a request can end, many at once, against the metrics: nothing is counted twice, or not at all.
+mod stubs;
+
+use std::collections::BTreeMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use stubs::*;
+
+/// Larger than a body that is buffered.
+const LARGE: usize = 300_000;
+/// The rounds of requests at once.
+const ROUNDS: usize = 40;
+/// The requests of a round after the first.
+const REQUESTS_PER_ROUND: usize = 6;
+
+/// How a request ends; its endpoint reads it from the request's id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Ending {
+    Served,
+    Error,
+    /// The endpoint closes the connection without a response.
+    ConnectionClosed,
+    /// The client disconnects before there is a response.
+    ClientDisconnected,
+    /// No response within the client's timeout.
+    Timeout,
+    /// A large request, in full.
+    Upload,
+    /// A large request that breaks off.
+    TruncatedUpload,
+    /// A large response, in full.
+    Download,
+    /// A large response that breaks off.
+    TruncatedDownload,
+    /// The client disconnects in the middle of a large response.
+    AbandonedDownload,
+    /// Rejected, as its class is not known.
+    UnknownClass,
+    /// Rejected, as its class has another method.
+    WrongMethod,
+    /// Rejected, as its id is invalid.
+    InvalidId,
+    /// The endpoint responds to a large request before it has read it.
+    EarlyResponse,
+}
+
+const ENDINGS: [Ending; 14] = [
+    Ending::Served,
+    Ending::Error,
+    Ending::ConnectionClosed,
+    Ending::ClientDisconnected,
+    Ending::Timeout,
+    Ending::Upload,
+    Ending::TruncatedUpload,
+    Ending::Download,
+    Ending::TruncatedDownload,
+    Ending::AbandonedDownload,
+    Ending::UnknownClass,
+    Ending::WrongMethod,
+    Ending::InvalidId,
+    Ending::EarlyResponse,
+];
+
+impl Ending {
+    /// Whether its class is known, so that it is counted.
+    fn is_counted(self) -> bool {
+        !matches!(self, Ending::UnknownClass | Ending::WrongMethod | Ending::InvalidId)
+    }
+}
+
+/// The ids of requests that endpoints have received in full.
+type ReceivedIds = Arc<Mutex<Vec<String>>>;
+
+/// An endpoint that records what it has received in full.
+fn endpoint(received: ReceivedIds) -> SocketAddr {
+    raw_backend(move |stream| {
+        let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
+        while serve(&mut reader, &stream, &received).is_some() {}
+        let _ = stream.shutdown(Shutdown::Both);
+    })
+}
+
+/// Serves a request; none where its connection is to be closed.
+fn serve(reader: &mut BufReader<TcpStream>, mut stream: &TcpStream, received: &ReceivedIds) -> Option<()> {
+    let mut length = 0;
+    let mut line = String::new();
+    let mut id = String::new();
+    while line != "\r\n" {
+        line.clear();
+        reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        let lower = line.to_ascii_lowercase();
+        if let Some(value) = lower.strip_prefix("content-length:") {
+            length = value.trim().parse().ok()?;
+        } else if lower.starts_with("x-request-id:") {
+            line.split_once(':')?.1.trim().clone_into(&mut id);
+        }
+    }
+    let mut respond = |status: &str, length: usize, body: &[u8]| {
+        let head = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n");
+        stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body)).ok()
+    };
+    let is = |ending: Ending| id.starts_with(&format!("{ending:?}-"));
+    if is(Ending::EarlyResponse) {
+        respond("200 OK", 2, b"ok")?;
+    }
+    let mut body = vec![0; length];
+    reader.read_exact(&mut body).ok()?;
+    received.lock().expect("unpoisoned").push(id.clone());
+    if is(Ending::Served) || is(Ending::Upload) || is(Ending::TruncatedUpload) {
+        respond("200 OK", 2, b"ok")
+    } else if is(Ending::Error) {
+        respond("500 Internal Server Error", 0, b"")
+    } else if is(Ending::Download) || is(Ending::AbandonedDownload) {
+        respond("200 OK", LARGE, &vec![7; LARGE])
+    } else if is(Ending::TruncatedDownload) {
+        respond("200 OK", LARGE, &vec![7; LARGE / 2])?;
+        None
+    } else if is(Ending::ClientDisconnected) || is(Ending::Timeout) {
+        // Wait until the connection is closed.
+        let _ = reader.read(&mut [0]);
+        None
+    } else if is(Ending::EarlyResponse) {
+        Some(())
+    } else {
+        None
+    }
+}
+
+/// Sends a request that ends in this way: the status, where there was one.
+fn send(proxy: SocketAddr, ending: Ending, id: u64, received: &ReceivedIds) -> Option<u16> {
+    let name = format!("{ending:?}-{id}");
+    let stream = TcpStream::connect(proxy).expect("it listens");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    let mut client = BufReader::new(stream);
+    let request = match ending {
+        Ending::Upload | Ending::TruncatedUpload | Ending::EarlyResponse => {
+            write(&name, 5000, "").replace("Content-Length: 0", &format!("Content-Length: {LARGE}"))
+        }
+        Ending::Timeout => read(&name, 150),
+        Ending::UnknownClass => read(&name, 5000).replace("read", "nobodys"),
+        Ending::WrongMethod => read(&name, 5000).replace("GET", "PUT"),
+        Ending::InvalidId => read(&name, 5000).replace("X-Request-ID: ", "X-Request-ID: ,"),
+        _ => read(&name, 5000),
+    };
+    client.get_mut().write_all(request.as_bytes()).expect("written");
+    match ending {
+        // An early response may close the connection while the request is being written.
+        Ending::Upload | Ending::EarlyResponse => drop(client.get_mut().write_all(&vec![7; LARGE])),
+        Ending::TruncatedUpload => {
+            client.get_mut().write_all(&vec![7; LARGE / 2]).expect("written");
+            return None;
+        }
+        Ending::ClientDisconnected => {
+            let since = Instant::now();
+            while !received.lock().expect("unpoisoned").contains(&name) {
+                assert!(since.elapsed() < PATIENCE, "{name} reaches an endpoint");
+                thread::sleep(Duration::from_millis(1));
+            }
+            return None;
+        }
+        Ending::AbandonedDownload => {
+            client.read_exact(&mut [0; 64]).expect("the start");
+            return None;
+        }
+        Ending::TruncatedDownload => {
+            let mut all = Vec::new();
+            let _ = client.read_to_end(&mut all);
+            assert!(all.len() < LARGE);
+            return None;
+        }
+        _ => {}
+    }
+    hear(&mut client).map(|response| response.status())
+}
+
+/// What the metrics say of all requests.
+struct RequestFigures {
+    ended: u64,
+    active: u64,
+    attempts: u64,
+}
+
+impl RequestFigures {
+    fn read(proxy: &Process) -> RequestFigures {
+        let text = metrics(proxy);
+        let ended = ["edge_lb_ok_total", "edge_lb_shed_total", "edge_lb_errors_total"];
+        RequestFigures {
+            ended: ended.iter().map(|name| sum(&text, name)).sum(),
+            active: sum(&text, "edge_lb_active"),
+            attempts: sum(&text, "edge_lb_tries_total"),
+        }
+    }
+}
+
+fn metrics(proxy: &Process) -> String {
+    proxy.call("GET", "/status/metrics", "").1
+}
+
+/// The sum of a metric over its labels.
+fn sum(text: &str, name: &str) -> u64 {
+    let lines = text.lines().filter(|line| line.starts_with(name));
+    lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).sum()
+}
+
+/// The requests of a test run.
+struct Run {
+    process: Process,
+    proxy: SocketAddr,
+    received: ReceivedIds,
+    last_id: u64,
+    /// The requests so far that are counted.
+    counted: u64,
+    /// The responses to them, by status.
+    responses: BTreeMap<u16, u64>,
+}
+
+impl Run {
+    /// Sends requests at once, and checks the metrics at each moment: no more than was sent, and nothing forgotten that had
+    /// ended before.
+    fn send_at_once(&mut self, endings: &[Ending]) {
+        let counted_before = self.counted;
+        self.counted += endings.iter().filter(|ending| ending.is_counted()).count() as u64;
+        let counted = self.counted;
+        let is_over = AtomicBool::new(false);
+        thread::scope(|scope| {
+            scope.spawn(|| {
+                while !is_over.load(Ordering::SeqCst) {
+                    let RequestFigures { ended, active, .. } = RequestFigures::read(&self.process);
+                    assert!(
+                        (counted_before..=counted).contains(&(ended + active)),
+                        "{counted_before} {ended} {active} {counted}"
+                    );
+                    thread::sleep(Duration::from_millis(2));
+                }
+            });
+            let first_id = self.last_id + 1;
+            self.last_id += endings.len() as u64;
+            let requests: Vec<_> = (first_id..)
+                .zip(endings)
+                .map(|(id, &ending)| {
+                    let received = &self.received;
+                    let proxy = self.proxy;
+                    scope.spawn(move || (ending, send(proxy, ending, id, received)))
+                })
+                .collect();
+            for request in requests {
+                let (ending, status) = request.join().expect("no panic");
+                if let Some(status) = status.filter(|_| ending.is_counted()) {
+                    *self.responses.entry(status).or_default() += 1;
+                }
+            }
+            is_over.store(true, Ordering::SeqCst);
+        });
+    }
+
+    /// Waits until all requests have ended, and each attempt that an endpoint received is counted.
+    fn wait_until_settled(&self, round: usize, endings: &[Ending]) {
+        let since = Instant::now();
+        loop {
+            let RequestFigures { ended, active, attempts } = RequestFigures::read(&self.process);
+            let received = self.received.lock().expect("unpoisoned").len() as u64;
+            let counted = self.counted;
+            if (ended, active) == (counted, 0) && attempts == received {
+                return;
+            }
+            let state = format!(
+                "round {round}, {endings:?}: {ended} ended, {active} active of {counted}, {attempts} attempts of {received}"
+            );
+            assert!(since.elapsed() < PATIENCE, "{state}");
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// The responses with such a status.
+    fn responses(&self, is_counted: impl Fn(u16) -> bool) -> u64 {
+        self.responses.iter().filter(|(status, _)| is_counted(**status)).map(|(_, count)| count).sum()
+    }
+}
+
+#[test]
+fn metrics_agree_with_clients_and_endpoints_however_requests_end() {
+    let seed = 40;
+    println!("seed {seed}");
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let received = ReceivedIds::default();
+    let endpoints = [endpoint(Arc::clone(&received)), endpoint(Arc::clone(&received))];
+    let discovery = Discovery::new();
+    let socket = Held::new();
+    let mut setup = Setup { aim_ms: 4000, ..Setup::of(&[]) };
+    let hosts = endpoints.iter().enumerate();
+    setup.hosts = hosts.map(|(i, address)| host(&format!("s-{i}"), *address, "SERVING")).collect();
+    let process = socket.start(&with_operators(&setup.config(discovery.address)));
+    let proxy = socket.address;
+    let mut run = Run { process, proxy, received, last_id: 0, counted: 0, responses: BTreeMap::new() };
+    for round in 0..ROUNDS {
+        let endings: Vec<Ending> =
+            (0..REQUESTS_PER_ROUND).map(|_| ENDINGS[rng.usize(0..ENDINGS.len())]).collect();
+        // The first round has each once.
+        let endings = if round == 0 { ENDINGS.to_vec() } else { endings };
+        run.send_at_once(&endings);
+        run.wait_until_settled(round, &endings);
+    }
+    // Clients that disconnected got no response, so these are a part of what was counted.
+    let text = metrics(&run.process);
+    let served = run.responses(|status| status < 300);
+    let responses = &run.responses;
+    assert!(sum(&text, "edge_lb_ok_total") >= served, "{responses:?}");
+    let rejected = run.responses(|status| status == 429 || status == 503);
+    assert!(sum(&text, "edge_lb_shed_total") >= rejected, "{responses:?}");
+    let failed = run.responses(|status| status == 502 || status == 504);
+    assert!(sum(&text, "edge_lb_errors_total") >= failed, "{responses:?}");
+    assert!(served > 20 && run.responses(|status| status >= 500) > 10, "{responses:?}");
+}
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,11 +1,11 @@
-//! Own installations on loopback: routes, pools, sources of nodes.
+//! The standalone mode over loopback: routes, pools, fallbacks and sources of endpoints.
 mod stubs;
 
 use std::net::SocketAddr;
 
 use stubs::*;
 
-/// A configuration with the usual classes; `rest` holds pools and routes.
+/// A configuration with a class of each semantics; `rest` holds pools and routes.
 fn config(listen: &str, rest: &str) -> String {
     format!(
         r#"[server]
@@ -39,7 +39,7 @@
     )
 }
 
-const HERE: &str = r#"{ address = "127.0.0.1:0" }"#;
+const LOOPBACK: &str = r#"{ address = "127.0.0.1:0" }"#;
 
 fn pool(name: &str, nodes: &[(&str, SocketAddr, &str)]) -> String {
     let nodes: Vec<String> = nodes
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn requests_go_where_their_route_says_and_nowhere_else() {
+fn requests_are_sent_only_where_their_route_says() {
     let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
     let rest = pool("one", &[("n1", one.address, "")])
         + &pool("other", &[("n2", other.address, "")])
         + &route("one", r#"path = "/one/{x}""#, "read", "pool = \"one\"")
         + &route("judges", r#"path = "/one/{x}", headers = { X-App = "judge" }"#, "read", "pool = \"other\"")
         + &route("host", r#"host = "*.b.example", path = "/one/{x}""#, "read", "pool = \"other\"");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     let body = |request: &str| String::from_utf8(proxy.ask(request).body).expect("text");
     assert_eq!(body(&get("/one/1", "")), "one");
     assert_eq!(body(&get("/one/1", "x-app: judge\r\n")), "other");
@@ -77,7 +77,7 @@
     for unrouted in ["/one", "/one/1/2", "/ONE/1", "/"] {
         assert_eq!(proxy.ask(&get(unrouted, "")).status(), 404, "{unrouted}");
     }
-    // A request without an id gets one of its own, and one that has one keeps it.
+    // A request without an id gets a unique one, and one that has an id keeps it.
     proxy.ask(&get("/one/1", ""));
     proxy.ask(&get("/one/1", "X-Request-ID: mine\r\n"));
     let mut ids: Vec<String> =
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn the_node_sees_what_was_routed_by() {
+fn the_endpoint_receives_the_normalized_host_and_path() {
     let node = Backend::new([ok("done")]);
     let rest = pool("p", &[("n", node.address, "")])
         + &route("all", r#"path = "/a/*""#, "read", "pool = \"p\"")
         + &route("secret", r#"path = "/secret""#, "read", "pool = \"p\"\nnodes = { zones = [\"nowhere\"] }")
             .replace("nowhere", "south");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     let cases = [
         ("/a/b?x=%2e%2e//", "/a/b?x=%2e%2e//"),
         ("/a/x/%2e%2e/b", "/a/b"),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_route_keeps_to_its_zones_and_callers_have_one() {
+fn a_route_is_limited_to_zones_of_clients_and_of_endpoints() {
     let (south, north) = (Backend::new([ok("south")]), Backend::new([ok("north")]));
     let rest =
         pool("p", &[("s", south.address, ", zone = \"south\""), ("n", north.address, ", zone = \"north\"")])
@@ -146,7 +146,7 @@
         assert_eq!(proxy.ask(&post("/close", "x-zone: north\r\n")).body, b"north");
     }
     assert_eq!(proxy.ask(&post("/close", "X-Zone: west\r\n")).status(), 404);
-    // The south has gone: refused, not moved.
+    // Without an endpoint in its zone a request is rejected, not sent to another zone.
     let text = std::fs::read_to_string(&proxy.path).expect("there");
     proxy.reload(&text.replace("zone = \"south\" }, {", "zone = \"south\", state = \"draining\" }, {"));
     proxy.says("configuration 2: ");
@@ -155,28 +155,28 @@
 }
 
 #[test]
-fn a_player_stays_on_one_side_of_a_split() {
+fn a_split_by_header_is_sticky() {
     let (a, b) = (Backend::new([ok("a")]), Backend::new([ok("b")]));
     let split = "split = { by = \"header:x-player\", pools = [{ pool = \"a\", weight = 3 }, { pool = \"b\", weight = 1 }] }";
     let rest = pool("a", &[("n", a.address, "")])
         + &pool("b", &[("n", b.address, "")])
         + &route("r", r#"path = "/*""#, "read", split);
-    let proxy = serve(&config(HERE, &rest), &[]);
-    let sides = || -> Vec<u8> {
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
+    let chosen_pools = || -> Vec<u8> {
         let mut caller = proxy.caller();
         (0..60).map(|i| caller.ask(&get("/x", &format!("X-Player: p{i}\r\n"))).body[0]).collect()
     };
-    let before = sides();
-    assert_eq!(before, sides());
-    let on_b = before.iter().filter(|s| **s == b'b').count();
-    assert!((5..=27).contains(&on_b), "{on_b} of 60");
-    // A smaller weight moves players off that side, and none onto it.
-    proxy.reload(&config(HERE, &rest.replace("weight = 1 }", "weight = 0 }")));
+    let before = chosen_pools();
+    assert_eq!(before, chosen_pools());
+    let count_b = before.iter().filter(|s| **s == b'b').count();
+    assert!((5..=27).contains(&count_b), "{count_b} of 60");
+    // A smaller weight moves clients off that pool, and none onto it.
+    proxy.reload(&config(LOOPBACK, &rest.replace("weight = 1 }", "weight = 0 }")));
     proxy.says("configuration 2: ");
-    assert!(sides().iter().all(|s| *s == b'a'));
-    proxy.reload(&config(HERE, &rest));
+    assert!(chosen_pools().iter().all(|s| *s == b'a'));
+    proxy.reload(&config(LOOPBACK, &rest));
     proxy.says("configuration 3: ");
-    assert_eq!(before, sides());
+    assert_eq!(before, chosen_pools());
 }
 
 // ---- Fallbacks ----
@@ -192,76 +192,76 @@
 fn a_fallback_is_used_under_its_condition_only() {
     let (main, spare) = (Backend::new([ok("main")]), Backend::new([ok("spare")]));
     let rest = two_pools(&main, &spare, "read", "all-draining");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"main");
     let draining = rest
         .replace(&format!("\"{}\"", main.address), &format!("\"{}\", state = \"draining\"", main.address));
-    proxy.reload(&config(HERE, &draining));
+    proxy.reload(&config(LOOPBACK, &draining));
     proxy.says("configuration 2: ");
     assert_eq!(proxy.ask(&get("/x", "")).body, b"spare");
-    // Gone is not draining: refused by the decisions of the pool that is preferred.
+    // A removed endpoint is not draining: the preferred pool rejects the request.
     let node = format!("{{ name = \"m\", address = \"{}\" }}", main.address);
-    proxy.reload(&config(HERE, &rest.replace(&node, "")));
+    proxy.reload(&config(LOOPBACK, &rest.replace(&node, "")));
     proxy.says("configuration 3: ");
     assert_eq!(proxy.ask(&get("/x", "")).status(), 503);
-    proxy.reload(&config(HERE, &rest.replace(&node, "").replace("all-draining", "none-ready")));
+    proxy.reload(&config(LOOPBACK, &rest.replace(&node, "").replace("all-draining", "none-ready")));
     proxy.says("configuration 4: ");
     assert_eq!(proxy.ask(&get("/x", "")).body, b"spare");
 }
 
 #[test]
-fn what_is_refused_goes_on_only_where_that_is_harmless() {
-    // Turned away unseen: nothing ran, and any class may go on.
+fn a_rejected_request_falls_back_only_if_that_is_harmless() {
+    // Rejected before it was executed: a request of any class may fall back.
     for class in ["read", "put", "write"] {
         let (main, spare) = (Backend::new([full()]), Backend::new([ok("spare")]));
-        let proxy = serve(&config(HERE, &two_pools(&main, &spare, class, "refused")), &[]);
+        let proxy = serve(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
         let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"spare"[..]), "{class}");
         assert_eq!(spare.requests().len(), 1, "{class}");
     }
-    // Broken after it was sent: it may have run. A keyed one would be dropped as a repeat by its own pool, and not
-    // by another.
-    for (class, status, elsewhere) in [("write", 502, 0), ("put", 502, 0), ("read", 200, 1)] {
+    // The connection closed after it was sent, so it may have been executed. Its own pool would recognize the key
+    // of a repeat, another would not.
+    for (class, status, fallback_requests) in [("write", 502, 0), ("put", 502, 0), ("read", 200, 1)] {
         let main = Backend::new([Deed::Break, full()]);
         let spare = Backend::new([ok("spare")]);
-        let proxy = serve(&config(HERE, &two_pools(&main, &spare, class, "refused")), &[]);
+        let proxy = serve(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
         let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!(answer.status(), status, "{class}");
-        assert_eq!(spare.requests().len(), elsewhere, "{class}");
+        assert_eq!(spare.requests().len(), fallback_requests, "{class}");
     }
-    // With no other pool the refusal of a keyed one is true: its own pool drops the repeat.
+    // Without another pool a request with a key is rejected: its own pool recognizes a repeat.
     let main = Backend::new([Deed::Break, full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "put", "pool = \"main\"");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     assert_eq!(proxy.ask(&post("/x", "Idempotency-Key: k\r\n")).status(), 503);
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_in_whole_seconds() {
+fn retry_after_is_in_whole_seconds() {
     let main = Backend::new([full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "read", "pool = \"main\"");
-    let proxy = serve(&config(HERE, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
-    let advised = (0..400).find_map(|_| {
+    let proxy = serve(&config(LOOPBACK, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
+    let retry_after = (0..400).find_map(|_| {
         let answer = proxy.ask(&get("/x", ""));
         assert_eq!(answer.status(), 503);
         answer.header("Retry-After").map(str::to_owned)
     });
-    if let Some(seconds) = advised {
+    if let Some(seconds) = retry_after {
         assert!(seconds.parse::<u32>().is_ok_and(|s| s >= 1), "{seconds}");
     }
 }
 
-// ---- Sources of nodes ----
+// ---- Sources of endpoints ----
 
 #[test]
-fn a_watched_file_is_followed_and_half_a_one_is_not() {
+fn a_watched_file_is_reloaded_and_an_invalid_one_is_ignored() {
     let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
     let rest = "[[pool]]\nname = \"p\"\nfile = \"nodes.json\"\n".to_owned()
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
     let of = |backend: &Backend| list(1, true, &[host("n", backend.address, "SERVING")]);
-    let proxy = serve(&config(HERE, &rest), &[("nodes.json", &of(&one))]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[("nodes.json", &of(&one))]);
     let file = proxy.path.with_file_name("nodes.json");
     proxy.says("pool `p`: 1 nodes from ");
     assert_eq!(proxy.ask(&get("/x", "")).body, b"one");
@@ -275,15 +275,15 @@
     std::fs::rename(&next, &file).expect("renamed");
     proxy.says("pool `p`: 2 nodes from ");
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
-    // Cut off at places that leave whole hosts, then garbage, a part of a list, and no file at all.
-    let whole = of(&one);
-    let twins = list(3, true, &[host("n", one.address, "SERVING"), host("n", one.address, "SERVING")]);
+    // Truncated after complete hosts, empty, with garbage, an incomplete list, and no file at all.
+    let complete = of(&one);
+    let duplicate = list(3, true, &[host("n", one.address, "SERVING"), host("n", one.address, "SERVING")]);
     let bad = [
-        (whole[..whole.len() - 2].to_owned(), "EOF while parsing a list"),
+        (complete[..complete.len() - 2].to_owned(), "EOF while parsing a list"),
         (String::new(), "EOF while parsing a value"),
-        (format!("{whole}x"), "trailing characters"),
+        (format!("{complete}x"), "trailing characters"),
         (list(3, false, &[host("n", one.address, "SERVING")]), "not a whole list"),
-        (twins, "two hosts are named \"n\""),
+        (duplicate, "two hosts are named \"n\""),
     ];
     for (text, why) in bad {
         std::fs::write(&file, text).expect("written");
@@ -293,40 +293,40 @@
     std::fs::remove_file(&file).expect("removed");
     proxy.says("No such file");
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
-    assert_eq!(proxy.log().matches("No such file").count(), 1, "said once");
+    assert_eq!(proxy.log().matches("No such file").count(), 1, "logged once");
     std::fs::write(&file, of(&one)).expect("written");
-    // The first line of all said the same.
+    // The log has this line from the start, so it cannot be waited for.
     while proxy.ask(&get("/x", "")).body != b"one" {}
 }
 
 #[test]
-fn discovery_is_a_source_too() {
+fn discovery_is_a_source_of_endpoints() {
     let (one, other) = (Backend::new([ok("one")]), Backend::new([ok("other")]));
     let discovery = Discovery::new();
     discovery.tell(News::List(list(1, true, &[host("n", one.address, "SERVING")])));
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     assert_eq!(discovery.call(0).0, "/v1/servers");
     discovery.call(1);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"one");
     discovery.tell(News::List(list(2, true, &[host("m", other.address, "SERVING")])));
     discovery.call(2);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
-    // A discovery that fails keeps its last list.
+    // When discovery fails, its last list stays.
     discovery.tell(News::Fails);
     discovery.call(3);
     assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
 }
 
 #[test]
-fn a_proxy_is_healthy_once_every_pool_has_its_list() {
+fn a_proxy_is_healthy_once_every_pool_has_its_endpoint_list() {
     let node = Backend::new([ok("done")]);
     let discovery = Discovery::new();
     let rest = pool("q", &[("n", node.address, "")])
         + &format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let proxy = serve(&config(HERE, &rest), &[]);
+    let proxy = serve(&config(LOOPBACK, &rest), &[]);
     discovery.call(0);
     assert_eq!(proxy.ask(&get("/healthz", "")).status(), 503);
     discovery.tell(News::List(list(1, true, &[host("n", node.address, "SERVING")])));
@@ -337,9 +337,9 @@
 // ---- Starting ----
 
 #[test]
-fn a_configuration_that_cannot_serve_ends_the_program_with_one_line() {
+fn an_invalid_configuration_ends_the_program_with_one_line() {
     let rest = pool("p", &[("n", nobody(), "")]) + &route("r", r#"path = "/a""#, "read", "pool = \"p\"");
-    let good = config(HERE, &rest);
+    let good = config(LOOPBACK, &rest);
     let expecting =
         good.replace("zone = \"south\"\n", "zone = \"south\"\nexpectations = [\"expect.toml\"]\n");
     let expect = "[[expect]]\nname = \"a is served\"\nwhen = { path = \"/a\" }\nthen = { pool = \"p\" }\n";
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator bridge, from text to text.
+//! The program that speaks the simulator's protocol, from input to output.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -8,10 +8,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the bridge starts");
-    // It may stop reading at the first line that it cannot use.
+        .expect("the program starts");
+    // It stops reading at the first invalid line.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the bridge ends")
+    child.wait_with_output().expect("the program ends")
 }
 
 fn settings(extra: &str) -> String {
@@ -35,15 +35,15 @@
 }
 
 #[track_caller]
-fn fails(input: &str, line: usize, cause: &str) {
+fn assert_fails(input: &str, line: usize, cause: &str) {
     let output = simulator(input);
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success(), "it went on: {said}");
-    assert!(said.contains(&format!("line {line}")) && said.contains(cause), "{said}");
+    let text = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success(), "it continued: {text}");
+    assert!(text.contains(&format!("line {line}")) && text.contains(cause), "{text}");
 }
 
 #[test]
-fn a_request_is_sent_and_several_instances_keep_their_own() {
+fn instances_decide_independently() {
     let input = format!(
         "BATCH 1000 1\n{}{}SWITCH_TO proxy-2\nPOWER_ON 8 {}\n{}OVER_TO_YOU\n",
         start("proxy-1", r#","unheard_of":{"x":1}"#),
@@ -52,15 +52,15 @@
         submit(12),
     );
     let output = simulator(&input);
-    let said = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("text");
     assert!(output.status.success());
-    assert!(said.contains("TRANSMIT 11 5 1100.000"), "{said}");
-    assert!(said.contains("FOR proxy-2\n") && said.contains("DECLINE 12 0.000"), "{said}");
-    assert!(said.ends_with("EOR 1\n"), "{said}");
+    assert!(text.contains("TRANSMIT 11 5 1100.000"), "{text}");
+    assert!(text.contains("FOR proxy-2\n") && text.contains("DECLINE 12 0.000"), "{text}");
+    assert!(text.ends_with("EOR 1\n"), "{text}");
 }
 
 #[test]
-fn a_restarted_instance_knows_nothing_of_its_former_life() {
+fn a_restarted_instance_has_no_state() {
     let input = format!(
         "BATCH 1000 1\n{}{}OVER_TO_YOU\nBATCH 1001 2\nSWITCH_TO p\nKILLED\nPOWER_ON 9 {}\n{}OVER_TO_YOU\n",
         start("p", ""),
@@ -68,23 +68,27 @@
         settings(""),
         submit(2),
     );
-    let said = String::from_utf8(simulator(&input).stdout).expect("text");
-    assert!(said.contains("TRANSMIT 1 5") && said.contains("DECLINE 2"), "{said}");
+    let text = String::from_utf8(simulator(&input).stdout).expect("text");
+    assert!(text.contains("TRANSMIT 1 5") && text.contains("DECLINE 2"), "{text}");
 }
 
 #[test]
-fn malformed_input_names_its_line_and_cause() {
+fn an_error_names_the_line_and_the_cause() {
     let head = format!("BATCH 1000 1\n{}", start("p", ""));
-    fails("HELLO\n", 1, "expected BATCH");
-    fails("BATCH x 1\n", 1, "not a number");
-    fails(&format!("{head}NONSENSE 1\n"), 7, "unknown event");
-    fails(&format!("{head}SUBMIT 1 - 0 - b 400 -\n"), 7, "unknown class");
-    fails(&format!("{head}SUBMIT 1 - 0 - a\n"), 7, "a value is missing");
-    fails(&format!("{head}RESOLVED 1 0 5 MAYBE 1 0 -\n"), 7, "unknown outcome");
-    fails(&format!("{head}HEARD 1 0x\n"), 7, "not hex");
-    fails(&format!("{head}DUE 1 2\n"), 7, "a value too many");
-    fails(&head, 6, "ended inside a batch");
-    fails("BATCH 1 1\nDUE 1\n", 2, "no instance");
-    fails("BATCH 1 1\nSWITCH_TO p\nPOWER_ON 1 {\n", 3, "bad settings");
-    fails(&format!("BATCH 1 1\n{}", start("p", r#","contract":{"cold_from":-1}"#)), 3, "unusable settings");
+    assert_fails("HELLO\n", 1, "expected BATCH");
+    assert_fails("BATCH x 1\n", 1, "not a number");
+    assert_fails(&format!("{head}NONSENSE 1\n"), 7, "unknown event");
+    assert_fails(&format!("{head}SUBMIT 1 - 0 - b 400 -\n"), 7, "unknown class");
+    assert_fails(&format!("{head}SUBMIT 1 - 0 - a\n"), 7, "a value is missing");
+    assert_fails(&format!("{head}RESOLVED 1 0 5 MAYBE 1 0 -\n"), 7, "unknown outcome");
+    assert_fails(&format!("{head}HEARD 1 0x\n"), 7, "not hex");
+    assert_fails(&format!("{head}DUE 1 2\n"), 7, "a value too many");
+    assert_fails(&head, 6, "ended inside a batch");
+    assert_fails("BATCH 1 1\nDUE 1\n", 2, "no instance");
+    assert_fails("BATCH 1 1\nSWITCH_TO p\nPOWER_ON 1 {\n", 3, "bad settings");
+    assert_fails(
+        &format!("BATCH 1 1\n{}", start("p", r#","contract":{"cold_from":-1}"#)),
+        3,
+        "unusable settings",
+    );
 }
