--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -12,7 +12,7 @@
 use rpc::*;
 use serde_json::json;
 use stubs::*;
-use testkit::rpc::request as rpc_request;
+use testkit::json_rpc::request as rpc_request;
 
 /// The number of sequences.
 const SEEDS: u64 = 200;
@@ -108,8 +108,8 @@
 
 /// Endpoints that follow a script, of either protocol.
 enum Endpoints {
-    Http(Vec<Backend>),
-    Rpc(Vec<RpcNode>),
+    Http(Vec<MockEndpoint>),
+    Rpc(Vec<MockRpcEndpoint>),
 }
 
 impl Endpoints {
@@ -117,21 +117,21 @@
         let script = || Arc::clone(script);
         if is_rpc {
             let node = |script: Arc<Script>| {
-                RpcNode::of(Frames::Lines, move |_| match script.next_fault() {
-                    Fault::None => Reply::Result(json!("done")),
-                    Fault::Error => Reply::Error(-32050),
-                    Fault::Rejected => Reply::Error(-32004),
-                    Fault::ConnectionClosed => Reply::Break,
+                MockRpcEndpoint::of(Framing::Lines, move |_| match script.next_fault() {
+                    Fault::None => RpcBehavior::Result(json!("done")),
+                    Fault::Error => RpcBehavior::Error(-32050),
+                    Fault::Rejected => RpcBehavior::Error(-32004),
+                    Fault::ConnectionClosed => RpcBehavior::Disconnect,
                 })
             };
             return Endpoints::Rpc(vec![node(script()), node(script())]);
         }
         let node = |script: Arc<Script>| {
-            Backend::of(move |_| match script.next_fault() {
+            MockEndpoint::of(move |_| match script.next_fault() {
                 Fault::None => ok("done"),
                 Fault::Error => answer("500 Internal Server Error", "", ""),
                 Fault::Rejected => full(),
-                Fault::ConnectionClosed => Deed::Break,
+                Fault::ConnectionClosed => Behavior::Disconnect,
             })
         };
         Endpoints::Http(vec![node(script()), node(script())])
@@ -145,7 +145,7 @@
     }
 }
 
-fn send_http(client: &mut Caller, index: usize, request: &Request) -> Outcome {
+fn send_http(client: &mut HttpClient, index: usize, request: &Request) -> Outcome {
     let method = if request.class == "standings" { "GET" } else { "POST" };
     let key = request.key.map_or(String::new(), |key| format!("Idempotency-Key: k{key}\r\n"));
     let length = if method == "POST" { "Content-Length: 0\r\n" } else { "" };
@@ -159,7 +159,7 @@
     }
 }
 
-fn send_rpc(client: &mut RpcCaller, index: usize, request: &Request) -> Outcome {
+fn send_rpc(client: &mut RpcClient, index: usize, request: &Request) -> Outcome {
     let params = request.key.map_or(json!({}), |key| json!({ "key": format!("k{key}") }));
     let response = client.ask(&rpc_request(index, request.class, params));
     match response["error"]["code"].as_i64() {
--- a/tests/request_outcomes.rs
+++ b/tests/request_outcomes.rs
@@ -135,7 +135,7 @@
 fn send(proxy: SocketAddr, ending: Ending, id: u64, received: &ReceivedIds) -> Option<u16> {
     let name = format!("{ending:?}-{id}");
     let stream = TcpStream::connect(proxy).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut client = BufReader::new(stream);
     let request = match ending {
         Ending::Upload | Ending::TruncatedUpload | Ending::EarlyResponse => {
@@ -158,7 +158,7 @@
         Ending::ClientDisconnected => {
             let since = Instant::now();
             while !received.lock().expect("unpoisoned").contains(&name) {
-                assert!(since.elapsed() < PATIENCE, "{name} reaches an endpoint");
+                assert!(since.elapsed() < TEST_TIMEOUT, "{name} reaches an endpoint");
                 thread::sleep(Duration::from_millis(1));
             }
             return None;
@@ -175,7 +175,7 @@
         }
         _ => {}
     }
-    hear(&mut client).map(|response| response.status())
+    read_message(&mut client).map(|response| response.status())
 }
 
 /// What the metrics say of all requests.
@@ -271,7 +271,7 @@
             let state = format!(
                 "round {round}, {endings:?}: {ended} ended, {active} active of {counted}, {attempts} attempts of {received}"
             );
-            assert!(since.elapsed() < PATIENCE, "{state}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "{state}");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -289,7 +289,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let received = ReceivedIds::default();
     let endpoints = [endpoint(Arc::clone(&received)), endpoint(Arc::clone(&received))];
-    let discovery = Discovery::new();
+    let discovery = MockDiscovery::new();
     let socket = Held::new();
     let mut setup = Setup { aim_ms: 4000, ..Setup::of(&[]) };
     let hosts = endpoints.iter().enumerate();
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -40,10 +40,10 @@
     let runs = (1..=3).map(|seed| {
         thread::spawn(move || {
             let ((draining, received_at), (other, _)) = (noting_backend(), noting_backend());
-            let discovery = Discovery::new();
+            let discovery = MockDiscovery::new();
             // The endpoint has been draining for an hour; the list in hand is older.
             let hosts = [host("s-0", draining, "DRAINING"), host("s-1", other, "SERVING")];
-            discovery.tell(News::List(list(2, true, &hosts)));
+            discovery.push(PollResponse::List(list(2, true, &hosts)));
             let stale_hosts = vec![host("s-0", draining, "SERVING"), host("s-1", other, "SERVING")];
             let proxy = start_config(&fleet_config(stale_hosts, discovery.address, seed));
             let started = Instant::now();
@@ -65,10 +65,10 @@
 
 #[test]
 fn nothing_is_forwarded_by_a_list_that_discovery_does_not_confirm() {
-    for failure in [News::Fails, News::Closes] {
+    for failure in [PollResponse::Unavailable, PollResponse::Disconnect] {
         let (address, received_at) = noting_backend();
-        let discovery = Discovery::new();
-        discovery.meanwhile(Some(failure.clone()));
+        let discovery = MockDiscovery::new();
+        discovery.set_default_response(Some(failure.clone()));
         let hosts = vec![host("s-0", address, "SERVING")];
         let proxy = start_config(&fleet_config(hosts.clone(), discovery.address, 7));
         let started = Instant::now();
@@ -77,9 +77,9 @@
             received_at.lock().expect("unpoisoned").iter().filter(|at| **at > started + DRAIN_GRACE).count();
         assert_eq!(late_requests, 0, "{failure:?}: forwarded by a list that nothing proves");
         // A response without a change is enough.
-        discovery.meanwhile(None);
-        discovery.tell(News::List(list(1, false, &[])));
-        let until = Instant::now() + PATIENCE;
+        discovery.set_default_response(None);
+        discovery.push(PollResponse::List(list(1, false, &[])));
+        let until = Instant::now() + TEST_TIMEOUT;
         while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
             assert!(Instant::now() < until, "{failure:?}: does not go on");
         }
