--- /dev/null
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -0,0 +1,120 @@
+//! Submits an accepted request to the decisions, of one pool after another where it is rejected, until it has its final
+//! response. The same for all protocols.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use decide::{Micros, NewRequest, RequestId};
+use tokio::time::{sleep_until, Instant};
+
+use super::request::AcceptedRequest;
+use super::ListenerState;
+use crate::exchange::{Answer, Client, Message};
+use crate::inbox::DriverHandle;
+use crate::router::{PoolSequence, RejectionOutcome};
+
+/// The decisions get this much less than the client's time, for the way of the response.
+const RESPONSE_TIME: Duration = Duration::from_millis(20);
+/// But at most this part of the client's time.
+const RESPONSE_TIME_DIVISOR: u32 = 10;
+/// This much before the client's time is up, a request that the decisions still hold fails.
+const BACKSTOP_MARGIN: Duration = Duration::from_millis(8);
+
+/// The time that a request may take.
+struct TimeBudget {
+    received_at: Instant,
+    /// Time that the decisions have, from when the request is complete.
+    decision_time: Duration,
+    /// When the request fails, whatever the decisions say.
+    backstop: Instant,
+}
+
+impl TimeBudget {
+    /// `timeout` counts from when the request is complete, which may take `body_pending` microseconds more.
+    fn new(received_at: Instant, body_pending: Micros, timeout: Duration) -> TimeBudget {
+        let body_time = Duration::from_micros(body_pending.max(0) as u64);
+        let response_time = RESPONSE_TIME.min(timeout / RESPONSE_TIME_DIVISOR);
+        TimeBudget {
+            received_at,
+            decision_time: timeout.saturating_sub(response_time),
+            backstop: received_at + body_time + timeout.saturating_sub(BACKSTOP_MARGIN),
+        }
+    }
+
+    /// What is left for the decisions of a later pool, in microseconds.
+    fn time_left(&self) -> Micros {
+        self.decision_time.saturating_sub(self.received_at.elapsed()).as_micros() as Micros
+    }
+}
+
+/// Submits a request and waits for its final response. `received_at` is when it arrived. Dropping this future tells the
+/// decisions that the client has gone.
+pub async fn dispatch(
+    listener: &ListenerState,
+    request: AcceptedRequest,
+    client: &Client,
+    received_at: Instant,
+) -> Answer {
+    let AcceptedRequest { mut decision_input, message, mut pools, client_timeout, reserved_key, id_claim } =
+        request;
+    if listener.drain.is_deadline_passed() {
+        return Answer::Refused { retry_after: 0, never_ran: true };
+    }
+    decision_input.downstream_connections = listener.remaining_connections();
+    let timeout = listener.drain.request_timeout(received_at, client_timeout);
+    let budget = TimeBudget::new(received_at, decision_input.body_pending, timeout);
+    decision_input.time_left = budget.decision_time.as_micros() as Micros;
+    let answer = loop {
+        let answer = submit(listener, &*pools, &decision_input, &message, client, &budget).await;
+        let Answer::Refused { never_ran, .. } = answer else { break answer };
+        match pools.on_rejected(never_ran) {
+            RejectionOutcome::Final => break answer,
+            // A body that was streamed cannot be sent again, in any pool.
+            RejectionOutcome::NextPool if message.body().streaming().is_some() => break answer,
+            RejectionOutcome::Failed => break Answer::Failed,
+            RejectionOutcome::NextPool => {
+                decision_input.endpoint_filter = pools.endpoint_filter();
+                decision_input.max_attempts = pools.max_attempts();
+                decision_input.time_left = budget.time_left();
+            }
+        }
+    };
+    if let Some(mut key) = reserved_key {
+        key.answered(&answer);
+    }
+    drop(id_claim);
+    answer
+}
+
+/// Submits a request to the current pool, and waits for what becomes of it there.
+async fn submit(
+    listener: &ListenerState,
+    pools: &dyn PoolSequence,
+    decision_input: &NewRequest,
+    message: &Rc<Message>,
+    client: &Client,
+    budget: &TimeBudget,
+) -> Answer {
+    let driver = pools.driver().clone();
+    let (id, answer) =
+        driver.request(decision_input.clone(), Rc::clone(message), client.clone(), pools.attempt_counter());
+    let _cancellation = CancelOnDrop { driver: &driver, id };
+    tokio::select! {
+        biased;
+        answer = answer => answer.unwrap_or(Answer::Failed),
+        () = sleep_until(budget.backstop) => Answer::TimedOut,
+        () = listener.drain.deadline_passed() => Answer::TimedOut,
+    }
+}
+
+/// Ends a request and its attempts once nobody waits for it; has no effect after its response.
+struct CancelOnDrop<'a> {
+    driver: &'a DriverHandle,
+    id: RequestId,
+}
+
+impl Drop for CancelOnDrop<'_> {
+    fn drop(&mut self) {
+        self.driver.client_disconnected(self.id);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/drain.rs
@@ -0,0 +1,164 @@
+//! Graceful shutdown of a listener: it goes on accepting for a while, then closes idle connections and waits for open
+//! requests, up to the time at which the process is killed. The crate `shutdown` decides; this carries it out.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use decide::Micros;
+use shutdown::{Fate, Shutdown};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::time::{timeout, timeout_at, Instant};
+
+use super::connection::DownstreamConnection;
+use super::{accept, ListenerState};
+use crate::clock::Clock;
+use crate::log::say;
+use crate::socket::UnreadInput;
+
+/// How often connections are checked while the listener drains.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest client timeout that is reckoned with, in microseconds; sums with times of the clock stay in range.
+const MAX_CLIENT_TIMEOUT: Micros = Micros::MAX / 4;
+
+/// How far the graceful shutdown of a listener has come.
+pub struct DrainState {
+    shutdown: RefCell<Shutdown>,
+    clock: Clock,
+    /// No further requests are waited for.
+    is_serving_over: Cell<bool>,
+    /// True once open requests have to fail, as the process is about to be killed.
+    is_deadline_passed: watch::Sender<bool>,
+}
+
+impl DrainState {
+    pub fn new(shutdown: Shutdown, clock: Clock) -> DrainState {
+        DrainState {
+            shutdown: RefCell::new(shutdown),
+            clock,
+            is_serving_over: Cell::new(false),
+            is_deadline_passed: watch::Sender::new(false),
+        }
+    }
+
+    /// Whether the graceful shutdown has started.
+    pub fn is_started(&self) -> bool {
+        self.shutdown.borrow().is_told()
+    }
+
+    /// Whether connections close with their next response.
+    pub fn is_serving_over(&self) -> bool {
+        self.is_serving_over.get()
+    }
+
+    /// Reports how late this process came round to what was due.
+    pub fn report_lateness(&self, lateness: Duration) {
+        self.shutdown.borrow_mut().was_late(lateness.as_micros() as Micros);
+    }
+
+    /// The time that a request may take, where its client waits for `client_timeout` from `received_at`.
+    pub fn request_timeout(&self, received_at: Instant, client_timeout: Duration) -> Duration {
+        let received_at = self.clock.now() - received_at.elapsed().as_micros() as Micros;
+        let client_timeout = Micros::try_from(client_timeout.as_micros()).unwrap_or(MAX_CLIENT_TIMEOUT);
+        let mut shutdown = self.shutdown.borrow_mut();
+        shutdown.waits(client_timeout);
+        Duration::from_micros(shutdown.time_for(received_at, client_timeout) as u64)
+    }
+
+    /// Whether the process is about to be killed, so that no request can succeed any more.
+    pub fn is_deadline_passed(&self) -> bool {
+        self.shutdown.borrow().is_time_up(self.clock.now())
+    }
+
+    /// Completes once open requests have to fail, as the process is about to be killed.
+    pub async fn deadline_passed(&self) {
+        let _ = self.is_deadline_passed.subscribe().wait_for(|is_passed| *is_passed).await;
+    }
+
+    /// Starts the graceful shutdown, and returns for how long it goes on serving.
+    fn start(&self) -> Duration {
+        let mut shutdown = self.shutdown.borrow_mut();
+        shutdown.tell(self.clock.now());
+        Duration::from_micros(shutdown.serves_on() as u64)
+    }
+
+    fn accepts_connections(&self) -> bool {
+        self.shutdown.borrow().accepts(self.clock.now())
+    }
+
+    /// Brings the state up to `now`.
+    fn advance(&self, now: Micros) {
+        let shutdown = self.shutdown.borrow();
+        self.is_serving_over.set(shutdown.serves_until().is_some_and(|until| until <= now));
+        if shutdown.is_time_up(now) {
+            self.is_deadline_passed.send_replace(true);
+        }
+    }
+}
+
+/// Drains a listener: returns once every request that was taken has its response.
+pub async fn drain(listener: &Rc<ListenerState>, socket: TcpListener) {
+    let serving_time = listener.drain.start();
+    say(format_args!(
+        "told to end: serving on for {:.1} s, on {} connections",
+        serving_time.as_secs_f64(),
+        listener.connections.open_count()
+    ));
+    if listener.drain.accepts_connections() {
+        let _ = timeout(serving_time, accept::accept_connections(listener, &socket)).await;
+        let Ok(socket) = socket.into_std() else { return };
+        accept_backlog(listener, &socket);
+    } else {
+        // Another process has the socket too: new clients connect to it, and the present ones after their next response.
+        drop(socket);
+    }
+    close_connections(listener).await;
+}
+
+/// Accepts the connections that the kernel has established by now, as their clients may have sent requests.
+fn accept_backlog(listener: &Rc<ListenerState>, socket: &std::net::TcpListener) {
+    while let Ok((stream, _)) = socket.accept() {
+        if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
+            accept::spawn_connection(listener, stream);
+        }
+    }
+}
+
+/// Closes connections as that becomes possible, until every request that was taken has its response.
+async fn close_connections(listener: &ListenerState) {
+    let drain = &listener.drain;
+    loop {
+        let now = drain.clock.now();
+        drain.advance(now);
+        let open = listener.connections.snapshot();
+        // What the kernel holds unread was taken too.
+        let has_work = |connection: &&Rc<DownstreamConnection>| {
+            connection.is_busy() || connection.socket.unread_input() == UnreadInput::Data
+        };
+        let busy_count = open.iter().filter(has_work).count();
+        if drain.shutdown.borrow().may_leave(now, open.len(), busy_count) {
+            return;
+        }
+        for connection in open {
+            close_connection(drain, &connection, now);
+        }
+        // Connections that end together are checked together.
+        let next_check = Instant::now() + CHECK_INTERVAL;
+        while timeout_at(next_check, listener.connections.connection_ended()).await.is_ok()
+            && listener.connections.open_count() > 0
+        {}
+    }
+}
+
+/// Closes a connection as far as that is possible now.
+fn close_connection(drain: &DrainState, connection: &DownstreamConnection, now: Micros) {
+    let shutdown = drain.shutdown.borrow();
+    let state = connection.shutdown_state(drain.clock, drain.is_serving_over());
+    match shutdown.fate(now, &state) {
+        Fate::Keep => {}
+        Fate::AfterAnswer => connection.close_after_response(),
+        Fate::Close if shutdown.is_time_up(now) => connection.abort_if_idle(),
+        Fate::Close => connection.close(),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -0,0 +1,142 @@
+//! Connections of clients that speak HTTP/1.1: one request at a time.
+
+mod response;
+
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{HeaderMap, Request, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::time::Instant;
+
+use self::response::{empty_response, error_response, served_response, ClientResponse};
+use super::connection::DownstreamConnection;
+use super::dispatch::dispatch;
+use super::error::{into_result, RequestError};
+use super::request::{Admission, RequestReader};
+use super::ListenerState;
+use crate::body::MessageBody;
+use crate::exchange::{MOST_BODY, MOST_BUFFER};
+use crate::metrics::{RequestOutcome, Tally};
+use crate::panic_guard::caught;
+use crate::socket::Socket;
+
+/// Where load balancers in front ask whether this proxy takes requests.
+const HEALTH_PATH: &str = "/healthz";
+
+/// Serves a connection until it ends.
+pub async fn serve(listener: &ListenerState, connection: &Rc<DownstreamConnection>, socket: Socket) {
+    let service = service_fn(|request: Request<Incoming>| async move {
+        Ok::<_, Infallible>(respond(listener, connection, request).await)
+    });
+    let io = TokioIo::new(socket);
+    let mut http = pin!(http1::Builder::new().max_buf_size(MOST_BUFFER).serve_connection(io, service));
+    // An error means that the client has gone, or that its head was malformed, which hyper has answered with 400.
+    tokio::select! {
+        biased;
+        _ = http.as_mut() => return,
+        () = connection.aborted() => return,
+        () = connection.close_requested() => {}
+    }
+    // A request that has just begun to arrive gets its response first, which says that the connection ends.
+    if connection.is_busy() || !connection.has_partial_request() {
+        http.as_mut().graceful_shutdown();
+    }
+    tokio::select! {
+        biased;
+        _ = http => {}
+        () = connection.aborted() => {}
+    }
+}
+
+/// Handles a request, and decides whether its connection ends with the response.
+async fn respond(
+    listener: &ListenerState,
+    connection: &Rc<DownstreamConnection>,
+    request: Request<Incoming>,
+) -> ClientResponse {
+    connection.set_busy(true);
+    connection.on_request_received();
+    // What follows a chunked or large body is not captured, so its connection ends with it.
+    let is_end_uncertain = request.headers().contains_key(header::TRANSFER_ENCODING)
+        || request.body().size_hint().lower() > MOST_BODY as u64;
+    let has_body = !request.body().is_end_stream();
+    let handled = caught(handle(listener, connection, request)).await;
+    let mut response = match handled.unwrap_or(Err(RequestError::Internal)) {
+        Ok(response) => response,
+        Err(error) => error_response(&error, listener.frontend.router.whole_seconds()),
+    };
+    let must_close = is_end_uncertain
+        || breaks_framing(response.status(), has_body)
+        || listener.drain.is_serving_over()
+        || connection.is_closing();
+    if must_close {
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    if !response.body().is_streaming() {
+        connection.finish_request();
+    }
+    response
+}
+
+/// Whether it is unknown where the next request begins: after a malformed one, or where a limit rejected a valid one before
+/// its body was read.
+fn breaks_framing(status: StatusCode, has_body: bool) -> bool {
+    match status {
+        StatusCode::TOO_MANY_REQUESTS => has_body,
+        status => status.is_client_error() || status == StatusCode::NOT_IMPLEMENTED,
+    }
+}
+
+async fn handle(
+    listener: &ListenerState,
+    connection: &Rc<DownstreamConnection>,
+    request: Request<Incoming>,
+) -> Result<ClientResponse, RequestError> {
+    if request.uri().path() == HEALTH_PATH {
+        let is_ready = listener.is_ready();
+        return Ok(empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+    }
+    let recorder = Rc::<Tally>::default();
+    match proxy_request(listener, connection, request, &recorder).await {
+        Ok((headers, body)) => {
+            // A streamed response is recorded with its last byte.
+            if body.streaming().is_none() {
+                recorder.end(RequestOutcome::Served);
+            }
+            Ok(served_response(connection, &recorder, headers, body))
+        }
+        Err(error) => {
+            recorder.end(error.outcome());
+            Err(error)
+        }
+    }
+}
+
+/// Reads a request, submits it, and returns the response of an endpoint.
+async fn proxy_request(
+    listener: &ListenerState,
+    connection: &DownstreamConnection,
+    request: Request<Incoming>,
+    recorder: &Rc<Tally>,
+) -> Result<(HeaderMap, MessageBody), RequestError> {
+    let reader = RequestReader {
+        router: &*listener.frontend.router,
+        open_ids: &listener.frontend.ids,
+        socket: &connection.socket,
+        connection: &connection.router_state,
+    };
+    match reader.read(request, recorder).await? {
+        Admission::Accepted(accepted) => {
+            // The request's time counts from its last byte; of a streamed one, from now plus what its body may take.
+            let received_at = Instant::now();
+            into_result(dispatch(listener, *accepted, &connection.client(), received_at).await)
+        }
+        Admission::Replayed(answer) => into_result(answer),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -0,0 +1,125 @@
+//! Responses to HTTP clients, and what is recorded once a streamed one has been sent.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use decide::{Micros, TIME_LIMIT};
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{self, HeaderValue};
+use hyper::{HeaderMap, Response, StatusCode};
+
+use crate::body::{BodyError, MessageBody};
+use crate::downstream::connection::DownstreamConnection;
+use crate::downstream::error::RequestError;
+use crate::metrics::{RequestOutcome, Tally};
+
+/// Names the limit that rejected a request.
+const REJECTION_CAUSE_HEADER: &str = "x-refusal-cause";
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// A response to a client.
+pub type ClientResponse = Response<ResponseBody>;
+
+/// The body of a response on its way to a client.
+pub struct ResponseBody {
+    content: MessageBody,
+    /// Of a streamed one.
+    stream_guard: Option<StreamGuard>,
+}
+
+impl ResponseBody {
+    /// Whether its request ends only with its last byte.
+    pub fn is_streaming(&self) -> bool {
+        self.stream_guard.is_some()
+    }
+}
+
+/// Ends a request whose response is streamed when hyper drops the response.
+struct StreamGuard {
+    connection: Rc<DownstreamConnection>,
+    recorder: Rc<Tally>,
+    content: MessageBody,
+}
+
+impl Drop for StreamGuard {
+    fn drop(&mut self) {
+        let is_complete = self.content.streaming().is_some_and(|stream| stream.completed_at().is_some());
+        self.recorder.end(if is_complete { RequestOutcome::Served } else { RequestOutcome::Failed });
+        self.connection.finish_request();
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        Pin::new(&mut self.content).poll_frame(context)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.content.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.content.size_hint()
+    }
+}
+
+/// The response of an endpoint.
+pub fn served_response(
+    connection: &Rc<DownstreamConnection>,
+    recorder: &Rc<Tally>,
+    headers: HeaderMap,
+    body: MessageBody,
+) -> ClientResponse {
+    let stream_guard = body.streaming().is_some().then(|| StreamGuard {
+        connection: Rc::clone(connection),
+        recorder: Rc::clone(recorder),
+        content: body.clone(),
+    });
+    if stream_guard.is_some() {
+        connection.on_response_streaming();
+    }
+    let mut response = Response::new(ResponseBody { content: body, stream_guard });
+    *response.headers_mut() = headers;
+    response
+}
+
+/// The response in place of an endpoint's. `in_whole_seconds` is how `Retry-After` is given.
+pub fn error_response(error: &RequestError, in_whole_seconds: bool) -> ClientResponse {
+    let mut response = empty_response(error.status());
+    let headers = response.headers_mut();
+    if let Some(cause) = error.cause() {
+        headers.insert(REJECTION_CAUSE_HEADER, HeaderValue::from_static(cause));
+    }
+    if error.is_connection_limit() {
+        headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    if error.retry_after() > 0 {
+        headers.insert(header::RETRY_AFTER, retry_after_value(error.retry_after(), in_whole_seconds));
+    }
+    response
+}
+
+/// A response without a body.
+pub fn empty_response(status: StatusCode) -> ClientResponse {
+    let mut response = Response::new(ResponseBody { content: MessageBody::default(), stream_guard: None });
+    *response.status_mut() = status;
+    response
+}
+
+/// `Retry-After`: whole seconds rounded up, as ordinary clients read it, or seconds to the millisecond.
+fn retry_after_value(retry_after: Micros, in_whole_seconds: bool) -> HeaderValue {
+    if in_whole_seconds {
+        let rounded_up = retry_after.saturating_add(MICROS_PER_SECOND - 1).min(TIME_LIMIT);
+        return HeaderValue::from(rounded_up / MICROS_PER_SECOND);
+    }
+    let seconds = retry_after as f64 / MICROS_PER_SECOND as f64;
+    HeaderValue::from_str(&format!("{seconds:.3}")).expect("digits make a header")
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -0,0 +1,149 @@
+//! Reads requests over HTTP: each is accepted once it is complete and valid, or rejected before anything is sent upstream.
+//!
+//! Phases, in order: validate the head, route, read the body (buffered, or its beginning where it may be streamed), accept
+//! (reserve its id and idempotency key). Head and body together are bounded in bytes and by a deadline.
+
+mod head;
+mod routed;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use decide::NewRequest;
+use hyper::body::{Body, Incoming};
+use hyper::header;
+use hyper::{Method, Request};
+use tokio::time::Instant;
+
+pub use head::HeadError;
+pub use routed::{route, RoutedRequest};
+
+use super::error::{InvalidRequest, RequestError};
+use crate::body::{self, BufferOutcome, MessageBody, StreamingBody};
+use crate::exchange::{Answer, Message, MOST_BODY};
+use crate::idempotency_keys::ReservedKey;
+use crate::metrics::Tally;
+use crate::request_ids::{OpenRequestIds, RequestIdClaim};
+use crate::router::{Connection, PoolSequence, Router};
+use crate::socket::{Socket, UnreadInput};
+
+/// A buffered request is complete within this time from its first byte, as clients may send too slowly or less than they
+/// announced.
+const MAX_REQUEST_READ_TIME: Duration = Duration::from_millis(2500);
+
+/// A complete and valid request.
+pub struct AcceptedRequest {
+    /// What the decisions know of it.
+    pub decision_input: NewRequest,
+    /// What is sent to an endpoint.
+    pub message: Rc<Message>,
+    /// The pools that it is submitted to in turn.
+    pub pools: Box<dyn PoolSequence>,
+    /// How long the client waits for the response.
+    pub client_timeout: Duration,
+    /// Its idempotency key, while it is open.
+    pub reserved_key: Option<ReservedKey>,
+    /// Keeps its id from being used again while it is open.
+    pub id_claim: RequestIdClaim,
+}
+
+/// What becomes of a valid request.
+pub enum Admission {
+    /// It can be submitted.
+    Accepted(Box<AcceptedRequest>),
+    /// It was served before; this is the stored response.
+    Replayed(Answer),
+}
+
+/// Reads the requests of one HTTP connection.
+pub struct RequestReader<'a> {
+    /// Routes them.
+    pub router: &'a dyn Router,
+    /// The ids of open requests of the listener.
+    pub open_ids: &'a OpenRequestIds,
+    /// Where they are read from.
+    pub socket: &'a Socket,
+    /// What the router keeps with the connection.
+    pub connection: &'a Connection,
+}
+
+impl RequestReader<'_> {
+    /// Reads and accepts a request.
+    ///
+    /// # Errors
+    /// It is invalid or rejected.
+    pub async fn read(
+        &self,
+        request: Request<Incoming>,
+        recorder: &Rc<Tally>,
+    ) -> Result<Admission, RequestError> {
+        let started_at = self.socket.message_started_at().unwrap_or_else(Instant::now);
+        let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
+        let head_bytes = head::validate_head(&self.socket.take_head())?;
+        let (mut head, body) = request.into_parts();
+        if head.uri.authority().is_some() {
+            return Err(InvalidRequest::MalformedHead.into());
+        }
+        // A body of unknown length is measured against the limit as it arrives.
+        let body_bytes = body.size_hint().exact().unwrap_or(MOST_BODY as u64);
+        let mut routed = routed::route(self.router, self.connection, &mut head, body_bytes)?;
+        recorder.is(routed.counters.take());
+        if head.method == Method::GET && body.size_hint().exact() != Some(0) {
+            return Err(InvalidRequest::UnexpectedBody.into());
+        }
+        routed.allow_streaming(self.router);
+        let body = self.read_body(&routed, body, body_bytes, started_at).await?;
+        match &body {
+            MessageBody::Streaming(stream) => {
+                let recorder = Rc::clone(recorder);
+                stream.on_complete(move || recorder.taken());
+            }
+            MessageBody::Buffered(bytes) => {
+                recorder.taken();
+                let message_bytes = head_bytes + bytes.as_ref().map_or(0, |bytes| bytes.len());
+                self.check_message_end(message_bytes as u64, is_chunked)?;
+            }
+        }
+        routed.accept(head, body, None, self.open_ids)
+    }
+
+    /// Reads a body: all of it, or its beginning where it may be streamed.
+    async fn read_body(
+        &self,
+        routed: &RoutedRequest,
+        body: Incoming,
+        body_bytes: u64,
+        started_at: Instant,
+    ) -> Result<MessageBody, RequestError> {
+        if !routed.may_stream() && body_bytes > MOST_BODY as u64 {
+            return Err(InvalidRequest::BodyTooLarge.into());
+        }
+        let max_time = if routed.may_stream() {
+            body::max_transfer_time(body_bytes.min(MOST_BODY as u64))
+        } else {
+            MAX_REQUEST_READ_TIME.min(routed.client_timeout)
+        };
+        let deadline = started_at + max_time;
+        let outcome = body::buffer(body, MOST_BODY, deadline).await;
+        let (prefix, rest) = match outcome.map_err(|_| InvalidRequest::IncompleteBody)? {
+            BufferOutcome::Complete(bytes) => return Ok(bytes.into()),
+            BufferOutcome::Partial { prefix, rest } => (prefix, rest),
+        };
+        let is_in_time = Instant::now() < deadline;
+        if routed.may_stream() && (is_in_time || prefix.is_empty()) {
+            let stream = StreamingBody::for_request(rest, prefix, self.router.largest_body());
+            return Ok(MessageBody::Streaming(Rc::new(stream)));
+        }
+        Err(if is_in_time { InvalidRequest::BodyTooLarge } else { InvalidRequest::SlowBody }.into())
+    }
+
+    /// Checks that nothing follows the message: clients send one request at a time, so more bytes were miscounted or are
+    /// hidden in it.
+    fn check_message_end(&self, message_bytes: u64, is_chunked: bool) -> Result<(), InvalidRequest> {
+        let has_extra_bytes = !is_chunked && self.socket.message_bytes() > message_bytes;
+        if has_extra_bytes || self.socket.unread_input() == UnreadInput::Data {
+            return Err(InvalidRequest::TrailingBytes);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request/routed.rs
@@ -0,0 +1,224 @@
+//! A request between its head and its body: routed by the head, and accepted once the body has arrived.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use decide::{Micros, NewRequest, RequestId, Semantics};
+use hyper::body::Body;
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, Request};
+
+use super::{AcceptedRequest, Admission};
+use crate::body::{self, MessageBody, StreamedResponseLimit};
+use crate::downstream::error::{InvalidRequest, RequestError};
+use crate::exchange::{remove_hop_by_hop, Called, Patience, ID, KEY, MOST_BODY, TIMEOUT};
+use crate::idempotency_keys::{KeyLookup, KeyScope};
+use crate::metrics::RequestCounters;
+use crate::request_ids::OpenRequestIds;
+use crate::router::{single_header_value, Connection, PoolSequence, Router};
+
+/// The longest client timeout.
+const MAX_CLIENT_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
+/// The longest id or idempotency key of a request.
+const MAX_TOKEN_BYTES: usize = 128;
+/// The client's estimate of the work, in microseconds on a standard core.
+const WORK_HEADER: &str = "x-cost";
+/// Marks a retry by the client.
+const RETRY_HEADER: &str = "x-retried";
+const RETRY_VALUE: &str = "1";
+
+/// A request whose head was routed; its body may still be arriving.
+pub struct RoutedRequest {
+    decision_input: NewRequest,
+    request_id: String,
+    idempotency_key: Option<String>,
+    /// The ids that its own must differ from, where these are not all of the listener's.
+    open_ids: Option<OpenRequestIds>,
+    key_scope: Option<KeyScope>,
+    rpc_method: Option<Arc<str>>,
+    pools: Box<dyn PoolSequence>,
+    /// Its class, by index.
+    pub class: usize,
+    /// Where it is counted.
+    pub counters: Option<Rc<RequestCounters>>,
+    /// How long the client waits for the response.
+    pub client_timeout: Duration,
+    /// The largest body of it and of its response in bytes, where they may be streamed.
+    streaming_limit: Option<u64>,
+}
+
+/// Validates and routes a head. `body_bytes` is the largest size that the body may have.
+///
+/// # Errors
+/// The head is invalid, or the router rejects the request.
+pub fn route(
+    router: &dyn Router,
+    connection: &Connection,
+    head: &mut Parts,
+    body_bytes: u64,
+) -> Result<RoutedRequest, RequestError> {
+    let request_id = ensure_request_id(router, &mut head.headers)?;
+    if body_bytes > router.largest_body() {
+        return Err(InvalidRequest::BodyTooLarge.into());
+    }
+    let decision = router.route(head, &request_id, body_bytes, connection)?;
+    let idempotency_key = idempotency_key(&head.headers, decision.semantics)?;
+    let client_timeout = client_timeout(&head.headers, decision.deadline)?;
+    let decision_input = NewRequest {
+        id: RequestId(0),
+        class: decision.class,
+        tenant: decision.tenant,
+        time_left: 0,
+        work: estimated_work(&head.headers)?,
+        is_retry: header_value(&head.headers, RETRY_HEADER)? == Some(RETRY_VALUE),
+        endpoint_filter: decision.pools.endpoint_filter(),
+        max_attempts: decision.pools.max_attempts(),
+        downstream_connections: None,
+        body_pending: 0,
+    };
+    Ok(RoutedRequest {
+        decision_input,
+        request_id,
+        idempotency_key,
+        open_ids: decision.ids,
+        key_scope: decision.key_scope,
+        rpc_method: decision.method,
+        pools: decision.pools,
+        class: decision.class,
+        counters: decision.counters,
+        client_timeout,
+        streaming_limit: None,
+    })
+}
+
+impl RoutedRequest {
+    /// Allows its bodies to be streamed where the router takes larger ones than are buffered. Endpoints that speak JSON-RPC
+    /// get complete messages only.
+    pub fn allow_streaming(&mut self, router: &dyn Router) {
+        let limit = Some(router.largest_body()).filter(|bytes| *bytes > MOST_BODY as u64);
+        self.streaming_limit = limit.filter(|_| self.rpc_method.is_none());
+    }
+
+    /// Whether its body may be streamed.
+    pub fn may_stream(&self) -> bool {
+        self.streaming_limit.is_some()
+    }
+
+    /// Accepts it with its body: reserves its id, and its idempotency key if it has one.
+    ///
+    /// # Errors
+    /// Another open request has its id or key, or its key cannot be reserved.
+    pub fn accept(
+        self,
+        mut head: Parts,
+        body: MessageBody,
+        call: Option<Called>,
+        listener_ids: &OpenRequestIds,
+    ) -> Result<Admission, RequestError> {
+        let open_ids = self.open_ids.as_ref().unwrap_or(listener_ids);
+        let id_claim = open_ids.claim(&self.request_id).ok_or(InvalidRequest::DuplicateRequestId)?;
+        let lookup = match self.key_scope.zip(self.idempotency_key) {
+            Some((scope, key)) => Some(scope.reserve(&key)?),
+            None => None,
+        };
+        let reserved_key = match lookup {
+            Some(KeyLookup::Reserved(key)) => Some(key),
+            Some(KeyLookup::Replayed(answer)) => return Ok(Admission::Replayed(answer)),
+            None => None,
+        };
+        let mut decision_input = self.decision_input;
+        remove_hop_by_hop(&mut head.headers);
+        head.extensions.clear();
+        if let Some(stream) = body.streaming() {
+            // A streamed body cannot be sent again.
+            decision_input.max_attempts = 1;
+            if stream.completed_at().is_none() {
+                decision_input.body_pending = max_arrival_time(&body, self.streaming_limit);
+            }
+            head.extensions.insert(Patience(self.client_timeout));
+        }
+        // A response that is stored for replay has to be buffered.
+        if let Some(bytes) = self.streaming_limit.filter(|_| reserved_key.is_none()) {
+            head.extensions.insert(StreamedResponseLimit(bytes));
+        }
+        if let Some(call) = call.or_else(|| self.rpc_method.map(call_over_http)) {
+            head.extensions.insert(call);
+        }
+        head.version = hyper::Version::HTTP_11;
+        Ok(Admission::Accepted(Box::new(AcceptedRequest {
+            decision_input,
+            message: Rc::new(Request::from_parts(head, body)),
+            pools: self.pools,
+            client_timeout: self.client_timeout,
+            reserved_key,
+            id_claim,
+        })))
+    }
+}
+
+/// How long a body may still take to arrive.
+fn max_arrival_time(body: &MessageBody, streaming_limit: Option<u64>) -> Micros {
+    let bytes = body.size_hint().exact().or(streaming_limit).unwrap_or(MOST_BODY as u64);
+    body::max_transfer_time(bytes).as_micros() as Micros
+}
+
+fn call_over_http(method: Arc<str>) -> Called {
+    Called { method, params: None, by_http: true }
+}
+
+/// The id of a request; a new one where it has none and the router gives ids.
+fn ensure_request_id(router: &dyn Router, headers: &mut HeaderMap) -> Result<String, InvalidRequest> {
+    if header_value(headers, ID)?.is_none() {
+        if let Some(id) = router.new_id().and_then(|id| HeaderValue::try_from(id).ok()) {
+            headers.insert(ID, id);
+        }
+    }
+    let id = header_value(headers, ID)?.filter(|id| is_valid_token(id));
+    id.map(str::to_owned).ok_or(InvalidRequest::MalformedRequestId)
+}
+
+/// The idempotency key, of a class that has them. Other classes ignore it, but for its form.
+fn idempotency_key(headers: &HeaderMap, semantics: Semantics) -> Result<Option<String>, InvalidRequest> {
+    let is_required = matches!(semantics, Semantics::Deduplicated { .. });
+    let key = header_value(headers, KEY)?;
+    let is_invalid = key.map_or(is_required, |key| !is_valid_token(key));
+    if is_invalid {
+        return Err(InvalidRequest::MalformedIdempotencyKey);
+    }
+    Ok(key.filter(|_| is_required).map(str::to_owned))
+}
+
+/// How long the client waits; the deadline of its class where it does not say.
+fn client_timeout(headers: &HeaderMap, class_deadline: Micros) -> Result<Duration, InvalidRequest> {
+    let range = 1..=MAX_CLIENT_TIMEOUT_MS;
+    let milliseconds = match header_value(headers, TIMEOUT)? {
+        Some(text) => parse_digits(text)
+            .filter(|milliseconds| range.contains(milliseconds))
+            .ok_or(InvalidRequest::TimeoutOutOfRange)?,
+        None => (class_deadline / 1000).clamp(1, MAX_CLIENT_TIMEOUT_MS as i64) as u64,
+    };
+    Ok(Duration::from_millis(milliseconds))
+}
+
+fn estimated_work(headers: &HeaderMap) -> Result<Option<Micros>, InvalidRequest> {
+    let work = header_value(headers, WORK_HEADER)?.and_then(parse_digits);
+    Ok(work.and_then(|micros| Micros::try_from(micros).ok()).filter(|micros| *micros > 0))
+}
+
+/// The one value of a header, if it is there.
+fn header_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, InvalidRequest> {
+    single_header_value(headers, name).map_err(|_| InvalidRequest::AmbiguousHeader)
+}
+
+/// Whether this can be an id or key: printable, without anything that ends or separates header values.
+fn is_valid_token(text: &str) -> bool {
+    let is_valid = |byte: u8| byte.is_ascii_graphic() && byte != b',';
+    (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(is_valid)
+}
+
+/// A whole number in plain digits.
+fn parse_digits(text: &str) -> Option<u64> {
+    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -0,0 +1,147 @@
+//! One call of a JSON-RPC client: validated and accepted as a request, then submitted, then answered.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use jsonrpc::Call;
+use tokio::time::Instant;
+
+use super::response::{encode_request_error, CallId};
+use crate::downstream::connection::DownstreamConnection;
+use crate::downstream::dispatch::dispatch;
+use crate::downstream::error::{into_result, InvalidRequest, RequestError};
+use crate::downstream::request::{self, AcceptedRequest, Admission};
+use crate::downstream::ListenerState;
+use crate::exchange::{Answer, Called, Client};
+use crate::metrics::{RequestOutcome, Tally};
+use crate::panic_guard::caught;
+use crate::rpc_mapping;
+
+/// A call that was validated; nothing was sent upstream.
+pub struct PreparedCall {
+    /// None of a notification.
+    pub id: CallId,
+    /// Its id in normal form, while no other call of the connection may have it.
+    pub open_id: Option<String>,
+    /// Nobody is sent its response.
+    pub is_notification: bool,
+    state: CallState,
+    recorder: Tally,
+}
+
+enum CallState {
+    Accepted(Box<AcceptedRequest>),
+    Replayed(Answer),
+    /// It gets this response.
+    Failed(Vec<u8>),
+    /// It gets none.
+    Ignored,
+}
+
+impl PreparedCall {
+    /// A message that is no call, and gets no response. `is_alone` says that it is no part of a batch.
+    pub fn ignored(is_alone: bool) -> PreparedCall {
+        PreparedCall::new(None, is_alone, CallState::Ignored)
+    }
+
+    /// What gets this response, whoever it comes from.
+    pub fn failed(id: CallId, response: Vec<u8>) -> PreparedCall {
+        PreparedCall::new(id, false, CallState::Failed(response))
+    }
+
+    fn new(id: CallId, is_notification: bool, state: CallState) -> PreparedCall {
+        PreparedCall { id, open_id: None, is_notification, state, recorder: Tally::default() }
+    }
+
+    /// Validates and accepts a call. `frame` is what it was read from; its bytes are shared, not copied.
+    ///
+    /// # Errors
+    /// Returned beside the call, which then gets the error as its response.
+    pub fn accept(
+        listener: &ListenerState,
+        connection: &DownstreamConnection,
+        call: &Call<'_>,
+        frame: &Bytes,
+    ) -> (PreparedCall, Option<RequestError>) {
+        let id: CallId = call.id.map(ToOwned::to_owned);
+        let is_notification = id.is_none();
+        let mut prepared = PreparedCall::new(id, is_notification, CallState::Ignored);
+        match admit(listener, connection, call, frame, &prepared.recorder) {
+            Ok(Admission::Accepted(accepted)) => prepared.state = CallState::Accepted(accepted),
+            Ok(Admission::Replayed(answer)) => prepared.state = CallState::Replayed(answer),
+            Err(error) => {
+                prepared.recorder.end(error.outcome());
+                prepared.state = CallState::Failed(encode_request_error(prepared.id.as_deref(), &error));
+                return (prepared, Some(error));
+            }
+        }
+        (prepared, None)
+    }
+
+    /// How long its client waits, if it is to be submitted.
+    pub fn client_timeout(&self) -> Option<Duration> {
+        match &self.state {
+            CallState::Accepted(accepted) => Some(accepted.client_timeout),
+            _ => None,
+        }
+    }
+
+    /// Has it take no longer than this.
+    pub fn limit_timeout(&mut self, timeout: Duration) {
+        if let CallState::Accepted(accepted) = &mut self.state {
+            accepted.client_timeout = timeout;
+        }
+    }
+
+    /// Submits it, waits for its final response, and encodes that. None where it gets no response.
+    pub async fn execute(
+        self,
+        listener: &ListenerState,
+        client: &Client,
+        received_at: Instant,
+    ) -> Option<Vec<u8>> {
+        let id = self.id.as_deref();
+        let answer = match self.state {
+            CallState::Accepted(accepted) => caught(dispatch(listener, *accepted, client, received_at)).await,
+            CallState::Replayed(answer) => Some(answer),
+            CallState::Failed(response) => return Some(response),
+            CallState::Ignored => return None,
+        };
+        Some(match answer.map_or(Err(RequestError::Internal), into_result) {
+            Ok((headers, body)) => {
+                self.recorder.end(RequestOutcome::Served);
+                let body = body.buffered().unwrap_or_default();
+                jsonrpc::encode_response(id, &rpc_mapping::result_of(&headers, &body))
+            }
+            Err(error) => {
+                self.recorder.end(error.outcome());
+                encode_request_error(id, &error)
+            }
+        })
+    }
+}
+
+/// Routes a call by its form in HTTP, and accepts it.
+fn admit(
+    listener: &ListenerState,
+    connection: &DownstreamConnection,
+    call: &Call<'_>,
+    frame: &Bytes,
+    recorder: &Tally,
+) -> Result<Admission, RequestError> {
+    let frontend = &listener.frontend;
+    let router = Rc::clone(&frontend.router);
+    let (mut head, class_of_method) = router.route_call(call)?;
+    let body = rpc_mapping::body_of(&head, call, frame);
+    let body_bytes = body.len() as u64;
+    let mut routed = request::route(&*router, &connection.router_state, &mut head, body_bytes)?;
+    if class_of_method.is_some_and(|class| class != routed.class) {
+        return Err(InvalidRequest::MethodNotRouted.into());
+    }
+    recorder.is(routed.counters.take());
+    recorder.taken();
+    let params = call.params.map(|params| frame.slice_ref(params.get().as_bytes()));
+    let called = Called { method: (*call.method).into(), params, by_http: false };
+    routed.accept(head, body.into(), Some(called), &frontend.ids)
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/rpc/mod.rs
@@ -0,0 +1,313 @@
+//! Connections of clients that speak JSON-RPC: many calls at a time, each answered as soon as its response is there.
+//!
+//! Bounded by the number of open calls: at the limit nothing more is read until a response is written. A connection that
+//! this side closes ends with a notification that says how many messages were read.
+
+mod batch;
+mod call;
+mod output;
+mod response;
+
+use std::collections::BTreeSet;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use jsonrpc::{code, Call, FrameDecoder, Framing, FramingError, Limits, Message, MessageResult, Parsed};
+use serde_json::json;
+use serde_json::value::RawValue;
+use tokio::io::AsyncWrite;
+use tokio::task::JoinSet;
+use tokio::time::{sleep_until, timeout, Instant};
+
+use self::batch::execute_batch;
+use self::call::PreparedCall;
+use self::output::OutputQueue;
+use self::response::{encode_duplicate_id, encode_invalid_message};
+use super::connection::DownstreamConnection;
+use super::ListenerState;
+use crate::socket::{Socket, UnreadInput};
+
+/// A client that reads nothing of its responses for this long is disconnected.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// After the last response a client has this long to close too; closing earlier would break off what is on its way.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The notification before this side closes a connection.
+const CLOSING_METHOD: &str = "$/closing";
+
+/// Serves a connection until it ends. At most `max_open_calls` are open at a time.
+pub async fn serve(
+    listener: &Rc<ListenerState>,
+    connection: &Rc<DownstreamConnection>,
+    socket: Socket,
+    framing: Framing,
+    max_open_calls: usize,
+) {
+    let mut rpc = RpcConnection {
+        listener: Rc::clone(listener),
+        connection: Rc::clone(connection),
+        framing,
+        decoder: FrameDecoder::new(framing, Limits::default()),
+        max_open_calls,
+        open_calls: 0,
+        open_ids: BTreeSet::new(),
+        running: JoinSet::new(),
+        messages_read: 0,
+        output: OutputQueue::default(),
+        is_framing_broken: false,
+        is_over_connection_limit: false,
+    };
+    // Calls that are still open when this returns end with it, as their client has gone.
+    tokio::select! {
+        biased;
+        () = rpc.run(socket) => {}
+        () = connection.aborted() => {}
+    }
+}
+
+struct RpcConnection {
+    listener: Rc<ListenerState>,
+    connection: Rc<DownstreamConnection>,
+    framing: Framing,
+    decoder: FrameDecoder,
+    max_open_calls: usize,
+    /// Calls whose responses are not completely written.
+    open_calls: usize,
+    /// Their ids, in normal form.
+    open_ids: BTreeSet<String>,
+    running: JoinSet<FinishedCalls>,
+    messages_read: u64,
+    output: OutputQueue,
+    /// It is unknown where the next message begins.
+    is_framing_broken: bool,
+    /// A limit on connections rejects this one.
+    is_over_connection_limit: bool,
+}
+
+/// Calls of one message that have been executed.
+struct FinishedCalls {
+    /// Their response, unless they are notifications.
+    response: Option<Vec<u8>>,
+    calls: usize,
+    ids: Vec<String>,
+}
+
+impl RpcConnection {
+    async fn run(&mut self, socket: Socket) {
+        let (mut reader, mut writer) = (socket.clone(), socket.clone());
+        let mut is_close_requested = false;
+        let mut is_paused = false;
+        let mut last_progress_at = Instant::now();
+        loop {
+            self.decode_messages();
+            let is_busy = self.open_calls > 0 || !self.output.is_empty();
+            self.connection.set_busy(is_busy);
+            let is_closing = is_close_requested || self.is_over_connection_limit;
+            let can_read =
+                self.can_take_message() && (!is_closing || socket.unread_input() == UnreadInput::Data);
+            if (is_closing || self.is_framing_broken) && !can_read && !is_busy {
+                break;
+            }
+            if can_read && is_paused {
+                // The client has not caused the pause, so its time for a message starts again.
+                socket.start_next_message(0);
+            }
+            is_paused = !can_read;
+            tokio::select! {
+                biased;
+                () = self.connection.close_requested(), if !is_close_requested => is_close_requested = true,
+                Some(finished) = self.running.join_next() => {
+                    if let Ok(finished) = finished {
+                        self.on_calls_finished(finished);
+                        last_progress_at = Instant::now();
+                    }
+                }
+                written = self.output.write_to(&mut writer), if !self.output.is_empty() => match written {
+                    Ok(bytes) => {
+                        last_progress_at = Instant::now();
+                        self.open_calls -= self.output.remove_written(bytes);
+                    }
+                    Err(_) => return,
+                },
+                () = sleep_until(last_progress_at + WRITE_STALL_TIMEOUT), if !self.output.is_empty() => return,
+                read = reader.read_some(|bytes| self.decoder.push(bytes)), if can_read => match read {
+                    // As over HTTP, a client that closes its sending side has gone.
+                    Ok(0) | Err(_) => return,
+                    Ok(_) => {}
+                },
+            }
+        }
+        self.close(&mut writer, &mut reader).await;
+    }
+
+    /// Announces the close with the number of messages that were read, so that a client can tell it from a failure and
+    /// knows which of its messages were not read; then closes.
+    async fn close(&mut self, writer: &mut Socket, reader: &mut Socket) {
+        let params = json!({ "taken": self.messages_read }).to_string();
+        let params = RawValue::from_string(params).ok();
+        let notification = jsonrpc::encode_request(None, CLOSING_METHOD, params.as_deref());
+        self.send(&notification, 0);
+        let finish = async {
+            while !self.output.is_empty() {
+                let Ok(bytes) = self.output.write_to(writer).await else { return };
+                self.open_calls -= self.output.remove_written(bytes);
+            }
+            let _ = poll_fn(|context| Pin::new(&mut *writer).poll_shutdown(context)).await;
+            while let Ok(1..) = reader.read_some(|_| {}).await {}
+        };
+        let _ = timeout(LINGER_TIMEOUT, finish).await;
+    }
+
+    /// Queues a message that answers `calls` open calls.
+    fn send(&mut self, message: &[u8], calls: usize) {
+        self.output.push(jsonrpc::encode_frame(self.framing, message).into(), calls);
+    }
+
+    /// Answers a message from which no call was started.
+    fn send_error(&mut self, response: &[u8]) {
+        self.open_calls += 1;
+        self.send(response, 1);
+    }
+
+    fn on_calls_finished(&mut self, finished: FinishedCalls) {
+        for id in finished.ids {
+            self.open_ids.remove(&id);
+        }
+        self.connection.on_response();
+        match finished.response {
+            Some(response) => self.send(&response, finished.calls),
+            None => self.open_calls -= finished.calls,
+        }
+    }
+
+    // ---- Messages ----
+
+    fn can_take_message(&self) -> bool {
+        self.open_calls < self.max_open_calls && !self.is_framing_broken
+    }
+
+    /// Decodes and starts what was read, up to the limit on open calls.
+    fn decode_messages(&mut self) {
+        while self.can_take_message() {
+            match self.decoder.next_frame() {
+                Ok(Some(frame)) => self.on_frame(&frame),
+                Ok(None) => return,
+                Err(error) => self.on_framing_error(error),
+            }
+        }
+    }
+
+    fn on_framing_error(&mut self, error: FramingError) {
+        let code = if error == FramingError::TooLarge { code::TOO_LARGE } else { code::PARSE_ERROR };
+        self.is_framing_broken = true;
+        self.send_error(&jsonrpc::encode_error(None, code, &error.to_string(), None));
+    }
+
+    fn on_frame(&mut self, frame: &Bytes) {
+        self.messages_read += 1;
+        self.connection.on_request_received();
+        self.connection.socket.start_next_message(0);
+        let received_at = Instant::now();
+        match jsonrpc::parse(frame, &Limits::default()) {
+            Ok(Parsed::One(message)) => {
+                let call = self.prepare(message, frame, true);
+                self.start_one(call, received_at);
+            }
+            Ok(Parsed::Batch(messages)) => {
+                let calls = messages.into_iter().map(|message| self.prepare(message, frame, false)).collect();
+                self.start_batch(calls, received_at);
+            }
+            Err(invalid) => self.send_error(&encode_invalid_message(&invalid)),
+        }
+    }
+
+    // ---- Calls ----
+
+    /// Validates a message and accepts its call.
+    fn prepare(&mut self, message: MessageResult<'_>, frame: &Bytes, is_alone: bool) -> PreparedCall {
+        let call = match message {
+            Ok(Message::Call(call)) => call,
+            // A response to nothing that was asked.
+            Ok(Message::Response(_)) => return PreparedCall::ignored(is_alone),
+            Err(invalid) => return PreparedCall::failed(None, encode_invalid_message(&invalid)),
+        };
+        match call.id {
+            Some(id) => self.prepare_with_id(id, &call, frame),
+            None => self.accept(&call, frame),
+        }
+    }
+
+    fn prepare_with_id(&mut self, id: &RawValue, call: &Call<'_>, frame: &Bytes) -> PreparedCall {
+        let normal_id = normalize_id(id);
+        if !self.open_ids.insert(normal_id.clone()) {
+            return PreparedCall::failed(Some(id.to_owned()), encode_duplicate_id(id));
+        }
+        let mut prepared = self.accept(call, frame);
+        prepared.open_id = Some(normal_id);
+        prepared
+    }
+
+    fn accept(&mut self, call: &Call<'_>, frame: &Bytes) -> PreparedCall {
+        let (prepared, error) = PreparedCall::accept(&self.listener, &self.connection, call, frame);
+        self.is_over_connection_limit |= error.is_some_and(|error| error.is_connection_limit());
+        prepared
+    }
+
+    /// Starts the call of a message that is no batch.
+    fn start_one(&mut self, mut call: PreparedCall, received_at: Instant) {
+        if call.is_notification {
+            self.start_notification(call, received_at);
+            return;
+        }
+        self.open_calls += 1;
+        let ids = call.open_id.take().into_iter().collect();
+        let listener = Rc::clone(&self.listener);
+        let client = self.connection.client();
+        self.running.spawn_local(async move {
+            let response = call.execute(&listener, &client, received_at).await;
+            FinishedCalls { response, calls: 1, ids }
+        });
+    }
+
+    /// Starts a call that nobody waits for.
+    fn start_notification(&mut self, call: PreparedCall, received_at: Instant) {
+        self.open_calls += 1;
+        let listener = Rc::clone(&self.listener);
+        let client = self.connection.client();
+        self.running.spawn_local(async move {
+            call.execute(&listener, &client, received_at).await;
+            FinishedCalls { response: None, calls: 1, ids: Vec::new() }
+        });
+    }
+
+    /// Starts the calls of a batch at the same time; they are answered together, except for notifications.
+    fn start_batch(&mut self, calls: Vec<PreparedCall>, received_at: Instant) {
+        let (notifications, mut calls): (Vec<_>, Vec<_>) =
+            calls.into_iter().partition(|call| call.is_notification);
+        for notification in notifications {
+            self.start_notification(notification, received_at);
+        }
+        if calls.is_empty() {
+            return;
+        }
+        let call_count = calls.len();
+        self.open_calls += call_count;
+        let ids = calls.iter_mut().filter_map(|call| call.open_id.take()).collect();
+        let listener = Rc::clone(&self.listener);
+        let client = self.connection.client();
+        self.running.spawn_local(async move {
+            let response = execute_batch(calls, listener, client, received_at).await;
+            FinishedCalls { response, calls: call_count, ids }
+        });
+    }
+}
+
+/// A form in which ids are equal if they mean the same, however they are written.
+fn normalize_id(id: &RawValue) -> String {
+    match serde_json::from_str::<String>(id.get()) {
+        Ok(text) => format!("\"{text}"),
+        Err(_) => id.get().to_owned(),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/tests.rs
@@ -0,0 +1,56 @@
+//! A listener whose decisions never answer.
+
+use std::io::{BufRead, BufReader, Write};
+
+use decide::platform_settings;
+use tokio::sync::oneshot;
+use tokio::task::LocalSet;
+
+use super::*;
+use crate::clock::Clock;
+use crate::driver::Driver;
+use crate::router::PlatformRouter;
+use crate::upstream::Upstreams;
+
+const SETTINGS: &str = r#"{"balancers":1,"stages":["front"],"limits":{"max_attempts":3},
+    "request_classes":[{"name":"read","promise_ms":9000,"deadline_ms":9000,"semantics":"idempotent"}]}"#;
+
+#[test]
+fn a_request_without_decision_times_out() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        let site = platform_settings::parse(SETTINGS).expect("settings");
+        let backends = Rc::new(Upstreams::new(site.transport, 9));
+        // This driver never runs, so nothing is ever decided.
+        let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
+        let router = PlatformRouter {
+            handle: driver.handle(),
+            names: site.names,
+            settings: site.settings,
+            ready: Rc::default(),
+            counts: Vec::new(),
+        };
+        let frontend = Frontend {
+            router: Rc::new(router),
+            ids: OpenRequestIds::default(),
+            protocol: Protocol::Http,
+            is_socket_shared: false,
+        };
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("bound");
+        let (answered, answer) = oneshot::channel();
+        std::thread::spawn(move || {
+            let mut stream = std::net::TcpStream::connect(address).expect("listens");
+            let request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Timeout-Ms: 300\r\n\r\n";
+            stream.write_all(request.as_bytes()).expect("written");
+            let mut line = String::new();
+            BufReader::new(stream).read_line(&mut line).expect("an answer");
+            let _ = answered.send(line);
+        });
+        let line = tokio::select! {
+            line = answer => line.expect("heard"),
+            () = run(frontend, listener, 9, std::future::pending()) => unreachable!("it is not told to end"),
+        };
+        assert_eq!(line.trim_end(), "HTTP/1.1 504 Gateway Timeout");
+    });
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data plane: sockets round the decisions of `decide`. What is decided here is nothing but what outcomes
 //! prove; the driver hands events over and carries actions out.
 //!
-//! Fronts ([`downstream`], [`request_reader`]) and backends ([`upstream`]) know nothing of each other: between them stand the
+//! Fronts ([`downstream`]) and backends ([`upstream`]) know nothing of each other: between them stand the
 //! types of [`exchange`] and the driver's [`inbox`].
 
 pub mod body;
@@ -9,7 +9,6 @@
 pub mod downstream;
 pub mod driver;
 pub mod exchange;
-mod framing;
 pub mod gossip;
 mod handover;
 pub mod hosting;
@@ -27,7 +26,6 @@
 mod pool;
 mod process;
 mod request_ids;
-pub mod request_reader;
 mod route_lookup;
 pub mod router;
 mod rpc_mapping;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -280,7 +280,7 @@
         router: Rc::new(router),
         ids: OpenRequestIds::default(),
         protocol: config::Protocol::Http,
-        shared,
+        is_socket_shared: shared,
     };
     let stop = async move {
         signals.end().await;
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -90,7 +90,7 @@
         for (place, (listener, socket, address)) in self.bound.into_iter().enumerate() {
             let protocol = listener.protocol;
             let router = router(listener, place);
-            let gate = Frontend { router, ids: ids.clone(), protocol, shared: self.shared };
+            let gate = Frontend { router, ids: ids.clone(), protocol, is_socket_shared: self.shared };
             let mut stopped = stopped.clone();
             serving.spawn_local(downstream::run(gate, socket, callers, async move {
                 let _ = stopped.changed().await;
