--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -10,7 +10,7 @@
 
 use super::connection::DownstreamConnection;
 use super::{http, rpc, ListenerState};
-use crate::exchange::MOST_BUFFER;
+use crate::exchange::MAX_HEAD_BYTES;
 use crate::socket::Socket;
 
 /// Pause before accepting again after a failure or at the limit; accepting at once would spin.
@@ -41,7 +41,7 @@
 /// Registers a connection, and serves it in a task of its own.
 pub fn spawn_connection(listener: &Rc<ListenerState>, stream: TcpStream) {
     let protocol = listener.frontend.protocol;
-    let max_head_bytes = if protocol == Protocol::Http { MOST_BUFFER } else { 0 };
+    let max_head_bytes = if protocol == Protocol::Http { MAX_HEAD_BYTES } else { 0 };
     let socket = Socket::for_downstream(stream, max_head_bytes);
     let connection = Rc::new(DownstreamConnection::new(socket.clone()));
     let registration = listener.connections.register(Rc::clone(&connection));
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -7,7 +7,7 @@
 
 use crate::body::STALL_TIMEOUT;
 use crate::clock::Clock;
-use crate::exchange::{Client, MOST_BUFFER};
+use crate::exchange::{ClientConnection, MAX_HEAD_BYTES};
 use crate::router::Connection;
 use crate::socket::{Socket, UnreadInput};
 
@@ -84,13 +84,13 @@
         self.response_progress.set(None);
         self.on_response();
         self.is_busy.set(false);
-        self.socket.start_next_message(MOST_BUFFER);
+        self.socket.start_next_message(MAX_HEAD_BYTES);
     }
 
     /// The client that waits for its responses.
-    pub fn client(&self) -> Client {
+    pub fn client(&self) -> ClientConnection {
         let socket = self.socket.clone();
-        Client::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
+        ClientConnection::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
     }
 
     /// Whether a part of its next request has arrived.
--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -9,7 +9,7 @@
 
 use super::request::AcceptedRequest;
 use super::ListenerState;
-use crate::exchange::{Answer, Client, Message};
+use crate::exchange::{ClientConnection, FinalResponse, UpstreamRequest};
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, RejectionOutcome};
 
@@ -52,26 +52,26 @@
 pub async fn dispatch(
     listener: &ListenerState,
     request: AcceptedRequest,
-    client: &Client,
+    client: &ClientConnection,
     received_at: Instant,
-) -> Answer {
+) -> FinalResponse {
     let AcceptedRequest { mut decision_input, message, mut pools, client_timeout, reserved_key, id_claim } =
         request;
     if listener.drain.is_deadline_passed() {
-        return Answer::Refused { retry_after: 0, never_ran: true };
+        return FinalResponse::Rejected { retry_after: 0, never_ran: true };
     }
     decision_input.downstream_connections = listener.remaining_connections();
     let timeout = listener.drain.request_timeout(received_at, client_timeout);
     let budget = TimeBudget::new(received_at, decision_input.body_pending, timeout);
     decision_input.time_left = budget.decision_time.as_micros() as Micros;
-    let answer = loop {
-        let answer = submit(listener, &*pools, &decision_input, &message, client, &budget).await;
-        let Answer::Refused { never_ran, .. } = answer else { break answer };
+    let response = loop {
+        let response = submit(listener, &*pools, &decision_input, &message, client, &budget).await;
+        let FinalResponse::Rejected { never_ran, .. } = response else { break response };
         match pools.on_rejected(never_ran) {
-            RejectionOutcome::Final => break answer,
+            RejectionOutcome::Final => break response,
             // A body that was streamed cannot be sent again, in any pool.
-            RejectionOutcome::NextPool if message.body().streaming().is_some() => break answer,
-            RejectionOutcome::Failed => break Answer::Failed,
+            RejectionOutcome::NextPool if message.body().streaming().is_some() => break response,
+            RejectionOutcome::Failed => break FinalResponse::Failed,
             RejectionOutcome::NextPool => {
                 decision_input.endpoint_filter = pools.endpoint_filter();
                 decision_input.max_attempts = pools.max_attempts();
@@ -80,10 +80,10 @@
         }
     };
     if let Some(mut key) = reserved_key {
-        key.answered(&answer);
+        key.record_response(&response);
     }
     drop(id_claim);
-    answer
+    response
 }
 
 /// Submits a request to the current pool, and waits for what becomes of it there.
@@ -91,19 +91,19 @@
     listener: &ListenerState,
     pools: &dyn PoolSequence,
     decision_input: &NewRequest,
-    message: &Rc<Message>,
-    client: &Client,
+    message: &Rc<UpstreamRequest>,
+    client: &ClientConnection,
     budget: &TimeBudget,
-) -> Answer {
+) -> FinalResponse {
     let driver = pools.driver().clone();
-    let (id, answer) =
+    let (id, response) =
         driver.request(decision_input.clone(), Rc::clone(message), client.clone(), pools.attempt_counter());
     let _cancellation = CancelOnDrop { driver: &driver, id };
     tokio::select! {
         biased;
-        answer = answer => answer.unwrap_or(Answer::Failed),
-        () = sleep_until(budget.backstop) => Answer::TimedOut,
-        () = listener.drain.deadline_passed() => Answer::TimedOut,
+        response = response => response.unwrap_or(FinalResponse::Failed),
+        () = sleep_until(budget.backstop) => FinalResponse::TimedOut,
+        () = listener.drain.deadline_passed() => FinalResponse::TimedOut,
     }
 }
 
--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -2,11 +2,10 @@
 //! outcome that it is counted under. This is the only place that maps errors to statuses.
 
 use decide::Micros;
-use hyper::{HeaderMap, StatusCode};
+use hyper::StatusCode;
 
 use super::request::HeadError;
-use crate::body::MessageBody;
-use crate::exchange::Answer;
+use crate::exchange::{FinalResponse, UpstreamResponse};
 use crate::metrics::RequestOutcome;
 use crate::router::Rejection;
 
@@ -158,7 +157,7 @@
     /// The outcome that the request is counted under.
     pub fn outcome(&self) -> RequestOutcome {
         match self {
-            RequestError::Downstream(DownstreamError::Rejected(rejection)) => rejection.fate(),
+            RequestError::Downstream(DownstreamError::Rejected(rejection)) => rejection.request_outcome(),
             RequestError::Upstream(UpstreamError::Shed { .. }) => RequestOutcome::Rejected,
             _ => RequestOutcome::Failed,
         }
@@ -166,15 +165,14 @@
 }
 
 /// The response of an endpoint, or the error in its place.
-pub fn into_result(answer: Answer) -> Result<(HeaderMap, MessageBody), RequestError> {
-    match answer {
-        Answer::Served(headers, body) => Ok((headers, body)),
-        Answer::Refused { retry_after, .. } => {
-            Err(RequestError::Upstream(UpstreamError::Shed { retry_after }))
-        }
-        Answer::Failed => Err(RequestError::Upstream(UpstreamError::Failed)),
-        Answer::TimedOut => Err(RequestError::Upstream(UpstreamError::TimedOut)),
-    }
+pub fn into_result(response: FinalResponse) -> Result<UpstreamResponse, RequestError> {
+    let error = match response {
+        FinalResponse::Served(response) => return Ok(response),
+        FinalResponse::Rejected { retry_after, .. } => UpstreamError::Shed { retry_after },
+        FinalResponse::Failed => UpstreamError::Failed,
+        FinalResponse::TimedOut => UpstreamError::TimedOut,
+    };
+    Err(RequestError::Upstream(error))
 }
 
 impl From<InvalidRequest> for RequestError {
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -10,7 +10,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{HeaderMap, Request, StatusCode};
+use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::time::Instant;
 
@@ -20,8 +20,7 @@
 use super::error::{into_result, RequestError};
 use super::request::{Admission, RequestReader};
 use super::ListenerState;
-use crate::body::MessageBody;
-use crate::exchange::{MOST_BODY, MOST_BUFFER};
+use crate::exchange::{UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::metrics::{RequestOutcome, Tally};
 use crate::panic_guard::caught;
 use crate::socket::Socket;
@@ -35,7 +34,7 @@
         Ok::<_, Infallible>(respond(listener, connection, request).await)
     });
     let io = TokioIo::new(socket);
-    let mut http = pin!(http1::Builder::new().max_buf_size(MOST_BUFFER).serve_connection(io, service));
+    let mut http = pin!(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
     // An error means that the client has gone, or that its head was malformed, which hyper has answered with 400.
     tokio::select! {
         biased;
@@ -64,12 +63,12 @@
     connection.on_request_received();
     // What follows a chunked or large body is not captured, so its connection ends with it.
     let is_end_uncertain = request.headers().contains_key(header::TRANSFER_ENCODING)
-        || request.body().size_hint().lower() > MOST_BODY as u64;
+        || request.body().size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let has_body = !request.body().is_end_stream();
     let handled = caught(handle(listener, connection, request)).await;
     let mut response = match handled.unwrap_or(Err(RequestError::Internal)) {
         Ok(response) => response,
-        Err(error) => error_response(&error, listener.frontend.router.whole_seconds()),
+        Err(error) => error_response(&error, listener.frontend.router.retry_after_in_seconds()),
     };
     let must_close = is_end_uncertain
         || breaks_framing(response.status(), has_body)
@@ -104,12 +103,12 @@
     }
     let recorder = Rc::<Tally>::default();
     match proxy_request(listener, connection, request, &recorder).await {
-        Ok((headers, body)) => {
+        Ok(response) => {
             // A streamed response is recorded with its last byte.
-            if body.streaming().is_none() {
+            if response.body.streaming().is_none() {
                 recorder.end(RequestOutcome::Served);
             }
-            Ok(served_response(connection, &recorder, headers, body))
+            Ok(served_response(connection, &recorder, response))
         }
         Err(error) => {
             recorder.end(error.outcome());
@@ -124,7 +123,7 @@
     connection: &DownstreamConnection,
     request: Request<Incoming>,
     recorder: &Rc<Tally>,
-) -> Result<(HeaderMap, MessageBody), RequestError> {
+) -> Result<UpstreamResponse, RequestError> {
     let reader = RequestReader {
         router: &*listener.frontend.router,
         open_ids: &listener.frontend.ids,
@@ -137,6 +136,6 @@
             let received_at = Instant::now();
             into_result(dispatch(listener, *accepted, &connection.client(), received_at).await)
         }
-        Admission::Replayed(answer) => into_result(answer),
+        Admission::Replayed(response) => into_result(response),
     }
 }
--- a/crates/proxy/src/downstream/http/response.rs
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -8,11 +8,12 @@
 use decide::{Micros, TIME_LIMIT};
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
-use hyper::{HeaderMap, Response, StatusCode};
+use hyper::{Response, StatusCode};
 
 use crate::body::{BodyError, MessageBody};
 use crate::downstream::connection::DownstreamConnection;
 use crate::downstream::error::RequestError;
+use crate::exchange::UpstreamResponse;
 use crate::metrics::{RequestOutcome, Tally};
 
 /// Names the limit that rejected a request.
@@ -75,9 +76,9 @@
 pub fn served_response(
     connection: &Rc<DownstreamConnection>,
     recorder: &Rc<Tally>,
-    headers: HeaderMap,
-    body: MessageBody,
+    upstream: UpstreamResponse,
 ) -> ClientResponse {
+    let UpstreamResponse { headers, body } = upstream;
     let stream_guard = body.streaming().is_some().then(|| StreamGuard {
         connection: Rc::clone(connection),
         recorder: Rc::clone(recorder),
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -57,9 +57,9 @@
     fn new(frontend: Frontend, max_connections: usize) -> ListenerState {
         let router = &frontend.router;
         let terms = Terms {
-            longest_wait: router.longest_wait().as_micros() as Micros,
+            longest_wait: router.max_request_deadline().as_micros() as Micros,
             is_killed: router.has_termination_deadline(),
-            is_alone: router.may_end_alone(),
+            is_alone: router.may_shut_down_alone(),
             is_shared: frontend.is_socket_shared,
         };
         let clock = Clock::new();
--- a/crates/proxy/src/downstream/request/mod.rs
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -20,7 +20,7 @@
 
 use super::error::{InvalidRequest, RequestError};
 use crate::body::{self, BufferOutcome, MessageBody, StreamingBody};
-use crate::exchange::{Answer, Message, MOST_BODY};
+use crate::exchange::{FinalResponse, UpstreamRequest, MAX_BUFFERED_BODY_BYTES};
 use crate::idempotency_keys::ReservedKey;
 use crate::metrics::Tally;
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
@@ -36,7 +36,7 @@
     /// What the decisions know of it.
     pub decision_input: NewRequest,
     /// What is sent to an endpoint.
-    pub message: Rc<Message>,
+    pub message: Rc<UpstreamRequest>,
     /// The pools that it is submitted to in turn.
     pub pools: Box<dyn PoolSequence>,
     /// How long the client waits for the response.
@@ -52,7 +52,7 @@
     /// It can be submitted.
     Accepted(Box<AcceptedRequest>),
     /// It was served before; this is the stored response.
-    Replayed(Answer),
+    Replayed(FinalResponse),
 }
 
 /// Reads the requests of one HTTP connection.
@@ -85,7 +85,7 @@
             return Err(InvalidRequest::MalformedHead.into());
         }
         // A body of unknown length is measured against the limit as it arrives.
-        let body_bytes = body.size_hint().exact().unwrap_or(MOST_BODY as u64);
+        let body_bytes = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
         let mut routed = routed::route(self.router, self.connection, &mut head, body_bytes)?;
         recorder.is(routed.counters.take());
         if head.method == Method::GET && body.size_hint().exact() != Some(0) {
@@ -115,23 +115,23 @@
         body_bytes: u64,
         started_at: Instant,
     ) -> Result<MessageBody, RequestError> {
-        if !routed.may_stream() && body_bytes > MOST_BODY as u64 {
+        if !routed.may_stream() && body_bytes > MAX_BUFFERED_BODY_BYTES as u64 {
             return Err(InvalidRequest::BodyTooLarge.into());
         }
         let max_time = if routed.may_stream() {
-            body::max_transfer_time(body_bytes.min(MOST_BODY as u64))
+            body::max_transfer_time(body_bytes.min(MAX_BUFFERED_BODY_BYTES as u64))
         } else {
             MAX_REQUEST_READ_TIME.min(routed.client_timeout)
         };
         let deadline = started_at + max_time;
-        let outcome = body::buffer(body, MOST_BODY, deadline).await;
+        let outcome = body::buffer(body, MAX_BUFFERED_BODY_BYTES, deadline).await;
         let (prefix, rest) = match outcome.map_err(|_| InvalidRequest::IncompleteBody)? {
             BufferOutcome::Complete(bytes) => return Ok(bytes.into()),
             BufferOutcome::Partial { prefix, rest } => (prefix, rest),
         };
         let is_in_time = Instant::now() < deadline;
         if routed.may_stream() && (is_in_time || prefix.is_empty()) {
-            let stream = StreamingBody::for_request(rest, prefix, self.router.largest_body());
+            let stream = StreamingBody::for_request(rest, prefix, self.router.max_body_bytes());
             return Ok(MessageBody::Streaming(Rc::new(stream)));
         }
         Err(if is_in_time { InvalidRequest::BodyTooLarge } else { InvalidRequest::SlowBody }.into())
--- a/crates/proxy/src/downstream/request/routed.rs
+++ b/crates/proxy/src/downstream/request/routed.rs
@@ -13,7 +13,10 @@
 use super::{AcceptedRequest, Admission};
 use crate::body::{self, MessageBody, StreamedResponseLimit};
 use crate::downstream::error::{InvalidRequest, RequestError};
-use crate::exchange::{remove_hop_by_hop, Called, Patience, ID, KEY, MOST_BODY, TIMEOUT};
+use crate::exchange::{
+    remove_hop_by_hop, ClientTimeout, RpcCall, IDEMPOTENCY_KEY_HEADER, MAX_BUFFERED_BODY_BYTES,
+    REQUEST_ID_HEADER, TIMEOUT_HEADER,
+};
 use crate::idempotency_keys::{KeyLookup, KeyScope};
 use crate::metrics::RequestCounters;
 use crate::request_ids::OpenRequestIds;
@@ -60,7 +63,7 @@
     body_bytes: u64,
 ) -> Result<RoutedRequest, RequestError> {
     let request_id = ensure_request_id(router, &mut head.headers)?;
-    if body_bytes > router.largest_body() {
+    if body_bytes > router.max_body_bytes() {
         return Err(InvalidRequest::BodyTooLarge.into());
     }
     let decision = router.route(head, &request_id, body_bytes, connection)?;
@@ -82,7 +85,7 @@
         decision_input,
         request_id,
         idempotency_key,
-        open_ids: decision.ids,
+        open_ids: decision.open_request_ids,
         key_scope: decision.key_scope,
         rpc_method: decision.method,
         pools: decision.pools,
@@ -97,7 +100,7 @@
     /// Allows its bodies to be streamed where the router takes larger ones than are buffered. Endpoints that speak JSON-RPC
     /// get complete messages only.
     pub fn allow_streaming(&mut self, router: &dyn Router) {
-        let limit = Some(router.largest_body()).filter(|bytes| *bytes > MOST_BODY as u64);
+        let limit = Some(router.max_body_bytes()).filter(|bytes| *bytes > MAX_BUFFERED_BODY_BYTES as u64);
         self.streaming_limit = limit.filter(|_| self.rpc_method.is_none());
     }
 
@@ -114,7 +117,7 @@
         self,
         mut head: Parts,
         body: MessageBody,
-        call: Option<Called>,
+        call: Option<RpcCall>,
         listener_ids: &OpenRequestIds,
     ) -> Result<Admission, RequestError> {
         let open_ids = self.open_ids.as_ref().unwrap_or(listener_ids);
@@ -125,7 +128,7 @@
         };
         let reserved_key = match lookup {
             Some(KeyLookup::Reserved(key)) => Some(key),
-            Some(KeyLookup::Replayed(answer)) => return Ok(Admission::Replayed(answer)),
+            Some(KeyLookup::Replayed(response)) => return Ok(Admission::Replayed(response)),
             None => None,
         };
         let mut decision_input = self.decision_input;
@@ -137,7 +140,7 @@
             if stream.completed_at().is_none() {
                 decision_input.body_pending = max_arrival_time(&body, self.streaming_limit);
             }
-            head.extensions.insert(Patience(self.client_timeout));
+            head.extensions.insert(ClientTimeout(self.client_timeout));
         }
         // A response that is stored for replay has to be buffered.
         if let Some(bytes) = self.streaming_limit.filter(|_| reserved_key.is_none()) {
@@ -160,29 +163,29 @@
 
 /// How long a body may still take to arrive.
 fn max_arrival_time(body: &MessageBody, streaming_limit: Option<u64>) -> Micros {
-    let bytes = body.size_hint().exact().or(streaming_limit).unwrap_or(MOST_BODY as u64);
+    let bytes = body.size_hint().exact().or(streaming_limit).unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
     body::max_transfer_time(bytes).as_micros() as Micros
 }
 
-fn call_over_http(method: Arc<str>) -> Called {
-    Called { method, params: None, by_http: true }
+fn call_over_http(method: Arc<str>) -> RpcCall {
+    RpcCall { method, params: None, received_over_http: true }
 }
 
 /// The id of a request; a new one where it has none and the router gives ids.
 fn ensure_request_id(router: &dyn Router, headers: &mut HeaderMap) -> Result<String, InvalidRequest> {
-    if header_value(headers, ID)?.is_none() {
-        if let Some(id) = router.new_id().and_then(|id| HeaderValue::try_from(id).ok()) {
-            headers.insert(ID, id);
+    if header_value(headers, REQUEST_ID_HEADER)?.is_none() {
+        if let Some(id) = router.generate_request_id().and_then(|id| HeaderValue::try_from(id).ok()) {
+            headers.insert(REQUEST_ID_HEADER, id);
         }
     }
-    let id = header_value(headers, ID)?.filter(|id| is_valid_token(id));
+    let id = header_value(headers, REQUEST_ID_HEADER)?.filter(|id| is_valid_token(id));
     id.map(str::to_owned).ok_or(InvalidRequest::MalformedRequestId)
 }
 
 /// The idempotency key, of a class that has them. Other classes ignore it, but for its form.
 fn idempotency_key(headers: &HeaderMap, semantics: Semantics) -> Result<Option<String>, InvalidRequest> {
     let is_required = matches!(semantics, Semantics::Deduplicated { .. });
-    let key = header_value(headers, KEY)?;
+    let key = header_value(headers, IDEMPOTENCY_KEY_HEADER)?;
     let is_invalid = key.map_or(is_required, |key| !is_valid_token(key));
     if is_invalid {
         return Err(InvalidRequest::MalformedIdempotencyKey);
@@ -193,7 +196,7 @@
 /// How long the client waits; the deadline of its class where it does not say.
 fn client_timeout(headers: &HeaderMap, class_deadline: Micros) -> Result<Duration, InvalidRequest> {
     let range = 1..=MAX_CLIENT_TIMEOUT_MS;
-    let milliseconds = match header_value(headers, TIMEOUT)? {
+    let milliseconds = match header_value(headers, TIMEOUT_HEADER)? {
         Some(text) => parse_digits(text)
             .filter(|milliseconds| range.contains(milliseconds))
             .ok_or(InvalidRequest::TimeoutOutOfRange)?,
--- a/crates/proxy/src/downstream/rpc/batch.rs
+++ b/crates/proxy/src/downstream/rpc/batch.rs
@@ -8,7 +8,7 @@
 use super::call::PreparedCall;
 use super::response::{encode_bounded_batch, CallResponse};
 use crate::downstream::ListenerState;
-use crate::exchange::Client;
+use crate::exchange::ClientConnection;
 
 /// A call of a batch that has been executed.
 struct BatchEntry {
@@ -22,7 +22,7 @@
 pub async fn execute_batch(
     mut calls: Vec<PreparedCall>,
     listener: Rc<ListenerState>,
-    client: Client,
+    client: ClientConnection,
     received_at: Instant,
 ) -> Option<Vec<u8>> {
     limit_to_shortest_timeout(&mut calls);
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -13,7 +13,7 @@
 use crate::downstream::error::{into_result, InvalidRequest, RequestError};
 use crate::downstream::request::{self, AcceptedRequest, Admission};
 use crate::downstream::ListenerState;
-use crate::exchange::{Answer, Called, Client};
+use crate::exchange::{ClientConnection, FinalResponse, RpcCall, UpstreamResponse};
 use crate::metrics::{RequestOutcome, Tally};
 use crate::panic_guard::caught;
 use crate::rpc_mapping;
@@ -32,7 +32,7 @@
 
 enum CallState {
     Accepted(Box<AcceptedRequest>),
-    Replayed(Answer),
+    Replayed(FinalResponse),
     /// It gets this response.
     Failed(Vec<u8>),
     /// It gets none.
@@ -69,7 +69,7 @@
         let mut prepared = PreparedCall::new(id, is_notification, CallState::Ignored);
         match admit(listener, connection, call, frame, &prepared.recorder) {
             Ok(Admission::Accepted(accepted)) => prepared.state = CallState::Accepted(accepted),
-            Ok(Admission::Replayed(answer)) => prepared.state = CallState::Replayed(answer),
+            Ok(Admission::Replayed(response)) => prepared.state = CallState::Replayed(response),
             Err(error) => {
                 prepared.recorder.end(error.outcome());
                 prepared.state = CallState::Failed(encode_request_error(prepared.id.as_deref(), &error));
@@ -98,18 +98,18 @@
     pub async fn execute(
         self,
         listener: &ListenerState,
-        client: &Client,
+        client: &ClientConnection,
         received_at: Instant,
     ) -> Option<Vec<u8>> {
         let id = self.id.as_deref();
-        let answer = match self.state {
+        let response = match self.state {
             CallState::Accepted(accepted) => caught(dispatch(listener, *accepted, client, received_at)).await,
-            CallState::Replayed(answer) => Some(answer),
+            CallState::Replayed(response) => Some(response),
             CallState::Failed(response) => return Some(response),
             CallState::Ignored => return None,
         };
-        Some(match answer.map_or(Err(RequestError::Internal), into_result) {
-            Ok((headers, body)) => {
+        Some(match response.map_or(Err(RequestError::Internal), into_result) {
+            Ok(UpstreamResponse { headers, body }) => {
                 self.recorder.end(RequestOutcome::Served);
                 let body = body.buffered().unwrap_or_default();
                 jsonrpc::encode_response(id, &rpc_mapping::result_of(&headers, &body))
@@ -142,6 +142,6 @@
     recorder.is(routed.counters.take());
     recorder.taken();
     let params = call.params.map(|params| frame.slice_ref(params.get().as_bytes()));
-    let called = Called { method: (*call.method).into(), params, by_http: false };
+    let called = RpcCall { method: (*call.method).into(), params, received_over_http: false };
     routed.accept(head, body.into(), Some(called), &frontend.ids)
 }
--- a/crates/proxy/src/downstream/rpc/response.rs
+++ b/crates/proxy/src/downstream/rpc/response.rs
@@ -81,7 +81,7 @@
 fn downstream_error(error: &DownstreamError) -> RpcError {
     let (code, message) = match error.status() {
         StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => (code::METHOD_NOT_FOUND, "no such method"),
-        StatusCode::CONFLICT if error.cause() == Some(idempotency_keys::DONE) => {
+        StatusCode::CONFLICT if error.cause() == Some(idempotency_keys::RESPONSE_EVICTED_CAUSE) => {
             (code::CONFLICT, "a request with this key was served, and its answer is not held any more")
         }
         StatusCode::CONFLICT => (code::CONFLICT, "a request with this id or key is open"),
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -9,8 +9,8 @@
 use super::*;
 use crate::clock::Clock;
 use crate::driver::Driver;
-use crate::router::PlatformRouter;
-use crate::upstream::Upstreams;
+use crate::platform_router::PlatformRouter;
+use crate::upstream::UpstreamPool;
 
 const SETTINGS: &str = r#"{"balancers":1,"stages":["front"],"limits":{"max_attempts":3},
     "request_classes":[{"name":"read","promise_ms":9000,"deadline_ms":9000,"semantics":"idempotent"}]}"#;
@@ -20,15 +20,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let site = platform_settings::parse(SETTINGS).expect("settings");
-        let backends = Rc::new(Upstreams::new(site.transport, 9));
+        let backends = Rc::new(UpstreamPool::new(site.transport, 9));
         // This driver never runs, so nothing is ever decided.
         let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
         let router = PlatformRouter {
-            handle: driver.handle(),
+            driver: driver.handle(),
             names: site.names,
             settings: site.settings,
             ready: Rc::default(),
-            counts: Vec::new(),
+            class_counters: Vec::new(),
         };
         let frontend = Frontend {
             router: Rc::new(router),
