--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -112,7 +112,7 @@
             Ok(UpstreamResponse { headers, body }) => {
                 self.recorder.end(RequestOutcome::Served);
                 let body = body.buffered().unwrap_or_default();
-                jsonrpc::encode_response(id, &rpc_mapping::result_of(&headers, &body))
+                jsonrpc::encode_response(id, &rpc_mapping::http_response_to_result(&headers, &body))
             }
             Err(error) => {
                 self.recorder.end(error.outcome());
@@ -133,7 +133,7 @@
     let frontend = &listener.frontend;
     let router = Rc::clone(&frontend.router);
     let (mut head, class_of_method) = router.route_call(call)?;
-    let body = rpc_mapping::body_of(&head, call, frame);
+    let body = rpc_mapping::call_to_http_body(&head, call, frame);
     let body_bytes = body.len() as u64;
     let mut routed = request::route(&*router, &connection.router_state, &mut head, body_bytes)?;
     if class_of_method.is_some_and(|class| class != routed.class) {
--- a/crates/proxy/src/hosting.rs
+++ b/crates/proxy/src/hosting.rs
@@ -408,7 +408,7 @@
     fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         let resident = self.resident(&self.listener.host)?.1;
         let methods = &resident.tenant.borrow().config.methods;
-        Ok(rpc_mapping::head_of(methods, &self.listener.host, call)?)
+        Ok(rpc_mapping::call_to_http_head(methods, &self.listener.host, call)?)
     }
 
     fn generate_request_id(&self) -> Option<String> {
--- a/crates/proxy/src/request_ids.rs
+++ b/crates/proxy/src/request_ids.rs
@@ -1,26 +1,32 @@
-//! The ids of open requests, each once.
+//! The ids of open requests, each of which one request may have at a time.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The ids of open requests.
+/// The ids of open requests. Clones share them.
 #[derive(Clone, Default)]
-pub struct OpenRequestIds(Rc<RefCell<BTreeSet<String>>>);
+pub struct OpenRequestIds {
+    ids: Rc<RefCell<BTreeSet<String>>>,
+}
 
-/// Holds an id.
-pub struct RequestIdClaim(OpenRequestIds, String);
+/// The id of an open request; dropping this frees it.
+pub struct RequestIdClaim {
+    open_ids: OpenRequestIds,
+    id: String,
+}
 
 impl OpenRequestIds {
-    /// None where an open request has this id: a second one could be given the answer to the first, or call
-    /// it off at a backend that knows requests by their ids.
+    /// Claims an id. None where an open request has it: endpoints know requests by their ids, so a second one could get the
+    /// response to the first, or cancel it.
     pub fn claim(&self, id: &str) -> Option<RequestIdClaim> {
-        self.0.borrow_mut().insert(id.to_owned()).then(|| RequestIdClaim(self.clone(), id.to_owned()))
+        let is_free = self.ids.borrow_mut().insert(id.to_owned());
+        is_free.then(|| RequestIdClaim { open_ids: self.clone(), id: id.to_owned() })
     }
 }
 
 impl Drop for RequestIdClaim {
     fn drop(&mut self) {
-        self.0 .0.borrow_mut().remove(&self.1);
+        self.open_ids.ids.borrow_mut().remove(&self.id);
     }
 }
--- /dev/null
+++ b/crates/proxy/src/rpc_mapping/call_to_http.rs
@@ -0,0 +1,150 @@
+//! Calls of clients as HTTP requests, and HTTP responses as their results.
+
+use std::borrow::Cow;
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+use bytes::Bytes;
+use config::{escape, Member, Method, Methods, Verb};
+use hyper::header::{self, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, Request, StatusCode};
+use jsonrpc::{object_members, Call};
+use serde_json::value::RawValue;
+use serde_json::{json, Value};
+
+use super::{is_json, JSON_CONTENT_TYPE};
+use crate::exchange::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, TIMEOUT_HEADER};
+use crate::router::{CLASS_HEADER, TENANT_HEADER};
+
+/// The longest path and query of a call whose `params` are in the query, in bytes as encoded.
+const MAX_QUERY_BYTES: usize = 8 << 10;
+const JSON_MEDIA_TYPE: &[u8] = b"application/json";
+
+/// The head of a call in HTTP, and its class by index where the method alone determines it.
+///
+/// # Errors
+/// 404 where there is no such method; 400 where `params` are ambiguous or cannot be headers; 413 where they are too long.
+pub fn call_to_http_head(
+    methods: &Methods,
+    host: &str,
+    call: &Call<'_>,
+) -> Result<(Parts, Option<usize>), StatusCode> {
+    let method = methods.named(&call.method).ok_or(StatusCode::NOT_FOUND)?;
+    let params = Params::parse(call.params).ok_or(StatusCode::BAD_REQUEST)?;
+    let request = Request::builder()
+        .method(http_method(method.verb))
+        .uri(path_and_query(method, &params, call.params)?)
+        .header(header::HOST, host);
+    let (mut head, ()) = request.body(()).map_err(|_| StatusCode::BAD_REQUEST)?.into_parts();
+    let has_class = insert_headers(methods, &params, &mut head.headers)?;
+    if method.verb == Verb::Post && call.params.is_some() {
+        head.headers.insert(header::CONTENT_TYPE, JSON_CONTENT_TYPE);
+    }
+    Ok((head, (!has_class).then_some(method.class)))
+}
+
+/// The body of a call in HTTP. Shares the bytes of `frame`, from which the call was parsed.
+pub fn call_to_http_body(head: &Parts, call: &Call<'_>, frame: &Bytes) -> Bytes {
+    match call.params {
+        Some(params) if head.method == hyper::Method::POST => frame.slice_ref(params.get().as_bytes()),
+        _ => Bytes::new(),
+    }
+}
+
+/// An HTTP response as a result: JSON unchanged, text as a string, other bytes in Base64.
+pub fn http_response_to_result(headers: &HeaderMap, body: &[u8]) -> String {
+    match std::str::from_utf8(body) {
+        Ok(text) if has_json_type(headers) && is_json(text) => text.trim().to_owned(),
+        Ok("") => "null".to_owned(),
+        Ok(text) => Value::from(text).to_string(),
+        Err(_) => json!({ "base64": STANDARD.encode(body) }).to_string(),
+    }
+}
+
+fn has_json_type(headers: &HeaderMap) -> bool {
+    headers.get(header::CONTENT_TYPE).is_some_and(|value| {
+        let media_type = value.as_bytes().split(|byte| *byte == b';').next().unwrap_or_default();
+        media_type.trim_ascii().eq_ignore_ascii_case(JSON_MEDIA_TYPE)
+    })
+}
+
+fn http_method(verb: Verb) -> hyper::Method {
+    match verb {
+        Verb::Get => hyper::Method::GET,
+        Verb::Post => hyper::Method::POST,
+    }
+}
+
+/// The path of a call, which its members fill in; of a GET all `params` follow in the query.
+fn path_and_query(
+    method: &Method,
+    params: &Params<'_>,
+    raw_params: Option<&RawValue>,
+) -> Result<String, StatusCode> {
+    let mut path = method.path.fill(|member| params.get(member).and_then(scalar_text));
+    if let (Verb::Get, Some(raw)) = (method.verb, raw_params) {
+        path.push_str("?params=");
+        escape(raw.get(), &mut path);
+        if path.len() > MAX_QUERY_BYTES {
+            return Err(StatusCode::PAYLOAD_TOO_LARGE);
+        }
+    }
+    Ok(path)
+}
+
+/// Inserts the headers that members of `params` stand for, and says whether the class is among them.
+fn insert_headers(
+    methods: &Methods,
+    params: &Params<'_>,
+    headers: &mut HeaderMap,
+) -> Result<bool, StatusCode> {
+    let members = &methods.members;
+    let mut insert = |member: &Member, name: &'static str| -> Result<bool, StatusCode> {
+        let Some(raw) = params.get(member) else { return Ok(false) };
+        let value = scalar_text(raw).and_then(|text| HeaderValue::try_from(text).ok());
+        headers.insert(HeaderName::from_static(name), value.ok_or(StatusCode::BAD_REQUEST)?);
+        Ok(true)
+    };
+    insert(&members.key, IDEMPOTENCY_KEY_HEADER)?;
+    insert(&members.timeout_ms, TIMEOUT_HEADER)?;
+    insert(&members.tenant, TENANT_HEADER)?;
+    insert(&members.id, REQUEST_ID_HEADER)?;
+    insert(&members.class, CLASS_HEADER)
+}
+
+/// The members of `params` by name; none where they are positional.
+struct Params<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
+
+impl<'a> Params<'a> {
+    /// None where a member is repeated.
+    fn parse(params: Option<&'a RawValue>) -> Option<Params<'a>> {
+        match params.map(RawValue::get) {
+            Some(raw) if raw.starts_with('{') => object_members(raw).map(Params),
+            _ => Some(Params(Vec::new())),
+        }
+    }
+
+    fn get(&self, member: &Member) -> Option<&'a RawValue> {
+        match &member.within {
+            None => find_member(&self.0, &member.name),
+            Some(outer) => {
+                let object = find_member(&self.0, outer)?;
+                find_member(&object_members(object.get())?, &member.name)
+            }
+        }
+    }
+}
+
+fn find_member<'a>(members: &[(Cow<'a, str>, &'a RawValue)], name: &str) -> Option<&'a RawValue> {
+    members.iter().find(|(other, _)| other == name).map(|(_, value)| *value)
+}
+
+/// A string, or a whole number in its digits.
+fn scalar_text(raw: &RawValue) -> Option<String> {
+    let text = raw.get();
+    if text.starts_with('"') {
+        return serde_json::from_str(text).ok();
+    }
+    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.to_owned())
+}
--- /dev/null
+++ b/crates/proxy/src/rpc_mapping/http_to_call.rs
@@ -0,0 +1,109 @@
+//! HTTP requests as calls to endpoints that speak JSON-RPC, and their results as HTTP responses.
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+use bytes::Bytes;
+use hyper::{header, HeaderMap};
+use jsonrpc::object_members;
+use serde_json::value::RawValue;
+use serde_json::{json, Value};
+
+use super::{is_json, JSON_CONTENT_TYPE};
+use crate::exchange::{RpcCall, UpstreamRequest, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
+use crate::router::single_header_value;
+
+/// The member of `params` that holds what HTTP has in the head.
+const META_MEMBER: &str = "_meta";
+
+/// A request as a call to an endpoint. `id` is JSON; `time_left_ms` is what remains of the client's time, in milliseconds.
+pub fn http_request_to_call(request: &UpstreamRequest, body: &Bytes, id: &str, time_left_ms: u64) -> Vec<u8> {
+    let call = request.extensions().get::<RpcCall>();
+    let method = call.map_or("", |call| &*call.method);
+    let received_over_http = call.is_none_or(|call| call.received_over_http);
+    let sent = if received_over_http { Some(body) } else { call.and_then(|call| call.params.as_ref()) };
+    let params = match sent_params(sent) {
+        SentParams::Positional(array) => array,
+        SentParams::ByName(object) => {
+            let own_meta = meta_members(request, received_over_http, time_left_ms);
+            add_meta(&object, &own_meta)
+        }
+    };
+    let params = RawValue::from_string(params).ok();
+    jsonrpc::encode_request(Some(id), method, params.as_deref())
+}
+
+/// A result as an HTTP response.
+pub fn result_to_http_response(result: &RawValue) -> (HeaderMap, Bytes) {
+    let mut headers = HeaderMap::new();
+    headers.insert(header::CONTENT_TYPE, JSON_CONTENT_TYPE);
+    (headers, Bytes::copy_from_slice(result.get().as_bytes()))
+}
+
+/// The body of a request to an endpoint that speaks JSON-RPC, which is always buffered.
+pub fn buffered_body(request: &UpstreamRequest) -> Bytes {
+    request.body().buffered().unwrap_or_default()
+}
+
+/// What a client sent, as `params` in JSON.
+enum SentParams {
+    /// An array, which is forwarded unchanged.
+    Positional(String),
+    /// An object.
+    ByName(String),
+}
+
+/// A JSON object or array as it is; anything else as the member `body`, in Base64 where it is no text.
+fn sent_params(sent: Option<&Bytes>) -> SentParams {
+    let Some(bytes) = sent.filter(|bytes| !bytes.is_empty()) else {
+        return SentParams::ByName("{}".to_owned());
+    };
+    let Ok(text) = std::str::from_utf8(bytes) else {
+        return SentParams::ByName(json!({ "body": { "base64": STANDARD.encode(bytes) } }).to_string());
+    };
+    let text = text.trim();
+    if text.starts_with('[') && is_json(text) {
+        SentParams::Positional(text.to_owned())
+    } else if text.starts_with('{') && object_members(text).is_some() {
+        SentParams::ByName(text.to_owned())
+    } else {
+        SentParams::ByName(json!({ "body": text }).to_string())
+    }
+}
+
+/// What this proxy says of a request in [`META_MEMBER`].
+fn meta_members(
+    request: &UpstreamRequest,
+    received_over_http: bool,
+    time_left_ms: u64,
+) -> Vec<(&'static str, Value)> {
+    let header = |name: &str| single_header_value(request.headers(), name).ok().flatten();
+    let mut members: Vec<(&'static str, Value)> = vec![("timeoutMs", time_left_ms.into())];
+    members.extend(header(REQUEST_ID_HEADER).map(|id| ("requestId", id.into())));
+    members.extend(header(IDEMPOTENCY_KEY_HEADER).map(|key| ("key", key.into())));
+    if received_over_http {
+        let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
+        members.push(("verb", request.method().as_str().into()));
+        members.push(("path", path.into()));
+    }
+    members
+}
+
+/// Adds the proxy's own members of [`META_MEMBER`] to an object; they replace the client's of the same name, and its other
+/// ones stay.
+fn add_meta(object: &str, own_meta: &[(&str, Value)]) -> String {
+    let members = object_members(object).unwrap_or_default();
+    let client_meta = members.iter().find(|(name, _)| name == META_MEMBER);
+    let client_meta = client_meta.and_then(|(_, value)| object_members(value.get())).unwrap_or_default();
+    let mut meta: Vec<String> = own_meta.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
+    let is_own = |name: &str| own_meta.iter().any(|(own_name, _)| *own_name == name);
+    let others = client_meta.iter().filter(|(name, _)| !is_own(name));
+    meta.extend(others.map(|(name, value)| encode_member(name, value)));
+    let others = members.iter().filter(|(name, _)| name != META_MEMBER);
+    let mut encoded: Vec<String> = others.map(|(name, value)| encode_member(name, value)).collect();
+    encoded.push(format!("\"{META_MEMBER}\":{{{}}}", meta.join(",")));
+    format!("{{{}}}", encoded.join(","))
+}
+
+fn encode_member(name: &str, value: &RawValue) -> String {
+    format!("{}:{}", Value::from(name), value.get())
+}
--- a/crates/proxy/src/standalone.rs
+++ b/crates/proxy/src/standalone.rs
@@ -266,7 +266,7 @@
 
     fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         let snapshot = self.current.borrow();
-        Ok(rpc_mapping::head_of(&snapshot.config.methods, &self.listener.host, call)?)
+        Ok(rpc_mapping::call_to_http_head(&snapshot.config.methods, &self.listener.host, call)?)
     }
 
     fn generate_request_id(&self) -> Option<String> {
--- a/crates/proxy/src/upstream/rpc_attempt.rs
+++ b/crates/proxy/src/upstream/rpc_attempt.rs
@@ -44,7 +44,7 @@
     request: &AttemptRequest,
     progress: &WriteProgress,
 ) -> Result<UpstreamResponse, AttemptError> {
-    let body = rpc_mapping::body(&request.message);
+    let body = rpc_mapping::buffered_body(&request.message);
     loop {
         let acquired = acquire_rpc(pool, request.endpoint, settings).await?;
         let time_left = check_before_write(pool, request)?;
@@ -73,14 +73,16 @@
     progress: &WriteProgress,
 ) -> InFlightCall {
     let milliseconds = time_left.as_millis().max(1) as u64;
-    connection.send(progress.clone(), |id| rpc_mapping::call_of(&request.message, body, id, milliseconds))
+    connection.send(progress.clone(), |id| {
+        rpc_mapping::http_request_to_call(&request.message, body, id, milliseconds)
+    })
 }
 
 /// The response, or what its absence proves.
 fn classify(result: CallResult) -> Result<UpstreamResponse, AttemptError> {
     match result {
         CallResult::Result(result) => {
-            let (headers, body) = rpc_mapping::answer_of(&result);
+            let (headers, body) = rpc_mapping::result_to_http_response(&result);
             Ok(UpstreamResponse { headers, body: body.into() })
         }
         CallResult::Error(jsonrpc::code::NOT_PROCESSED) => Err(AttemptError::Rejected),
