--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -151,7 +151,7 @@
 
     /// Whether the limit on connections rejects the request, so that its connection is to be closed.
     pub fn is_connection_limit(&self) -> bool {
-        self.cause() == Some(limit::Cause::Connections.name())
+        self.cause() == Some(limit::RejectReason::Connections.name())
     }
 
     /// The outcome that the request is counted under.
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -21,7 +21,7 @@
 use super::request::{Admission, RequestReader};
 use super::ListenerState;
 use crate::exchange::{UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::metrics::{RequestOutcome, Tally};
+use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::panic_guard::caught;
 use crate::socket::Socket;
 
@@ -101,17 +101,17 @@
         let is_ready = listener.is_ready();
         return Ok(empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
     }
-    let recorder = Rc::<Tally>::default();
+    let recorder = Rc::<RequestRecorder>::default();
     match proxy_request(listener, connection, request, &recorder).await {
         Ok(response) => {
             // A streamed response is recorded with its last byte.
             if response.body.streaming().is_none() {
-                recorder.end(RequestOutcome::Served);
+                recorder.record(RequestOutcome::Served);
             }
             Ok(served_response(connection, &recorder, response))
         }
         Err(error) => {
-            recorder.end(error.outcome());
+            recorder.record(error.outcome());
             Err(error)
         }
     }
@@ -122,7 +122,7 @@
     listener: &ListenerState,
     connection: &DownstreamConnection,
     request: Request<Incoming>,
-    recorder: &Rc<Tally>,
+    recorder: &Rc<RequestRecorder>,
 ) -> Result<UpstreamResponse, RequestError> {
     let reader = RequestReader {
         router: &*listener.frontend.router,
--- a/crates/proxy/src/downstream/http/response.rs
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -14,7 +14,7 @@
 use crate::downstream::connection::DownstreamConnection;
 use crate::downstream::error::RequestError;
 use crate::exchange::UpstreamResponse;
-use crate::metrics::{RequestOutcome, Tally};
+use crate::metrics::{RequestOutcome, RequestRecorder};
 
 /// Names the limit that rejected a request.
 const REJECTION_CAUSE_HEADER: &str = "x-refusal-cause";
@@ -40,14 +40,14 @@
 /// Ends a request whose response is streamed when hyper drops the response.
 struct StreamGuard {
     connection: Rc<DownstreamConnection>,
-    recorder: Rc<Tally>,
+    recorder: Rc<RequestRecorder>,
     content: MessageBody,
 }
 
 impl Drop for StreamGuard {
     fn drop(&mut self) {
         let is_complete = self.content.streaming().is_some_and(|stream| stream.completed_at().is_some());
-        self.recorder.end(if is_complete { RequestOutcome::Served } else { RequestOutcome::Failed });
+        self.recorder.record(if is_complete { RequestOutcome::Served } else { RequestOutcome::Failed });
         self.connection.finish_request();
     }
 }
@@ -75,7 +75,7 @@
 /// The response of an endpoint.
 pub fn served_response(
     connection: &Rc<DownstreamConnection>,
-    recorder: &Rc<Tally>,
+    recorder: &Rc<RequestRecorder>,
     upstream: UpstreamResponse,
 ) -> ClientResponse {
     let UpstreamResponse { headers, body } = upstream;
--- a/crates/proxy/src/downstream/request/mod.rs
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -22,7 +22,7 @@
 use crate::body::{self, BufferOutcome, MessageBody, StreamingBody};
 use crate::exchange::{FinalResponse, UpstreamRequest, MAX_BUFFERED_BODY_BYTES};
 use crate::idempotency_keys::ReservedKey;
-use crate::metrics::Tally;
+use crate::metrics::RequestRecorder;
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
 use crate::router::{Connection, PoolSequence, Router};
 use crate::socket::{Socket, UnreadInput};
@@ -75,7 +75,7 @@
     pub async fn read(
         &self,
         request: Request<Incoming>,
-        recorder: &Rc<Tally>,
+        recorder: &Rc<RequestRecorder>,
     ) -> Result<Admission, RequestError> {
         let started_at = self.socket.message_started_at().unwrap_or_else(Instant::now);
         let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
@@ -87,7 +87,7 @@
         // A body of unknown length is measured against the limit as it arrives.
         let body_bytes = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
         let mut routed = routed::route(self.router, self.connection, &mut head, body_bytes)?;
-        recorder.is(routed.counters.take());
+        recorder.set_counters(routed.counters.take());
         if head.method == Method::GET && body.size_hint().exact() != Some(0) {
             return Err(InvalidRequest::UnexpectedBody.into());
         }
@@ -96,10 +96,10 @@
         match &body {
             MessageBody::Streaming(stream) => {
                 let recorder = Rc::clone(recorder);
-                stream.on_complete(move || recorder.taken());
+                stream.on_complete(move || recorder.on_received());
             }
             MessageBody::Buffered(bytes) => {
-                recorder.taken();
+                recorder.on_received();
                 let message_bytes = head_bytes + bytes.as_ref().map_or(0, |bytes| bytes.len());
                 self.check_message_end(message_bytes as u64, is_chunked)?;
             }
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -14,7 +14,7 @@
 use crate::downstream::request::{self, AcceptedRequest, Admission};
 use crate::downstream::ListenerState;
 use crate::exchange::{ClientConnection, FinalResponse, RpcCall, UpstreamResponse};
-use crate::metrics::{RequestOutcome, Tally};
+use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::panic_guard::caught;
 use crate::rpc_mapping;
 
@@ -27,7 +27,7 @@
     /// Nobody is sent its response.
     pub is_notification: bool,
     state: CallState,
-    recorder: Tally,
+    recorder: RequestRecorder,
 }
 
 enum CallState {
@@ -51,7 +51,7 @@
     }
 
     fn new(id: CallId, is_notification: bool, state: CallState) -> PreparedCall {
-        PreparedCall { id, open_id: None, is_notification, state, recorder: Tally::default() }
+        PreparedCall { id, open_id: None, is_notification, state, recorder: RequestRecorder::default() }
     }
 
     /// Validates and accepts a call. `frame` is what it was read from; its bytes are shared, not copied.
@@ -71,7 +71,7 @@
             Ok(Admission::Accepted(accepted)) => prepared.state = CallState::Accepted(accepted),
             Ok(Admission::Replayed(response)) => prepared.state = CallState::Replayed(response),
             Err(error) => {
-                prepared.recorder.end(error.outcome());
+                prepared.recorder.record(error.outcome());
                 prepared.state = CallState::Failed(encode_request_error(prepared.id.as_deref(), &error));
                 return (prepared, Some(error));
             }
@@ -110,12 +110,12 @@
         };
         Some(match response.map_or(Err(RequestError::Internal), into_result) {
             Ok(UpstreamResponse { headers, body }) => {
-                self.recorder.end(RequestOutcome::Served);
+                self.recorder.record(RequestOutcome::Served);
                 let body = body.buffered().unwrap_or_default();
                 jsonrpc::encode_response(id, &rpc_mapping::http_response_to_result(&headers, &body))
             }
             Err(error) => {
-                self.recorder.end(error.outcome());
+                self.recorder.record(error.outcome());
                 encode_request_error(id, &error)
             }
         })
@@ -128,7 +128,7 @@
     connection: &DownstreamConnection,
     call: &Call<'_>,
     frame: &Bytes,
-    recorder: &Tally,
+    recorder: &RequestRecorder,
 ) -> Result<Admission, RequestError> {
     let frontend = &listener.frontend;
     let router = Rc::clone(&frontend.router);
@@ -139,8 +139,8 @@
     if class_of_method.is_some_and(|class| class != routed.class) {
         return Err(InvalidRequest::MethodNotRouted.into());
     }
-    recorder.is(routed.counters.take());
-    recorder.taken();
+    recorder.set_counters(routed.counters.take());
+    recorder.on_received();
     let params = call.params.map(|params| frame.slice_ref(params.get().as_bytes()));
     let called = RpcCall { method: (*call.method).into(), params, received_over_http: false };
     routed.accept(head, body.into(), Some(called), &frontend.ids)
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -104,7 +104,7 @@
     }
 
     fn may_shut_down_alone(&self) -> bool {
-        self.settings.may_end_alone()
+        self.settings.may_shut_down_alone()
     }
 
     fn max_body_bytes(&self) -> u64 {
--- a/crates/proxy/src/upstream/http_attempt.rs
+++ b/crates/proxy/src/upstream/http_attempt.rs
@@ -96,7 +96,7 @@
         Ok(response) => return Ok(response),
         Err(error) => error,
     };
-    connection.socket.write_counter().not();
+    connection.socket.write_counter().cancel();
     let is_written = connection.socket.bytes_written() > written_before;
     let failure = classify_send_error(request, error, is_written);
     if matches!(failure, AttemptError::ClosedBeforeWrite) {
@@ -115,11 +115,11 @@
 /// Counts the attempt once its last byte is written.
 fn count_when_written(pool: &UpstreamPool, request: &AttemptRequest, connection: &HttpConnection) {
     match request.message.body().streaming() {
-        None => connection.socket.write_counter().at_next_write(&pool.attempts_written),
+        None => connection.socket.write_counter().count_next_write(&pool.attempts_written),
         Some(body) => {
             let socket = connection.socket.clone();
             let counter = pool.attempts_written.clone();
-            body.on_complete(move || socket.write_counter().at_next_write(&counter));
+            body.on_complete(move || socket.write_counter().count_next_write(&counter));
         }
     }
 }
