--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -69,7 +69,7 @@
         router: Rc::new(pool.router(&config.platform, &metrics)),
         ids: OpenRequestIds::default(),
         protocol: Protocol::Http,
-        shared: is_shared_socket,
+        is_socket_shared: is_shared_socket,
     };
 
     if let Some(gossip) = gossip {
