--- /dev/null
+++ b/crates/decide/tests/common/model.rs
@@ -0,0 +1,273 @@
+//! A model of the proxy around a balancer: it plays events and checks every action against the invariants.
+
+use std::collections::BTreeMap;
+
+use decide::{
+    Action, Balancer, DeduplicationGroup, Endpoint, EndpointId, EndpointState, Event, LoadReport, Micros,
+    NewRequest, Outcome, RequestId, Semantics, Settings, UpdateScope,
+};
+
+use super::ready_endpoint;
+
+struct Attempt {
+    endpoint: EndpointId,
+    sent_at: Micros,
+    deadline: Micros,
+    in_flight: bool,
+    may_have_run: bool,
+}
+
+struct PendingRequest {
+    class: usize,
+    deadline: Micros,
+    streaming: bool,
+    attempts: Vec<Attempt>,
+}
+
+pub struct Model {
+    settings: Settings,
+    balancer: Balancer,
+    now: Micros,
+    listed: BTreeMap<u32, Endpoint>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    answered: BTreeMap<RequestId, Vec<EndpointId>>,
+    timers: Vec<(Micros, u64)>,
+    next: u64,
+}
+
+impl Model {
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Model {
+            balancer: Balancer::new(settings.clone(), seed),
+            settings,
+            now: 5_000_000,
+            listed: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            answered: BTreeMap::new(),
+            timers: Vec::new(),
+            next: 0,
+        }
+    }
+
+    fn handle(&mut self, event: Event<'_>) {
+        let mut out = Vec::new();
+        self.balancer.handle(self.now, event, &mut out);
+        for action in out {
+            self.check(action);
+        }
+        for (id, pending) in &self.pending {
+            let waits = pending.streaming || pending.attempts.iter().any(|a| a.in_flight);
+            assert!(waits, "{id:?} is held with nothing out for it");
+        }
+    }
+
+    fn check(&mut self, action: Action) {
+        match action {
+            Action::Send { request, endpoint, deadline } => self.check_send(request, endpoint, deadline),
+            Action::Reject { request, .. } => self.check_reject(request),
+            Action::Fail(request) => {
+                let pending = self.pending.remove(&request).expect("a second answer");
+                self.answer(request, &pending);
+            }
+            Action::Cancel { request, attempt } => {
+                assert!(self.settings.can_cancel);
+                let known = self.answered.get(&request).map(Vec::len);
+                let known = known.or(self.pending.get(&request).map(|h| h.attempts.len()));
+                assert!(known.is_some_and(|n| attempt < n), "cancelled what was never sent");
+            }
+            Action::Timer { at, token } => self.timers.push((at, token)),
+            Action::HealthCheck(_) | Action::PollDiscovery | Action::Log(_) => {}
+            Action::SendGossip { to, payload } => {
+                assert!(
+                    self.settings.gossip_allowed && to != self.settings.rank && to < self.settings.balancers
+                );
+                assert!(payload.len() <= 256);
+            }
+        }
+    }
+
+    fn check_send(&mut self, request: RequestId, endpoint: EndpointId, deadline: Micros) {
+        let pending = self.pending.get_mut(&request).expect("sent for a request that is not held");
+        let entry = &self.listed[&endpoint.0];
+        assert_eq!(entry.state, EndpointState::Ready, "sent to a server that drains or is gone");
+        assert!(!pending.streaming && deadline <= pending.deadline && deadline > self.now);
+        assert!(pending.attempts.len() < self.settings.max_attempts);
+        let in_flight = pending.attempts.iter().any(|a| a.in_flight);
+        assert!(self.settings.hedging_allowed || !in_flight, "two at once");
+        for earlier in pending.attempts.iter().filter(|a| a.in_flight || a.may_have_run) {
+            let other = &self.listed[&earlier.endpoint.0];
+            match self.settings.classes[pending.class].semantics {
+                Semantics::Idempotent => {}
+                Semantics::AtMostOnce => panic!("sent again though it may have run"),
+                Semantics::Deduplicated { group, window } => {
+                    assert!(self.now < earlier.sent_at + window, "after its window");
+                    assert!(match group {
+                        DeduplicationGroup::All => true,
+                        DeduplicationGroup::Zone => other.zone == entry.zone,
+                        DeduplicationGroup::Cell => other.cell.is_some() && other.cell == entry.cell,
+                    });
+                }
+            }
+        }
+        let sent_at = self.now;
+        pending.attempts.push(Attempt { endpoint, sent_at, deadline, in_flight: true, may_have_run: true });
+    }
+
+    fn check_reject(&mut self, request: RequestId) {
+        let pending = self.pending.remove(&request).expect("a second answer");
+        let may_have_run = pending.attempts.iter().any(|a| a.in_flight || a.may_have_run);
+        match self.settings.classes[pending.class].semantics {
+            Semantics::Idempotent | Semantics::Deduplicated { group: DeduplicationGroup::All, .. } => {}
+            _ => assert!(!may_have_run, "refused though it may have run"),
+        }
+        self.answer(request, &pending);
+    }
+
+    fn answer(&mut self, request: RequestId, pending: &PendingRequest) {
+        self.answered.insert(request, pending.attempts.iter().map(|a| a.endpoint).collect());
+    }
+
+    fn request(&mut self, a: u32, b: u32) {
+        self.next += 1;
+        let class = a as usize % self.settings.classes.len();
+        let id = RequestId(self.next);
+        let time_left = Micros::from(b % 2_000_000);
+        self.pending.insert(
+            id,
+            PendingRequest { class, deadline: self.now + time_left, streaming: false, attempts: vec![] },
+        );
+        self.handle(Event::Request(NewRequest { id, class, time_left, ..NewRequest::default() }));
+    }
+
+    /// Ends one attempt in flight, or repeats the outcome of a request that was answered before.
+    fn outcome(&mut self, a: u32, outcome: Outcome) {
+        let out: Vec<(RequestId, usize)> = self
+            .pending
+            .iter()
+            .flat_map(|(id, h)| h.attempts.iter().enumerate().map(move |(n, a)| (*id, n, a.in_flight)))
+            .filter(|(_, _, in_flight)| *in_flight)
+            .map(|(id, n, _)| (id, n))
+            .collect();
+        let report = Some(LoadReport { queued: Some(f64::from(a % 7)), ..LoadReport::default() });
+        if out.is_empty() || a.is_multiple_of(9) {
+            let Some((id, endpoints)) = self.answered.iter().nth(a as usize % self.answered.len().max(1))
+            else {
+                return;
+            };
+            let Some(&endpoint) = endpoints.first() else { return };
+            let (request, took) = (*id, 1_000);
+            self.handle(Event::AttemptEnded {
+                request,
+                attempt: 0,
+                endpoint,
+                outcome,
+                took,
+                is_final: true,
+                report,
+            });
+            return;
+        }
+        let (request, attempt) = out[a as usize % out.len()];
+        self.finish_attempt(request, attempt, outcome, report);
+    }
+
+    fn finish_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        let pending = self.pending.get_mut(&id).expect("held");
+        let known = &mut pending.attempts[attempt];
+        (known.in_flight, known.may_have_run) = (false, !outcome.never_ran());
+        let (endpoint, took) = (known.endpoint, self.now - known.sent_at);
+        let is_final = outcome == Outcome::Ok || pending.streaming;
+        if is_final {
+            let pending = self.pending.remove(&id).expect("held");
+            self.answer(id, &pending);
+        }
+        self.handle(Event::AttemptEnded { request: id, attempt, endpoint, outcome, took, is_final, report });
+    }
+
+    /// The clock moves on; attempts whose time is up end, and timers fall due.
+    pub fn advance(&mut self, time: Micros) {
+        self.now += time;
+        loop {
+            let late = |h: &PendingRequest| {
+                h.attempts.iter().position(|a| a.in_flight && a.deadline <= self.now && !h.streaming)
+            };
+            let Some((id, attempt)) = self.pending.iter().find_map(|(id, h)| late(h).map(|n| (*id, n)))
+            else {
+                break;
+            };
+            self.finish_attempt(id, attempt, Outcome::Timeout, None);
+        }
+        let due: Vec<u64> = self.timers.iter().filter(|(at, _)| *at <= self.now).map(|t| t.1).collect();
+        self.timers.retain(|(at, _)| *at > self.now);
+        for token in due {
+            self.handle(Event::Timer(token));
+        }
+        let overdue = self.pending.values().filter(|h| !h.streaming && h.deadline < self.now).count();
+        assert_eq!(overdue, 0, "no answer by the deadline");
+    }
+
+    pub fn update_endpoints(&mut self, a: u32, b: u32, full: bool) {
+        let count = if full { a % 8 } else { 1 + a % 3 };
+        let entries: Vec<Endpoint> = (0..count)
+            .map(|i| {
+                let id = if full { i } else { b.wrapping_add(i) % 8 };
+                let state = match b.wrapping_shr(3 * i) % 5 {
+                    0 => EndpointState::Draining,
+                    1 if !full => EndpointState::Removed,
+                    _ => EndpointState::Ready,
+                };
+                let cell = (id % 3 > 0).then_some(u64::from(id % 3));
+                let up_since = b.is_multiple_of(4).then_some(self.now - 200_000);
+                Endpoint { state, cell, up_since, ..ready_endpoint(id, id as usize % 2) }
+            })
+            .collect();
+        if full {
+            self.listed.values_mut().for_each(|e| e.state = EndpointState::Removed);
+        }
+        self.listed.extend(entries.iter().map(|e| (e.id.0, e.clone())));
+        let scope = if full { UpdateScope::Full } else { UpdateScope::Delta };
+        self.handle(Event::EndpointUpdate { scope, endpoints: &entries });
+    }
+
+    pub fn step(&mut self, (kind, a, b): (u8, u32, u32)) {
+        match kind {
+            0..=5 => self.request(a, b),
+            6 | 7 => self.advance(Micros::from(a % 500_000)),
+            8 => self.outcome(a, Outcome::Ok),
+            9 => self.outcome(a, Outcome::Rejected),
+            10 => self.outcome(a, Outcome::ConnectFailed),
+            11 => self.outcome(a, Outcome::Error),
+            12 => self.outcome(a, Outcome::Reset),
+            13 => self.update_endpoints(a, b, false),
+            14 => self.update_endpoints(a, b, b.is_multiple_of(3)),
+            15 => {
+                let Some((&id, _)) = self.pending.iter().nth(a as usize % self.pending.len().max(1)) else {
+                    return;
+                };
+                let pending = self.pending.remove(&id).expect("held");
+                self.answer(id, &pending);
+                self.handle(Event::ClientDisconnected(id));
+            }
+            16 => {
+                let out = |h: &PendingRequest| {
+                    !h.streaming && h.attempts.iter().filter(|a| a.in_flight).count() == 1
+                };
+                let Some((&request, pending)) = self.pending.iter_mut().find(|(_, h)| out(h)) else { return };
+                pending.streaming = true;
+                self.handle(Event::StreamStarted { request });
+            }
+            17 => self.handle(Event::GossipReceived {
+                from: a % 4,
+                payload: &u64::from(b).to_le_bytes()[..a as usize % 7],
+            }),
+            18 => self.handle(Event::Timer(u64::from(a))),
+            _ => self.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] }),
+        }
+    }
+}
--- a/crates/proxy/src/operators/context.rs
+++ b/crates/proxy/src/operators/context.rs
@@ -79,11 +79,11 @@
 pub fn observe_maintenance(registry: &EndpointRegistry, overrides: MaintenanceOverrides) -> Rc<RegistryView> {
     let store = Rc::clone(&overrides.store);
     let view = Rc::new(RegistryView {
-        known: Rc::clone(&registry.known),
-        handle: registry.handle.clone(),
-        backends: Rc::clone(&registry.backends),
+        endpoints: Rc::clone(&registry.endpoints),
+        driver: registry.driver.clone(),
+        upstreams: Rc::clone(&registry.upstreams),
         overrides,
     });
-    store.tell(Rc::downgrade(&(Rc::clone(&view) as Rc<dyn RegistryObserver>)));
+    store.subscribe(Rc::downgrade(&(Rc::clone(&view) as Rc<dyn RegistryObserver>)));
     view
 }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -120,7 +120,7 @@
         for (index, BoundListener { config, socket, address }) in self.listeners.into_iter().enumerate() {
             let protocol = config.protocol;
             let router = router(config, index);
-            let frontend = Frontend { router, ids: ids.clone(), protocol, shared: self.shared };
+            let frontend = Frontend { router, ids: ids.clone(), protocol, is_socket_shared: self.shared };
             let mut stopped = stopped.clone();
             tasks.spawn_local(downstream::run(frontend, socket, max_connections, async move {
                 let _ = stopped.changed().await;
--- a/crates/proxy/src/standalone/operations.rs
+++ b/crates/proxy/src/standalone/operations.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use membership::Refused;
+use membership::MaintenanceRejection;
 
 use super::CurrentSnapshot;
 use crate::operators::{unique_endpoint, MaintenanceTarget, OperatorActions, OperatorContext};
@@ -37,7 +37,7 @@
         Box::pin(async move { self.context.metrics.encode(&snapshot.gauges().await) })
     }
 
-    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, Refused> {
+    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection> {
         let endpoint = unique_endpoint(id, self.current.borrow().operator_names(id))?;
         Ok(MaintenanceTarget { store: &self.context.maintenance, endpoint })
     }
--- a/crates/proxy/src/upstream/rpc_connection/task.rs
+++ b/crates/proxy/src/upstream/rpc_connection/task.rs
@@ -5,7 +5,7 @@
 
 use jsonrpc::FrameDecoder;
 
-use super::state::{message_bounds, ConnectionState, ReadState};
+use super::state::{message_limits, ConnectionState, ReadState};
 use crate::socket::Socket;
 
 /// Ends all calls when the task ends, also when it is aborted.
@@ -23,7 +23,7 @@
     let state = &guard.0;
     let mut reader = socket.clone();
     let mut writer = socket;
-    let mut framer = FrameDecoder::new(state.framing(), message_bounds());
+    let mut decoder = FrameDecoder::new(state.framing(), message_limits());
     loop {
         let has_queued_frames = state.has_queued_frames();
         tokio::select! {
@@ -32,9 +32,9 @@
                     return;
                 }
             }
-            read = reader.read_some(|piece| framer.push(piece)) => {
+            read = reader.read_some(|piece| decoder.push(piece)) => {
                 let is_end = matches!(read, Ok(0) | Err(_));
-                if is_end || take_messages(&mut framer, state) == ReadState::Invalid {
+                if is_end || take_messages(&mut decoder, state) == ReadState::Invalid {
                     return;
                 }
             }
@@ -44,10 +44,10 @@
 }
 
 /// Takes in the messages that have been received in full.
-fn take_messages(framer: &mut FrameDecoder, state: &ConnectionState) -> ReadState {
+fn take_messages(decoder: &mut FrameDecoder, state: &ConnectionState) -> ReadState {
     loop {
-        match framer.next_frame() {
-            Ok(Some(encode_frame)) if state.on_message(&encode_frame) == ReadState::Open => {}
+        match decoder.next_frame() {
+            Ok(Some(frame)) if state.on_message(&frame) == ReadState::Open => {}
             Ok(None) => return ReadState::Open,
             Ok(Some(_)) | Err(_) => return ReadState::Invalid,
         }
