--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -29,7 +29,6 @@
 use crate::platform_router::PlatformRouter;
 use crate::process::{self, Signals};
 use crate::request_ids::OpenRequestIds;
-
 use crate::start_error::StartError;
 use crate::upstream::{UpstreamPool, DRAIN_MARGIN};
 use crate::{handover, inherited_socket, operators};
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -3,12 +3,13 @@
 mod api;
 mod stubs;
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
 use api::*;
-use serde_json::json;
+use serde_json::{json, Value};
 use stubs::*;
 
 fn endpoint(name: &str, latency_ms: u64) -> FixedLatencyEndpoint {
@@ -133,6 +134,22 @@
     assert_eq!(status("one.example"), 200);
 }
 
+/// A tenant whose class has idempotency keys.
+fn deduplicating_tenant(host: &str, endpoint: &FixedLatencyEndpoint, limits: Value) -> Value {
+    let mut doc = tenant(host, &[endpoint.address], limits);
+    doc["config"]["class"][0]["semantics"] = json!("deduplicated");
+    doc["config"]["class"][0]["dedup_group"] = json!("all");
+    doc["config"]["class"][0]["dedup_window_ms"] = json!(60_000);
+    doc
+}
+
+/// The listeners' addresses in their order, as the process logs them.
+fn logged_listeners(process: &Process) -> Vec<SocketAddr> {
+    let log = process.log();
+    let addresses = log.lines().filter_map(|line| line.strip_prefix("listening on "));
+    addresses.map(|address| address.parse().expect("an address")).collect()
+}
+
 /// Calls belong to the listener's tenant, or to the one that has its host, under the same limits and idempotency keys.
 #[test]
 fn json_rpc_calls_belong_to_a_tenant_like_http_requests() {
@@ -142,26 +159,19 @@
         "listen = [{ address = \"127.0.0.1:0\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", tenant = \"one\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", host = \"two.example\" }]",
     );
     let service = host_service(&file);
-    let with = |host: &str, node: &FixedLatencyEndpoint, limits| {
-        let mut doc = tenant(host, &[node.address], limits);
-        doc["config"]["class"][0]["semantics"] = json!("deduplicated");
-        doc["config"]["class"][0]["dedup_group"] = json!("all");
-        doc["config"]["class"][0]["dedup_window_ms"] = json!(60_000);
-        doc
-    };
     let limits = json!({ "requests_per_s": 0.001, "burst": 3 });
-    assert_eq!(service.put("/v1/tenants/one", &with("one.example", &one, limits)).status, 200);
-    assert_eq!(service.put("/v1/tenants/two", &with("two.example", &two, json!({}))).status, 200);
-    let log = service.process.log();
-    let listeners: Vec<std::net::SocketAddr> = log
-        .lines()
-        .filter_map(|l| l.strip_prefix("listening on "))
-        .map(|a| a.parse().expect("an address"))
-        .collect();
-    let mut callers: Vec<RpcClient> =
-        listeners.iter().map(|a| RpcClient::connect(*a, Framing::Lines)).collect();
-    let served =
-        |answer: &serde_json::Value| answer["result"].as_str().map(|r| r.split(':').next() == Some("one"));
+    assert_eq!(
+        service.put("/v1/tenants/one", &deduplicating_tenant("one.example", &one, limits)).status,
+        200
+    );
+    assert_eq!(
+        service.put("/v1/tenants/two", &deduplicating_tenant("two.example", &two, json!({}))).status,
+        200
+    );
+    let listeners = logged_listeners(&service.process);
+    let connect = |address: &SocketAddr| RpcClient::connect(*address, Framing::Lines);
+    let mut callers: Vec<RpcClient> = listeners.iter().map(connect).collect();
+    let served = |answer: &Value| answer["result"].as_str().map(|r| r.split(':').next() == Some("one"));
     let key = json!({ "key": "k" });
     assert_eq!(served(&callers[0].call(1, "standings", key.clone())), Some(true));
     assert_eq!(
--- a/tests/hosted_changes.rs
+++ b/tests/hosted_changes.rs
@@ -3,82 +3,94 @@
 mod api;
 mod stubs;
 
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
 use api::*;
-use serde_json::json;
+use serde_json::{json, Value};
 use stubs::*;
 
 fn endpoint(name: &str, latency_ms: u64) -> FixedLatencyEndpoint {
     FixedLatencyEndpoint::start(name, Duration::from_millis(latency_ms)).expect("a port")
 }
 
+/// The rounds of changes while clients send requests.
+#[derive(Default)]
+struct Progress {
+    /// The last round that was requested.
+    requested: AtomicUsize,
+    /// The last round that was confirmed.
+    confirmed: AtomicUsize,
+    stop: AtomicBool,
+}
+
+/// The tenant in a round: the first endpoint is in even rounds only, the last in odd ones.
+fn tenant_of_round(round: usize, addresses: &[SocketAddr]) -> Value {
+    let used = &addresses[round % 2..2 + round % 2];
+    let limits = json!({ "requests_per_s": 100_000 + round, "in_flight": 100 + round % 7 });
+    let mut doc = tenant("club.example", used, limits);
+    let config = &mut doc["config"];
+    config["class"][0]["semantics"] = json!("at-most-once");
+    let class = ["standings", "tables"][round / 10 % 2];
+    config["class"][0]["name"] = json!(class);
+    config["route"][0]["class"] = json!(class);
+    doc
+}
+
+/// Sends requests and checks that each was served under a version of its time. Returns their number.
+fn send_until_stopped(service: &Hosted, progress: &Progress) -> usize {
+    let mut caller = service.process.caller();
+    let mut sent = 0;
+    while !progress.stop.load(Ordering::Relaxed) {
+        let from = progress.confirmed.load(Ordering::SeqCst);
+        let answer = caller.ask("POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 1\r\n\r\nx");
+        assert_eq!(answer.status(), 200);
+        let to = progress.requested.load(Ordering::SeqCst);
+        let by = answer.header("X-Served-By").expect("a node");
+        let fits = |round: usize| by == "n1" || (by == "n0") == round.is_multiple_of(2);
+        assert!((from..=to).any(fits), "{by} in rounds {from} to {to}");
+        sent += 1;
+    }
+    sent
+}
+
 /// Limits, endpoints and the name of a class change 500 times under load.
 #[test]
 fn five_hundred_changes_under_load_lose_no_request() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 0)).collect();
     let service = Arc::new(host_service(&hosted_file("", "")));
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
-    let at = |round: usize| {
-        let of = &addresses[round % 2..2 + round % 2];
-        let limits = json!({ "requests_per_s": 100_000 + round, "in_flight": 100 + round % 7 });
-        let mut doc = tenant("club.example", of, limits);
-        let config = &mut doc["config"];
-        config["class"][0]["semantics"] = json!("at-most-once");
-        let class = ["standings", "tables"][round / 10 % 2];
-        config["class"][0]["name"] = json!(class);
-        config["route"][0]["class"] = json!(class);
-        doc
-    };
+    let at = |round: usize| tenant_of_round(round, &addresses);
     assert_eq!(service.put("/v1/tenants/club", &at(0)).status, 200);
     assert_eq!(
         service.put("/v1/tenants/other", &tenant("other.example", &[addresses[2]], json!({}))).status,
         200
     );
-    // The last round that was requested, and the last that was confirmed.
-    let (requested, done) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-    let stop = Arc::new(AtomicBool::new(false));
+    let progress = Arc::<Progress>::default();
     let callers: Vec<_> = (0..4)
         .map(|_| {
-            let (service, stop) = (Arc::clone(&service), Arc::clone(&stop));
-            let (requested, done) = (Arc::clone(&requested), Arc::clone(&done));
-            thread::spawn(move || {
-                let (mut caller, mut asked) = (service.process.caller(), 0);
-                while !stop.load(Ordering::Relaxed) {
-                    let from = done.load(Ordering::SeqCst);
-                    let answer =
-                        caller.ask("POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 1\r\n\r\nx");
-                    assert_eq!(answer.status(), 200);
-                    // The endpoint belongs to a version that may have served the request: the first is in even ones only,
-                    // the last in odd ones.
-                    let to = requested.load(Ordering::SeqCst);
-                    let by = answer.header("X-Served-By").expect("a node");
-                    let fits = |round: usize| by == "n1" || (by == "n0") == round.is_multiple_of(2);
-                    assert!((from..=to).any(fits), "{by} in rounds {from} to {to}");
-                    asked += 1;
-                }
-                asked
-            })
+            let (service, progress) = (Arc::clone(&service), Arc::clone(&progress));
+            thread::spawn(move || send_until_stopped(&service, &progress))
         })
         .collect();
     let mut tag = service.get("/v1/tenants/club").etag;
     let untouched = service.get("/v1/tenants/other").etag;
     for round in 1..=500 {
-        requested.store(round, Ordering::SeqCst);
+        progress.requested.store(round, Ordering::SeqCst);
         let response =
             service.call("PUT", "/v1/tenants/club?why=round", None, tag.as_deref(), Some(&at(round)));
         assert_eq!(response.status, 200, "{response:?}");
         assert_eq!(response.body["version"], round + 3);
         tag = response.etag;
-        done.store(round, Ordering::SeqCst);
+        progress.confirmed.store(round, Ordering::SeqCst);
     }
-    stop.store(true, Ordering::Relaxed);
-    let asked: usize = callers.into_iter().map(|c| c.join().expect("every request was answered")).sum();
+    progress.stop.store(true, Ordering::Relaxed);
+    let sent: usize = callers.into_iter().map(|c| c.join().expect("every request was answered")).sum();
     let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
-    assert_eq!(served, asked, "each request ran once");
+    assert_eq!(served, sent, "each request ran once");
     assert_eq!(service.get("/v1/tenants/other").etag, untouched);
     assert_eq!(service.get("/v1/tenants/other/status").body["version"], 3, "the other was not touched");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -115,46 +115,54 @@
     proxy.says("configuration 2: ");
 }
 
+/// A pool that stays, and one that changes its name and endpoint. Every third round starts both anew.
+fn config_of_round(round: usize, nodes: &[FixedLatencyEndpoint]) -> String {
+    let pool = |name: &str, node: &FixedLatencyEndpoint| {
+        format!(
+            "\n[[pool]]\nname = \"{name}\"\nnodes = [{{ name = \"n\", address = \"{}\" }}]\n",
+            node.address
+        )
+    };
+    let route = |name: &str, pool: &str| {
+        format!(
+            "\n[[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/*\" }}\nclass = \"write\"\npool = \"{pool}\"\n"
+        )
+    };
+    let changing = format!("changing-{round}");
+    let mut text = format!(
+        "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\n\n[[class]]\nname = \"write\"\naim_ms = {}\ndeadline_ms = 20000\nsemantics = \"at-most-once\"\n",
+        10_000 + round / 3
+    );
+    text += &pool("steady", &nodes[0]);
+    text += &pool(&changing, &nodes[1 + round % 2]);
+    text += &route("steady", "steady");
+    text += &route("changing", &changing);
+    text
+}
+
+fn send_until_stopped(proxy: &Process, path: &str, stop: &AtomicBool, answered: &AtomicUsize) {
+    let mut caller = proxy.caller();
+    while !stop.load(Ordering::Relaxed) {
+        let answer = caller.ask(&post(path, ""));
+        assert_eq!(answer.status(), 200, "{path}");
+        answered.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
 /// Pools are added, removed and changed while six clients send requests without a pause: each gets one response.
 #[test]
 fn two_hundred_reloads_under_load_lose_no_request_and_leak_nothing() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3)
         .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(1)).expect("a port"))
         .collect();
-    let text = |round: usize| {
-        let pool = |name: &str, node: &FixedLatencyEndpoint| {
-            format!(
-                "\n[[pool]]\nname = \"{name}\"\nnodes = [{{ name = \"n\", address = \"{}\" }}]\n",
-                node.address
-            )
-        };
-        let mut text = format!(
-            "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\n\n[[class]]\nname = \"write\"\naim_ms = {}\ndeadline_ms = 20000\nsemantics = \"at-most-once\"\n",
-            // Each third round every pool is started anew.
-            10_000 + round / 3
-        );
-        text += &pool("steady", &nodes[0]);
-        text += &pool(&format!("changing-{round}"), &nodes[1 + round % 2]);
-        text += "\n[[route]]\nname = \"steady\"\nmatch = { path = \"/steady/*\" }\nclass = \"write\"\npool = \"steady\"\n";
-        text += &format!(
-            "\n[[route]]\nname = \"changing\"\nmatch = {{ path = \"/changing/*\" }}\nclass = \"write\"\npool = \"changing-{round}\"\n"
-        );
-        text
-    };
+    let text = |round: usize| config_of_round(round, &nodes);
     let proxy = Arc::new(serve(&text(0), &[]));
     let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
     let callers: Vec<_> = (0..6)
         .map(|i| {
             let (proxy, stop, answered) = (Arc::clone(&proxy), Arc::clone(&stop), Arc::clone(&answered));
-            thread::spawn(move || {
-                let mut caller = proxy.caller();
-                let path = if i % 2 == 0 { "/steady/1" } else { "/changing/1" };
-                while !stop.load(Ordering::Relaxed) {
-                    let answer = caller.ask(&post(path, ""));
-                    assert_eq!(answer.status(), 200, "{path}");
-                    answered.fetch_add(1, Ordering::Relaxed);
-                }
-            })
+            let path = if i % 2 == 0 { "/steady/1" } else { "/changing/1" };
+            thread::spawn(move || send_until_stopped(&proxy, path, &stop, &answered))
         })
         .collect();
     let settled = |until: usize| {
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -36,16 +36,7 @@
     let callers: Vec<_> = (0..2 * CLIENTS)
         .map(|n| {
             let (counts, stop, at) = (Arc::clone(&counts), Arc::clone(&stop), held.address);
-            thread::spawn(move || {
-                let mut connection = None;
-                while !stop.load(Ordering::Relaxed) {
-                    send_request(&counts, &mut connection, at);
-                    if n < CLIENTS {
-                        connection = None;
-                    }
-                    thread::sleep(Duration::from_millis(1));
-                }
-            })
+            thread::spawn(move || send_until_stopped(&counts, &stop, at, n >= CLIENTS))
         })
         .collect();
     let (mut slowest_start, mut longest_shutdown) = (Duration::ZERO, Duration::ZERO);
@@ -79,6 +70,18 @@
     assert!(of(&counts.served) > 40 * count as u64);
 }
 
+/// Sends requests on one connection for as long as that is open, or on a new one each.
+fn send_until_stopped(counts: &Counts, stop: &AtomicBool, at: std::net::SocketAddr, is_persistent: bool) {
+    let mut connection = None;
+    while !stop.load(Ordering::Relaxed) {
+        send_request(counts, &mut connection, at);
+        if !is_persistent {
+            connection = None;
+        }
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
 fn send_request(counts: &Counts, connection: &mut Option<HttpClient>, at: std::net::SocketAddr) {
     let id = counts.next_id.fetch_add(1, Ordering::Relaxed);
     let mut caller =
