--- a/crates/decide/src/admission/load.rs
+++ b/crates/decide/src/admission/load.rs
@@ -1,7 +1,7 @@
 //! The pool's load, from the samples of one control period.
 //!
 //! Rule: load is the median utilisation that endpoints report over its target, or the median latency (in
-//! latency objectives) over its target plus the part of the calls that were rejected or failed; above 1 the
+//! latency objectives) over its target plus the part of the attempts that were rejected or failed; above 1 the
 //! pool is overloaded. The median, as one slow endpoint must not shed what the others could serve. Utilisation
 //! says nothing of what waits in deeper tiers, so except in the deepest the greater of the two counts.
 //!
@@ -28,7 +28,7 @@
 /// Where a load was read from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSource {
-    /// The calls of this balancer and of the peers that gossip.
+    /// The attempts of this balancer and of the peers that gossip.
     Answers,
     /// Load reports of endpoints.
     Reports,
@@ -80,7 +80,7 @@
         self.baseline = Some(baseline.clamp(0.0, MAX_BASELINE));
     }
 
-    /// Takes in what the end of a call says.
+    /// Takes in the load signal of an attempt that ended.
     pub fn record(&mut self, signal: LoadSignal) {
         match signal {
             LoadSignal::None => return,
@@ -102,7 +102,7 @@
         self.latencies.is_empty()
     }
 
-    /// Takes in how long a call in flight has taken so far, in latency objectives, where no answer has come:
+    /// Takes in how long an attempt in flight has taken so far, in latency objectives, where no answer has come:
     /// a small balancer's late answers come too late to tell of an overload.
     pub fn record_overdue(&mut self, latency: f64) {
         self.latencies.push(latency);
@@ -161,3 +161,6 @@
     let middle = values.len() / 2;
     Some(*values.select_nth_unstable_by(middle, f64::total_cmp).1)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -43,7 +43,7 @@
     Shed {
         /// Why.
         reason: ShedReason,
-        /// When its client may come back, in microseconds; 0 says nothing.
+        /// When its client may come back, in microseconds; 0 sends none.
         retry_after: Micros,
     },
 }
--- a/crates/decide/src/admission/priority.rs
+++ b/crates/decide/src/admission/priority.rs
@@ -88,3 +88,6 @@
         rate.quota_per_s > 0.0 && rate.requests.weight > max_requests
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -2,7 +2,7 @@
 //!
 //! Rule: by Little's law, a part of the requests in flight at which an answer takes its whole latency
 //! objective at the rate now served. It rises at once and falls slowly. Before there are samples it is a
-//! figure for each endpoint; when endpoints come and go it scales with their number.
+//! fixed number for each endpoint; when endpoints come and go it scales with their number.
 //!
 //! Inputs: the sum of the latency objectives served, in microseconds; counts of endpoints.
 
@@ -89,7 +89,7 @@
         self.value = (in_flight_at_objective * PART_OF_OBJECTIVE).max(fallen);
     }
 
-    /// Are this balancer's own requests too few to go by?
+    /// Is it so small that this balancer's own requests are too few to go by?
     pub fn is_small(&self) -> bool {
         self.value < MIN_THRESHOLD
     }
@@ -108,3 +108,6 @@
         Limit { in_flight, threshold: threshold.max(floor) }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -159,7 +159,7 @@
         let request = self.requests.get_mut(&id)?;
         request.attempts.push(Attempt::new(endpoint, now));
         if !request.body_pending {
-            endpoints[endpoint].begin_call(request.class, window.age(now));
+            endpoints[endpoint].begin_attempt(request.class, window.age(now));
             self.in_flight += 1;
         }
         Some(request.deadline)
@@ -177,7 +177,7 @@
         request.body_pending = false;
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_in_flight()) {
             attempt.sent_at = now;
-            endpoints[attempt.endpoint].begin_call(request.class, window.age(now));
+            endpoints[attempt.endpoint].begin_attempt(request.class, window.age(now));
             self.in_flight += 1;
         }
     }
@@ -198,7 +198,7 @@
             if outcome.never_ran() { AttemptStatus::NeverRan } else { AttemptStatus::MayHaveRun };
         if !request.body_pending {
             self.in_flight = self.in_flight.saturating_sub(1);
-            endpoints[attempt.endpoint].end_call(request.class, window.age(attempt.sent_at));
+            endpoints[attempt.endpoint].end_attempt(request.class, window.age(attempt.sent_at));
         }
         Some(EndedAttempt {
             endpoint: attempt.endpoint,
@@ -233,3 +233,6 @@
         ages.filter(|age| *age > 1.0).max_by(f64::total_cmp)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -1,6 +1,6 @@
 //! One balancer: owns the parts of the decisions and hands each event to those that it concerns.
 //!
-//! No rule stands here. The way of a request is in [`dispatch`](crate::dispatch), what happens once a period in
+//! No rule stands here. The lifecycle of a request is in [`dispatch`](crate::dispatch), what happens once a period in
 //! [`control_period`](crate::control_period).
 
 use fastrand::Rng;
@@ -99,7 +99,7 @@
 
     /// Takes in one event and appends what to do about it.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        // A clock that steps back or leaves all bounds must not upset what is reckoned from it.
+        // A clock that steps back or leaves all bounds must not upset what is computed from it.
         self.now = now.clamp(self.now, TIME_LIMIT);
         let now = self.now;
         self.start(now, actions);
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Takes in what the end of a call, of this balancer or of a peer, says of load.
+    /// Takes in what the end of an attempt, of this balancer or of a peer, says of load.
     pub(crate) fn on_load_signal(&mut self, now: Micros, index: EndpointIndex, signal: LoadSignal) {
         self.admission.load.record(signal);
         if signal == LoadSignal::Rejected {
--- a/crates/decide/src/discovery.rs
+++ b/crates/decide/src/discovery.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The poll timer is due: says whether to poll now.
+    /// The poll timer is due; true where to poll now.
     pub fn on_timer(&mut self) -> bool {
         if self.is_subscribed {
             return false;
@@ -71,3 +71,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/dispatch.rs
+++ b/crates/decide/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The way of a request through a balancer: admitted or shed, sent to an endpoint, retried, answered.
+//! The lifecycle of a request: admitted or shed, sent to an endpoint, retried, answered.
 //!
 //! All actions on requests are made here, from what the parts decide.
 
@@ -83,6 +83,9 @@
 
     /// Starts an attempt at an endpoint that [`Balancer::select`] found allowed.
     fn send(&mut self, now: Micros, id: RequestId, endpoint: EndpointIndex, actions: &mut Vec<Action>) {
+        debug_assert!(self.requests.get(id).is_some_and(|request| {
+            self.retry_policy.may_start_attempt(now, request, &self.endpoints, endpoint)
+        }));
         let Some(deadline) = self.requests.start_attempt(now, id, endpoint, &mut self.endpoints, self.window)
         else {
             return;
@@ -93,7 +96,7 @@
         self.publish_load(endpoint, LoadSignal::None, actions);
     }
 
-    /// Tells the peers that share this balancer's subset what it has in flight at an endpoint.
+    /// Sends the peers that share this balancer's subset what it has in flight at an endpoint.
     fn publish_load(&self, endpoint: EndpointIndex, signal: LoadSignal, actions: &mut Vec<Action>) {
         if self.ready.gossip_peers.is_empty() || !self.ready.subset.contains(&endpoint) {
             return;
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -14,9 +14,9 @@
 
 /// One endpoint.
 pub(crate) struct EndpointRecord {
-    /// What discovery says of it.
+    /// Its entry in the endpoint list.
     pub entry: Endpoint,
-    /// This balancer's attempts that it works on.
+    /// This balancer's attempts in flight there.
     pub in_flight: u32,
     /// When this balancer last sent it an attempt.
     pub last_sent_at: Micros,
@@ -51,26 +51,26 @@
         self.entry.state == EndpointState::Ready
     }
 
-    /// Books an attempt that is sent at this balancer's `age` (microseconds).
+    /// Counts an attempt that is sent now.
     pub fn count_sent(&mut self, now: Micros) {
         self.load_report.count_sent();
         self.last_sent_at = now;
         self.slow_start.spend();
     }
 
-    /// It works on one more attempt, since the balancer's age `sent_age` (microseconds).
-    pub fn begin_call(&mut self, class: ClassIndex, sent_age: f64) {
+    /// An attempt is in flight from now on; `sent_age` is the balancer's age in microseconds.
+    pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         self.in_flight += 1;
-        self.latency.begin_call(class, sent_age);
+        self.latency.begin_attempt(class, sent_age);
     }
 
-    /// It no longer works on an attempt that it had since the balancer's age `sent_age` (microseconds).
-    pub fn end_call(&mut self, class: ClassIndex, sent_age: f64) {
+    /// An attempt is no longer in flight; `sent_age` is the balancer's age when it began, in microseconds.
+    pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.latency.end_call(class, sent_age);
+        self.latency.end_attempt(class, sent_age);
     }
 
-    /// Takes in what discovery says. Of another process than before nothing that was learned holds.
+    /// Takes in a new entry. What was learned does not hold for another process than before.
     fn update(&mut self, entry: Endpoint) {
         let is_restarted = entry.up_since.is_some() && self.entry.up_since != entry.up_since;
         if is_restarted {
--- a/crates/decide/src/ewma.rs
+++ b/crates/decide/src/ewma.rs
@@ -42,3 +42,6 @@
         (self.sum + prior * prior_weight) / (self.weight + prior_weight)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -1,7 +1,7 @@
-//! What balancers of a tier tell each other, and how long it is believed.
+//! Gossip: what balancers of a tier send each other of load, and how long it counts.
 //!
-//! A message states how many requests its sender has in flight at one endpoint and how its last call there
-//! went. It is a state and not a change, so a lost message is mended by the next. Messages are six bytes:
+//! A message states how many attempts its sender has in flight at one endpoint and how its last one there
+//! ended. It is a state and not a change, so a lost message is mended by the next. Messages are six bytes:
 //! endpoint id (little endian), in flight, load signal. All other payloads are ignored.
 
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 /// The wire byte of [`LoadSignal::Rejected`].
 const REJECTED_BYTE: u8 = 255;
 
-/// What the end of a call says of load.
+/// What the end of an attempt says of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSignal {
     /// Nothing.
@@ -34,7 +34,7 @@
 }
 
 impl LoadSignal {
-    /// The signal of a call that took this multiple of its latency objective.
+    /// The signal of an attempt that took this multiple of its latency objective.
     pub fn latency(objectives: f64) -> LoadSignal {
         LoadSignal::Latency((objectives * LATENCY_UNITS_PER_OBJECTIVE).clamp(1.0, MAX_LATENCY_UNITS) as u8)
     }
@@ -68,9 +68,9 @@
 pub(crate) struct GossipMessage {
     /// The endpoint that it is about.
     pub endpoint: EndpointId,
-    /// The sender's requests in flight there, 255 at most.
+    /// The sender's attempts in flight there, 255 at most.
     pub in_flight: u8,
-    /// What the sender's last call there said of load.
+    /// What the end of the sender's last attempt there said of load.
     pub signal: LoadSignal,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// What one peer last said of one endpoint.
+/// The last message of one peer about one endpoint.
 struct PeerReport {
     in_flight: u8,
     received_at: Micros,
@@ -106,12 +106,12 @@
 }
 
 impl PeerLoad {
-    /// Takes in what a peer said.
+    /// Takes in a peer's message.
     pub fn record(&mut self, now: Micros, peer: u32, in_flight: u8) {
         self.reports.insert(peer, PeerReport { in_flight, received_at: now });
     }
 
-    /// The requests in flight of all peers that spoke within `max_age`.
+    /// The attempts in flight of all peers that sent a message within `max_age` (microseconds).
     pub fn in_flight(&self, now: Micros, max_age: Micros) -> u32 {
         let recent = self.reports.values().filter(|report| now - report.received_at < max_age);
         recent.map(|report| u32::from(report.in_flight)).sum()
--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -1,4 +1,4 @@
-//! What a balancer has learned, as plain figures: exported by [`crate::Balancer::learned_state`], and imported by
+//! What a balancer has learned, as plain numbers: exported by [`crate::Balancer::learned_state`], and imported by
 //! [`crate::Balancer::import_learned_state`] from a process before or from other balancers. Times are in microseconds.
 
 mod evidence;
@@ -32,7 +32,7 @@
     /// How much longer it is ejected; 0 where it is not.
     pub ejected_for: Micros,
     /// Requests that it might still get in its slow start. For operators, and never imported: a budget that
-    /// several balancers have at once would be spent more than once.
+    /// several balancers have at the same time would be overspent.
     pub slow_start_tokens: f64,
 }
 
@@ -47,7 +47,7 @@
     pub endpoints: Vec<LearnedEndpoint>,
     /// By machine kind: time spent for each successful answer, as for one endpoint's class.
     pub latency_by_machine_kind: Vec<(usize, DecayedMean)>,
-    /// By zone: the part of the calls that got no answer.
+    /// By zone: the part of the attempts that got no answer.
     pub loss_by_zone: Vec<(usize, DecayedMean)>,
     /// By class: what a successful answer takes.
     pub typical_latency: Vec<DecayedMean>,
--- a/crates/decide/src/load_report.rs
+++ b/crates/decide/src/load_report.rs
@@ -59,3 +59,6 @@
 fn is_usable(value: &f64) -> bool {
     value.is_finite() && *value >= 0.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/platform_settings.rs
+++ b/crates/decide/src/platform_settings.rs
@@ -1,7 +1,7 @@
 //! The settings object as a deployment writes it.
 //!
 //! The simulator's bridge and the real proxy are given the same JSON object. It gives the decisions indexes
-//! and figures ([`Settings`]), the names behind these indexes ([`NameTable`]), and what only a real proxy
+//! and numbers ([`Settings`]), the names behind these indexes ([`NameTable`]), and what only a real proxy
 //! needs ([`Transport`]). Unknown keys are ignored.
 
 mod document;
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -132,3 +132,6 @@
         DeduplicationGroup::Cell => first.cell.is_some() && first.cell == second.cell,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/selection/candidates.rs
+++ b/crates/decide/src/selection/candidates.rs
@@ -154,3 +154,6 @@
 fn draw(pool: &[EndpointIndex], rng: &mut Rng) -> EndpointIndex {
     pool[rng.usize(0..pool.len())]
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -10,13 +10,12 @@
 
 use std::collections::BTreeMap;
 
+use crate::endpoint_table::EndpointRecord;
 use crate::ewma::Ewma;
 use crate::index::{ClassIndex, MachineKindIndex};
 use crate::time::{Micros, ObservationWindow};
 use crate::{Outcome, Settings};
 
-use crate::endpoint_table::EndpointRecord;
-
 /// What a failed attempt adds to the time that it took, in latency objectives.
 const FAILURE_COST: f64 = 2.0;
 /// Samples that the pool's typical latency counts as for a machine kind.
@@ -25,18 +24,18 @@
 const MACHINE_KIND_PRIOR_WEIGHT: f64 = 2.0;
 /// Samples that an endpoint's classes together count as for one of them.
 const ENDPOINT_PRIOR_WEIGHT: f64 = 4.0;
-/// What a call is taken to need before any has been answered, in microseconds.
+/// What a request is taken to need before any has been answered, in microseconds.
 const INITIAL_POOL_LATENCY: f64 = 1e4;
 /// Samples that this counts as.
 const INITIAL_POOL_LATENCY_WEIGHT: f64 = 0.01;
 
-/// The calls of one class at one endpoint.
+/// The attempts of one class at one endpoint.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClassLatency {
     /// Time spent for each successful answer, as a multiple of what the class takes in the pool.
     pub relative: Ewma,
     in_flight: u32,
-    /// The sum of the balancer's ages, in microseconds, at which the calls in flight were sent.
+    /// The sum of the balancer's ages, in microseconds, at which the attempts in flight were sent.
     sent_age_sum: f64,
 }
 
@@ -69,15 +68,15 @@
         }
     }
 
-    /// Books a call that the endpoint works on since the balancer's age `sent_age` (microseconds).
-    pub fn begin_call(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Counts an attempt in flight; `sent_age` is the balancer's age in microseconds.
+    pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight += 1;
         class.sent_age_sum += sent_age;
     }
 
-    /// Books the end of such a call.
-    pub fn end_call(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Counts the end of such an attempt.
+    pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight = class.in_flight.saturating_sub(1);
         class.sent_age_sum = if class.in_flight == 0 { 0.0 } else { class.sent_age_sum - sent_age };
@@ -180,7 +179,7 @@
         let mut of_class = Ewma::default();
         let mut of_endpoint = Ewma::default();
         for (index, latency) in endpoint.latency.classes.iter().enumerate() {
-            let mean = self.with_calls_in_flight(now, window, latency, ClassIndex(index));
+            let mean = self.with_attempts_in_flight(now, window, latency, ClassIndex(index));
             of_endpoint.sum += mean.sum;
             of_endpoint.weight += mean.weight;
             if index == class.0 {
@@ -194,8 +193,8 @@
         of_class.mean(of_endpoint, ENDPOINT_PRIOR_WEIGHT)
     }
 
-    /// A class's mean at an endpoint, with the time that its calls in flight have taken so far.
-    fn with_calls_in_flight(
+    /// A class's mean at an endpoint, with the time that its attempts in flight have taken so far.
+    fn with_attempts_in_flight(
         &self,
         now: Micros,
         window: ObservationWindow,
@@ -210,3 +209,6 @@
         mean
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/selection/locality.rs
+++ b/crates/decide/src/selection/locality.rs
@@ -1,6 +1,6 @@
 //! What an endpoint's zone adds to its score.
 //!
-//! Rule: an attempt that crosses zones costs its price, and the part of the calls into that zone that got no
+//! Rule: an attempt that crosses zones costs its price, and the part of the attempts into that zone that got no
 //! answer: when a zone is cut off, finding out by a failure of each of its endpoints would cost too much.
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 /// How much the price of crossing zones weighs in the score.
 const CROSS_ZONE_PRICE_WEIGHT: f64 = 25.0;
-/// How much the part of calls lost in another zone weighs in the score.
+/// How much the part of attempts lost in another zone weighs in the score.
 const ZONE_LOSS_WEIGHT: f64 = 30.0;
 /// Samples that no loss counts as.
 const NO_LOSS_PRIOR_WEIGHT: f64 = 3.0;
@@ -21,7 +21,7 @@
 pub(crate) struct Locality {
     zone: ZoneIndex,
     cross_zone_price: f64,
-    /// By zone: the part of the calls that got no answer.
+    /// By zone: the part of the attempts that got no answer.
     pub loss_by_zone: BTreeMap<ZoneIndex, Ewma>,
 }
 
@@ -57,3 +57,6 @@
         priced * (1.0 + ZONE_LOSS_WEIGHT * loss)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/selection/outlier.rs
+++ b/crates/decide/src/selection/outlier.rs
@@ -4,7 +4,7 @@
 //! - consecutive failures eject an endpoint: one failed connection, two resets (a response that cannot be
 //!   read may come from a sound endpoint) or three timeouts; each further one doubles the time, three times at
 //!   most, from one observation window;
-//! - an endpoint that rejects a request as full is ejected until one of its calls may have ended: it answers
+//! - an endpoint that rejects a request as full is ejected until one of its requests may have ended: it answers
 //!   at once and so has nothing of ours in flight, and would rank first;
 //! - where most of a pool is ejected, ejection is ignored.
 //!
@@ -79,3 +79,6 @@
 pub(crate) fn ejected_count(now: Micros, pool: &[EndpointIndex], endpoints: &EndpointTable) -> usize {
     pool.iter().filter(|&&index| endpoints[index].ejection.is_ejected(now)).count()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -112,7 +112,7 @@
 /// Balancers of a tier that are away at once while they are restarted one after another: the next begins to shut
 /// down before the one before is back and has been noticed.
 const MAX_CONCURRENT_RESTARTS: u32 = 2;
-/// The largest figure that is reckoned with.
+/// The largest number that is calculated with.
 const MAX_NUMBER: f64 = 1e12;
 
 impl Settings {
@@ -132,7 +132,7 @@
         check::check(self)
     }
 
-    /// These settings with every figure brought within what can be reckoned with.
+    /// These settings with every number brought within bounds.
     pub(crate) fn bounded(mut self) -> Self {
         self.classes.iter_mut().for_each(Class::bound);
         for tenant in &mut self.tenants {
--- a/crates/decide/src/settings/check.rs
+++ b/crates/decide/src/settings/check.rs
@@ -56,11 +56,11 @@
         /// The span, in microseconds.
         span: Micros,
     },
-    /// A figure is no number at or above 0.
+    /// A number is not at or above 0.
     Number {
         /// The key of the setting.
         key: &'static str,
-        /// The figure.
+        /// The number.
         number: f64,
     },
 }
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -8,7 +8,7 @@
 //!   it: balancers do not know of each other's requests;
 //! - what a warm endpoint carries is measured in this balancer's own successful answers;
 //! - an endpoint that got no request for long is given a warm-up request now and then, though it ranks last,
-//!   as it would otherwise stay cold until the warm ones are crowded.
+//!   as it would otherwise get none until the warm ones are crowded.
 //!
 //! Times are in microseconds, rates in requests per microsecond.
 
@@ -60,9 +60,9 @@
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Refills at `rate` up to `max_tokens`, and says whether a request may be sent now. Less than one token
-    /// is a chance of one, lost when not drawn: many balancers that each saved up a whole token would send
-    /// at once when their warm endpoints fail.
+    /// Refills at `rate` up to `max_tokens`, and takes a token if there is one. Less than one token is a chance
+    /// of one, lost when not drawn: many balancers that each saved up a whole token would send at the same
+    /// time when their warm endpoints fail.
     fn try_acquire(
         &mut self,
         now: Micros,
@@ -104,7 +104,7 @@
     overload_multiple: f64,
     overload_window: f64,
     balancers: f64,
-    /// Successful answers a microsecond that one warm endpoint gives this balancer, once measured.
+    /// Successful answers a microsecond that one warm endpoint gives this balancer, when measured.
     warm_capacity: Option<f64>,
     /// Warm-up requests that may be sent.
     warmup_tokens: f64,
@@ -137,8 +137,8 @@
         self.capacity_fraction(now, entry).is_none()
     }
 
-    /// Measures what a warm endpoint carries; called once a period. With less than half of the endpoints
-    /// warm the last figure stands.
+    /// Measures what a warm endpoint carries; called every period. With less than half of the endpoints warm
+    /// the last measurement stands.
     pub fn on_period(&mut self, pool: &mut SlowStartPool<'_>) {
         let SlowStartPool { now, window, ref endpoints, ready, ref mut throughput } = *pool;
         throughput.served_warm.decay(now, window.time_constant);
@@ -226,3 +226,6 @@
         can_wait && request.attempts.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/decide/src/slow_start/tests.rs
@@ -0,0 +1,38 @@
+use fastrand::Rng;
+
+use super::{SlowStart, SlowStartBudget};
+use crate::{Endpoint, Settings};
+
+const DURATION: i64 = 1_000;
+
+fn slow_start() -> SlowStart {
+    SlowStart::new(&Settings {
+        balancers: 1,
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: DURATION,
+        ..Settings::default()
+    })
+}
+
+#[test]
+fn capacity_grows_in_a_straight_line_until_the_endpoint_is_warm() {
+    let entry = Endpoint { up_since: Some(0), ..Endpoint::default() };
+    let fraction = |now| slow_start().capacity_fraction(now, &entry);
+    assert_eq!(fraction(0), Some(0.2));
+    assert!(fraction(DURATION / 2).is_some_and(|half| (half - 0.6).abs() < 1e-9));
+    assert_eq!(fraction(DURATION), None);
+    assert!(slow_start().is_warm(0, &Endpoint::default()), "up since the distant past");
+}
+
+#[test]
+fn budget_is_refilled_at_its_rate_and_lost_when_not_drawn() {
+    let mut rng = Rng::with_seed(1);
+    let mut budget = SlowStartBudget::default();
+    assert!(!budget.try_acquire(0, Some(0), 0.01, 5.0, &mut rng), "nothing has come in yet");
+    assert!(budget.try_acquire(200, Some(0), 0.01, 5.0, &mut rng));
+    assert!((budget.tokens() - 2.0).abs() < 1e-9);
+    budget.spend();
+    assert!((budget.tokens() - 1.0).abs() < 1e-9);
+    assert!(budget.try_acquire(100_000, Some(0), 0.01, 5.0, &mut rng));
+    assert!((budget.tokens() - 5.0).abs() < 1e-9, "at most its maximum");
+}
--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -1,6 +1,6 @@
 //! Arrivals and successful answers of this balancer as decaying counts.
 //!
-//! Inputs: one call for each request and each successful answer. The counts stand for the span that
+//! Inputs: each request that arrives and each successful answer. The counts stand for the span that
 //! [`ObservationWindow::span`] gives, so a count over that span is a rate.
 
 use crate::ewma::Ewma;
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -31,7 +31,7 @@
     pub started_at: Micros,
 }
 
-/// The least age that [`ObservationWindow::span`] reckons with, in time constants.
+/// The least age that [`ObservationWindow::span`] assumes, in time constants.
 const MIN_AGE: f64 = 0.01;
 
 impl ObservationWindow {
