--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -43,7 +43,7 @@
     Shed {
         /// Why.
         reason: ShedReason,
-        /// When its client may come back, in microseconds; 0 sends none.
+        /// The Retry-After for its client, in microseconds; 0 sends none.
         retry_after: Micros,
     },
 }
@@ -70,7 +70,7 @@
     pub peers: usize,
 }
 
-/// What a control period has brought, beside the calls recorded in [`LoadEstimator`].
+/// What a control period has brought, beside what is recorded in [`LoadEstimator`].
 pub(crate) struct PeriodInputs {
     /// Utilisation that endpoints reported recently, one value for each.
     pub reported_utilisation: Vec<f64>,
@@ -153,8 +153,8 @@
 
     /// The Retry-After to send with a rejection, in microseconds; 0 sends none. While shedding, clients are to
     /// come back when the overload may have passed.
-    pub fn retry_after(&self, asked: Micros) -> Micros {
-        let wait = if self.table.is_shedding() { self.max_retry_after } else { asked };
+    pub fn retry_after(&self, proposed: Micros) -> Micros {
+        let wait = if self.table.is_shedding() { self.max_retry_after } else { proposed };
         if self.advises_retry_after {
             wait.min(self.max_retry_after)
         } else {
--- a/crates/decide/src/selection/ranking.rs
+++ b/crates/decide/src/selection/ranking.rs
@@ -1,7 +1,7 @@
 //! The score by which candidates are ranked: relative latency times queue, and factors for what speaks for or
 //! against an endpoint. The lowest score wins.
 //!
-//! Factors: a random tenth, so that balancers with equal figures do not all choose alike; zones; the capacity
+//! Factors: a random tenth, so that balancers with equal measurements do not all choose alike; zones; the capacity
 //! of a warming endpoint; endpoints outside the subset, whose queue is mostly other balancers' requests;
 //! ejected endpoints, which are a last resort; and endpoints that had an attempt of this request already.
 
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -22,7 +22,8 @@
 use crate::time::{Micros, ObservationWindow, DISTANT_PAST};
 use crate::{Endpoint, Settings};
 
-/// The part of the budget that is used at most; the rest is for endpoints that get more than an even share.
+/// The part of the budget that is used at most; the rest is for balancers that get more than an even share of the
+/// requests.
 const MAX_BUDGET_USE: f64 = 0.5;
 /// The least part of its capacity that a warming endpoint counts for.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
