--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -89,7 +89,7 @@
 
     fn route_call(&self, call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         let config = self.tenant_of_host(&self.listener.host)?.config();
-        Ok(rpc_mapping::head_of(&config.methods, &self.listener.host, call)?)
+        Ok(rpc_mapping::call_to_http_head(&config.methods, &self.listener.host, call)?)
     }
 
     fn generate_request_id(&self) -> Option<String> {
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -10,7 +10,7 @@
 
 use config::{Shared, Tenants};
 use limit::Limiter;
-use membership::Refused;
+use membership::MaintenanceRejection;
 
 use super::tenant::HostedTenant;
 use super::Status;
@@ -151,8 +151,8 @@
         })
     }
 
-    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, Refused> {
-        let operators = self.operators.as_ref().ok_or(Refused::Unknown)?;
+    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection> {
+        let operators = self.operators.as_ref().ok_or(MaintenanceRejection::UnknownEndpoint)?;
         let matches = self.running().iter().flat_map(|snapshot| snapshot.operator_names(id)).collect();
         Ok(MaintenanceTarget { store: &operators.maintenance, endpoint: unique_endpoint(id, matches)? })
     }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -13,7 +13,7 @@
 use config::{ParsedEndpointList, Protocol};
 use decide::platform_settings::PlatformSettings;
 use decide::Micros;
-use membership::{LeaseTerms, Policy};
+use membership::{DiscoveryMode, LeaseTerms, WatchPolicy};
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 use tokio::sync::{watch, Notify};
@@ -69,7 +69,7 @@
         router: Rc::new(pool.router(&config.platform, &metrics)),
         ids: OpenRequestIds::default(),
         protocol: Protocol::Http,
-        shared: is_shared_socket,
+        is_socket_shared: is_shared_socket,
     };
 
     if let Some(gossip) = gossip {
@@ -155,10 +155,10 @@
         let discovery = Discovery {
             address: discovery_address,
             registry,
-            subscribe: platform.settings.poll_discovery.then_some(poll_requested),
+            poll_requested: platform.settings.poll_discovery.then_some(poll_requested),
             policy: discovery_policy(platform),
             seed,
-            complained: false,
+            malformed_list_logged: false,
         };
         spawn_local(driver.run());
         spawn_local(discovery.run(initial_list));
@@ -186,13 +186,13 @@
 
 /// Imports what the previous process learned, and leaves this one's learned state to the next until shutdown.
 fn hand_over_learned_state(folder: PathBuf, registry: &EndpointRegistry, shutting_down: Rc<Cell<bool>>) {
-    let endpoints = Rc::clone(&registry.known);
-    let driver = registry.handle.clone();
+    let endpoints = Rc::clone(&registry.endpoints);
+    let driver = registry.driver.clone();
     let names = Rc::clone(&registry.names);
     let clock = registry.clock;
-    handover::take_up(&folder, &endpoints, clock, &names.borrow(), &driver);
+    handover::import(&folder, &endpoints, clock, &names.borrow(), &driver);
     spawn_local(async move {
-        handover::leave(&folder, &endpoints, clock, &names, driver, &shutting_down).await;
+        handover::export(&folder, &endpoints, clock, &names, driver, &shutting_down).await;
     });
 }
 
@@ -215,14 +215,15 @@
 
 /// How discovery is polled, and how long a list may be used: the settings bound the time that drains may take, so a list
 /// has a lease of [`LEASE_POLL_DEADLINES`] after a failed poll.
-fn discovery_policy(platform: &PlatformSettings) -> Policy {
+fn discovery_policy(platform: &PlatformSettings) -> WatchPolicy {
     let max_poll_interval = platform.settings.max_poll_interval.max(MIN_POLL_DEADLINE);
     let terms = LeaseTerms {
         drain_grace: platform.transport.drain_grace,
         margin: DRAIN_MARGIN.as_micros() as Micros,
-        longest_stop: max_poll_interval * LEASE_POLL_DEADLINES,
+        max_suspension: max_poll_interval * LEASE_POLL_DEADLINES,
         // The longest outage of discovery that operators name is eight seconds.
-        believed_outage: max_poll_interval * 4 / 5,
+        presumed_outage: max_poll_interval * 4 / 5,
     };
-    Policy { answers_each: platform.settings.poll_discovery, lease: Some(terms) }
+    let mode = if platform.settings.poll_discovery { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
+    WatchPolicy { mode, lease: Some(terms) }
 }
--- a/crates/proxy/src/platform/operations.rs
+++ b/crates/proxy/src/platform/operations.rs
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use membership::Refused;
+use membership::MaintenanceRejection;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -30,10 +30,10 @@
     }
 
     fn metrics_text(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
-        Box::pin(async { self.metrics.encode(&[self.registry.now(Labels::new()).await]) })
+        Box::pin(async { self.metrics.encode(&[self.registry.gauges(Labels::new()).await]) })
     }
 
-    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, Refused> {
+    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection> {
         Ok(MaintenanceTarget { store: &self.registry.overrides.store, endpoint: id.to_owned() })
     }
 }
