--- a/crates/decide/tests/common/event_sequence.rs
+++ b/crates/decide/tests/common/event_sequence.rs
@@ -1,4 +1,4 @@
-//! Plays a seeded sequence of events against one balancer: servers that answer, fail, slow down, come and go, and
+//! Plays a seeded sequence of events against one balancer: endpoints that answer, fail, slow down, come and go, and
 //! events that make no sense among them.
 
 mod discovery;
@@ -20,7 +20,7 @@
 /// Load swings by this time: calm at first, then a busy part.
 const CYCLE: Micros = 4_000_000;
 const CALM: Micros = 2_500_000;
-/// How much more often requests come, and how much longer servers take, while it is busy.
+/// How much more often requests come, and how much longer endpoints take, while it is busy.
 const BUSY_RATE: f64 = 2.0;
 const BUSY_SLOWNESS: f64 = 12.0;
 const LIST_GAP: Micros = 400_000;
@@ -49,15 +49,15 @@
     pub zones: usize,
     /// The mean time between two requests while it is calm.
     pub request_gap: Micros,
-    /// What an idle server takes.
+    /// What an idle endpoint takes.
     pub service_time: Micros,
     /// The part of the attempts that are not served.
     pub failures: f64,
-    /// Servers report their load.
+    /// Endpoints report their load.
     pub reports: bool,
-    /// Servers restart, and say when they did.
+    /// Endpoints restart, and say when they did.
     pub endpoint_restarts: bool,
-    /// How often a fresh balancer takes the place of the one before and learns from it.
+    /// How often a new balancer takes the place of the one before and learns from it.
     pub handovers: usize,
     pub events: usize,
 }
@@ -73,7 +73,7 @@
     pub outcomes: BTreeMap<&'static str, usize>,
     /// Log lines that say that shedding begins, and that it ends.
     pub shedding: [usize; 2],
-    /// Samples in which servers were avoided.
+    /// Events after which endpoints were ejected.
     pub ejected: usize,
     pub learned: usize,
 }
@@ -111,7 +111,7 @@
     next_request: u64,
     /// Attempts of each request so far.
     attempts: BTreeMap<u64, usize>,
-    /// Attempts that have not ended, and the servers they went to.
+    /// Attempts that have not ended, and the endpoints they went to.
     open: BTreeMap<(u64, usize), u32>,
     event_count: usize,
     digest: Digest,
--- a/crates/decide/tests/common/event_sequence/discovery.rs
+++ b/crates/decide/tests/common/event_sequence/discovery.rs
@@ -24,7 +24,7 @@
             1 => self.list_all(UpdateScope::Cached),
             2..=4 => self.list_all(UpdateScope::Full),
             5 => {
-                // Servers that are on no other list.
+                // Endpoints that are on no other list.
                 let id = EndpointId(1_000_000 + self.random.u32(0..3));
                 let entries = [Endpoint { id, state: EndpointState::Draining, ..Endpoint::default() }];
                 self.handle(
--- a/crates/decide/tests/common/event_sequence/handover.rs
+++ b/crates/decide/tests/common/event_sequence/handover.rs
@@ -15,8 +15,8 @@
         self.played.learned += 1;
     }
 
-    /// A fresh balancer takes over: it knows its servers, and learns from those before it and from one that
-    /// says what cannot be.
+    /// A new balancer takes over: it has its endpoints, and imports the state of those before it and from one that
+    /// has implausible figures.
     pub(super) fn hand_over(&mut self) {
         self.exported.push(self.balancer.learned_state(self.now));
         let seed = self.random.u64(..);
@@ -42,7 +42,7 @@
     }
 }
 
-/// A telling with figures that cannot be.
+/// A state with implausible figures.
 fn nonsense(mut learned: LearnedState) -> LearnedState {
     learned.age = -5;
     learned.cursor_position = f64::NAN;
--- a/crates/decide/tests/learned.rs
+++ b/crates/decide/tests/learned.rs
@@ -13,10 +13,10 @@
 /// Three balancers and ten endpoints, two of them slow, at somewhat more than these can serve.
 fn world(seed: u64) -> World {
     let settings = Settings { balancers: 3, ..settings() };
-    let servers = (0..10)
+    let endpoints = (0..10)
         .map(|i| SimulatedEndpoint { slots: 4, service_time: if i < 2 { 400_000 } else { 20_000 } })
         .collect();
-    let mut world = World::new(&settings, servers, 580.0, seed);
+    let mut world = World::new(&settings, endpoints, 580.0, seed);
     world.run(10 * SECOND);
     world
 }
@@ -30,7 +30,7 @@
 /// Counts of a span of time after a balancer was replaced: requests served within their objective, and attempts at
 /// the slow endpoints.
 #[derive(Clone, Copy, Debug, Default)]
-struct Served {
+struct SpanCounts {
     served: usize,
     /// Requests that a balancer served which was not replaced.
     peer: usize,
@@ -43,8 +43,8 @@
 const SPANS: [Micros; 3] = [SECOND, 3 * SECOND, 10 * SECOND];
 
 /// Over some seeds and each span: a balancer goes on, or is replaced by one that imports something.
-fn replay_replacement(seeds: u64, replaced: Option<Import<'_>>) -> [Served; 3] {
-    let mut all = [Served::default(); 3];
+fn count_after_replacement(seeds: u64, replaced: Option<Import<'_>>) -> [SpanCounts; 3] {
+    let mut all = [SpanCounts::default(); 3];
     for seed in 0..seeds {
         let mut world = world(seed);
         let states = states(&world, SECOND);
@@ -55,11 +55,11 @@
             import(&states, &mut world.balancers[0], from);
         }
         world.run(11 * SECOND);
-        for (served, span) in all.iter_mut().zip(SPANS) {
+        for (counts, span) in all.iter_mut().zip(SPANS) {
             let to = from + span;
-            served.served += world.served_in(0, from, to);
-            served.peer += world.served_in(1, from, to);
-            served.slow += world.sent[0].iter().filter(|(at, s)| (from..to).contains(at) && *s < 2).count();
+            counts.served += world.served_in(0, from, to);
+            counts.peer += world.served_in(1, from, to);
+            counts.slow += world.sent[0].iter().filter(|(at, s)| (from..to).contains(at) && *s < 2).count();
         }
     }
     all
@@ -68,38 +68,50 @@
 #[test]
 fn import_saves_nine_tenths_of_what_a_start_without_state_loses() {
     const SEEDS: u64 = 4;
-    let steady = replay_replacement(SEEDS, None);
-    let cold = replay_replacement(SEEDS, Some(&|_, _, _| {}));
-    let warm = replay_replacement(SEEDS, Some(&|states, b, now| b.import_learned_state(now, &states[..1])));
-    let taught = replay_replacement(SEEDS, Some(&|states, b, now| b.import_learned_state(now, &states[1..])));
+    let not_replaced = count_after_replacement(SEEDS, None);
+    let without_state = count_after_replacement(SEEDS, Some(&|_, _, _| {}));
+    let with_own_state =
+        count_after_replacement(SEEDS, Some(&|states, b, now| b.import_learned_state(now, &states[..1])));
+    let with_peer_state =
+        count_after_replacement(SEEDS, Some(&|states, b, now| b.import_learned_state(now, &states[1..])));
     for at in 0..SPANS.len() {
-        let (steady, cold, warm, taught) = (steady[at], cold[at], warm[at], taught[at]);
+        let (not_replaced, without_state, with_own_state, with_peer_state) =
+            (not_replaced[at], without_state[at], with_own_state[at], with_peer_state[at]);
         println!(
-            "{} s: none replaced {steady:?}, cold {cold:?}, warm {warm:?}, taught {taught:?}",
+            "{} s: none replaced {not_replaced:?}, cold {without_state:?}, warm {with_own_state:?}, taught {with_peer_state:?}",
             SPANS[at] / SECOND
         );
-        let lost = |served: Served| steady.served.saturating_sub(served.served);
-        assert!(10 * lost(warm) < lost(cold), "{warm:?} {cold:?} {steady:?}");
-        assert!(5 * lost(taught) < lost(cold), "{taught:?} {cold:?} {steady:?}");
+        let lost = |counts: SpanCounts| not_replaced.served.saturating_sub(counts.served);
+        assert!(
+            10 * lost(with_own_state) < lost(without_state),
+            "{with_own_state:?} {without_state:?} {not_replaced:?}"
+        );
+        assert!(
+            5 * lost(with_peer_state) < lost(without_state),
+            "{with_peer_state:?} {without_state:?} {not_replaced:?}"
+        );
         // Beside its peers it does no worse than if it had gone on, but for chance.
-        let beside = |served: Served| served.served as f64 / served.peer as f64;
-        assert!(beside(taught) > 0.95 * beside(steady), "{taught:?} {steady:?}");
-        let part = |served: Served| served.slow as f64 / served.served as f64;
-        assert!(part(warm) < part(cold), "{warm:?} {cold:?}");
+        let relative_to_peer = |counts: SpanCounts| counts.served as f64 / counts.peer as f64;
+        assert!(
+            relative_to_peer(with_peer_state) > 0.95 * relative_to_peer(not_replaced),
+            "{with_peer_state:?} {not_replaced:?}"
+        );
+        let part = |counts: SpanCounts| counts.slow as f64 / counts.served as f64;
+        assert!(part(with_own_state) < part(without_state), "{with_own_state:?} {without_state:?}");
     }
 }
 
 #[test]
 fn state_that_is_hours_old_has_no_effect() {
-    let blind = replay_replacement(2, Some(&|_, _, _| {}))[1];
+    let without_state = count_after_replacement(2, Some(&|_, _, _| {}))[1];
     for age in [3_600 * SECOND, Micros::MAX] {
         let old = |states: &[LearnedState]| -> Vec<LearnedState> {
             states.iter().map(|l| LearnedState { age, ..l.clone() }).collect()
         };
         let stale =
-            replay_replacement(2, Some(&|states, b, now| b.import_learned_state(now, &old(states))))[1];
-        let apart = stale.served.abs_diff(blind.served) as f64 / blind.served as f64;
-        assert!(apart < 0.1, "{age}: {stale:?} {blind:?}");
+            count_after_replacement(2, Some(&|states, b, now| b.import_learned_state(now, &old(states))))[1];
+        let apart = stale.served.abs_diff(without_state.served) as f64 / without_state.served as f64;
+        assert!(apart < 0.1, "{age}: {stale:?} {without_state:?}");
     }
 }
 
@@ -110,8 +122,8 @@
     for seed in 0..3 {
         let mut world = world(seed);
         let states = states(&world, 60 * SECOND);
-        for server in &mut world.endpoints {
-            server.service_time = 20_000;
+        for endpoint in &mut world.endpoints {
+            endpoint.service_time = 20_000;
         }
         world.endpoints[7].service_time = 400_000;
         world.rate = vec![300.0; 3];
@@ -120,25 +132,25 @@
         let now = world.now;
         world.balancers[0].import_learned_state(now, &states[..1]);
         world.run(10 * SECOND);
-        let calls = |server: usize| {
-            world.sent[0].iter().filter(|(at, s)| *at > now + 5 * SECOND && *s == server).count() as f64
+        let attempts = |endpoint: usize| {
+            world.sent[0].iter().filter(|(at, s)| *at > now + 5 * SECOND && *s == endpoint).count() as f64
         };
-        let good = (2..7).map(calls).sum::<f64>() / 5.0;
+        let mean_of_fast = (2..7).map(attempts).sum::<f64>() / 5.0;
         assert!(
-            calls(0) > good / 2.0 && calls(1) > good / 2.0,
-            "seed {seed}: {} {} {good}",
-            calls(0),
-            calls(1)
+            attempts(0) > mean_of_fast / 2.0 && attempts(1) > mean_of_fast / 2.0,
+            "seed {seed}: {} {} {mean_of_fast}",
+            attempts(0),
+            attempts(1)
         );
-        assert!(calls(7) < good / 2.0, "seed {seed}: {} {good}", calls(7));
+        assert!(attempts(7) < mean_of_fast / 2.0, "seed {seed}: {} {mean_of_fast}", attempts(7));
     }
 }
 
 /// A state by which all endpoints but one are dead, by latency and by ejection.
-fn all_dead_but(one: u32, servers: u32, classes: usize) -> LearnedState {
+fn all_dead_but(one: u32, endpoints: u32, classes: usize) -> LearnedState {
     let dead = DecayedMean { sum: 1e12, weight: 1e6, age: 0 };
     let quick = DecayedMean { sum: 1e-6, weight: 1e6, age: 0 };
-    let server = |id: u32| learned::LearnedEndpoint {
+    let endpoint = |id: u32| learned::LearnedEndpoint {
         id: EndpointId(id),
         classes: vec![if id == one { quick } else { dead }; classes],
         consecutive_failures: if id == one { 0 } else { 99 },
@@ -147,7 +159,7 @@
     };
     LearnedState {
         uptime: 3_600 * SECOND,
-        endpoints: (0..servers).map(server).collect(),
+        endpoints: (0..endpoints).map(endpoint).collect(),
         ..LearnedState::default()
     }
 }
@@ -156,8 +168,8 @@
 fn no_state_moves_all_requests_onto_one_endpoint() {
     for sources in 1..=3 {
         let settings = settings();
-        let servers = (0..10).map(|_| SimulatedEndpoint { slots: 4, service_time: 20_000 }).collect();
-        let mut world = World::new(&settings, servers, 400.0, 5);
+        let endpoints = (0..10).map(|_| SimulatedEndpoint { slots: 4, service_time: 20_000 }).collect();
+        let mut world = World::new(&settings, endpoints, 400.0, 5);
         world.rate = vec![0.0];
         world.run(SECOND / 10);
         let implausible: Vec<LearnedState> = (0..sources).map(|_| all_dead_but(3, 10, 1)).collect();
@@ -165,22 +177,23 @@
         world.balancers[0].import_learned_state(now, &implausible);
         world.rate = vec![400.0];
         world.run(4 * SECOND);
-        let to_it = world.sent[0].iter().filter(|(_, s)| *s == 3).count();
+        let to_endpoint = world.sent[0].iter().filter(|(_, s)| *s == 3).count();
         let all = world.sent[0].len();
-        assert!(2 * to_it < all, "{to_it} of {all}, told by {sources}");
+        assert!(2 * to_endpoint < all, "{to_endpoint} of {all}, told by {sources}");
         let late = |(at, _): &&(Micros, usize)| *at > now + 3 * SECOND;
         let recent = world.sent[0].iter().filter(late).count();
-        let recent_to_it = world.sent[0].iter().filter(late).filter(|(_, s)| *s == 3).count();
-        assert!(5 * recent_to_it < 2 * recent, "{recent_to_it} of {recent} in the last second");
+        let recent_to_endpoint = world.sent[0].iter().filter(late).filter(|(_, s)| *s == 3).count();
+        assert!(5 * recent_to_endpoint < 2 * recent, "{recent_to_endpoint} of {recent} in the last second");
     }
 }
 
 #[test]
 fn one_wrong_state_of_three_is_outvoted() {
     let calls_to_slow = |wrong: bool| {
-        let good = |b: &Balancer, now| LearnedState { age: SECOND, ..b.learned_state(now) };
+        let exported = |b: &Balancer, now| LearnedState { age: SECOND, ..b.learned_state(now) };
         let mut world = world(1);
-        let mut all: Vec<LearnedState> = world.balancers[1..].iter().map(|b| good(b, world.now)).collect();
+        let mut all: Vec<LearnedState> =
+            world.balancers[1..].iter().map(|b| exported(b, world.now)).collect();
         if wrong {
             all.push(all_dead_but(0, 10, 1));
         }
@@ -197,7 +210,7 @@
 #[test]
 fn imported_state_does_not_override_drains_slow_start_or_semantics() {
     // A draining endpoint, a warming one and a class that must not run twice, with very good figures.
-    let cold = Endpoint { up_since: Some(1_000_000), ..ready_endpoint(2, 0) };
+    let warming = Endpoint { up_since: Some(1_000_000), ..ready_endpoint(2, 0) };
     let draining = Endpoint { state: EndpointState::Draining, ..ready_endpoint(1, 0) };
     let class = Class { semantics: Semantics::AtMostOnce, ..settings().classes[0].clone() };
     let settings = Settings {
@@ -208,8 +221,8 @@
         overload_window: SECOND,
         ..settings()
     };
-    let list = [ready_endpoint(0, 0), draining, cold];
-    let recommend = |ids: &[u32]| {
+    let entries = [ready_endpoint(0, 0), draining, warming];
+    let very_good = |ids: &[u32]| {
         let quick = DecayedMean { sum: 0.1, weight: 1e6, age: 0 };
         let of = |id: &u32| learned::LearnedEndpoint {
             id: EndpointId(*id),
@@ -224,9 +237,9 @@
             ..LearnedState::default()
         }
     };
-    let mut importing = Proxy::new(settings.clone(), &list);
-    let mut plain = Proxy::new(settings, &list);
-    importing.balancer.import_learned_state(importing.now, &[recommend(&[1, 2])]);
+    let mut importing = Proxy::new(settings.clone(), &entries);
+    let mut plain = Proxy::new(settings, &entries);
+    importing.balancer.import_learned_state(importing.now, &[very_good(&[1, 2])]);
     let mut to_cold = [0, 0];
     for (proxy, count) in [&mut importing, &mut plain].into_iter().zip(&mut to_cold) {
         for _ in 0..40 {
@@ -245,7 +258,8 @@
 
 #[test]
 fn restarted_endpoint_gets_no_state_of_its_former_process() {
-    let list = |up: Micros| [Endpoint { up_since: Some(up), ..ready_endpoint(0, 0) }, ready_endpoint(1, 0)];
+    let entries =
+        |up: Micros| [Endpoint { up_since: Some(up), ..ready_endpoint(0, 0) }, ready_endpoint(1, 0)];
     let slow = |up_for: Micros| {
         let out = learned::LearnedEndpoint {
             id: EndpointId(0),
@@ -255,16 +269,16 @@
         };
         LearnedState { uptime: 3_600 * SECOND, endpoints: vec![out], ..LearnedState::default() }
     };
-    let calls = |states: Option<LearnedState>| {
-        let mut proxy = Proxy::new(settings(), &list(-500 * SECOND));
+    let attempts = |states: Option<LearnedState>| {
+        let mut proxy = Proxy::new(settings(), &entries(-500 * SECOND));
         proxy.balancer.import_learned_state(proxy.now, &states.into_iter().collect::<Vec<_>>());
         (0..20).filter(|_| sent_to(&proxy.request(0).1) == [EndpointId(0)]).count()
     };
     // At 1 s of its clock the process has been up for 501 s.
-    assert!(calls(Some(slow(501 * SECOND))) < calls(None) / 2);
-    assert_eq!(calls(Some(slow(400 * SECOND))), calls(None), "another start");
+    assert!(attempts(Some(slow(501 * SECOND))) < attempts(None) / 2);
+    assert_eq!(attempts(Some(slow(400 * SECOND))), attempts(None), "another start");
     let aged = LearnedState { age: 100 * SECOND, ..slow(401 * SECOND) };
-    assert!(calls(Some(aged)) < calls(None), "the same start, told a while ago");
+    assert!(attempts(Some(aged)) < attempts(None), "the same start, told a while ago");
 }
 
 #[test]
@@ -278,7 +292,7 @@
             weight: odd[random.usize(..odd.len())],
             age: times[random.usize(..times.len())],
         };
-        let servers = (0..5).map(|id| learned::LearnedEndpoint {
+        let endpoints = (0..5).map(|id| learned::LearnedEndpoint {
             id: EndpointId(id),
             uptime: Some(mean().age).filter(|t| *t > 0),
             classes: vec![mean(), mean()],
@@ -286,11 +300,11 @@
             ejected_for: mean().age,
             slow_start_tokens: mean().sum,
         });
-        let servers = servers.collect();
+        let endpoints = endpoints.collect();
         let implausible = LearnedState {
             age: mean().age,
             uptime: mean().age,
-            endpoints: servers,
+            endpoints,
             latency_by_machine_kind: vec![(0, mean()), (usize::MAX, mean())],
             loss_by_zone: vec![(0, mean()), (9, mean())],
             typical_latency: vec![mean(), mean(), mean()],
