--- a/crates/emulate/examples/sizes.rs
+++ b/crates/emulate/examples/sizes.rs
@@ -1,33 +1,35 @@
-//! Prints how a rolling release goes in fleets of 1, 10, 50 and 200 proxies before forty nodes, seed by seed.
+//! Prints the course of a rolling release in fleets of 1, 10, 50 and 200 proxies with forty endpoints, seed by seed.
 
-use emulate::{run, Fleet, MS, S};
+use emulate::{run, Fleet, Release, MILLISECOND, SECOND};
 
 fn main() {
-    println!("proxies seed | in time %  refused %  handshakes/proxy  list calls/proxy  turned away  herd  late  over");
-    for (proxies, warms) in [(1, 15), (10, 15), (50, 15), (200, 15), (50, 5), (200, 5), (50, 1), (200, 1)] {
-        println!("nodes are warm after {warms} s, and told to be after 15 s");
+    println!("proxies seed | in time % rejected %  handshakes/proxy queued calls/proxy  rejected calls  burst  late  over");
+    for (proxies, warm_after_s) in
+        [(1, 15), (10, 15), (50, 15), (200, 15), (50, 5), (200, 5), (50, 1), (200, 1)]
+    {
+        println!("endpoints are warm after {warm_after_s} s, and announced to be after 15 s");
         for seed in 1..=3 {
-            let release = Some((5 * S, 500 * MS, 55 * S));
-            let r = run(&Fleet {
+            let release = Some(Release { start: 5 * SECOND, interval: 500 * MILLISECOND, end: 55 * SECOND });
+            let report = run(&Fleet {
                 proxies,
                 seed,
                 release,
-                warms: warms * S,
-                breaks: 0.02,
-                silent: 0.02,
+                actual_slow_start: warm_after_s * SECOND,
+                truncated_fraction: 0.02,
+                silent_fraction: 0.02,
                 ..Fleet::default()
             });
-            let each = |x: u64| x as f64 / proxies as f64;
+            let per_proxy = |count: u64| count as f64 / proxies as f64;
             println!(
                 "{proxies:7} {seed:4} | {:9.1} {:10.1} {:17.1} {:17.1} {:12} {:5} {:5} {:5}",
-                100.0 * r.served as f64 / r.asked as f64,
-                100.0 * r.refused as f64 / r.tries as f64,
-                each(r.handshakes),
-                each(r.list_calls),
-                r.turned_away,
-                r.herd,
-                r.late_sends,
-                r.pushed_over,
+                100.0 * report.served as f64 / report.requests as f64,
+                100.0 * report.rejected as f64 / report.client_attempts as f64,
+                per_proxy(report.handshakes),
+                per_proxy(report.queued_calls),
+                report.rejected_calls,
+                report.max_burst,
+                report.late_forwards,
+                report.overloaded_endpoints,
             );
         }
     }
--- a/crates/emulate/src/discovery.rs
+++ b/crates/emulate/src/discovery.rs
@@ -1,96 +1,149 @@
-//! One discovery for all proxies: it takes calls in turn, turns away what would wait for too long, and may break off or
-//! fall silent. What it begins to write counts as told two seconds later at the latest, whether it arrives or not.
+//! The discovery of the fleet: it serves calls in turn, rejects those that would be queued for too long, and may truncate responses or
+//! not respond. A change that it begins to write counts as notified two seconds later at the latest, whether it arrives or not.
 
 use decide::{EndpointId, EndpointState, Micros};
+use fastrand::Rng;
 
-use crate::{Fleet, MS, S};
+use crate::{Fleet, MILLISECOND, SECOND};
 
-/// It turns away a call that would wait for longer than this.
-const PATIENCE: Micros = 2 * S;
-/// It is built for this many proxies at least.
-const USUAL: usize = 8;
-/// A call goes on with the same watch if it comes within this of the last answer.
-const GOES_ON: Micros = 200 * MS;
-/// The way of an answer.
-const WAY: Micros = 2 * MS;
+/// It rejects a call that would be queued for longer than this.
+const QUEUE_LIMIT: Micros = 2 * SECOND;
+/// It is sized for this many proxies at least.
+const MIN_PROXIES: usize = 8;
+/// A call that comes this soon after the last response continues the same watch.
+const WATCH_CONTINUES: Micros = 200 * MILLISECOND;
+/// The time that a response takes to the proxy.
+const RESPONSE_LATENCY: Micros = 2 * MILLISECOND;
+/// A change that is written counts as notified after this.
+const NOTIFIED_AFTER_WRITE: Micros = 2 * SECOND;
 
-/// How a call ends, and when that is known to the proxy.
+/// A change of the list.
+#[derive(Clone, Copy, Debug)]
+pub struct ListChange {
+    /// When discovery has it.
+    pub at: Micros,
+    pub endpoint: EndpointId,
+    pub state: EndpointState,
+}
+
+/// How a call ends, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum CallEnd {
     /// With the changes up to a version.
-    Whole(Micros, usize),
-    Broken(Micros),
-    TurnedAway(Micros),
-    /// Never; what it misses counts as known from then on.
-    Silent(Micros),
+    Completed {
+        at: Micros,
+        version: usize,
+    },
+    Truncated {
+        at: Micros,
+    },
+    Rejected {
+        at: Micros,
+    },
+    /// Never; the changes that it misses count as notified from then on.
+    Silent {
+        notified_at: Micros,
+    },
+}
+
+/// Changes that count as notified, although their response does not arrive.
+#[derive(Clone, Copy, Debug)]
+pub struct MissedChanges {
+    pub notified_at: Micros,
+    pub version: usize,
+}
+
+/// A call of a proxy.
+#[derive(Clone, Copy, Debug)]
+pub struct PollRequest {
+    /// The version of the list that the proxy has.
+    pub known_version: usize,
+    pub wait: Micros,
+    /// When the proxy had its last response.
+    pub last_response_at: Option<Micros>,
 }
 
 pub struct Discovery {
-    /// What changes over the whole run, in order, and when discovery knows.
-    pub changes: Vec<(Micros, EndpointId, EndpointState)>,
-    free: Micros,
-    pub in_turn: u64,
-    pub turned_away: u64,
+    /// The changes of the whole run, in the order of their times.
+    pub changes: Vec<ListChange>,
+    /// When it has served the calls that are queued.
+    busy_until: Micros,
+    pub queued_calls: u64,
+    pub rejected_calls: u64,
 }
 
 impl Discovery {
-    /// A discovery that will tell of the fleet's release: the oldest node drains, and a new one takes its place.
+    /// A discovery with the changes of the fleet's release: at each step the oldest endpoint drains, and a new one takes its place.
     pub fn new(fleet: &Fleet) -> Discovery {
         let mut changes = Vec::new();
-        if let Some((from, every, until)) = fleet.release {
-            let times = (0..).map(|step| from + every * step).take_while(|at| *at < until.max(from + 1));
-            for (at, old) in times.zip(0_u32..) {
-                changes.push((at, EndpointId(old + fleet.nodes as u32), EndpointState::Ready));
-                changes.push((at, EndpointId(old), EndpointState::Draining));
+        if let Some(release) = fleet.release {
+            let end = release.end.max(release.start + 1);
+            let times = (0..).map(|step| release.start + release.interval * step);
+            for (at, oldest) in times.take_while(|at| *at < end).zip(0_u32..) {
+                let new = EndpointId(oldest + fleet.endpoints as u32);
+                changes.push(ListChange { at, endpoint: new, state: EndpointState::Ready });
+                changes.push(ListChange { at, endpoint: EndpointId(oldest), state: EndpointState::Draining });
             }
         }
-        Discovery { changes, free: 0, in_turn: 0, turned_away: 0 }
+        Discovery { changes, busy_until: 0, queued_calls: 0, rejected_calls: 0 }
     }
 
-    /// How many changes are known at a time.
+    /// The number of changes that it has at a time.
     fn version(&self, at: Micros) -> usize {
-        self.changes.partition_point(|(known, ..)| *known <= at)
+        self.changes.partition_point(|change| change.at <= at)
     }
 
-    /// A call for what is newer than `seen`, whose proxy had its last answer at `last`: how it ends, and up to which version
-    /// what it brings counts as told, and when, if it does so without being heard.
-    pub fn call(
+    /// Serves a call for changes: how it ends, and which changes it misses.
+    pub fn serve(
         &mut self,
         fleet: &Fleet,
-        rng: &mut fastrand::Rng,
+        rng: &mut Rng,
         now: Micros,
-        (seen, wait, last): (usize, Micros, Option<Micros>),
-    ) -> (End, Option<(Micros, usize)>) {
-        let mut from = now;
-        let is_down = |at: Micros| fleet.outage.is_some_and(|(begin, end)| (begin..end).contains(&at));
-        if is_down(now) {
-            self.turned_away += 1;
-            return (End::TurnedAway(now + PATIENCE), None);
-        }
-        if last.is_none_or(|at| now > at + GOES_ON) {
-            self.in_turn += 1;
-            let turn = self.free.max(now) + fleet.all_calls / fleet.proxies.max(USUAL) as Micros;
-            if turn > now + PATIENCE {
-                self.turned_away += 1;
-                return (End::TurnedAway(now + PATIENCE), None);
+        request: PollRequest,
+    ) -> (CallEnd, Option<MissedChanges>) {
+        let Some(served_from) = self.enqueue(fleet, now, request.last_response_at) else {
+            self.rejected_calls += 1;
+            return (CallEnd::Rejected { at: now + QUEUE_LIMIT }, None);
+        };
+        let wait_ends = now + request.wait;
+        let next_change = self.changes.get(request.known_version);
+        let changed_at = next_change.map_or(wait_ends, |change| change.at).max(served_from);
+        let responds_at = changed_at.min(wait_ends.max(served_from));
+        if let Some(outage) = fleet.outage {
+            if (served_from..=responds_at).contains(&outage.start) {
+                return (CallEnd::Rejected { at: outage.start }, None);
             }
-            (self.free, from) = (turn, turn);
         }
-        let over = now + wait;
-        let news = self.changes.get(seen).map_or(over.max(from), |(known, ..)| (*known).max(from));
-        let ends = news.min(over.max(from));
-        if let Some((begin, _)) = fleet.outage.filter(|(begin, _)| (from..=ends).contains(begin)) {
-            return (End::TurnedAway(begin), None);
-        }
-        let version = self.version(ends);
-        let drawn = rng.f64();
-        let unheard = |at: Micros| (version > seen).then_some((at, version));
-        if drawn < fleet.silent {
-            (End::Silent(over + 2 * S), unheard(over + 2 * S))
-        } else if drawn < fleet.silent + fleet.breaks {
-            (End::Broken(ends + WAY), unheard(ends + 2 * S))
+        let version = self.version(responds_at);
+        let missed =
+            |notified_at| (version > request.known_version).then_some(MissedChanges { notified_at, version });
+        let draw = rng.f64();
+        if draw < fleet.silent_fraction {
+            let notified_at = wait_ends + NOTIFIED_AFTER_WRITE;
+            (CallEnd::Silent { notified_at }, missed(notified_at))
+        } else if draw < fleet.silent_fraction + fleet.truncated_fraction {
+            let end = CallEnd::Truncated { at: responds_at + RESPONSE_LATENCY };
+            (end, missed(responds_at + NOTIFIED_AFTER_WRITE))
         } else {
-            (End::Whole(ends + WAY, version), None)
+            (CallEnd::Completed { at: responds_at + RESPONSE_LATENCY, version }, None)
+        }
+    }
+
+    /// From when on a call is served; `None` where it is rejected.
+    fn enqueue(&mut self, fleet: &Fleet, now: Micros, last_response_at: Option<Micros>) -> Option<Micros> {
+        if fleet.outage.is_some_and(|outage| outage.contains(now)) {
+            return None;
+        }
+        if last_response_at.is_some_and(|at| now <= at + WATCH_CONTINUES) {
+            return Some(now);
+        }
+        self.queued_calls += 1;
+        let service_time = fleet.discovery_round / fleet.proxies.max(MIN_PROXIES) as Micros;
+        let served_from = self.busy_until.max(now) + service_time;
+        if served_from > now + QUEUE_LIMIT {
+            return None;
         }
+        self.busy_until = served_from;
+        Some(served_from)
     }
 }
--- a/crates/emulate/src/notification.rs
+++ b/crates/emulate/src/notification.rs
@@ -1,32 +1,34 @@
-//! When a change of the list counts as known to a process, by the operators' term alone: six seconds after discovery had it
-//! and could be reached, whatever the process has asked or not, and at the earliest when it started.
+//! When a change of the list counts as notified to a process, by the platform's rule alone: six seconds after discovery had it and
+//! could be reached, whatever calls the process made, and at the earliest when the process started.
 //!
-//! Nothing of what the process's own watch believes goes in here.
+//! It is computed without regard to the state of the process's own watch.
 
 use decide::{EndpointId, EndpointState, Micros};
 
-use crate::{Fleet, S};
+use crate::discovery::ListChange;
+use crate::{Fleet, SECOND};
 
-/// What discovery had and could be reached for counts as known after this.
-const COUNTS_AFTER: Micros = 6 * S;
+/// Changes that a reachable discovery had count as notified after this.
+const NOTIFIED_AFTER: Micros = 6 * SECOND;
 
-/// From when on the last change that took this node out of use counts as known to a process that started then; None where it
-/// is in use.
-pub fn latest(
+/// From when on the last change that removed this endpoint from use counts as notified to a process that started at `started_at`;
+/// `None` where the endpoint is in use.
+pub fn removal_notified_at(
     fleet: &Fleet,
-    changes: &[(Micros, EndpointId, EndpointState)],
-    node: EndpointId,
-    started: Option<Micros>,
+    changes: &[ListChange],
+    endpoint: EndpointId,
+    started_at: Option<Micros>,
 ) -> Option<Micros> {
-    let (made, _, stage) = changes.iter().rev().find(|(_, id, _)| *id == node)?;
-    (*stage != EndpointState::Ready).then(|| counts_from(fleet, *made).max(started.unwrap_or(0)))
+    let last_change = changes.iter().rev().find(|change| change.endpoint == endpoint)?;
+    let notified_at = change_notified_at(fleet, last_change.at).max(started_at.unwrap_or(0));
+    (last_change.state != EndpointState::Ready).then_some(notified_at)
 }
 
-/// An outage has the time count anew from its end.
-fn counts_from(fleet: &Fleet, made: Micros) -> Micros {
-    let reached = match fleet.outage {
-        Some((begin, end)) if begin < made + COUNTS_AFTER && made < end => end,
-        _ => made,
+/// An outage makes the time count anew from its end.
+fn change_notified_at(fleet: &Fleet, changed_at: Micros) -> Micros {
+    let reachable_from = match fleet.outage {
+        Some(outage) if outage.start < changed_at + NOTIFIED_AFTER && changed_at < outage.end => outage.end,
+        _ => changed_at,
     };
-    reached + COUNTS_AFTER
+    reachable_from + NOTIFIED_AFTER
 }
--- /dev/null
+++ b/crates/emulate/src/process.rs
@@ -0,0 +1,106 @@
+//! The state of one proxy process.
+
+use std::collections::BTreeMap;
+
+use decide::{Balancer, EndpointId, Micros};
+use membership::{DiscoveryWatch, InitialList, WatchAction, WatchEvent};
+
+use crate::discovery::MissedChanges;
+use crate::settings::{balancer_settings, watch_policy};
+use crate::world::ClientRequest;
+use crate::{Fleet, SECOND};
+
+/// A process whose list is not confirmed reports ready after this.
+const READY_UNCONFIRMED_AFTER: Micros = 5 * SECOND;
+/// Spreads the seeds of proxies.
+const SEED_FACTOR: u64 = 1_000_003;
+/// The first bit of the incarnation in a seed.
+const INCARNATION_SHIFT: u32 = 48;
+
+/// A request that a process has received.
+pub struct OpenRequest {
+    pub request: ClientRequest,
+    pub attempts: Vec<OpenAttempt>,
+    pub is_answered: bool,
+}
+
+impl OpenRequest {
+    /// Whether no attempt is in flight.
+    pub fn has_no_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().all(|attempt| attempt.sent_at.is_none())
+    }
+}
+
+/// An attempt of a process.
+pub struct OpenAttempt {
+    pub endpoint: EndpointId,
+    /// When it was sent; `None` once it has ended.
+    pub sent_at: Option<Micros>,
+}
+
+/// A proxy process.
+pub struct Proxy {
+    pub balancer: Balancer,
+    pub watch: DiscoveryWatch,
+    /// How often it was killed.
+    pub incarnation: u32,
+    /// When it started; `None` while it is killed.
+    pub started_at: Option<Micros>,
+    /// When its watch is to be woken.
+    pub wake_at: Option<Micros>,
+    pub open_requests: BTreeMap<u64, OpenRequest>,
+    /// When each idle connection was last used, by endpoint.
+    pub idle_connections: BTreeMap<u32, Vec<Micros>>,
+    /// The number of changes that its list has.
+    pub list_version: usize,
+    pub last_response_at: Option<Micros>,
+    /// From when on the removal of an endpoint counts as notified, whether it was received or not.
+    pub removal_notified_at: BTreeMap<u32, Micros>,
+    pub missed_changes: Vec<MissedChanges>,
+    /// Discovery did not respond to a call since the last response: the changes it misses count as notified then, if that is later.
+    pub silent_call_notified_at: Option<Micros>,
+}
+
+impl Proxy {
+    /// A process that starts now, and has learned nothing.
+    pub fn start(fleet: &Fleet, rank: usize, incarnation: u32, now: Micros) -> Proxy {
+        let proxy_seed = fleet.seed.wrapping_mul(SEED_FACTOR).wrapping_add(rank as u64);
+        let seed = proxy_seed ^ u64::from(incarnation) << INCARNATION_SHIFT;
+        Proxy {
+            balancer: Balancer::new(balancer_settings(fleet, rank), seed),
+            watch: DiscoveryWatch::new(watch_policy(), InitialList::Unconfirmed, now, seed),
+            incarnation,
+            started_at: Some(now),
+            wake_at: None,
+            open_requests: BTreeMap::new(),
+            idle_connections: BTreeMap::new(),
+            list_version: 0,
+            last_response_at: None,
+            removal_notified_at: BTreeMap::new(),
+            missed_changes: Vec::new(),
+            silent_call_notified_at: None,
+        }
+    }
+
+    /// A process that has been running: discovery has just confirmed its list.
+    pub fn running(fleet: &Fleet, rank: usize) -> Proxy {
+        let mut proxy = Proxy::start(fleet, rank, 0, 0);
+        let mut actions = Vec::new();
+        proxy.watch.handle(0, WatchEvent::TimerDue, &mut actions);
+        for action in actions {
+            if let WatchAction::Poll { call, .. } = action {
+                let completed = WatchEvent::ResponseCompleted { call, changed: false };
+                proxy.watch.handle(0, completed, &mut Vec::new());
+            }
+        }
+        proxy.last_response_at = Some(0);
+        proxy
+    }
+
+    /// Whether clients may use it: a process that has started reports ready once its list is confirmed, or after a while.
+    pub fn is_ready(&self, now: Micros) -> bool {
+        self.started_at.is_some_and(|started_at| {
+            !self.watch.is_unconfirmed() || now >= started_at + READY_UNCONFIRMED_AFTER
+        })
+    }
+}
--- a/crates/emulate/tests/fleet.rs
+++ b/crates/emulate/tests/fleet.rs
@@ -1,70 +1,111 @@
-//! What fleets of many proxies must hold, over seeds, in simulated time.
+//! Requirements on fleets of many proxies, over seeds, in virtual time.
 
-use emulate::{run, Fleet, Report, MS, S};
+use emulate::{run, Fleet, Release, Report, MILLISECOND, SECOND};
 
-fn refused(r: &Report) -> f64 {
-    r.refused as f64 / r.tries as f64
+fn rejected_fraction(report: &Report) -> f64 {
+    report.rejected as f64 / report.client_attempts as f64
 }
 
-/// Every node is replaced before it is told to be warm, time and again, and callers shed what they see refused.
-fn never_warm(seed: u64) -> Fleet {
-    let release = Some((10 * S, 500 * MS, 50 * S));
-    let (cold, warms) = (30 * S, 10 * S);
-    let fleet = Fleet { proxies: 16, nodes: 27, load: 0.5, cold_from: 0.14, ..Fleet::default() };
-    Fleet { release, cold, warms, callers_shed: true, seed, ..fleet }
+/// Every endpoint is replaced before it is announced to be warm, and clients shed requests when some are rejected.
+fn fleet_without_warm_endpoints(seed: u64) -> Fleet {
+    let release = Some(Release { start: 10 * SECOND, interval: 500 * MILLISECOND, end: 50 * SECOND });
+    let (announced_slow_start, actual_slow_start) = (30 * SECOND, 10 * SECOND);
+    let fleet =
+        Fleet { proxies: 16, endpoints: 27, load: 0.5, slow_start_min_capacity: 0.14, ..Fleet::default() };
+    Fleet { release, announced_slow_start, actual_slow_start, clients_shed: true, seed, ..fleet }
 }
 
 #[test]
-fn a_release_that_leaves_no_node_warm_starves_nobody() {
+fn a_release_that_leaves_no_endpoint_warm_still_serves_clients() {
     for seed in 1..=4 {
-        let r = run(&never_warm(seed));
-        println!("seed {seed}: {:.3} refused, {} of {} served", refused(&r), r.served, r.asked);
-        assert!(refused(&r) < 0.25, "seed {seed}: {:.3} refused of {} tries", refused(&r), r.tries);
-        assert!(r.served as f64 > 0.93 * r.asked as f64, "seed {seed}: {} of {}", r.served, r.asked);
-        assert_eq!(r.pushed_over, 0, "seed {seed}");
+        let report = run(&fleet_without_warm_endpoints(seed));
+        println!(
+            "seed {seed}: {:.3} rejected, {} of {} served",
+            rejected_fraction(&report),
+            report.served,
+            report.requests
+        );
+        assert!(
+            rejected_fraction(&report) < 0.25,
+            "seed {seed}: {:.3} rejected of {} tries",
+            rejected_fraction(&report),
+            report.client_attempts
+        );
+        assert!(
+            report.served as f64 > 0.93 * report.requests as f64,
+            "seed {seed}: {} of {}",
+            report.served,
+            report.requests
+        );
+        assert_eq!(report.overloaded_endpoints, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn drains_are_kept_whatever_becomes_of_the_answers() {
+fn drains_are_kept_whatever_becomes_of_the_responses() {
     for proxies in [1, 40] {
-        for (breaks, silent) in [(0.0, 0.0), (0.3, 0.0), (0.0, 0.3), (0.3, 0.3), (0.6, 0.2)] {
+        for (truncated_fraction, silent_fraction) in
+            [(0.0, 0.0), (0.3, 0.0), (0.0, 0.3), (0.3, 0.3), (0.6, 0.2)]
+        {
             for seed in 1..=2 {
-                let release = Some((2 * S, 700 * MS, 16 * S));
-                let all_calls = 8 * S;
-                let length = 20 * S;
-                let fleet =
-                    Fleet { proxies, release, breaks, silent, all_calls, length, seed, ..Fleet::default() };
-                let r = run(&fleet);
+                let release =
+                    Some(Release { start: 2 * SECOND, interval: 700 * MILLISECOND, end: 16 * SECOND });
+                let discovery_round = 8 * SECOND;
+                let duration = 20 * SECOND;
+                let fleet = Fleet {
+                    proxies,
+                    release,
+                    truncated_fraction,
+                    silent_fraction,
+                    discovery_round,
+                    duration,
+                    seed,
+                    ..Fleet::default()
+                };
+                let report = run(&fleet);
                 assert_eq!(
-                    r.late_sends, 0,
-                    "{proxies} proxies, {breaks} break, {silent} silent, seed {seed}"
+                    report.late_forwards, 0,
+                    "{proxies} proxies, {truncated_fraction} truncated, {silent_fraction} silent, seed {seed}"
                 );
                 assert_eq!(
-                    r.pushed_over, 0,
-                    "{proxies} proxies, {breaks} break, {silent} silent, seed {seed}"
+                    report.overloaded_endpoints, 0,
+                    "{proxies} proxies, {truncated_fraction} truncated, {silent_fraction} silent, seed {seed}"
+                );
+                // A proxy that receives so few responses is suspended for much of the time.
+                assert!(
+                    report.served > report.requests / 4,
+                    "seed {seed}: {} of {}",
+                    report.served,
+                    report.requests
                 );
-                // One that hears so little is held back for much of the time.
-                assert!(r.served > r.asked / 4, "seed {seed}: {} of {}", r.served, r.asked);
             }
         }
     }
 }
 
 #[test]
-fn a_calm_fleet_of_any_size_refuses_next_to_nothing() {
+fn a_fleet_without_faults_rejects_next_to_nothing_at_any_size() {
     for proxies in [1, 10, 50, 200] {
-        let r = run(&Fleet { proxies, length: 20 * S, ..Fleet::default() });
-        assert!(refused(&r) < 0.02, "{proxies} proxies: {:.3} refused", refused(&r));
-        let each = r.list_calls as f64 / proxies as f64;
-        assert!(each < 3.0, "{proxies} proxies: {each} calls of discovery each");
+        let report = run(&Fleet { proxies, duration: 20 * SECOND, ..Fleet::default() });
+        assert!(
+            rejected_fraction(&report) < 0.02,
+            "{proxies} proxies: {:.3} rejected",
+            rejected_fraction(&report)
+        );
+        let calls_per_proxy = report.queued_calls as f64 / proxies as f64;
+        assert!(calls_per_proxy < 3.0, "{proxies} proxies: {calls_per_proxy} calls of discovery each");
     }
 }
 
 #[test]
-fn a_run_follows_from_its_seed() {
-    let fleet = Fleet { length: 10 * S, breaks: 0.1, release: Some((S, S, 9 * S)), ..Fleet::default() };
-    let (one, other) = (run(&fleet), run(&fleet));
-    assert_eq!(format!("{one:?}"), format!("{other:?}"));
-    assert_ne!(format!("{one:?}"), format!("{:?}", run(&Fleet { seed: 2, ..fleet })));
+fn a_run_is_determined_by_its_seed() {
+    let fleet = Fleet {
+        duration: 10 * SECOND,
+        truncated_fraction: 0.1,
+        release: Some(Release { start: SECOND, interval: SECOND, end: 9 * SECOND }),
+        ..Fleet::default()
+    };
+    let (first, second) = (run(&fleet), run(&fleet));
+    assert_eq!(format!("{first:?}"), format!("{second:?}"));
+    assert_ne!(format!("{first:?}"), format!("{:?}", run(&Fleet { seed: 2, ..fleet })));
 }
--- a/crates/emulate/tests/restart.rs
+++ b/crates/emulate/tests/restart.rs
@@ -1,54 +1,72 @@
-//! Processes that start with a list in hand: none sends by it past the grace of what changed while it was away.
+//! Processes that start with a list: none forwards by it past the drain grace of changes that were made while it was down.
 //!
-//! The oracle counts sends, by the operators' term alone: a change counts as known six seconds after discovery had it and could
-//! be reached, and at the earliest when the process started.
+//! The oracle counts forwarded requests by the platform's rule alone: a change counts as notified six seconds after discovery had it
+//! and could be reached, and at the earliest when the process started.
 
-use emulate::{run, Fleet, Report, Restart, MS, S};
+use emulate::{run, Fleet, Outage, Release, Report, Restart, MILLISECOND, SECOND};
 
-/// A release that begins at four seconds and replaces a node each 300 ms.
+/// A release that starts at four seconds and replaces an endpoint every 300 ms.
 fn release(fleet: Fleet) -> Fleet {
-    Fleet { release: Some((4 * S, 300 * MS, 16 * S)), length: 24 * S, nodes: 60, ..fleet }
+    Fleet {
+        release: Some(Release { start: 4 * SECOND, interval: 300 * MILLISECOND, end: 16 * SECOND }),
+        duration: 24 * SECOND,
+        endpoints: 60,
+        ..fleet
+    }
 }
 
 fn show(what: &str, report: &Report) {
     println!(
-        "{what}: {} late sends, {} withheld, {} of {} served, {} refused, {} calls to discovery, {} turned away",
-        report.late_sends,
+        "{what}: {} late forwards, {} withheld, {} of {} served, {} rejected, {} calls to discovery, {} rejected calls",
+        report.late_forwards,
         report.withheld,
         report.served,
-        report.asked,
-        report.refused,
-        report.list_calls,
-        report.turned_away
+        report.requests,
+        report.rejected,
+        report.queued_calls,
+        report.rejected_calls
     );
 }
 
 #[test]
-fn a_restarted_process_sends_nothing_by_a_list_that_is_too_old() {
+fn a_restarted_process_forwards_nothing_by_a_stale_list() {
     for proxies in [1, 30, 300] {
-        for downtime in [500 * MS, 2 * S, 5 * S, 9 * S] {
+        for downtime in [500 * MILLISECOND, 2 * SECOND, 5 * SECOND, 9 * SECOND] {
             for seed in 1..=3 {
-                let restart = Some(Restart { at: 5 * S, share: 0.7_f64.max(1.0 / proxies as f64), downtime });
+                let restart =
+                    Some(Restart { at: 5 * SECOND, fraction: 0.7_f64.max(1.0 / proxies as f64), downtime });
                 let report = run(&release(Fleet { proxies, restart, seed, ..Fleet::default() }));
-                show(&format!("{proxies} proxies, down for {} ms, seed {seed}", downtime / MS), &report);
-                assert_eq!(report.late_sends, 0, "{proxies} proxies, down for {downtime}, seed {seed}");
-                assert!(report.served > report.asked / 3, "seed {seed}: sends next to nothing");
+                show(
+                    &format!("{proxies} proxies, down for {} ms, seed {seed}", downtime / MILLISECOND),
+                    &report,
+                );
+                assert_eq!(report.late_forwards, 0, "{proxies} proxies, down for {downtime}, seed {seed}");
+                assert!(report.served > report.requests / 3, "seed {seed}: forwards next to nothing");
             }
         }
     }
 }
 
 #[test]
-fn a_process_restarted_into_a_crowd_does_not_take_it_for_an_outage() {
+fn a_process_restarted_during_an_overload_of_discovery_does_not_take_it_for_an_outage() {
     for seed in 1..=6 {
-        // Discovery comes back just before seven in ten start again, and everybody asks it.
-        let outage = Some((2 * S, 9 * S));
-        let restart = Some(Restart { at: 9 * S, share: 0.7, downtime: 1_500 * MS });
-        let fleet = Fleet { proxies: 300, outage, restart, all_calls: 5 * S, seed, ..Fleet::default() };
-        let report =
-            run(&Fleet { release: Some((9_500 * MS, 300 * MS, 20 * S)), length: 28 * S, nodes: 60, ..fleet });
-        show(&format!("a crowd, seed {seed}"), &report);
-        assert_eq!(report.late_sends, 0, "seed {seed}");
-        assert!(report.served > report.asked / 3, "seed {seed}: sends next to nothing");
+        // Discovery recovers just before seven in ten proxies start again, and all poll it.
+        let outage = Some(Outage { start: 2 * SECOND, end: 9 * SECOND });
+        let restart = Some(Restart { at: 9 * SECOND, fraction: 0.7, downtime: 1_500 * MILLISECOND });
+        let fleet =
+            Fleet { proxies: 300, outage, restart, discovery_round: 5 * SECOND, seed, ..Fleet::default() };
+        let report = run(&Fleet {
+            release: Some(Release {
+                start: 9_500 * MILLISECOND,
+                interval: 300 * MILLISECOND,
+                end: 20 * SECOND,
+            }),
+            duration: 28 * SECOND,
+            endpoints: 60,
+            ..fleet
+        });
+        show(&format!("an overload, seed {seed}"), &report);
+        assert_eq!(report.late_forwards, 0, "seed {seed}");
+        assert!(report.served > report.requests / 3, "seed {seed}: forwards next to nothing");
     }
 }
