--- a/tests/notification_bound.rs
+++ b/tests/notification_bound.rs
@@ -36,15 +36,15 @@
 
 #[test]
 fn nothing_is_forwarded_by_a_list_that_failed_calls_cannot_confirm() {
-    let cases = [News::Fails, News::Closes].map(|failure| {
+    let cases = [PollResponse::Unavailable, PollResponse::Disconnect].map(|failure| {
         thread::spawn(move || {
             let (address, received_at) = noting_backend();
             let proxy = setup(address).start();
-            proxy.discovery.call(0);
-            proxy.discovery.tell(News::List(list(1, false, &[])));
-            proxy.discovery.meanwhile(Some(failure.clone()));
+            proxy.discovery.wait_for_poll(0);
+            proxy.discovery.push(PollResponse::List(list(1, false, &[])));
+            proxy.discovery.set_default_response(Some(failure.clone()));
             // From then on there may be a drain that discovery does not report.
-            let (_, called_at) = proxy.discovery.call(1);
+            let (_, called_at) = proxy.discovery.wait_for_poll(1);
             let served =
                 send_until(&proxy, called_at + NOTIFIED_AFTER + DRAIN_GRACE + Duration::from_secs(2));
             let last = *received_at.lock().expect("unpoisoned").last().expect("some were forwarded");
@@ -57,14 +57,14 @@
                 served.iter().filter(|at| **at > called_at + NOTIFIED_AFTER - Duration::from_secs(1)).count();
             assert!(before > 0, "{failure:?}: stopped long before it had to");
             assert!(
-                (4..=20).contains(&proxy.discovery.calls()),
+                (4..=20).contains(&proxy.discovery.poll_count()),
                 "{failure:?}: {} calls",
-                proxy.discovery.calls()
+                proxy.discovery.poll_count()
             );
             // Its next response settles it.
-            proxy.discovery.meanwhile(None);
-            proxy.discovery.tell(News::List(list(2, true, &[host("s-0", address, "SERVING")])));
-            let until = Instant::now() + PATIENCE;
+            proxy.discovery.set_default_response(None);
+            proxy.discovery.push(PollResponse::List(list(2, true, &[host("s-0", address, "SERVING")])));
+            let until = Instant::now() + TEST_TIMEOUT;
             while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
                 assert!(Instant::now() < until, "{failure:?}: does not go on");
             }
@@ -83,12 +83,12 @@
     setup.hosts.push(host("s-1", other, "SERVING"));
     let proxy = setup.start();
     let drained_list = [host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")];
-    proxy.discovery.tell(News::List(list(2, true, &[])));
-    proxy.discovery.tell(News::Fails);
-    proxy.discovery.tell(News::List(list(3, true, &drained_list)));
-    proxy.discovery.meanwhile(Some(News::Fails));
+    proxy.discovery.push(PollResponse::List(list(2, true, &[])));
+    proxy.discovery.push(PollResponse::Unavailable);
+    proxy.discovery.push(PollResponse::List(list(3, true, &drained_list)));
+    proxy.discovery.set_default_response(Some(PollResponse::Unavailable));
     // The rejected call is the second; it could have reported the drain.
-    let (_, failed_call_at) = proxy.discovery.call(1);
+    let (_, failed_call_at) = proxy.discovery.wait_for_poll(1);
     let served = send_until(&proxy, failed_call_at + NOTIFIED_AFTER + DRAIN_GRACE + Duration::from_secs(1));
     let late_requests: Vec<_> = received_at
         .lock()
@@ -98,7 +98,7 @@
         .copied()
         .collect();
     assert!(late_requests.is_empty(), "forwarded {} times to a draining endpoint", late_requests.len());
-    let (_, polled_at) = proxy.discovery.call(2);
+    let (_, polled_at) = proxy.discovery.wait_for_poll(2);
     assert!(
         polled_at < failed_call_at + NOTIFIED_AFTER,
         "polled again after {:?}",
@@ -113,7 +113,7 @@
 #[test]
 fn an_outage_with_refused_connections_does_not_suspend_forwarding_and_its_end_is_noticed_in_time() {
     let (address, received_at) = noting_backend();
-    let closed = Closed::new();
+    let closed = ReservedPort::new();
     let (other, _others) = noting_backend();
     let mut setup = setup(address);
     setup.hosts.push(host("s-1", other, "SERVING"));
@@ -129,7 +129,7 @@
     let discovery = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("polled");
         let polled_at = Instant::now();
-        hear(&mut BufReader::new(stream.try_clone().expect("a copy"))).expect("a call");
+        read_message(&mut BufReader::new(stream.try_clone().expect("a copy"))).expect("a call");
         let body = list(2, true, &[host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")]);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).expect("written");
@@ -152,17 +152,17 @@
     let (address, _) = noting_backend();
     let mut setup = setup(address);
     setup.hosts.clear();
-    let discovery = Discovery::new();
+    let discovery = MockDiscovery::new();
     // The first response breaks off, the second cannot be parsed, three calls are rejected; then come 1,024 endpoints, indented.
     let hosts: Vec<String> =
         (0..1_024).map(|index| host(&format!("s-{index}"), address, "SERVING")).collect();
     let full_list = list(2, true, &hosts).replace(",\"", ",\n  \"").replace("},{", "},\n {");
-    discovery.tell(News::Breaks(full_list.clone()));
-    discovery.tell(News::List("{\"seq\":2,\"whole\":true,\"hosts\":[[".to_owned()));
+    discovery.push(PollResponse::Truncated(full_list.clone()));
+    discovery.push(PollResponse::List("{\"seq\":2,\"whole\":true,\"hosts\":[[".to_owned()));
     for _ in 0..3 {
-        discovery.tell(News::Fails);
+        discovery.push(PollResponse::Unavailable);
     }
-    discovery.tell(News::List(full_list));
+    discovery.push(PollResponse::List(full_list));
     let config = setup.config(discovery.address);
     let from = config.find("\"known\":").expect("there");
     let to = from + config[from..].find("]},").expect("its end") + 3;
@@ -175,10 +175,10 @@
         assert!(
             started_at.elapsed() < Duration::from_secs(10),
             "not ready, after {} calls",
-            discovery.calls()
+            discovery.poll_count()
         );
         thread::sleep(Duration::from_millis(10));
     }
-    println!("ready after {:?} and {} calls", started_at.elapsed(), discovery.calls());
+    println!("ready after {:?} and {} calls", started_at.elapsed(), discovery.poll_count());
     assert_eq!(proxy.caller().ask(&read("late", 9_000)).status(), 200);
 }
