--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -22,7 +22,7 @@
 use super::ListenerState;
 use crate::exchange::{UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::metrics::{RequestOutcome, RequestRecorder};
-use crate::panic_guard::caught;
+use crate::panic_guard::catch_panic;
 use crate::socket::Socket;
 
 /// Where load balancers in front ask whether this proxy takes requests.
@@ -65,7 +65,7 @@
     let is_end_uncertain = request.headers().contains_key(header::TRANSFER_ENCODING)
         || request.body().size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let has_body = !request.body().is_end_stream();
-    let handled = caught(handle(listener, connection, request)).await;
+    let handled = catch_panic(handle(listener, connection, request)).await;
     let mut response = match handled.unwrap_or(Err(RequestError::Internal)) {
         Ok(response) => response,
         Err(error) => error_response(&error, listener.frontend.router.retry_after_in_seconds()),
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -15,7 +15,7 @@
 use crate::downstream::ListenerState;
 use crate::exchange::{ClientConnection, FinalResponse, RpcCall, UpstreamResponse};
 use crate::metrics::{RequestOutcome, RequestRecorder};
-use crate::panic_guard::caught;
+use crate::panic_guard::catch_panic;
 use crate::rpc_mapping;
 
 /// A call that was validated; nothing was sent upstream.
@@ -103,7 +103,9 @@
     ) -> Option<Vec<u8>> {
         let id = self.id.as_deref();
         let response = match self.state {
-            CallState::Accepted(accepted) => caught(dispatch(listener, *accepted, client, received_at)).await,
+            CallState::Accepted(accepted) => {
+                catch_panic(dispatch(listener, *accepted, client, received_at)).await
+            }
             CallState::Replayed(response) => Some(response),
             CallState::Failed(response) => return Some(response),
             CallState::Ignored => return None,
--- a/crates/proxy/src/gossip.rs
+++ b/crates/proxy/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Short messages between the proxies of a tier, where the settings allow them.
+//! The UDP socket over which the proxies of a tier exchange gossip, where the settings allow it.
 
 use std::net::SocketAddr;
 
@@ -6,37 +6,42 @@
 
 use crate::inbox::DriverHandle;
 
-/// The longest message, in bytes.
-const MOST_MESSAGE: usize = 256;
+/// The largest message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
 
+/// The socket, and the addresses of the peers.
 pub struct GossipSocket {
     socket: UdpSocket,
-    /// By rank.
-    addresses: Vec<SocketAddr>,
+    peers_by_rank: Vec<SocketAddr>,
 }
 
 impl GossipSocket {
-    pub async fn bind(listen: SocketAddr, addresses: Vec<SocketAddr>) -> Result<GossipSocket, String> {
+    /// Binds the socket.
+    ///
+    /// # Errors
+    /// The address cannot be bound: the reason, in a line.
+    pub async fn bind(listen: SocketAddr, peers_by_rank: Vec<SocketAddr>) -> Result<GossipSocket, String> {
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
-        Ok(GossipSocket { socket, addresses })
+        Ok(GossipSocket { socket, peers_by_rank })
     }
 
-    /// Sends a message, which may be lost; one that cannot go at once is.
-    pub fn send(&self, to: u32, message: &[u8]) {
-        if let Some(address) = self.addresses.get(to as usize).filter(|_| message.len() <= MOST_MESSAGE) {
-            let _ = self.socket.try_send_to(message, *address);
+    /// Sends a message to the peer of this rank. It may be lost, and is where it cannot be sent at once.
+    pub fn send(&self, rank: u32, message: &[u8]) {
+        let Some(peer) = self.peers_by_rank.get(rank as usize) else { return };
+        if message.len() <= MAX_MESSAGE_BYTES {
+            let _ = self.socket.try_send_to(message, *peer);
         }
     }
 
-    /// Hands messages on for as long as it is polled; those that no peer sent are passed over.
-    pub async fn receive(&self, handle: DriverHandle) {
-        let mut buffer = [0; MOST_MESSAGE + 1];
+    /// Passes messages on for as long as it is polled; those that are not from a peer are ignored.
+    pub async fn receive(&self, driver: DriverHandle) {
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
-            // An error here speaks of a message sent to a peer that is down.
+            // An error tells of a message sent to a peer that is down.
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else { continue };
-            let rank = self.addresses.iter().position(|a| *a == sender);
-            if let (Some(rank), true) = (rank, length <= MOST_MESSAGE) {
-                handle.gossip_received(rank as u32, buffer[..length].to_vec());
+            let rank = self.peers_by_rank.iter().position(|peer| *peer == sender);
+            if let (Some(rank), true) = (rank, length <= MAX_MESSAGE_BYTES) {
+                driver.gossip_received(rank as u32, buffer[..length].to_vec());
             }
         }
     }
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -1,11 +1,13 @@
 //! Writes learned state to a folder, on a thread of its own, so that a slow disk delays no request.
 
+use std::fmt;
+use std::io;
 use std::path::PathBuf;
 use std::sync::mpsc;
 use std::thread;
 use std::time::Duration;
 
-use atomic_file::{AtomicFileStore, Folder};
+use atomic_file::{AtomicFileStore, Folder, OpenError};
 use config::LearnedStateSettings;
 use learned_state::Snapshot;
 use tokio::sync::oneshot;
@@ -19,6 +21,36 @@
 /// How often the last write is submitted again while the thread is busy.
 const RESUBMIT_INTERVAL: Duration = Duration::from_millis(20);
 
+/// Why a snapshot is not written.
+#[derive(Debug)]
+enum StateWriteError {
+    /// The folder cannot be opened.
+    Open(OpenError),
+    /// The folder cannot be listed or written.
+    Io(io::Error),
+}
+
+impl fmt::Display for StateWriteError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StateWriteError::Open(error) => error.fmt(f),
+            StateWriteError::Io(error) => error.fmt(f),
+        }
+    }
+}
+
+impl From<OpenError> for StateWriteError {
+    fn from(error: OpenError) -> Self {
+        StateWriteError::Open(error)
+    }
+}
+
+impl From<io::Error> for StateWriteError {
+    fn from(error: io::Error) -> Self {
+        StateWriteError::Io(error)
+    }
+}
+
 /// A snapshot to write.
 struct WriteJob {
     snapshot: Snapshot,
@@ -94,26 +126,23 @@
         }
     }
 
-    fn write(&mut self, snapshot: &Snapshot) -> Result<(), String> {
+    fn write(&mut self, snapshot: &Snapshot) -> Result<(), StateWriteError> {
         let store = self.open()?;
-        store.put(&learned_state::encode(snapshot)).map_err(|error| error.to_string())
+        Ok(store.put(&learned_state::encode(snapshot))?)
     }
 
-    fn open(&mut self) -> Result<&mut AtomicFileStore<Folder>, String> {
+    fn open(&mut self) -> Result<&mut AtomicFileStore<Folder>, StateWriteError> {
         let store = match self.store.take() {
             Some(store) => store,
-            None => {
-                let folder = Folder::open(&self.folder).map_err(|error| error.to_string())?;
-                AtomicFileStore::open(folder, self.max_files).map_err(|error| error.to_string())?
-            }
+            None => AtomicFileStore::open(Folder::open(&self.folder)?, self.max_files)?,
         };
         Ok(self.store.insert(store))
     }
 
     /// Logs a fault once, and that it is over.
-    fn log(&mut self, result: Result<(), String>) {
+    fn log(&mut self, result: Result<(), StateWriteError>) {
         let folder = self.folder.display();
-        match result {
+        match result.map_err(|error| error.to_string()) {
             Err(fault) if self.logged_fault.as_ref() != Some(&fault) => {
                 say(format_args!("knowledge: not kept in {folder}: {fault}"));
                 self.logged_fault = Some(fault);
--- a/crates/proxy/src/membership/discovery/calls.rs
+++ b/crates/proxy/src/membership/discovery/calls.rs
@@ -8,7 +8,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use super::call::{call, CallProgress, Connection};
-use crate::panic_guard::caught;
+use crate::panic_guard::catch_panic;
 
 /// The calls in flight.
 pub(super) struct Calls {
@@ -37,7 +37,7 @@
                 let _ = sender.send((id, progress));
             };
             let on_response_started = || report(CallProgress::ResponseStarted);
-            let ended = caught(call(address, &path, idle, on_response_started)).await;
+            let ended = catch_panic(call(address, &path, idle, on_response_started)).await;
             report(ended.unwrap_or(CallProgress::ResponseTruncated));
         });
         self.handles.insert(id, task);
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -4,7 +4,9 @@
 //! load, and miss a folder that is mounted anew. A list that cannot be read, or is not a full list, changes nothing: truncated
 //! JSON cannot be parsed, so a half-written list is never taken for a short one.
 
+use std::fmt;
 use std::fs;
+use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -21,6 +23,33 @@
 /// The largest list that is read, in bytes.
 const MAX_LIST_BYTES: u64 = 8 << 20;
 
+/// Why a file is not applied.
+#[derive(Debug)]
+enum ListFileError {
+    /// It cannot be read.
+    Io(io::Error),
+    /// It is larger than [`MAX_LIST_BYTES`].
+    TooLarge { bytes: u64 },
+    /// It is not a full list.
+    Invalid(String),
+}
+
+impl fmt::Display for ListFileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ListFileError::Io(error) => error.fmt(f),
+            ListFileError::TooLarge { bytes } => write!(f, "{bytes} bytes are too many for a list"),
+            ListFileError::Invalid(fault) => f.write_str(fault),
+        }
+    }
+}
+
+impl From<io::Error> for ListFileError {
+    fn from(error: io::Error) -> Self {
+        ListFileError::Io(error)
+    }
+}
+
 /// Tells one content of a file from another.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
@@ -76,7 +105,7 @@
         }
         match self.read() {
             Ok(()) => self.logged_fault = None,
-            Err(fault) => self.log_fault(fault),
+            Err(error) => self.log_fault(error.to_string()),
         }
         self.version = version;
     }
@@ -90,14 +119,15 @@
         self.logged_fault = Some(fault);
     }
 
-    fn read(&mut self) -> Result<(), String> {
-        let size = fs::metadata(&self.path).map_err(|e| e.to_string())?.len();
-        if size > MAX_LIST_BYTES {
-            return Err(format!("{size} bytes are too many for a list"));
+    fn read(&mut self) -> Result<(), ListFileError> {
+        let bytes = fs::metadata(&self.path)?.len();
+        if bytes > MAX_LIST_BYTES {
+            return Err(ListFileError::TooLarge { bytes });
         }
-        let list = parse_full_list(&fs::read_to_string(&self.path).map_err(|e| e.to_string())?)?;
+        let text = fs::read_to_string(&self.path)?;
+        let list = parse_full_list(&text).map_err(ListFileError::Invalid)?;
         // Checked as a whole, and applied in the form in which it came.
-        let endpoint_count = list.clone().nodes()?.len();
+        let endpoint_count = list.clone().nodes().map_err(ListFileError::Invalid)?.len();
         self.registry.apply(list, UpdateScope::Full);
         say(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
         Ok(())
--- a/crates/proxy/src/operators/server.rs
+++ b/crates/proxy/src/operators/server.rs
@@ -22,7 +22,7 @@
 
 use crate::log;
 use crate::operators::OperatorActions;
-use crate::panic_guard::caught;
+use crate::panic_guard::catch_panic;
 use crate::start_error::StartError;
 
 /// File descriptors that the address uses at most.
@@ -105,7 +105,7 @@
     let service = service_fn(|request| {
         let actions = Rc::clone(&actions);
         async move {
-            let reply = caught(handle(&*actions, request)).await;
+            let reply = catch_panic(handle(&*actions, request)).await;
             Ok::<_, Infallible>(reply.unwrap_or_else(|| text(StatusCode::INTERNAL_SERVER_ERROR, "fault")))
         }
     });
--- a/src/bin/amberlever/state.rs
+++ b/src/bin/amberlever/state.rs
@@ -1,7 +1,9 @@
 //! `amberlever state`: shows and compares files of learned state, for people and for tools.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::Path;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use learned_state::{DecayedMean, DecodeError, PoolRecord, SkippedSections, Snapshot};
@@ -24,7 +26,7 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => failed(&fault, BAD_CONFIGURATION),
+        Err(error) => failed(&error.to_string(), BAD_CONFIGURATION),
     }
 }
 
@@ -39,15 +41,34 @@
     skipped: SkippedSections,
 }
 
-fn read(path: &Path) -> Result<StateFile, String> {
-    let fault = |reason: String| format!("{}: {reason}", path.display());
+/// Why a file cannot be shown.
+#[derive(Debug)]
+enum StateFileError {
+    /// It cannot be read.
+    Io { path: PathBuf, source: io::Error },
+    /// It is not a file of learned state, or not a readable one.
+    Decode { path: PathBuf, source: DecodeError },
+}
+
+impl fmt::Display for StateFileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StateFileError::Io { path, source } => write!(f, "{}: {source}", path.display()),
+            StateFileError::Decode { path, source } => write!(f, "{}: {source}", path.display()),
+        }
+    }
+}
+
+fn read(path: &Path) -> Result<StateFile, StateFileError> {
+    let io_error = |source| StateFileError::Io { path: path.to_owned(), source };
+    let decode_error = |source| StateFileError::Decode { path: path.to_owned(), source };
     // A file of another kind may be of any size.
-    let size = std::fs::metadata(path).map_err(|error| fault(error.to_string()))?.len();
+    let size = std::fs::metadata(path).map_err(io_error)?.len();
     if size > learned_state::MAX_FILE_BYTES as u64 {
-        return Err(fault(DecodeError::TooLarge.to_string()));
+        return Err(decode_error(DecodeError::TooLarge));
     }
-    let bytes = std::fs::read(path).map_err(|error| fault(error.to_string()))?;
-    let (snapshot, skipped) = learned_state::decode(&bytes).map_err(|error| fault(error.to_string()))?;
+    let bytes = std::fs::read(path).map_err(io_error)?;
+    let (snapshot, skipped) = learned_state::decode(&bytes).map_err(decode_error)?;
     Ok(StateFile { figures: figures(&snapshot), skipped })
 }
 
@@ -148,7 +169,7 @@
     after: Option<f64>,
 }
 
-fn compare(before: &Path, after: &Path, format: Format) -> Result<String, String> {
+fn compare(before: &Path, after: &Path, format: Format) -> Result<String, StateFileError> {
     let before = read(before)?;
     let after = read(after)?;
     Ok(show_differences(&differences(&before.figures, &after.figures), format))
