--- a/crates/proxy/src/membership/discovery/call.rs
+++ b/crates/proxy/src/membership/discovery/call.rs
@@ -17,12 +17,11 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
+use crate::membership::MAX_LIST_BYTES;
 use crate::socket::Socket;
 
 /// A connection that takes longer is given up: the handshake survives two lost packets, and the watch makes another call sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
-/// The largest list that is read, in bytes.
-const MAX_LIST_BYTES: usize = 8 << 20;
 
 /// What a call reports. All but [`CallProgress::ResponseStarted`] end the call.
 pub(super) enum CallProgress {
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -16,12 +16,10 @@
 use tokio::time::{sleep, Instant};
 
 use crate::log::say;
-use crate::membership::EndpointRegistry;
+use crate::membership::{EndpointRegistry, MAX_LIST_BYTES};
 
 /// How often the file is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The largest list that is read, in bytes.
-const MAX_LIST_BYTES: u64 = 8 << 20;
 
 /// Why a file is not applied.
 #[derive(Debug)]
@@ -121,7 +119,7 @@
 
     fn read(&mut self) -> Result<(), ListFileError> {
         let bytes = fs::metadata(&self.path)?.len();
-        if bytes > MAX_LIST_BYTES {
+        if bytes > MAX_LIST_BYTES as u64 {
             return Err(ListFileError::TooLarge { bytes });
         }
         let text = fs::read_to_string(&self.path)?;
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -8,3 +8,6 @@
 pub use discovery::Discovery;
 pub use file::FileWatch;
 pub use registry::{EndpointRegistry, RegisteredEndpoints, RegistryObserver, RegistryView};
+
+/// The largest list that is read, in bytes.
+const MAX_LIST_BYTES: usize = 8 << 20;
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -132,9 +132,9 @@
     proxy.terminate();
     assert!(proxy.end().success());
     let bytes = fs::read(folder.join(written)).expect("the next number");
-    let (left, skipped) = learned_state::decode(&bytes).expect("sound");
+    let (written_state, skipped) = learned_state::decode(&bytes).expect("sound");
     assert_eq!(skipped, SkippedSections::default());
-    (proxy.log(), left)
+    (proxy.log(), written_state)
 }
 
 /// The samples of an endpoint in the class `read`.
@@ -147,23 +147,29 @@
 #[test]
 fn a_proxy_starts_with_the_learned_state_of_its_folder() {
     let folder = folder().join("learned");
-    let kept = copy(IN_A_FOLDER, &folder);
+    let stored_file = copy(IN_A_FOLDER, &folder);
     let (log, _) = start_and_stop(&folder, "00000000000000000004.known");
     // The older the file is, the less it counts.
     let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
     assert!(is_read && !log.contains("in part"), "{log}");
-    assert!(fs::read(&kept).expect("still there") == bytes(IN_A_FOLDER), "as it was");
+    assert!(fs::read(&stored_file).expect("still there") == bytes(IN_A_FOLDER), "as it was");
     // The same state, as if it were written now.
     let written_ms = Some(unix_ms());
-    let fresh = Snapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
-    fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&fresh)).expect("written");
-    let (log, left) = start_and_stop(&folder, "00000000000000000006.known");
+    let current_state =
+        Snapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
+    fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&current_state))
+        .expect("written");
+    let (log, written_state) = start_and_stop(&folder, "00000000000000000006.known");
     assert!(log.contains("knowledge: from "), "{log}");
     for (pool, node) in [("near", "n0"), ("far", "n0")] {
-        let (told, known) = (samples(&fresh, pool, node), samples(&left, pool, node));
-        assert!(told > 50.0 && known > 1.0 && known <= told, "{pool}/{node}: {told}, then {known}");
+        let (stored_samples, imported_samples) =
+            (samples(&current_state, pool, node), samples(&written_state, pool, node));
+        assert!(
+            stored_samples > 50.0 && imported_samples > 1.0 && imported_samples <= stored_samples,
+            "{pool}/{node}: {stored_samples}, then {imported_samples}"
+        );
     }
-    assert!(samples(&left, "near", "n1") < 1.0, "nothing was known of it");
+    assert!(samples(&written_state, "near", "n1") < 1.0, "nothing was known of it");
 }
 
 // ---- The handover to the next process of the platform mode ----
