--- a/tests/crossing.rs
+++ b/tests/crossing.rs
@@ -15,7 +15,7 @@
 const HEAD: Duration = Duration::from_secs(3);
 
 #[test]
-fn a_first_request_that_comes_as_a_silent_connection_is_given_up_is_answered() {
+fn a_first_request_that_crosses_the_head_timeout_is_answered() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     // On connections of all ages round the one at which they are given up.
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_request_that_comes_as_the_last_answers_are_due_is_answered() {
+fn a_request_that_arrives_at_the_end_of_shutdown_is_answered() {
     let backend = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.deadline_ms = 300;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_a_backend_says_on_a_resting_connection_is_no_answer_to_the_next_request() {
+fn unsolicited_bytes_on_an_idle_upstream_connection_are_no_response() {
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen";
     for rest in ["H", "HTTP/1.1 200 OK\r\nContent-Le", second] {
         let connections = Arc::<AtomicUsize>::default();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_same_id_again_right_after_its_answer_is_a_new_request() {
+fn an_id_is_free_again_right_after_its_response() {
     let backend = Backend::new([ok("one"), ok("two")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_shut_nobody_out_while_discovery_is_down() {
+fn idle_connections_at_the_descriptor_limit_block_no_client_while_discovery_is_down() {
     let (first, second) = (Backend::new([ok("first")]), Backend::new([ok("second")]));
     let mut setup = Setup::of(&[&first]);
     setup.sockets = LEAST;
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_first_bytes_of_a_large_answer_go_on_while_the_rest_is_to_come() {
+fn large_responses_are_streamed_before_they_are_complete() {
     for chunked in [false, true] {
         let release = Arc::new(Release::default());
         let held_back = Arc::clone(&release);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn answers_that_nobody_reads_wait_and_take_no_memory() {
+fn unread_responses_are_backpressured_and_use_no_memory() {
     let node = large();
     let (process, _discovery, held) = start(&[node]);
     let (_, before) = process.holds();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_ends_so_that_its_caller_can_tell() {
+fn an_interrupted_response_is_visibly_incomplete() {
     let node = raw_backend(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         head(&mut reader);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_small_answer_that_never_ends_fails_whole_when_its_time_is_up() {
+fn a_small_response_that_never_ends_fails_at_the_deadline() {
     let (process, _discovery, held) =
         start(&[unfinished("HTTP/1.1 200 OK\r\nContent-Length: 339\r\n\r\nthe first of it")]);
     let began = Instant::now();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn an_answer_of_unknown_length_that_never_ends_is_cut_off_when_its_time_is_up() {
+fn an_endless_response_of_unknown_length_is_cut_off_at_the_deadline() {
     let (process, _discovery, held) = start(&[unfinished(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nthe first of it.\r\n",
     )]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn answers_that_are_under_way_outlive_an_upgrade() {
+fn streamed_responses_outlive_an_upgrade() {
     let node = large();
     let (discovery, held) = (Discovery::new(), Held::new());
     let mut setup = Setup { aim_ms: AIM_MS, ..Setup::of(&[]) };
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_large_request_flows_and_its_time_counts_from_its_last_byte() {
+fn large_requests_are_streamed_and_time_out_from_the_last_byte() {
     let (process, _discovery, held) = start(&[counting()]);
     let mut caller = connect(&held);
     // It takes longer to come than its caller waits for the answer.
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_large_request_that_is_refused_has_its_answer_at_once_and_is_read_all_the_same() {
+fn a_rejected_large_request_is_answered_at_once_and_read_to_its_end() {
     let (process, _discovery, held) = start(&[]);
     let mut caller = connect(&held);
     caller.get_mut().write_all(upload("up", 9000).as_bytes()).expect("written");
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_large_request_whose_caller_leaves_is_no_attempt() {
+fn a_large_request_whose_client_disconnects_is_no_attempt() {
     let (process, _discovery, held) = start(&[counting()]);
     let mut caller = connect(&held);
     caller.get_mut().write_all(upload("up", 9000).as_bytes()).expect("written");
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn in_own_installations_large_bodies_flow_up_to_the_bound_that_is_set() {
+fn standalone_mode_streams_large_requests_up_to_the_configured_limit() {
     let process = own(counting(), &format!("body_bytes = {LARGE}"));
     let ask = |request: String, body: &[u8]| {
         let mut caller = BufReader::new(TcpStream::connect(process.address).expect("it listens"));
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn in_own_installations_large_answers_flow_up_to_the_bound_that_is_set() {
+fn standalone_mode_streams_large_responses_up_to_the_configured_limit() {
     let node = large();
     let process = own(node, &format!("body_bytes = {LARGE}"));
     let answer = process.ask(&read("down", 9000));
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -41,7 +41,7 @@
 const GET: &str = "GET /read/7f3a HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\n\r\n";
 
 #[test]
-fn what_two_readers_could_read_in_two_ways_is_turned_away() {
+fn ambiguous_requests_are_rejected() {
     let (address, bytes) = recorder();
     let mut setup = Setup::of(&[]);
     setup.hosts = vec![host("s-0", address, "SERVING")];
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -22,7 +22,7 @@
 // ---- Messages ----
 
 #[test]
-fn the_cases_of_the_specification() {
+fn cases_of_the_specification() {
     let node = RpcNode::new(Frames::Lines, [Reply::Result(json!(19))]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut caller = proxy.rpc();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn ids_come_back_as_they_were_sent() {
+fn ids_are_returned_verbatim() {
     let node = RpcNode::new(Frames::Lengths, [Reply::Result(json!(null))]);
     let proxy = Both::start(&Site { frames: Frames::Lengths, ..Site::rpc(&[node.address]) });
     let mut caller = proxy.rpc();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_message_without_end_is_refused_and_holds_nothing() {
+fn an_endless_message_is_rejected_and_uses_no_memory() {
     let node = RpcNode::new(Frames::Lines, [Reply::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     proxy.rpc().call(1, "standings", json!({}));
@@ -106,7 +106,7 @@
 // ---- Many calls at once ----
 
 #[test]
-fn answers_come_in_any_order_and_the_bound_stops_the_reading() {
+fn responses_come_in_any_order_and_the_open_call_limit_pauses_reading() {
     let release = Arc::new(Release::default());
     let held = Reply::Held(Arc::clone(&release), json!("late"));
     let node = RpcNode::new(Frames::Lines, [held.clone(), Reply::Result(json!("soon")), held.clone(), held]);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_batch_is_decided_one_by_one_and_answered_together() {
+fn batch_calls_are_decided_separately_and_answered_together() {
     let node = RpcNode::of(Frames::Lines, |call| match call["params"]["do"].as_str() {
         Some("fail") => Reply::Error(-32050),
         Some("full") => Reply::Error(-32004),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_caller_that_never_reads_holds_what_the_bound_says() {
+fn a_client_that_never_reads_is_bounded_by_the_open_call_limit() {
     let node = RpcNode::new(Frames::Lines, [Reply::Result(json!("x".repeat(60_000)))]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     proxy.rpc().call(0, "standings", json!({}));
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn half_a_message_is_not_waited_for_and_silence_is() {
+fn partial_messages_time_out_and_idle_connections_stay() {
     let node = RpcNode::new(Frames::Lines, [Reply::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
     let mut silent = proxy.rpc();
@@ -228,7 +228,7 @@
 // ---- Ends of connections ----
 
 #[test]
-fn a_caller_that_leaves_is_told_to_the_decisions_and_the_node() {
+fn a_client_disconnect_cancels_calls_at_the_endpoint() {
     let node = RpcNode::new(Frames::Lines, [Reply::Silence]);
     let site = Site { pool: ", cancel = \"$/cancelRequest\"".to_owned(), ..Site::rpc(&[node.address]) };
     let proxy = Both::start(&site);
@@ -257,7 +257,7 @@
 /// A connection breaks with calls on it that were not written, written in part, written, answered: each has one answer,
 /// what may have run is not sent again, and what was not written whole is.
 #[test]
-fn a_broken_connection_ends_each_of_its_calls_by_itself() {
+fn a_broken_upstream_connection_fails_each_of_its_calls() {
     const CALLS: usize = 150;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn answers_that_nobody_waits_for_are_nobodys() {
+fn unmatched_responses_are_ignored() {
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
     let node = RpcNode::new(Frames::Lines, [Reply::Raw(twice.to_owned()), Reply::Echo]);
     let proxy = Both::start(&Site::rpc(&[node.address]));
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn an_end_and_a_reload_answer_what_was_taken() {
+fn shutdown_and_reload_answer_calls_that_were_read() {
     let release = Arc::new(Release::default());
     let node = RpcNode::new(Frames::Lines, [Reply::Held(Arc::clone(&release), json!("old"))]);
     let next = RpcNode::new(Frames::Lines, [Reply::Result(json!("new"))]);
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_batch_in_hand_when_the_word_to_end_comes_is_answered_whole() {
+fn a_batch_open_at_shutdown_is_answered_completely() {
     let node = RpcNode::of(Frames::Lines, |call| match call["params"]["do"].as_str() {
         Some("hang") => Reply::Silence,
         _ => Reply::Echo,
@@ -422,7 +422,7 @@
 // ---- Two protocols ----
 
 #[test]
-fn all_four_ways_serve_the_same() {
+fn all_four_protocol_combinations_serve_the_same() {
     let json =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 12\r\n\r\n{\"n\":1e400 }";
     let http = Backend::new([Deed::Answer(json.to_owned())]);
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn a_key_runs_once_by_whichever_protocol() {
+fn an_idempotency_key_is_executed_once_across_protocols() {
     let release = Arc::new(Release::default());
     let node = RpcNode::new(
         Frames::Lines,
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn at_the_bound_of_keys_new_ones_are_refused_and_none_runs_twice() {
+fn at_the_key_limit_new_keys_are_rejected_and_none_is_executed_twice() {
     let node = RpcNode::new(Frames::Lines, [Reply::Result(json!("z".repeat(100)))]);
     let site =
         Site { server: "keys = { entries = 3, bytes = 250 }\n".to_owned(), ..Site::rpc(&[node.address]) };
@@ -529,7 +529,7 @@
 // ---- Configuration ----
 
 #[test]
-fn faults_of_the_configuration_are_told() {
+fn configuration_errors_are_reported() {
     let site = Site::rpc(&["127.0.0.1:9".parse().expect("an address")]);
     let good = site.config();
     for (from, to, told) in [
@@ -557,7 +557,7 @@
 }
 
 #[test]
-fn methods_and_members_are_as_configured() {
+fn methods_and_members_follow_the_configuration() {
     let http = Backend::new([ok("{}")]);
     let more = "[[method]]\nname = \"rank\"\nclass = \"standings\"\npath = \"/standings/{where.event}\"\nverb = \"POST\"\n[members]\ntimeout_ms = \"wait\"\nkey = \"_meta.dedup\"\n";
     let proxy = Both::start(&Site { more: more.to_owned(), aim_ms: 300, ..Site::http(&[http.address]) });
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nothing_is_begun_for_a_client_that_left_while_a_connection_was_made() {
+fn no_attempt_starts_for_a_client_that_disconnected_during_connect() {
     let ways = [
         Leaves::Closes,
         Leaves::ClosesBehindBytes,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn nothing_further_is_begun_for_a_client_that_left_before_its_first_attempt_ended() {
+fn no_retry_starts_for_a_client_that_disconnected_during_its_first_attempt() {
     for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes, Leaves::Resets, Leaves::ResetsBehindBytes] {
         // Two backends: whichever has the request first waits for the word, and then turns it away unseen.
         let (asked, requests) = mpsc::channel();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn five_hundred_clients_that_leave_in_one_instant_on_a_busy_core_have_nothing_begun() {
+fn no_attempts_start_for_five_hundred_simultaneous_disconnects_on_a_busy_core() {
     let shut = Shut::new();
     let mut setup = setup(shut.address);
     setup.sockets = 4_096;
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_second_tier_hears_of_a_client_that_left_the_first() {
+fn a_disconnect_propagates_to_a_second_tier() {
     for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes] {
         let backend = Backend::new([Deed::Silence]);
         let second = Setup::of(&[&backend]).start();
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -12,7 +12,7 @@
 // ---- Requests and answers ----
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let answer = proxy.ask(&put("id-1", "key-1", 9000, "what to do"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn bad_requests_are_turned_away_and_the_proxy_goes_on() {
+fn invalid_requests_are_rejected() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let good = read("id-1", 9000);
@@ -74,7 +74,7 @@
 
 /// hyper reads such a body by its chunks, and another reader by its length would find a request in it.
 #[test]
-fn a_body_with_two_lengths_is_turned_away_with_all_that_follows() {
+fn a_body_with_two_lengths_is_rejected_and_closes_the_connection() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let hidden = format!("0\r\n\r\n{}", read("id-2", 9000));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
+fn a_duplicate_id_of_an_open_request_is_rejected() {
     let backend = Backend::new([Deed::Silence, ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut first = proxy.caller();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn callers_whose_request_does_not_come_are_dropped_and_idle_ones_are_not() {
+fn slow_requests_time_out_and_idle_connections_stay() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut idle = proxy.caller();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_caller_without_a_timeout_or_class_header_is_served() {
+fn timeout_and_class_headers_are_optional() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let request = read("id-1", 9000).replace("X-Timeout-Ms: 9000\r\n", "");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn health_is_good_once_there_is_a_list() {
+fn health_check_succeeds_once_there_is_an_endpoint_list() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
@@ -150,7 +150,7 @@
 // ---- What outcomes prove ----
 
 #[test]
-fn what_was_turned_away_unseen_goes_elsewhere() {
+fn a_request_rejected_unprocessed_is_retried_on_another_endpoint() {
     let (busy, free) = (Backend::new([full()]), Backend::new([ok("done")]));
     let proxy = Setup::of(&[&busy, &free]).start();
     for i in 0..4 {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn nobody_listening_is_no_reason_to_fail() {
+fn a_refused_connection_is_retried_on_another_endpoint() {
     let free = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&free]);
     setup.hosts.push(host("s-dead", nobody(), "SERVING"));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_break_after_the_request_may_have_run_and_is_not_repeated() {
+fn an_interrupted_attempt_of_a_non_idempotent_request_is_not_retried() {
     let breaks = [
         Deed::Break,
         Deed::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_broken_answer_to_what_may_be_repeated_is_asked_for_again() {
+fn an_interrupted_response_to_an_idempotent_request_is_retried() {
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned();
     let backend = Backend::new([Deed::AnswerAndClose(half), ok("whole")]);
     let proxy = Setup::of(&[&backend]).start();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_only_if_the_decisions_do() {
+fn retry_after_is_sent_only_where_the_decisions_set_it() {
     let backend = Backend::new([full()]);
     let proxy = Setup::of(&[&backend]).start();
     let answer = proxy.ask(&write("id-1", 9000, "x"));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn malformed_load_reports_are_logged_once_and_passed_over() {
+fn malformed_load_reports_are_logged_once_and_ignored() {
     let report = |json: &str| answer("200 OK", &format!("X-Server-Load: {json}\r\n"), "done");
     let backend =
         Backend::new([report("{\"depth\":"), report("[]"), report("{\"depth\":\"x\"}"), ok("done")]);
@@ -224,7 +224,7 @@
 // ---- Ends ----
 
 #[test]
-fn a_silent_backend_costs_the_caller_no_more_than_its_time() {
+fn a_silent_endpoint_times_out_at_the_client_timeout() {
     let backend = Backend::new([Deed::Silence]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 2000;
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_attempt_along() {
+fn a_client_disconnect_cancels_its_attempt() {
     let backend = Backend::new([Deed::Silence, ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_request_is_answered_once_however_many_come_on_a_connection() {
+fn each_request_of_a_connection_gets_one_response() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
@@ -263,7 +263,7 @@
 // ---- Connections to backends ----
 
 #[test]
-fn a_connection_is_used_again_and_the_last_one_first() {
+fn upstream_connections_are_reused_most_recent_first() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     for i in 0..5 {
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_before_the_backend_would() {
+fn idle_upstream_connections_close_before_the_endpoint_closes_them() {
     let backend = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.keepalive_ms = 1000;
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_connection_that_the_backend_closed_loses_no_request() {
+fn an_upstream_connection_closed_by_the_endpoint_loses_no_request() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
     let backend = Backend::new([Deed::AnswerAndClose(text)]);
     let proxy = Setup::of(&[&backend]).start();
@@ -298,7 +298,7 @@
 // ---- Discovery ----
 
 #[test]
-fn a_watch_goes_on_and_what_drains_gets_nothing_new() {
+fn the_watch_continues_and_draining_endpoints_get_no_new_requests() {
     let (old, new) = (Backend::new([ok("old")]), Backend::new([ok("new")]));
     let proxy = Setup::of(&[&old]).start();
     assert_eq!(proxy.ask(&write("id-0", 9000, "x")).body, b"old");
@@ -323,7 +323,7 @@
 
 /// The process behind an address is told by its id: a connection to the old one says nothing of the new.
 #[test]
-fn a_node_listed_in_words_that_cannot_be_read_gets_nothing_new_and_the_others_go_on() {
+fn an_endpoint_with_an_unreadable_entry_gets_no_new_requests() {
     let backends: Vec<Backend> = (0..2).map(|_| Backend::new([ok("done")])).collect();
     let mut setup = Setup::of(&backends.iter().collect::<Vec<_>>());
     setup.aim_ms = 2000;
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_over_gets_new_connections() {
+fn an_address_with_a_new_endpoint_gets_new_connections() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     proxy.discovery.call(0);
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn a_discovery_that_does_not_wait_is_not_asked_in_a_spin() {
+fn discovery_that_answers_at_once_is_not_polled_in_a_busy_loop() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_written_once_its_backend_drains() {
+fn an_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_endpoint() {
     // A backend that lets no connection come up: its backlog is full.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_failed_watch_is_asked_for_again_and_the_list_stays() {
+fn a_failed_watch_is_retried_and_the_endpoint_list_stays() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn a_silent_discovery_is_asked_again_within_seconds() {
+fn a_silent_discovery_is_polled_again_within_seconds() {
     let (old, new) = (Backend::new([ok("old")]), Backend::new([ok("new")]));
     let proxy = Setup::of(&[&old]).start();
     let discovery = &proxy.discovery;
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn an_answer_that_broke_off_is_asked_for_again_and_at_last_holds_all_back() {
+fn truncated_discovery_responses_are_retried_until_the_list_expires() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let discovery = &proxy.discovery;
@@ -497,7 +497,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_keeps_all_else() {
+fn a_reload_moves_the_watch_and_keeps_all_other_state() {
     let (old, new) = (Backend::new([ok("old"), Deed::Silence]), Backend::new([ok("new")]));
     let setup = Setup::of(&[&old]);
     let first = setup.config(nobody());
@@ -536,7 +536,7 @@
 // ---- Peers ----
 
 #[test]
-fn peers_hear_of_what_is_sent_where_the_settings_allow_it() {
+fn load_is_gossiped_to_peers_where_settings_allow_it() {
     let backend = Backend::new([ok("done")]);
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     peer.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -558,7 +558,7 @@
 // ---- Limits ----
 
 #[test]
-fn more_idle_callers_than_descriptors_shut_nobody_out() {
+fn idle_connections_beyond_the_descriptor_limit_block_no_client() {
     let backend = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.sockets = 60;
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn more_busy_callers_than_descriptors_are_served_in_turn() {
+fn busy_connections_beyond_the_descriptor_limit_are_served_in_turn() {
     let backend = Backend::new([Deed::Silence]);
     let mut setup = Setup::of(&[&backend]);
     setup.sockets = 60;
@@ -588,7 +588,7 @@
 }
 
 #[test]
-fn a_busy_caller_leaves_with_its_answer_where_another_waits() {
+fn a_busy_connection_closes_with_its_response_while_others_wait() {
     let backends = [Backend::new([Deed::Silence]), Backend::new([Deed::Silence])];
     let mut setup = Setup::of(&[&backends[0], &backends[1]]);
     setup.sockets = 60;
@@ -619,7 +619,7 @@
 }
 
 #[test]
-fn a_process_out_of_descriptors_goes_on() {
+fn a_process_without_free_descriptors_continues() {
     let backend = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.descriptors = Some(32);
@@ -634,7 +634,7 @@
 }
 
 #[test]
-fn a_body_that_never_ends_is_not_waited_for() {
+fn an_endless_request_body_times_out() {
     let backend = Backend::new([ok("done")]);
     let proxy = Setup::of(&[&backend]).start();
     let whole = write("id-1", 300, "what to do");
@@ -645,7 +645,7 @@
 // ---- Thresholds ----
 
 #[test]
-fn the_threshold_follows_the_number_of_servers_in_the_list() {
+fn the_admission_threshold_scales_with_the_endpoint_count() {
     let silent: Vec<Backend> = (0..3).map(|_| Backend::new([Deed::Silence])).collect();
     let hosts = |health: [&str; 3]| -> Vec<String> {
         let all = silent.iter().zip(health).enumerate();
@@ -675,7 +675,7 @@
 }
 
 #[test]
-fn late_answers_with_next_to_nothing_in_flight_start_no_shedding() {
+fn late_responses_at_low_concurrency_do_not_shed_load() {
     let silent = Backend::new([Deed::Silence]);
     let mut setup = Setup::of(&[&silent]);
     setup.aim_ms = 200;
@@ -691,7 +691,7 @@
 // ---- The end of a proxy ----
 
 #[test]
-fn a_proxy_told_to_end_answers_what_it_holds_and_what_still_comes() {
+fn graceful_shutdown_answers_open_and_new_requests() {
     let backend = Backend::new([Deed::Silence, ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 3000;
@@ -718,7 +718,7 @@
 }
 
 #[test]
-fn a_proxy_told_to_end_serves_on_for_as_long_as_it_may() {
+fn graceful_shutdown_serves_as_long_as_allowed() {
     let backend = Backend::new([ok("done")]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 1000;
@@ -749,13 +749,13 @@
 }
 
 #[test]
-fn callers_of_the_only_proxy_told_to_end_find_a_connection_free() {
+fn clients_of_a_single_draining_proxy_find_a_free_connection() {
     callers_find_a_connection_free(1);
 }
 
 /// In a rolling restart the second of two is told to end before the first is back.
 #[test]
-fn callers_of_one_of_two_proxies_told_to_end_find_a_connection_free() {
+fn clients_of_one_of_two_draining_proxies_find_a_free_connection() {
     callers_find_a_connection_free(2);
 }
 
@@ -796,7 +796,7 @@
 }
 
 #[test]
-fn what_is_asked_late_of_a_proxy_that_ends_is_answered_before_it_may_be_killed() {
+fn late_requests_during_shutdown_are_answered_before_the_kill() {
     let backend = Backend::new([ok("done"), Deed::Silence]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 7000;
@@ -832,7 +832,7 @@
 }
 
 #[test]
-fn what_callers_say_does_not_move_the_kill() {
+fn client_timeouts_do_not_move_the_termination_deadline() {
     let backend = Backend::new([ok("done"), Deed::Silence]);
     let mut proxy = soon_killed(&[&backend]);
     let mut caller = proxy.caller();
@@ -846,7 +846,7 @@
 }
 
 #[test]
-fn what_was_in_hand_when_the_word_came_is_answered_before_the_kill() {
+fn requests_open_at_shutdown_are_answered_before_the_kill() {
     let backend = Backend::new([Deed::Silence]);
     let mut setup = Setup::of(&[&backend]);
     setup.aim_ms = 20_000;
@@ -864,7 +864,7 @@
 }
 
 #[test]
-fn a_request_that_is_half_there_when_nothing_more_is_taken_is_answered_once_it_is_whole() {
+fn a_partial_request_at_shutdown_is_answered_once_complete() {
     let backend = Backend::new([ok("done")]);
     let mut proxy = soon_killed(&[&backend]);
     let mut caller = proxy.caller();
@@ -886,7 +886,7 @@
 }
 
 #[test]
-fn half_a_request_does_not_keep_a_proxy_from_ending() {
+fn a_partial_request_does_not_block_shutdown() {
     let backend = Backend::new([ok("done")]);
     let mut proxy = Setup::of(&[&backend]).start();
     let mut caller = proxy.caller();
@@ -896,7 +896,7 @@
 }
 
 #[test]
-fn a_missing_or_malformed_configuration_ends_the_program_with_one_line() {
+fn a_missing_or_malformed_configuration_exits_with_one_line() {
     let good = Setup::of(&[]).config(nobody());
     let changed = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
