--- a/crates/jsonrpc/src/framing.rs
+++ b/crates/jsonrpc/src/framing.rs
@@ -154,7 +154,7 @@
 
     /// Consumes the next header, if it is complete: the length of its message.
     fn next_header(&mut self) -> Result<Option<usize>, FramingError> {
-        // The delimiter may have begun in what was searched before.
+        // The delimiter may start in what was searched before.
         let from = self.searched_bytes.saturating_sub(HEADER_END.len() - 1);
         let mut windows = self.buffer[from..].windows(HEADER_END.len());
         let Some(offset) = windows.position(|window| window == HEADER_END) else {
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -13,6 +13,7 @@
 
 /// The connection of a client, as shared by its protocol, the timeouts and the drain.
 pub struct DownstreamConnection {
+    /// Where its protocol reads and writes.
     pub socket: Socket,
     /// What the router keeps with it.
     pub router_state: Connection,
@@ -35,6 +36,7 @@
 }
 
 impl DownstreamConnection {
+    /// A connection that has just been accepted.
     pub fn new(socket: Socket) -> DownstreamConnection {
         DownstreamConnection {
             socket,
@@ -57,6 +59,7 @@
         self.is_busy.get()
     }
 
+    /// Sets whether a request on it has no response yet.
     pub fn set_busy(&self, is_busy: bool) {
         self.is_busy.set(is_busy);
     }
@@ -66,6 +69,7 @@
         self.has_received_request.get()
     }
 
+    /// A request has arrived on it.
     pub fn on_request_received(&self) {
         self.has_received_request.set(true);
     }
@@ -75,6 +79,7 @@
         self.last_used_at.get()
     }
 
+    /// A response is ready for it.
     pub fn on_response(&self) {
         self.last_used_at.set(Instant::now());
     }
@@ -100,6 +105,7 @@
 
     // ---- Streamed responses ----
 
+    /// A streamed response begins, or has been read further.
     pub fn on_response_streaming(&self) {
         let progress = WriteProgress { bytes_written: self.socket.bytes_written(), since: Instant::now() };
         self.response_progress.set(Some(progress));
--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -17,7 +17,7 @@
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
 /// But at most this part of the client's time.
 const RESPONSE_TIME_DIVISOR: u32 = 10;
-/// This much before the client's time is up, a request that the decisions still hold fails.
+/// This much before the client's time is up, a request without a decision fails.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(8);
 
 /// The time that a request may take.
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -33,6 +33,7 @@
 }
 
 impl DrainState {
+    /// The shutdown has not started yet.
     pub fn new(shutdown: Shutdown, clock: Clock) -> DrainState {
         DrainState {
             shutdown: RefCell::new(shutdown),
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -42,7 +42,7 @@
         () = connection.aborted() => return,
         () = connection.close_requested() => {}
     }
-    // A request that has just begun to arrive gets its response first, which says that the connection ends.
+    // A request that is just arriving gets its response first, which says that the connection ends.
     if connection.is_busy() || !connection.has_partial_request() {
         http.as_mut().graceful_shutdown();
     }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,11 +1,11 @@
 //! The downstream side: listeners, the connections of clients, and their requests.
 //!
-//! A listener accepts connections up to a limit, and serves each by its protocol ([`http`] or [`rpc`]). A request passes
+//! A listener accepts connections up to a limit, and serves each by its protocol (`http` or `rpc`). A request passes
 //! through these phases, whichever protocol it arrives by: read and validate its head, route it, read its body, reserve its
-//! id and idempotency key ([`request`]); submit it to the decisions of one pool after another and wait for the response
-//! ([`dispatch`]); send the response and count the outcome. Errors of any phase are one type ([`error`]).
+//! id and idempotency key (`request`); submit it to the decisions of one pool after another and wait for the response
+//! (`dispatch`); send the response and count the outcome. Errors of any phase are one type (`error`).
 //!
-//! [`timeouts`] ends connections whose client sends or reads too slowly, and [`drain`] shuts a listener down gracefully.
+//! `timeouts` ends connections whose client sends or reads too slowly, and `drain` shuts a listener down gracefully.
 
 mod accept;
 mod connection;
--- a/crates/proxy/src/downstream/registry.rs
+++ b/crates/proxy/src/downstream/registry.rs
@@ -34,6 +34,7 @@
 }
 
 impl ConnectionRegistry {
+    /// Has no connections yet; `max_connections` may be open at a time.
     pub fn new(max_connections: usize, clock: Clock) -> ConnectionRegistry {
         ConnectionRegistry {
             max_connections,
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Adds a connection.
     pub fn register(self: &Rc<Self>, connection: Rc<DownstreamConnection>) -> Registration {
         let id = self.accepted_count.get() + 1;
         self.accepted_count.set(id);
@@ -51,10 +53,12 @@
         Registration { registry: Rc::clone(self), id }
     }
 
+    /// The number of open connections.
     pub fn open_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
+    /// The number of connections that wait for a request.
     pub fn idle_count(&self) -> usize {
         self.connections.borrow().values().filter(|connection| !connection.is_busy()).count()
     }
@@ -75,6 +79,7 @@
         self.connections.borrow().values().cloned().collect()
     }
 
+    /// Visits all open connections.
     pub fn for_each(&self, visit: impl FnMut(&Rc<DownstreamConnection>)) {
         self.connections.borrow().values().for_each(visit);
     }
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -33,8 +33,10 @@
 enum CallState {
     Accepted(Box<AcceptedRequest>),
     Replayed(FinalResponse),
-    /// It gets this response.
-    Failed(Vec<u8>),
+    /// It is invalid or rejected as a request.
+    Rejected(RequestError),
+    /// It is no valid message, and gets this response.
+    Invalid(Vec<u8>),
     /// It gets none.
     Ignored,
 }
@@ -45,38 +47,39 @@
         PreparedCall::new(None, is_alone, CallState::Ignored)
     }
 
-    /// What gets this response, whoever it comes from.
-    pub fn failed(id: CallId, response: Vec<u8>) -> PreparedCall {
-        PreparedCall::new(id, false, CallState::Failed(response))
+    /// A message that is not valid, and gets this response.
+    pub fn invalid(id: CallId, response: Vec<u8>) -> PreparedCall {
+        PreparedCall::new(id, false, CallState::Invalid(response))
     }
 
     fn new(id: CallId, is_notification: bool, state: CallState) -> PreparedCall {
         PreparedCall { id, open_id: None, is_notification, state, recorder: RequestRecorder::default() }
     }
 
-    /// Validates and accepts a call. `frame` is what it was read from; its bytes are shared, not copied.
-    ///
-    /// # Errors
-    /// Returned beside the call, which then gets the error as its response.
+    /// Validates a call and accepts it, or rejects it. `frame` is what it was read from; its bytes are shared, not copied.
     pub fn accept(
         listener: &ListenerState,
         connection: &DownstreamConnection,
         call: &Call<'_>,
         frame: &Bytes,
-    ) -> (PreparedCall, Option<RequestError>) {
+    ) -> PreparedCall {
         let id: CallId = call.id.map(ToOwned::to_owned);
         let is_notification = id.is_none();
         let mut prepared = PreparedCall::new(id, is_notification, CallState::Ignored);
-        match admit(listener, connection, call, frame, &prepared.recorder) {
-            Ok(Admission::Accepted(accepted)) => prepared.state = CallState::Accepted(accepted),
-            Ok(Admission::Replayed(response)) => prepared.state = CallState::Replayed(response),
+        prepared.state = match admit(listener, connection, call, frame, &prepared.recorder) {
+            Ok(Admission::Accepted(accepted)) => CallState::Accepted(accepted),
+            Ok(Admission::Replayed(response)) => CallState::Replayed(response),
             Err(error) => {
                 prepared.recorder.record(error.outcome());
-                prepared.state = CallState::Failed(encode_request_error(prepared.id.as_deref(), &error));
-                return (prepared, Some(error));
+                CallState::Rejected(error)
             }
-        }
-        (prepared, None)
+        };
+        prepared
+    }
+
+    /// Whether a limit on connections rejects it, so that its connection is to be closed.
+    pub fn is_over_connection_limit(&self) -> bool {
+        matches!(&self.state, CallState::Rejected(error) if error.is_connection_limit())
     }
 
     /// How long its client waits, if it is to be submitted.
@@ -105,7 +108,8 @@
         let response = match self.state {
             CallState::Accepted(accepted) => caught(dispatch(listener, *accepted, client, received_at)).await,
             CallState::Replayed(response) => Some(response),
-            CallState::Failed(response) => return Some(response),
+            CallState::Rejected(error) => return Some(encode_request_error(id, &error)),
+            CallState::Invalid(response) => return Some(response),
             CallState::Ignored => return None,
         };
         Some(match response.map_or(Err(RequestError::Internal), into_result) {
--- a/crates/proxy/src/downstream/rpc/mod.rs
+++ b/crates/proxy/src/downstream/rpc/mod.rs
@@ -231,7 +231,7 @@
             Ok(Message::Call(call)) => call,
             // A response to nothing that was asked.
             Ok(Message::Response(_)) => return PreparedCall::ignored(is_alone),
-            Err(invalid) => return PreparedCall::failed(None, encode_invalid_message(&invalid)),
+            Err(invalid) => return PreparedCall::invalid(None, encode_invalid_message(&invalid)),
         };
         match call.id {
             Some(id) => self.prepare_with_id(id, &call, frame),
@@ -242,7 +242,7 @@
     fn prepare_with_id(&mut self, id: &RawValue, call: &Call<'_>, frame: &Bytes) -> PreparedCall {
         let normal_id = normalize_id(id);
         if !self.open_ids.insert(normal_id.clone()) {
-            return PreparedCall::failed(Some(id.to_owned()), encode_duplicate_id(id));
+            return PreparedCall::invalid(Some(id.to_owned()), encode_duplicate_id(id));
         }
         let mut prepared = self.accept(call, frame);
         prepared.open_id = Some(normal_id);
@@ -250,8 +250,8 @@
     }
 
     fn accept(&mut self, call: &Call<'_>, frame: &Bytes) -> PreparedCall {
-        let (prepared, error) = PreparedCall::accept(&self.listener, &self.connection, call, frame);
-        self.is_over_connection_limit |= error.is_some_and(|error| error.is_connection_limit());
+        let prepared = PreparedCall::accept(&self.listener, &self.connection, call, frame);
+        self.is_over_connection_limit |= prepared.is_over_connection_limit();
         prepared
     }
 
--- a/crates/proxy/src/downstream/rpc/output.rs
+++ b/crates/proxy/src/downstream/rpc/output.rs
@@ -27,6 +27,7 @@
 }
 
 impl OutputQueue {
+    /// Whether everything has been written.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -19,14 +19,14 @@
 fn a_request_without_decision_times_out() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let site = platform_settings::parse(SETTINGS).expect("settings");
-        let backends = Rc::new(UpstreamPool::new(site.transport, 9));
-        // This driver never runs, so nothing is ever decided.
-        let driver = Driver::new(site.settings.clone(), 7, Clock::new(), backends, None, Rc::default());
+        let settings = platform_settings::parse(SETTINGS).expect("settings");
+        let upstream = Rc::new(UpstreamPool::new(settings.transport, 9));
+        // This driver never runs, so it decides nothing.
+        let driver = Driver::new(settings.settings.clone(), 7, Clock::new(), upstream, None, Rc::default());
         let router = PlatformRouter {
             driver: driver.handle(),
-            names: site.names,
-            settings: site.settings,
+            names: settings.names,
+            settings: settings.settings,
             ready: Rc::default(),
             class_counters: Vec::new(),
         };
@@ -38,18 +38,18 @@
         };
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (answered, answer) = oneshot::channel();
+        let (sender, response) = oneshot::channel();
         std::thread::spawn(move || {
             let mut stream = std::net::TcpStream::connect(address).expect("listens");
             let request = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Timeout-Ms: 300\r\n\r\n";
             stream.write_all(request.as_bytes()).expect("written");
             let mut line = String::new();
-            BufReader::new(stream).read_line(&mut line).expect("an answer");
-            let _ = answered.send(line);
+            BufReader::new(stream).read_line(&mut line).expect("a response");
+            let _ = sender.send(line);
         });
         let line = tokio::select! {
-            line = answer => line.expect("heard"),
-            () = run(frontend, listener, 9, std::future::pending()) => unreachable!("it is not told to end"),
+            line = response => line.expect("received"),
+            () = run(frontend, listener, 9, std::future::pending()) => unreachable!("it is not stopped"),
         };
         assert_eq!(line.trim_end(), "HTTP/1.1 504 Gateway Timeout");
     });
--- a/crates/proxy/src/downstream/timeouts.rs
+++ b/crates/proxy/src/downstream/timeouts.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Since when a head is awaited. JSON-RPC connections may stay silent, but have to complete a message that has begun.
+/// Since when a head is awaited. JSON-RPC connections may stay silent, but have to complete a message that they have started.
 fn head_awaited_since(listener: &ListenerState, connection: &DownstreamConnection) -> Option<Instant> {
     let is_first_awaited = !connection.has_received_request() && listener.frontend.protocol == Protocol::Http;
     if is_first_awaited {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct InboundMessage {
     head: Vec<u8>,
-    /// Bytes of the head that are kept at most.
+    /// The most bytes of the head to keep.
     max_head_bytes: usize,
     /// Bytes read of it and of what follows it.
     bytes: u64,
@@ -118,7 +118,7 @@
         }))
     }
 
-    /// Takes the first bytes of the current message, and keeps no more of it.
+    /// Takes the first bytes of the current message, and captures no more of it.
     pub fn take_head(&self) -> Vec<u8> {
         self.0.inbound.as_ref().map_or_else(Vec::new, |inbound| {
             let mut inbound = inbound.borrow_mut();
@@ -137,7 +137,7 @@
         self.0.inbound.as_ref().and_then(|inbound| inbound.borrow().started_at)
     }
 
-    /// What is read from now on belongs to the next message, of which up to `max_head_bytes` are kept.
+    /// What is read from now on belongs to the next message, of which it keeps up to `max_head_bytes`.
     pub fn start_next_message(&self, max_head_bytes: usize) {
         if let Some(inbound) = &self.0.inbound {
             *inbound.borrow_mut() = InboundMessage::new(max_head_bytes);
