--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -174,13 +174,13 @@
     }
 
     /// What its end depends on. The kernel is asked for a partial request only with `checks_input`.
-    pub fn shutdown_state(&self, clock: Clock, checks_input: bool) -> shutdown::Connection {
+    pub fn shutdown_state(&self, clock: Clock, checks_input: bool) -> shutdown::ConnectionState {
         let unused_for = self.last_used_at().elapsed().as_micros() as decide::Micros;
-        shutdown::Connection {
-            is_busy: self.is_busy(),
-            has_asked: self.has_received_request(),
-            has_begun: checks_input && !self.is_busy() && self.has_partial_request(),
-            used: clock.now() - unused_for,
+        shutdown::ConnectionState {
+            has_open_request: self.is_busy(),
+            has_had_request: self.has_received_request(),
+            has_partial_request: checks_input && !self.is_busy() && self.has_partial_request(),
+            last_used_at: clock.now() - unused_for,
         }
     }
 }
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use decide::Micros;
-use shutdown::{Fate, Shutdown};
+use shutdown::{ConnectionAction, Shutdown};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{timeout, timeout_at, Instant};
@@ -45,7 +45,7 @@
 
     /// Whether the graceful shutdown has started.
     pub fn is_started(&self) -> bool {
-        self.shutdown.borrow().is_told()
+        self.shutdown.borrow().has_begun()
     }
 
     /// Whether connections close with their next response.
@@ -55,7 +55,7 @@
 
     /// Reports how late this process came round to what was due.
     pub fn report_lateness(&self, lateness: Duration) {
-        self.shutdown.borrow_mut().was_late(lateness.as_micros() as Micros);
+        self.shutdown.borrow_mut().observe_lateness(lateness.as_micros() as Micros);
     }
 
     /// The time that a request may take, where its client waits for `client_timeout` from `received_at`.
@@ -63,8 +63,8 @@
         let received_at = self.clock.now() - received_at.elapsed().as_micros() as Micros;
         let client_timeout = Micros::try_from(client_timeout.as_micros()).unwrap_or(MAX_CLIENT_TIMEOUT);
         let mut shutdown = self.shutdown.borrow_mut();
-        shutdown.waits(client_timeout);
-        Duration::from_micros(shutdown.time_for(received_at, client_timeout) as u64)
+        shutdown.observe_client_timeout(client_timeout);
+        Duration::from_micros(shutdown.request_time(received_at, client_timeout) as u64)
     }
 
     /// Whether the process is about to be killed, so that no request can succeed any more.
@@ -80,18 +80,18 @@
     /// Starts the graceful shutdown, and returns for how long it goes on serving.
     fn start(&self) -> Duration {
         let mut shutdown = self.shutdown.borrow_mut();
-        shutdown.tell(self.clock.now());
-        Duration::from_micros(shutdown.serves_on() as u64)
+        shutdown.begin(self.clock.now());
+        Duration::from_micros(shutdown.accept_time() as u64)
     }
 
     fn accepts_connections(&self) -> bool {
-        self.shutdown.borrow().accepts(self.clock.now())
+        self.shutdown.borrow().accepts_connections(self.clock.now())
     }
 
     /// Brings the state up to `now`.
     fn advance(&self, now: Micros) {
         let shutdown = self.shutdown.borrow();
-        self.is_serving_over.set(shutdown.serves_until().is_some_and(|until| until <= now));
+        self.is_serving_over.set(shutdown.accepts_until().is_some_and(|until| until <= now));
         if shutdown.is_time_up(now) {
             self.is_deadline_passed.send_replace(true);
         }
@@ -138,7 +138,7 @@
             connection.is_busy() || connection.socket.unread_input() == UnreadInput::Data
         };
         let busy_count = open.iter().filter(has_work).count();
-        if drain.shutdown.borrow().may_leave(now, open.len(), busy_count) {
+        if drain.shutdown.borrow().may_exit(now, open.len(), busy_count) {
             return;
         }
         for connection in open {
@@ -156,10 +156,10 @@
 fn close_connection(drain: &DrainState, connection: &DownstreamConnection, now: Micros) {
     let shutdown = drain.shutdown.borrow();
     let state = connection.shutdown_state(drain.clock, drain.is_serving_over());
-    match shutdown.fate(now, &state) {
-        Fate::Keep => {}
-        Fate::AfterAnswer => connection.close_after_response(),
-        Fate::Close if shutdown.is_time_up(now) => connection.abort_if_idle(),
-        Fate::Close => connection.close(),
+    match shutdown.connection_action(now, &state) {
+        ConnectionAction::Keep => {}
+        ConnectionAction::CloseAfterResponse => connection.close_after_response(),
+        ConnectionAction::Close if shutdown.is_time_up(now) => connection.abort_if_idle(),
+        ConnectionAction::Close => connection.close(),
     }
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -24,7 +24,7 @@
 
 use config::Protocol;
 use decide::{DownstreamConnections, Micros};
-use shutdown::{Shutdown, Terms};
+use shutdown::{Shutdown, ShutdownPolicy};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -56,11 +56,11 @@
 impl ListenerState {
     fn new(frontend: Frontend, max_connections: usize) -> ListenerState {
         let router = &frontend.router;
-        let terms = Terms {
-            longest_wait: router.max_request_deadline().as_micros() as Micros,
+        let terms = ShutdownPolicy {
+            longest_client_timeout: router.max_request_deadline().as_micros() as Micros,
             is_killed: router.has_termination_deadline(),
-            is_alone: router.may_shut_down_alone(),
-            is_shared: frontend.is_socket_shared,
+            is_only_proxy: router.may_shut_down_alone(),
+            shares_listener: frontend.is_socket_shared,
         };
         let clock = Clock::new();
         ListenerState {
--- a/crates/proxy/src/operators/mod.rs
+++ b/crates/proxy/src/operators/mod.rs
@@ -8,7 +8,7 @@
 use std::future::Future;
 use std::pin::Pin;
 
-use membership::Refused;
+use membership::MaintenanceRejection;
 
 use crate::maintenance::MaintenanceStore;
 
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// Several pools have an endpoint of this name, or maintenance is not available.
-    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, Refused>;
+    fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection>;
 }
 
 /// An endpoint that is put into maintenance or taken out of it.
@@ -40,10 +40,10 @@
 ///
 /// # Errors
 /// Several endpoints match.
-pub fn unique_endpoint(id: &str, mut matches: Vec<String>) -> Result<String, Refused> {
+pub fn unique_endpoint(id: &str, mut matches: Vec<String>) -> Result<String, MaintenanceRejection> {
     match matches.pop() {
         None => Ok(id.to_owned()),
         Some(only) if matches.is_empty() => Ok(only),
-        Some(_) => Err(Refused::Several),
+        Some(_) => Err(MaintenanceRejection::AmbiguousName),
     }
 }
