--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 use config::{Shared, Tenants};
+use decide::Micros;
 use limit::Limiter;
 use membership::MaintenanceRejection;
 
@@ -56,9 +57,10 @@
 
     /// Serves another version of the tenants from the next request on. Requests in flight complete under the former.
     pub fn apply(&self, version: u64, tenants: &Arc<Tenants>) {
+        let now = self.clock.now();
         self.remove_missing(tenants);
         for name in tenants.all.keys() {
-            self.add_or_update(name, version, tenants);
+            self.add_or_update(now, name, version, tenants);
         }
         *self.current.borrow_mut() = Arc::clone(tenants);
         say(format_args!("version {version}: {} tenants", tenants.all.len()));
@@ -76,9 +78,8 @@
         });
     }
 
-    fn add_or_update(&self, name: &str, version: u64, tenants: &Tenants) {
+    fn add_or_update(&self, now: Micros, name: &str, version: u64, tenants: &Tenants) {
         let tenant = &tenants.all[name];
-        let now = self.clock.now();
         let limits = tenants.limits(&self.shared, tenant);
         let max_connections = tenants.sockets(&self.shared, tenant);
         let key_bounds = tenants.keys(&self.shared, tenant);
--- a/crates/proxy/src/platform/config_file.rs
+++ b/crates/proxy/src/platform/config_file.rs
@@ -67,7 +67,7 @@
     Sockets(usize),
     /// The settings object cannot be used.
     Settings(PlatformSettingsError),
-    /// Peers are told apart by their addresses.
+    /// Peers are identified by their addresses.
     DuplicatePeer(SocketAddr),
     /// The seed is no 64-bit number in hexadecimal digits.
     Seed(String),
