--- a/crates/idempotency/tests/properties.rs
+++ b/crates/idempotency/tests/properties.rs
@@ -15,58 +15,95 @@
     }
 }
 
-#[test]
-fn no_key_is_executed_while_it_is_in_progress_or_within_its_retention() {
-    for seed in 0..300 {
+/// The table beside the model.
+struct Run {
+    seed: u64,
+    random: fastrand::Rng,
+    limits: TableLimits,
+    table: IdempotencyTable<u64>,
+    model: HashMap<String, ModelEntry>,
+    in_progress: Vec<(ReservationId, String)>,
+    now: Micros,
+    last_response: u64,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
         let mut random = fastrand::Rng::with_seed(seed);
         let limits =
             TableLimits { max_keys: 1 + random.usize(..12), max_response_bytes: random.usize(..600) };
-        let mut table = IdempotencyTable::new(limits);
-        let mut model: HashMap<String, ModelEntry> = HashMap::new();
-        let mut in_progress: Vec<(ReservationId, String)> = Vec::new();
-        let mut now = 0;
-        let mut last_response = 0;
-        for _ in 0..2_000 {
-            now += random.i64(0..40);
-            if !in_progress.is_empty() && random.u8(..2) == 0 {
-                let (reservation, key) = in_progress.swap_remove(random.usize(..in_progress.len()));
-                if random.u8(..3) == 0 {
-                    table.release(reservation);
-                    model.remove(&key);
-                } else {
-                    last_response += 1;
-                    let retention = random.i64(0..400);
-                    let stored = StoredResponse { response: last_response, bytes: random.usize(..200) };
-                    table.complete(now, reservation, stored, retention);
-                    let entry =
-                        ModelEntry::Completed { expires_at: now + retention, response: last_response };
-                    model.insert(key, entry);
-                }
-            } else {
-                let key = format!("k{}", random.u8(..30));
-                let known = model.get(&key).filter(|entry| !entry.is_expired(now));
-                match (table.reserve(now, "class", &key), known) {
-                    (ReserveOutcome::Reserved(reservation), None) => {
-                        model.insert(key.clone(), ModelEntry::InProgress);
-                        in_progress.push((reservation, key));
-                    }
-                    (ReserveOutcome::InProgress, Some(ModelEntry::InProgress))
-                    | (ReserveOutcome::ResponseEvicted, Some(ModelEntry::Completed { .. })) => {}
-                    (ReserveOutcome::Completed(given), Some(ModelEntry::Completed { response, .. })) => {
-                        assert_eq!(given, *response, "seed {seed}: the response of another request");
-                    }
-                    // Only an unknown key is rejected, and only at the limit.
-                    (ReserveOutcome::TableFull { .. }, None) => {
-                        assert_eq!(table.usage().keys, limits.max_keys, "seed {seed}");
-                    }
-                    (outcome, _) => panic!("seed {seed}, {now}: {key} comes to {outcome:?}"),
-                }
+        Run {
+            seed,
+            random,
+            limits,
+            table: IdempotencyTable::new(limits),
+            model: HashMap::new(),
+            in_progress: Vec::new(),
+            now: 0,
+            last_response: 0,
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.random.i64(0..40);
+        if !self.in_progress.is_empty() && self.random.u8(..2) == 0 {
+            self.end_request();
+        } else {
+            self.start_request();
+        }
+        let usage = self.table.usage();
+        assert!(
+            usage.keys <= self.limits.max_keys && usage.response_bytes <= self.limits.max_response_bytes,
+            "seed {}: {usage:?}",
+            self.seed
+        );
+    }
+
+    fn end_request(&mut self) {
+        let index = self.random.usize(..self.in_progress.len());
+        let (reservation, key) = self.in_progress.swap_remove(index);
+        if self.random.u8(..3) == 0 {
+            self.table.release(reservation);
+            self.model.remove(&key);
+            return;
+        }
+        self.last_response += 1;
+        let response = self.last_response;
+        let retention = self.random.i64(0..400);
+        let stored = StoredResponse { response, bytes: self.random.usize(..200) };
+        self.table.complete(self.now, reservation, stored, retention);
+        self.model.insert(key, ModelEntry::Completed { expires_at: self.now + retention, response });
+    }
+
+    fn start_request(&mut self) {
+        let Run { seed, now, .. } = *self;
+        let key = format!("k{}", self.random.u8(..30));
+        let known = self.model.get(&key).filter(|entry| !entry.is_expired(now));
+        match (self.table.reserve(now, "class", &key), known) {
+            (ReserveOutcome::Reserved(reservation), None) => {
+                self.model.insert(key.clone(), ModelEntry::InProgress);
+                self.in_progress.push((reservation, key));
+            }
+            (ReserveOutcome::InProgress, Some(ModelEntry::InProgress))
+            | (ReserveOutcome::ResponseEvicted, Some(ModelEntry::Completed { .. })) => {}
+            (ReserveOutcome::Completed(given), Some(ModelEntry::Completed { response, .. })) => {
+                assert_eq!(given, *response, "seed {seed}: the response of another request");
             }
-            let usage = table.usage();
-            assert!(
-                usage.keys <= limits.max_keys && usage.response_bytes <= limits.max_response_bytes,
-                "seed {seed}: {usage:?}"
-            );
+            // Only an unknown key is rejected, and only at the limit.
+            (ReserveOutcome::TableFull { .. }, None) => {
+                assert_eq!(self.table.usage().keys, self.limits.max_keys, "seed {seed}");
+            }
+            (outcome, _) => panic!("seed {seed}, {now}: {key} comes to {outcome:?}"),
+        }
+    }
+}
+
+#[test]
+fn no_key_is_executed_while_it_is_in_progress_or_within_its_retention() {
+    for seed in 0..300 {
+        let mut run = Run::new(seed);
+        for _ in 0..2_000 {
+            run.step();
         }
     }
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! I/O tasks send inputs through a [`DriverHandle`]. The driver takes them one at a time and in order, so events never
 //! nest and nothing here needs a lock. Of each request it keeps who is owed the response and which attempts run
-//! ([`open_request`]); what the ends of attempts prove is worked out without I/O ([`attempt_history`]).
+//! (`open_request`); what the ends of attempts prove is worked out without I/O (`attempt_history`).
 
 mod attempt_history;
 mod attempt_task;
--- a/crates/proxy/src/upstream/endpoint_table.rs
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -151,6 +151,7 @@
         self.close_idle_http() || self.close_idle_rpc()
     }
 
+    /// Closes, among the longest idle connection of each endpoint, the one that has been idle for the shortest time.
     fn close_idle_http(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_http_idle_time()?, all)));
@@ -159,6 +160,7 @@
         true
     }
 
+    /// Closes the connection that has been without calls the longest.
     fn close_idle_rpc(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_idle_rpc()?, all)));
--- a/crates/proxy/src/upstream/http_response.rs
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -34,9 +34,9 @@
     let max_streamed_bytes = max_streamed_bytes(request, head.status, &body);
     let (body, reusable_connection) = match buffer(body, max_streamed_bytes.is_some()).await {
         Ok(BufferOutcome::Complete(body)) => (Some(body.into()), Some(connection)),
-        Ok(BufferOutcome::Partial { prefix: start, rest }) => {
+        Ok(BufferOutcome::Partial { prefix, rest }) => {
             let max_bytes = max_streamed_bytes.unwrap_or_default();
-            let stream = Rc::new(StreamingBody::for_response(rest, start, max_bytes, request.deadline));
+            let stream = Rc::new(StreamingBody::for_response(rest, prefix, max_bytes, request.deadline));
             reuse_at_end(pool, request, &stream, connection);
             (Some(MessageBody::Streaming(stream)), None)
         }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,15 +1,15 @@
 //! The upstream side: the endpoints of a pool, the connections to them, and attempts of requests.
 //!
-//! The driver's decisions choose the endpoint. An attempt then goes through these phases, over HTTP in [`http_attempt`]
-//! and over JSON-RPC in [`rpc_attempt`]:
+//! The driver's decisions choose the endpoint. An attempt then goes through these phases, over HTTP in `http_attempt`
+//! and over JSON-RPC in `rpc_attempt`:
 //!
-//! 1. take a connection: an idle one ([`connections`]) or a new one ([`connect`]);
-//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline ([`send_checks`]);
+//! 1. take a connection: an idle one (`connections`) or a new one (`connect`);
+//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline (`send_checks`);
 //! 3. send the request, and retry on another connection if a reused one had just closed;
 //! 4. read the response;
-//! 5. classify the outcome: [`attempt_error`] is the one place that says what a failure proves.
+//! 5. classify the outcome: `attempt_error` is the one place that says what a failure proves.
 //!
-//! What bounds it: the number of sockets ([`socket_limit`]), the idle time of connections, and the drain grace, after
+//! What bounds it: the number of sockets (`socket_limit`), the idle time of connections, and the drain grace, after
 //! which an endpoint that was removed is forgotten.
 
 mod attempt_error;
@@ -54,9 +54,9 @@
 const IDLE_PART_OF_KEEPALIVE: f64 = 0.75;
 /// The last part of the drain grace in which no attempt is started any more.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(150);
-/// The pause between two evictions of idle connections, as a part of the time for which they are kept.
+/// The number of evictions of idle connections in the time for which these are kept.
 const EVICTIONS_PER_IDLE_TIME: u32 = 10;
-/// The bounds of that pause.
+/// The bounds of the pause between two evictions.
 const MIN_EVICTION_PAUSE: Duration = Duration::from_millis(10);
 const MAX_EVICTION_PAUSE: Duration = Duration::from_secs(1);
 
--- a/crates/proxy/src/upstream/rpc_connection/mod.rs
+++ b/crates/proxy/src/upstream/rpc_connection/mod.rs
@@ -1,6 +1,6 @@
 //! A connection to an endpoint that speaks JSON-RPC: many calls at once, each with a result of its own.
 //!
-//! A task ([`task`]) writes and reads; the calls ([`call`]) share the state of the connection ([`state`]) with it. Bounded
+//! A task (`task`) writes and reads; the calls (`call`) share the state of the connection (`state`) with it. Bounded
 //! by [`RpcSettings::max_concurrent_calls`]; twice as many frames may wait to be written.
 
 mod call;
--- a/crates/route/src/matcher.rs
+++ b/crates/route/src/matcher.rs
@@ -97,15 +97,15 @@
             && self.headers.iter().all(|(name, value)| other.allows_header(name, value))
     }
 
-    /// Whether it does not ask for another value of this header.
+    /// Whether it does not require another value of this header.
     fn allows_header(&self, name: &str, value: &str) -> bool {
-        let asked = self.headers.iter().find(|(asked, _)| asked == name);
-        asked.is_none_or(|(_, asked_value)| asked_value == value)
+        let required = self.headers.iter().find(|(required, _)| required == name);
+        required.is_none_or(|(_, required_value)| required_value == value)
     }
 }
 
-fn is_none_or_equal(asked: Option<&str>, given: Option<&str>) -> bool {
-    asked.is_none() || asked == given
+fn is_none_or_equal(required: Option<&str>, given: Option<&str>) -> bool {
+    required.is_none() || required == given
 }
 
 /// Whether two lists, of which an empty one allows any name, allow a common one.
--- a/crates/route/tests/reference.rs
+++ b/crates/route/tests/reference.rs
@@ -21,8 +21,8 @@
 fn path_pattern() -> impl Strategy<Value = PathPattern> {
     let segment = prop_oneof![3 => Just("a"), 3 => Just("b"), 2 => Just("{}")];
     (prop::collection::vec(segment, 0..4), 0..3).prop_map(|(segments, end)| {
-        let named = segments.iter().enumerate().map(|(i, s)| s.replace("{}", &format!("{{p{i}}}")));
-        let mut path: String = named.map(|s| format!("/{s}")).collect();
+        let pairs = segments.iter().enumerate().map(|(i, s)| s.replace("{}", &format!("{{p{i}}}")));
+        let mut path: String = pairs.map(|s| format!("/{s}")).collect();
         match end {
             0 => path.push_str("/*"),
             1 => path.push('/'),
@@ -44,8 +44,8 @@
 fn matches() -> impl Strategy<Value = RouteMatcher> {
     let host = prop::sample::select(vec!["*", "x", "y.x", "*.x", "*.y.x", "*.z"]);
     let headers = (maybe(&["1", "2"]), maybe(&["1", "2"])).prop_map(|(a, b)| {
-        let named = [("h-a", a), ("h-b", b)];
-        named.into_iter().filter_map(|(n, v)| Some((n.to_owned(), v?))).collect()
+        let pairs = [("h-a", a), ("h-b", b)];
+        pairs.into_iter().filter_map(|(n, v)| Some((n.to_owned(), v?))).collect()
     });
     (
         host,
@@ -111,8 +111,8 @@
         headers,
     )
         .prop_map(|(host, method, path, class, tenant, zone, (a, b))| {
-            let named = [("h-a", a), ("h-b", b)];
-            let headers = named.into_iter().filter_map(|(n, v)| Some((n.to_owned(), v?))).collect();
+            let pairs = [("h-a", a), ("h-b", b)];
+            let headers = pairs.into_iter().filter_map(|(n, v)| Some((n.to_owned(), v?))).collect();
             Request { host, method, path, class, tenant, zone, headers }
         })
 }
