--- a/benches/announce.rs
+++ b/benches/announce.rs
@@ -60,11 +60,11 @@
         .map(|(i, node)| format!("{{ name = \"n{i}\", address = \"{}\" }}", node.address))
         .collect();
     let router = Router::start("127.0.3.2", 65001, 3, RouterBehavior::default());
-    let proxy = serve(&config(&listed, router.address, ""), &[]);
+    let proxy = start_standalone(&config(&listed, router.address, ""), &[]);
     let (place, begun, _) = router.wait_for_announcement(0, PREFIX);
     let callers: Vec<_> = (0..24)
         .map(|_| {
-            let mut caller = proxy.caller();
+            let mut caller = proxy.connect();
             thread::spawn(move || {
                 let mut answers = 0;
                 while begun.elapsed() < Duration::from_secs(6) {
@@ -112,8 +112,8 @@
         .collect();
     let router = Router::start("127.0.3.1", 65001, 9, RouterBehavior::default());
     let text = config(&nodes, router.address, "probe = { path = \"/\" }");
-    let proxy = serve(&text, &[]);
-    proxy.says("bgp: operators on ");
+    let proxy = start_standalone(&text, &[]);
+    proxy.wait_for_log("bgp: operators on ");
     let log = proxy.log();
     let api = log.split("bgp: operators on ").nth(1).and_then(|rest| rest.lines().next()).expect("said");
     let mut place = router.wait_for_announcement(0, PREFIX).0;
--- a/benches/bodies.rs
+++ b/benches/bodies.rs
@@ -28,9 +28,9 @@
         return;
     }
     let node = backend();
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let mut setup = Setup { aim_ms: 5000, ..Setup::of(&[]) };
-    setup.hosts = vec![host("s-0", node, "SERVING")];
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let mut setup = Setup { latency_objective_ms: 5000, ..Setup::with_endpoints(&[]) };
+    setup.endpoints = vec![host("s-0", node, "SERVING")];
     let process = held.start(&with_operators(&setup.config(discovery.address)));
     ratio(held.address, node);
     memory(&process, held.address);
@@ -38,7 +38,7 @@
 
 /// Answers each request with the same body, for as long as its connection lasts.
 fn backend() -> SocketAddr {
-    raw_backend(|mut stream| {
+    raw_endpoint(|mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         while head(&mut reader) && answer(&mut stream).is_ok() {}
     })
@@ -64,7 +64,7 @@
 
 /// Connects to each backend's client by copying bytes, and nothing else.
 fn plain(to: SocketAddr) -> SocketAddr {
-    raw_backend(move |mut caller| {
+    raw_endpoint(move |mut caller| {
         let mut node = TcpStream::connect(to).expect("it listens");
         let (mut from, mut back) = (caller.try_clone().expect("a copy"), node.try_clone().expect("a copy"));
         thread::spawn(move || std::io::copy(&mut from, &mut node));
@@ -106,7 +106,7 @@
 }
 
 fn memory(process: &Process, at: SocketAddr) {
-    let (_, before) = process.holds();
+    let (_, before) = process.descriptors_and_memory();
     let until = Instant::now() + WATCH;
     let readers: Vec<_> = (0..BODIES)
         .map(|n| {
@@ -118,8 +118,8 @@
         .collect();
     let (mut most, mut open) = (before, 0);
     while Instant::now() < until {
-        most = most.max(process.holds().1);
-        open = open.max(process.figure("edge_lb_active"));
+        most = most.max(process.descriptors_and_memory().1);
+        open = open.max(process.metric("edge_lb_active"));
         thread::sleep(Duration::from_millis(20));
     }
     let all: Vec<(usize, bool)> = readers.into_iter().map(|r| r.join().expect("no panic")).collect();
--- a/benches/ending.rs
+++ b/benches/ending.rs
@@ -69,14 +69,14 @@
             })
         })
         .collect();
-    let mut setup = Setup::of(&nodes.iter().collect::<Vec<_>>());
-    (setup.aim_ms, setup.deadline_ms, setup.balancers) = (deadline_ms, deadline_ms, 3);
+    let mut setup = Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>());
+    (setup.latency_objective_ms, setup.deadline_ms, setup.balancers) = (deadline_ms, deadline_ms, 3);
     let proxy = setup.start_program(program);
     let told = Arc::<Mutex<Option<Instant>>>::default();
     let counts = Arc::<Mutex<BTreeMap<u128, Count>>>::default();
     let callers: Vec<_> = (0..CALLERS)
         .map(|c| {
-            let (mut caller, told, counts) = (proxy.caller(), Arc::clone(&told), Arc::clone(&counts));
+            let (mut caller, told, counts) = (proxy.connect(), Arc::clone(&told), Arc::clone(&counts));
             thread::spawn(move || {
                 for n in 0.. {
                     // Both may find the connection closed: that crosses the request, which goes elsewhere.
--- a/benches/listeners.rs
+++ b/benches/listeners.rs
@@ -18,8 +18,8 @@
         return;
     }
     let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::new([ok("done")])).collect();
-    let platform = Setup::of(&nodes.iter().collect::<Vec<_>>()).start();
-    let own = serve(&own_config(&nodes), &[]);
+    let platform = Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).start();
+    let own = start_standalone(&own_config(&nodes), &[]);
     let told = pairs::told([&platform, &own], &nodes, ROUNDS, REQUESTS);
     println!("own listener / platform listener, {told}");
 }
--- a/benches/pairs/mod.rs
+++ b/benches/pairs/mod.rs
@@ -13,13 +13,13 @@
         // Who goes first alternates too.
         for side in [round % 2, 1 - round % 2] {
             let proxy = proxies[side];
-            let before = proxy.cpu_time();
-            let mut caller = proxy.caller();
+            let before = proxy.cpu_time_ns();
+            let mut caller = proxy.connect();
             for i in 0..requests {
                 let answer = caller.ask(&request.replace("0000000000000000", &format!("{i:016x}")));
                 assert_eq!(answer.status(), 200, "{i} of round {round}, side {side}");
             }
-            cost[side] = (proxy.cpu_time() - before) as f64;
+            cost[side] = (proxy.cpu_time_ns() - before) as f64;
             nodes.iter().for_each(|n| drop(n.requests()));
         }
         ratios.extend((round > 0).then(|| cost[1] / cost[0]));
--- a/benches/price.rs
+++ b/benches/price.rs
@@ -23,8 +23,8 @@
     // Against itself it tells how far to believe the figure.
     let before = std::env::var("BEFORE").unwrap_or_else(|_| now.clone());
     let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
-    let proxies =
-        [before, now].map(|program| Setup::of(&nodes.iter().collect::<Vec<_>>()).start_program(&program));
+    let proxies = [before, now]
+        .map(|program| Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).start_program(&program));
     let told = pairs::told([&proxies[0], &proxies[1]], &nodes, ROUNDS, REQUESTS);
     println!("this build / the other, {told}");
 }
--- a/benches/protocols.rs
+++ b/benches/protocols.rs
@@ -48,13 +48,17 @@
         }
     }
 
-    fn proxy(&self, speaks: bool, listen: &str) -> Both {
+    fn proxy(&self, speaks: bool, listen: &str) -> DualProtocolProxy {
         let nodes: Vec<_> = if speaks {
             self.rpc.iter().map(|n| n.address).collect()
         } else {
             self.http.iter().map(|n| n.address).collect()
         };
-        Both::start(&Site { speaks, listen: listen.to_owned(), ..Site::http(&nodes) })
+        DualProtocolProxy::start(&RpcSite {
+            nodes_speak_rpc: speaks,
+            rpc_listener_settings: listen.to_owned(),
+            ..RpcSite::http(&nodes)
+        })
     }
 
     fn forget(&self) {
@@ -77,7 +81,8 @@
         ("HTTP to JSON-RPC", false, true),
         ("JSON-RPC to HTTP", true, false),
     ];
-    let proxies: Vec<Both> = sides.iter().map(|(_, _, speaks)| nodes.proxy(*speaks, "")).collect();
+    let proxies: Vec<DualProtocolProxy> =
+        sides.iter().map(|(_, _, speaks)| nodes.proxy(*speaks, "")).collect();
     let mut ratios = vec![Vec::new(); sides.len()];
     let mut times = vec![Vec::new(); sides.len()];
     for round in 0..=ROUNDS {
@@ -85,8 +90,8 @@
         for turn in 0..sides.len() {
             let side = (turn + round) % sides.len();
             let proxy = &proxies[side];
-            let before = proxy.process.cpu_time();
-            let (mut http, mut rpc) = (proxy.process.caller(), proxy.rpc());
+            let before = proxy.process.cpu_time_ns();
+            let (mut http, mut rpc) = (proxy.process.connect(), proxy.rpc());
             for n in 0..REQUESTS {
                 let sent = Instant::now();
                 if sides[side].1 {
@@ -97,7 +102,7 @@
                 }
                 times[side].push(sent.elapsed().as_secs_f64() * 1e6);
             }
-            cost[side] = (proxy.process.cpu_time() - before) as f64;
+            cost[side] = (proxy.process.cpu_time_ns() - before) as f64;
             nodes.forget();
         }
         if round > 0 {
@@ -124,7 +129,7 @@
     for round in 0..=ROUNDS {
         let by_http = {
             let since = Instant::now();
-            let mut callers: Vec<HttpClient> = (0..OPEN).map(|_| to_http.process.caller()).collect();
+            let mut callers: Vec<HttpClient> = (0..OPEN).map(|_| to_http.process.connect()).collect();
             for _ in 0..REQUESTS / OPEN {
                 callers.iter_mut().for_each(|c| c.send("GET /standings/1 HTTP/1.1\r\nHost: h\r\n\r\n"));
                 callers.iter_mut().for_each(|c| assert_eq!(c.receive().status(), 200));
@@ -159,7 +164,7 @@
     let nodes = Nodes::start();
     let proxy = nodes.proxy_for_many();
     proxy.rpc().call(1, "standings", json!({}));
-    let (_, before) = proxy.process.holds();
+    let (_, before) = proxy.process.descriptors_and_memory();
     let mut open = Vec::new();
     while open.len() < IDLE {
         match TcpStream::connect(proxy.rpc) {
@@ -172,12 +177,12 @@
     }
     // Until it has accepted them all.
     let since = Instant::now();
-    while proxy.process.holds().0 < open.len() && since.elapsed() < Duration::from_secs(30) {
+    while proxy.process.descriptors_and_memory().0 < open.len() && since.elapsed() < Duration::from_secs(30) {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let ((descriptors, after), busy) = (proxy.process.holds(), proxy.process.cpu_time());
+    let ((descriptors, after), busy) = (proxy.process.descriptors_and_memory(), proxy.process.cpu_time_ns());
     std::thread::sleep(Duration::from_secs(3));
-    let rest = (proxy.process.cpu_time() - busy) as f64 / 3e6;
+    let rest = (proxy.process.cpu_time_ns() - busy) as f64 / 3e6;
     let taken = after - before;
     println!(
         "\n{} idle connections ({descriptors} descriptors): {taken} kB, {:.2} KiB each; a second of rest costs {rest:.1} ms",
@@ -189,9 +194,9 @@
 }
 
 impl Nodes {
-    fn proxy_for_many(&self) -> Both {
+    fn proxy_for_many(&self) -> DualProtocolProxy {
         let nodes: Vec<_> = self.rpc.iter().map(|n| n.address).collect();
         let server = format!("sockets = {}\n", IDLE * 4);
-        Both::start(&Site { server, ..Site::rpc(&nodes) })
+        DualProtocolProxy::start(&RpcSite { server_settings: server, ..RpcSite::rpc(&nodes) })
     }
 }
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -34,14 +34,14 @@
 
 /// The time from the start to the first sign of a list, in milliseconds, and the memory then, in kilobytes.
 fn start(servers: usize) -> (f64, u64) {
-    let mut setup = Setup::of(&[]);
+    let mut setup = Setup::with_endpoints(&[]);
     let away = unused_address();
-    setup.hosts = (0..servers).map(|n| host(&format!("server-{n:06}"), away, "SERVING")).collect();
+    setup.endpoints = (0..servers).map(|n| host(&format!("server-{n:06}"), away, "SERVING")).collect();
     setup.balancers = 1024;
     let since = Instant::now();
     let proxy = setup.start();
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     while caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() != 200 {}
     let ms = since.elapsed().as_secs_f64() * 1e3;
-    (ms, proxy.holds().1)
+    (ms, proxy.descriptors_and_memory().1)
 }
--- a/benches/tenants.rs
+++ b/benches/tenants.rs
@@ -47,7 +47,7 @@
     let nodes: Vec<FixedLatencyEndpoint> = (0..3)
         .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(2)).expect("a port"))
         .collect();
-    let service = host_service(&hosted_file("capacity = { requests_per_s = 1200 }\n", ""));
+    let service = start_hosted(&hosted_config("capacity = { requests_per_s = 1200 }\n", ""));
     for (i, name) in ["a", "b", "c"].iter().enumerate() {
         let doc = tenant(&format!("{name}.example"), &[nodes[i].address], json!({}));
         assert_eq!(service.put(&format!("/v1/tenants/{name}"), &doc).status, 200);
@@ -103,8 +103,8 @@
 fn many() {
     let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let service = |tenants: usize| {
-        let folder = folder();
-        let mut file = hosted_file("sockets = 20000\n", "");
+        let folder = temp_folder();
+        let mut file = hosted_config("sockets = 20000\n", "");
         let config = format!(
             "[[class]]\nname = \"c\"\naim_ms = 4000\ndeadline_ms = 4000\nsemantics = \"idempotent\"\n[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n0\", address = \"{}\" }}]\n[[route]]\nname = \"r\"\nmatch = {{ path = \"/*\" }}\nclass = \"c\"\npool = \"p\"\n",
             node.address
@@ -113,7 +113,7 @@
         for i in 0..tenants {
             file += &format!("[[tenant]]\nname = \"t{i}\"\nhosts = [\"t{i}.example\"]\nfile = \"t.toml\"\n");
         }
-        start_in(&folder, &file)
+        start_hosted_in(&folder, &file)
     };
     let (one, thousand) = (service(1), service(1000));
     let mut ratios = Vec::new();
@@ -121,15 +121,15 @@
         let mut cost = [0.0; 2];
         for side in [round % 2, 1 - round % 2] {
             let (service, tenants) = if side == 0 { (&one, 1) } else { (&thousand, 1000) };
-            let before = service.process.cpu_time();
-            let mut caller = service.process.caller();
+            let before = service.process.cpu_time_ns();
+            let mut caller = service.process.connect();
             for i in 0..4000 {
                 // Ten of them ask.
                 let host = format!("t{}.example", i % 10 % tenants);
                 let answer = caller.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n"));
                 assert_eq!(answer.status(), 200);
             }
-            cost[side] = (service.process.cpu_time() - before) as f64;
+            cost[side] = (service.process.cpu_time_ns() - before) as f64;
         }
         if round > 0 {
             ratios.push(cost[1] / cost[0]);
--- a/tests/administration.rs
+++ b/tests/administration.rs
@@ -27,7 +27,7 @@
         "[[admin.token]]\nname = \"op\"\nrole = \"operator\"\nsha256 = \"{}\"\n[[admin.token]]\nname = \"adm\"\nrole = \"administrator\"\ntenant = \"one\"\nsha256 = \"{}\"\n[[admin.token]]\nname = \"read\"\nrole = \"reader\"\ntenant = \"two\"\nsha256 = \"{}\"\n",
         made[0].1, made[1].1, made[2].1
     );
-    let service = host_service(&hosted_file("", &tokens));
+    let service = start_hosted(&hosted_config("", &tokens));
     let made = made.map(|(text, _)| text);
     for name in ["one", "two"] {
         let doc = tenant(&format!("{name}.example"), &[unused_address()], json!({}));
@@ -127,8 +127,8 @@
 
 #[test]
 fn without_a_token_the_api_is_for_this_machine_only() {
-    let file = hosted_file("", "").replacen("listen = \"127.0.0.1:0\"", "listen = \"192.0.2.1:8081\"", 1);
-    let (child, _) = try_serve(&file, &[]);
+    let file = hosted_config("", "").replacen("listen = \"127.0.0.1:0\"", "listen = \"192.0.2.1:8081\"", 1);
+    let (child, _) = spawn_standalone(&file, &[]);
     let output = child.wait_with_output().expect("it ends");
     let said = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success());
@@ -248,7 +248,7 @@
     let (service, [op, ..]) = guarded();
     // Heads and bodies that do not come, on fewer connections than there may be.
     let mut slow: Vec<HttpClient> = (0..40)
-        .map(|_| HttpClient::of(std::net::TcpStream::connect(service.admin).expect("listens")))
+        .map(|_| HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("listens")))
         .collect();
     for (i, caller) in slow.iter_mut().enumerate() {
         let body = if i % 2 == 0 { "\r\n{" } else { "" };
@@ -258,7 +258,9 @@
     assert_eq!(told.status, 422);
     assert!(told.body["error"].is_string());
     let raw = |request: String| {
-        HttpClient::of(std::net::TcpStream::connect(service.admin).expect("listens")).ask(&request).status()
+        HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("listens"))
+            .ask(&request)
+            .status()
     };
     let put = |body: &str| {
         raw(format!("PUT /v1/tenants/one HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {op}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
@@ -279,13 +281,13 @@
 /// and never one before the last that was answered.
 #[test]
 fn a_kill_at_any_moment_leaves_the_version_before_or_the_one_after() {
-    let folder = folder();
-    let file = hosted_file("", "");
+    let folder = temp_folder();
+    let file = hosted_config("", "");
     let mut answered = 0_u64;
     let mut rng = 0x2545_f491_4f6c_dd1d_u64;
     let kills = 200;
     for round in 0..kills {
-        let service = start_in(&folder, &file);
+        let service = start_hosted_in(&folder, &file);
         let now = service.get("/v1/versions").body[0]["number"].as_u64().expect("a version");
         assert!(
             now == answered || now == answered + 1 || answered == 0,
@@ -301,7 +303,7 @@
         rng ^= rng >> 7;
         rng ^= rng << 17;
         let after = Duration::from_micros(rng % 12_000);
-        let pid = service.process.id();
+        let pid = service.process.pid();
         let killer = thread::spawn(move || {
             thread::sleep(after);
             let _ = Command::new("sh").args(["-c", &format!("kill -KILL {pid}")]).status();
@@ -324,8 +326,8 @@
 /// A disk with no room: the change is refused and nothing has changed; with room again it is made.
 #[test]
 fn a_full_disk_refuses_changes_and_goes_on_serving() {
-    let folder = folder();
-    let file = hosted_file("", "");
+    let folder = temp_folder();
+    let file = hosted_config("", "");
     let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let doc = |i: u64| {
         let mut doc = tenant("club.example", &[node.address], json!({ "weight": i }));
@@ -333,7 +335,7 @@
         doc
     };
     // No file may grow past some megabytes; a write that would gets an error, as on a full disk.
-    let service = start_with(&folder, &file, "trap '' XFSZ; ulimit -f 6000;");
+    let service = start_hosted_with(&folder, &file, "trap '' XFSZ; ulimit -f 6000;");
     assert_eq!(service.put("/v1/tenants/club", &doc(1)).status, 200);
     let mut last = 1;
     let refused = (2..200).find_map(|i| {
@@ -348,18 +350,18 @@
     assert_eq!(refused.status, 507, "{refused:?}");
     assert!(refused.body["error"].as_str().expect("words").contains("nothing has changed"));
     assert_eq!(service.get("/v1/tenants/club").body["limits"]["weight"], last);
-    assert_eq!(service.ask("club.example", "/x").status(), 200);
+    assert_eq!(service.request("club.example", "/x").status(), 200);
     drop(service);
-    let service = start_in(&folder, &file);
+    let service = start_hosted_in(&folder, &file);
     assert_eq!(service.get("/v1/tenants/club").body["limits"]["weight"], last, "{}", service.process.log());
     assert_eq!(service.put("/v1/tenants/club", &doc(500)).status, 200);
 }
 
 #[test]
 fn damage_is_said_and_the_newest_good_version_serves() {
-    let folder = folder();
-    let file = hosted_file("", "");
-    let service = start_in(&folder, &file);
+    let folder = temp_folder();
+    let file = hosted_config("", "");
+    let service = start_hosted_in(&folder, &file);
     for weight in 1..=4 {
         assert_eq!(
             service
@@ -375,7 +377,7 @@
     let state = folder.join("state");
     let whole = std::fs::read(state.join("state.redb")).expect("there");
     std::fs::write(state.join("state.redb"), &whole[..whole.len() / 2]).expect("written");
-    let service = start_in(&folder, &file);
+    let service = start_hosted_in(&folder, &file);
     assert!(service.process.log().contains("set aside"), "{}", service.process.log());
     assert_eq!(service.get("/v1/tenants/club").body["limits"]["weight"], 4);
     assert_eq!(
@@ -391,7 +393,7 @@
     let (service, [op, ..]) = guarded();
     let run = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
-        command.args(args).args(["--api", &service.admin.to_string()]).env("AMBERLEVER_TOKEN", &op);
+        command.args(args).args(["--api", &service.admin_address.to_string()]).env("AMBERLEVER_TOKEN", &op);
         let output = command.output().expect("it runs");
         let (out, err) = (
             String::from_utf8(output.stdout).expect("text"),
--- a/tests/announce.rs
+++ b/tests/announce.rs
@@ -57,7 +57,7 @@
 }
 
 fn said(proxy: &Process, words: &str) -> SocketAddr {
-    proxy.says(words);
+    proxy.wait_for_log(words);
     let log = proxy.log();
     let line = log.lines().find_map(|line| line.split_once(words)).expect("said").1;
     line.trim().parse().expect("an address")
@@ -90,11 +90,11 @@
 
 #[test]
 fn an_address_goes_with_its_last_node_and_comes_back_after_the_hold_up() {
-    let (router, mut lamps) = (router(1), [Lamp::lit(), Lamp::lit()]);
+    let (router, mut lamps) = (router(1), [RestartableEndpoint::start(), RestartableEndpoint::start()]);
     let nodes: Vec<_> = lamps.iter().map(|l| l.address).collect();
     let text = config("", &[("p", &nodes)], &(peer(&router, "") + &address(PREFIX, "p")));
     let begun = Instant::now();
-    let proxy = serve(&text, &[]);
+    let proxy = start_standalone(&text, &[]);
     let (mut place, at, routes) = router.wait_for_announcement(0, PREFIX);
     assert!(at - begun >= HOLD_UP);
     assert_eq!(routes.path, [64512]);
@@ -105,16 +105,16 @@
     );
     for _ in 0..3 {
         // With half of its capacity it is announced as worse, and with none not at all.
-        lamps[0].put_out();
+        lamps[0].stop();
         let (then, _, routes) = router.wait_for_announcement(place + 1, PREFIX);
         assert_eq!((routes.med, routes.path), (Some(90), vec![64512; 3]));
-        let out = lamps[1].put_out();
+        let out = lamps[1].stop();
         let (then, gone) = router.wait_for_withdrawal(then, PREFIX);
         let took = gone.saturating_duration_since(out);
         println!("withdrawn {} ms after its last node", took.as_millis());
         assert!(took < Duration::from_secs(3), "{took:?}");
-        let lit = lamps[0].light();
-        lamps[1].light();
+        let lit = lamps[0].restart();
+        lamps[1].restart();
         let (then, back, routes) = router.wait_for_announcement(then, PREFIX);
         assert!(back - lit >= HOLD_UP, "{:?}", back - lit);
         place = if routes.med == Some(10) { then } else { router.wait_for_announcement(then + 1, PREFIX).0 };
@@ -129,10 +129,10 @@
 
 #[test]
 fn of_two_routers_one_goes_and_comes_back_and_the_other_hears_nothing_of_it() {
-    let (one, two, lamp) = (router(1), router(2), Lamp::lit());
+    let (one, two, lamp) = (router(1), router(2), RestartableEndpoint::start());
     // The first address is that of a pool without nodes: its proxy is alive, and it is never announced.
     let rest = peer(&one, "") + &peer(&two, "") + &address("198.51.100.1/32", "none") + &address(PREFIX, "p");
-    let proxy = serve(&config("", &[("none", &[]), ("p", &[lamp.address])], &rest), &[]);
+    let proxy = start_standalone(&config("", &[("none", &[]), ("p", &[lamp.address])], &rest), &[]);
     one.wait_for_announcement(0, PREFIX);
     two.wait_for_announcement(0, PREFIX);
     let (before, heard) = (one.received_count(), two.received_count());
@@ -151,20 +151,20 @@
     let (router, node) = (router(1), FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port"));
     let rest = peer(&router, "") + &address(PREFIX, "p");
     let text = config("leave_ms = 400\nshutdown_text = \"back at noon\"", &[("p", &[node.address])], &rest);
-    let mut proxy = serve(&text, &[]);
+    let mut proxy = start_standalone(&text, &[]);
     let (place, ..) = router.wait_for_announcement(0, PREFIX);
     proxy.terminate();
     let (place, leaving, routes) = router.wait_for_announcement(place + 1, PREFIX);
     assert_eq!(routes.communities, [64512 << 16 | 7, 0xffff_0000]);
     // Until the address is gone it serves as ever.
-    assert_eq!(proxy.ask("GET /p/1 HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    assert_eq!(proxy.request("GET /p/1 HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     let (place, gone) = router.wait_for_withdrawal(place, PREFIX);
     assert!(gone - leaving >= Duration::from_millis(380), "{:?}", gone - leaving);
     let (_, codes, data) = router.wait_for_notification(place);
     assert_eq!((codes, &data[1..]), ((6, 2), &b"back at noon"[..]));
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 
-    let proxy = serve(&text, &[]);
+    let proxy = start_standalone(&text, &[]);
     let (place, ..) = router.wait_for_announcement(router.received_count(), PREFIX);
     proxy.signal("KILL");
     let (over, ..) = router.wait(place, |heard| (*heard == BgpMessage::ConnectionClosed).then_some(()));
@@ -174,9 +174,9 @@
 
 #[test]
 fn whatever_a_router_sends_it_is_told_what_was_wrong_and_the_other_session_stands() {
-    let (rude, good, lamp) = (router(1), router(2), Lamp::lit());
+    let (rude, good, lamp) = (router(1), router(2), RestartableEndpoint::start());
     let rest = peer(&rude, "") + &peer(&good, "") + &address(PREFIX, "p");
-    let proxy = serve(&config("", &[("p", &[lamp.address])], &rest), &[]);
+    let proxy = start_standalone(&config("", &[("p", &[lamp.address])], &rest), &[]);
     good.wait_for_announcement(0, PREFIX);
     let update = |body: &[u8]| bgp_router::encode(2, body);
     let mut wrong_marker = bgp_router::encode(4, &[]);
@@ -234,9 +234,9 @@
 
 #[test]
 fn a_router_may_connect_itself_and_strangers_are_turned_away() {
-    let (router, lamp) = (router(5), Lamp::lit());
+    let (router, lamp) = (router(5), RestartableEndpoint::start());
     let rest = peer(&router, "passive = true") + &address(PREFIX, "p");
-    let proxy = serve(&config("", &[("p", &[lamp.address])], &rest), &[]);
+    let proxy = start_standalone(&config("", &[("p", &[lamp.address])], &rest), &[]);
     let listens = said(&proxy, "bgp: listening on ");
     let mut stranger = TcpStream::connect(listens).expect("listens");
     assert_eq!(bgp_router::read_message(&mut stranger), None);
@@ -251,16 +251,16 @@
 
 #[test]
 fn a_reload_changes_what_it_changes_and_resets_nothing_else() {
-    let (stays, goes, comes, lamp) = (router(1), router(2), router(3), Lamp::lit());
+    let (stays, goes, comes, lamp) = (router(1), router(2), router(3), RestartableEndpoint::start());
     let pools: &[(&str, &[SocketAddr])] = &[("p", &[lamp.address])];
     let rest = peer(&stays, "") + &peer(&goes, "") + &address(PREFIX, "p");
-    let proxy = serve(&config("", pools, &rest), &[]);
+    let proxy = start_standalone(&config("", pools, &rest), &[]);
     stays.wait_for_announcement(0, PREFIX);
     let (place, ..) = goes.wait_for_announcement(0, PREFIX);
     let rest =
         peer(&stays, "") + &peer(&comes, "") + &address("2001:db8::1/128", "p") + &address(PREFIX, "p");
     proxy.reload(&config("", pools, &rest));
-    proxy.says("configuration 2");
+    proxy.wait_for_log("configuration 2");
     assert_eq!(goes.wait_for_notification(place).1, (6, 3));
     comes.wait_for_announcement(0, PREFIX);
     let next_hop = "next_hop_v6 = \"2001:db8::9\"";
@@ -275,17 +275,17 @@
     // Without an address of that family at its own end, it is not announced there.
     assert!(status(&proxy)["peers"][0]["told"].as_array().is_some_and(Vec::is_empty));
     proxy.reload(&config("", pools, "[[bgp.address]]\nprefix = \"192.0.2.1/33\"\npools = [\"q\"]\n"));
-    proxy.says("configuration 3 stays");
+    proxy.wait_for_log("configuration 3 stays");
     let log = proxy.log();
     assert!(log.contains("`prefix`: \"192.0.2.1/33\" is none"), "{log}");
 }
 
 #[test]
 fn operators_look_hold_and_release_and_a_dry_run_says_what_it_would_do() {
-    let (router, lamp) = (router(1), Lamp::lit());
+    let (router, lamp) = (router(1), RestartableEndpoint::start());
     let rest = peer(&router, "") + &address(PREFIX, "p");
     let pools: &[(&str, &[SocketAddr])] = &[("p", &[lamp.address])];
-    let proxy = serve(&config("", pools, &rest), &[]);
+    let proxy = start_standalone(&config("", pools, &rest), &[]);
     let (place, ..) = router.wait_for_announcement(0, PREFIX);
     assert!(bgp(&proxy, &["hold", PREFIX]).status.success());
     let (place, _) = router.wait_for_withdrawal(place, PREFIX);
@@ -298,7 +298,7 @@
     }
     drop(proxy);
     let from = router.received_count();
-    let proxy = serve(&config("dry_run = true", pools, &rest), &[]);
+    let proxy = start_standalone(&config("dry_run = true", pools, &rest), &[]);
     until("it would", || status(&proxy)["addresses"][0]["state"] == "announced");
     let shown = String::from_utf8(bgp(&proxy, &["show"]).stdout).expect("text");
     assert!(shown.starts_with("dry run"), "{shown}");
@@ -307,7 +307,7 @@
 
 #[test]
 fn an_old_list_withdraws_nothing_and_nodes_that_do_not_answer_do() {
-    let (router, mut lamp) = (router(1), Lamp::lit());
+    let (router, mut lamp) = (router(1), RestartableEndpoint::start());
     let list = format!(
         "{{\"seq\":1,\"whole\":true,\"hosts\":[{{\"host\":\"a\",\"dial\":\"{}\",\"site\":\"local\",\"class\":\"\",\"block\":null,\"health\":\"SERVING\",\"share\":1.0,\"born_ms\":0}}]}}",
         lamp.address
@@ -315,14 +315,14 @@
     let rest = peer(&router, "")
         + &address(PREFIX, "p")
         + "\n[[pool]]\nname = \"p\"\nfile = \"nodes.json\"\n\n[[route]]\nname = \"p\"\nmatch = { path = \"/*\" }\nclass = \"read\"\npool = \"p\"\n";
-    let proxy = serve(&config("list_old_s = 1", &[], &rest), &[("nodes.json", &list)]);
+    let proxy = start_standalone(&config("list_old_s = 1", &[], &rest), &[("nodes.json", &list)]);
     let (place, ..) = router.wait_for_announcement(0, PREFIX);
     std::fs::remove_file(proxy.path.with_file_name("nodes.json")).expect("removed");
     until("it is old", || status(&proxy)["addresses"][0]["why"] == "pool `p` has an old list of nodes");
     assert_eq!(status(&proxy)["addresses"][0]["state"], "announced");
-    lamp.put_out();
+    lamp.stop();
     let (place, _) = router.wait_for_withdrawal(place, PREFIX);
-    lamp.light();
+    lamp.restart();
     until("seen", || status(&proxy)["addresses"][0]["why"] == "pool `p` has an old list of nodes");
     let withdrawn = status(&proxy)["addresses"][0]["state"] == "withdrawn";
     assert!(withdrawn, "and by an old list nothing is announced");
@@ -335,11 +335,11 @@
     let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let router = Router::start("127.0.3.7", 65007, 3, RouterBehavior::default());
     let rest = peer(&router, "") + &address(PREFIX, "p");
-    let proxy = serve(&config("", &[("p", &[node.address])], &rest), &[]);
+    let proxy = start_standalone(&config("", &[("p", &[node.address])], &rest), &[]);
     let (place, begun, _) = router.wait_for_announcement(0, PREFIX);
     let callers: Vec<_> = (0..16)
         .map(|_| {
-            let mut caller = proxy.caller();
+            let mut caller = proxy.connect();
             thread::spawn(move || {
                 while begun.elapsed() < Duration::from_secs(5) {
                     let status = caller.ask("GET /p/1 HTTP/1.1\r\nHost: a\r\n\r\n").status();
@@ -363,9 +363,9 @@
     let checked =
         Command::new(env!("CARGO_BIN_EXE_amberlever")).args(["check", example]).status().expect("runs");
     assert!(checked.success());
-    let (router, lamp) = (router(1), Lamp::lit());
+    let (router, lamp) = (router(1), RestartableEndpoint::start());
     let rest = peer(&router, "") + &address(PREFIX, "p");
-    let proxy = serve(&config("", &[("p", &[lamp.address])], &rest), &[]);
+    let proxy = start_standalone(&config("", &[("p", &[lamp.address])], &rest), &[]);
     let api = said(&proxy, "bgp: operators on ");
     for (sort, status) in [("text/plain", 415), ("application/json", 200)] {
         let body = format!("{{\"prefix\":\"{PREFIX}\"}}");
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -35,7 +35,7 @@
     let output = amberlever(&["check", &format!("{root}/deploy/hosted.toml")]);
     assert!(out(&output).ends_with("hosted.toml: a hosted service, 0 tenants\n"), "{}", out(&output));
     let hosted = std::fs::read_to_string(format!("{root}/deploy/hosted.toml")).expect("there");
-    let folder = folder();
+    let folder = temp_folder();
     let check = |more: &str, tenant: &str| {
         let path = folder.join("lb.toml");
         std::fs::write(&path, format!("{hosted}{more}")).expect("written");
@@ -96,7 +96,7 @@
         let mut found = blocks.iter().filter(|(t, _)| *t == title);
         found.next().unwrap_or_else(|| panic!("no block {title:?}")).1.to_owned()
     };
-    let folder = folder();
+    let folder = temp_folder();
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("written");
     let check = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
@@ -135,7 +135,7 @@
 fn the_example_of_the_page_on_json_rpc_is_good() {
     let page = include_str!("../docs/operators/jsonrpc.md");
     let example = page.split("```toml lb.toml\n").nth(1).and_then(|rest| rest.split("```").next());
-    let folder = folder();
+    let folder = temp_folder();
     std::fs::write(folder.join("lb.toml"), example.expect("an example")).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
     let output = command.current_dir(&folder).args(["check", "lb.toml"]).output().expect("it runs");
@@ -162,7 +162,7 @@
         assert!(shown.lines().any(|line| words(line) == words(row)), "{row}\n{shown}");
     }
     // A damaged section is passed over and told of.
-    let folder = folder();
+    let folder = temp_folder();
     let mut bytes = std::fs::read(kept).expect("a file");
     *bytes.last_mut().expect("some") ^= 1;
     let damaged = folder.join("damaged.bin");
--- a/tests/crossing.rs
+++ b/tests/crossing.rs
@@ -17,10 +17,10 @@
 #[test]
 fn a_first_request_that_crosses_the_head_timeout_is_answered() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     // On connections of all ages round the one at which they are given up.
     let opened = Instant::now();
-    let mut callers: Vec<_> = (0..6).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<_> = (0..6).map(|_| proxy.connect()).collect();
     thread::sleep((HEAD - Duration::from_millis(300)).saturating_sub(opened.elapsed()));
     proxy.signal("STOP");
     for (number, caller) in callers.iter_mut().enumerate() {
@@ -37,18 +37,18 @@
 #[test]
 fn a_request_that_arrives_at_the_end_of_shutdown_is_answered() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
+    let mut setup = Setup::with_endpoints(&[&backend]);
     setup.deadline_ms = 300;
-    setup.aim_ms = 300;
+    setup.latency_objective_ms = 300;
     setup.balancers = 2;
     let mut proxy = setup.start();
     // They rest, and rest on until the proxy ends them.
-    let mut callers: Vec<_> = (0..8).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<_> = (0..8).map(|_| proxy.connect()).collect();
     for (number, caller) in callers.iter_mut().enumerate() {
         assert_eq!(caller.ask(&read(&format!("first-{number}"), 250)).status(), 200);
     }
     proxy.terminate();
-    proxy.says("told to end");
+    proxy.wait_for_log("told to end");
     // By its settings it takes requests for 0.5 s, and is killed after one second.
     thread::sleep(Duration::from_millis(300));
     proxy.signal("STOP");
@@ -61,7 +61,7 @@
         let status = caller.receive().status();
         assert!([200, 503].contains(&status), "last-{number}: {status}");
     }
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     for rest in ["H", "HTTP/1.1 200 OK\r\nContent-Le", second] {
         let connections = Arc::<AtomicUsize>::default();
         let counted = Arc::clone(&connections);
-        let address = raw_backend(move |mut stream| {
+        let address = raw_endpoint(move |mut stream| {
             let number = counted.fetch_add(1, Ordering::Relaxed);
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
             while read_message(&mut reader).is_some() {
@@ -82,10 +82,10 @@
                 }
             }
         });
-        let mut setup = Setup::of(&[]);
-        setup.hosts.push(host("s-0", address, "SERVING"));
+        let mut setup = Setup::with_endpoints(&[]);
+        setup.endpoints.push(host("s-0", address, "SERVING"));
         let proxy = setup.start();
-        let mut caller = proxy.caller();
+        let mut caller = proxy.connect();
         assert_eq!(caller.ask(&write("id-1", 9_000, "x")).body, b"own");
         thread::sleep(Duration::from_millis(80));
         assert_eq!(caller.ask(&write("id-2", 9_000, "x")).body, b"own", "{rest}");
@@ -96,9 +96,9 @@
 #[test]
 fn an_id_is_free_again_right_after_its_response() {
     let backend = MockEndpoint::new([ok("one"), ok("two")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let mut caller = proxy.caller();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut caller = proxy.connect();
     assert_eq!(caller.ask(&write("id-1", 9_000, "x")).body, b"one");
     assert_eq!(caller.ask(&write("id-1", 9_000, "x")).body, b"two");
-    assert_eq!(proxy.ask(&write("id-1", 9_000, "x")).body, b"two");
+    assert_eq!(proxy.request(&write("id-1", 9_000, "x")).body, b"two");
 }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -28,16 +28,16 @@
 #[test]
 fn the_process_is_one_thread_linked_to_the_c_library_with_no_children_and_at_rest() {
     let backend = MockEndpoint::new(vec![ok("1"); 99]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     for i in 0..20 {
-        assert_eq!(proxy.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
+        assert_eq!(proxy.request(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
-    let proc = format!("/proc/{}", proxy.id());
+    let proc = format!("/proc/{}", proxy.pid());
     let maps = fs::read_to_string(format!("{proc}/maps")).expect("runs");
     assert!(maps.contains("/libc.so.6"), "linked dynamically");
     let threads = fs::read_dir(format!("{proc}/task")).expect("runs").count();
     assert_eq!(threads, 1);
-    let children = fs::read_to_string(format!("{proc}/task/{}/children", proxy.id()));
+    let children = fs::read_to_string(format!("{proc}/task/{}/children", proxy.pid()));
     assert_eq!(children.unwrap_or_default(), "");
     let fds = fs::read_dir(format!("{proc}/fd")).expect("runs");
     let open: Vec<String> = fds
@@ -52,8 +52,8 @@
         assert!(!own || fields.len() == 7, "{line}");
     }
     // Nothing spins: at rest it takes a hundredth of the time, and may take a fifth on a busy machine.
-    let before = proxy.cpu_time();
+    let before = proxy.cpu_time_ns();
     thread::sleep(Duration::from_millis(500));
-    let used = proxy.cpu_time() - before;
+    let used = proxy.cpu_time_ns() - before;
     assert!(used < 100_000_000, "{used} ns of 500 ms at rest");
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -36,13 +36,13 @@
 #[test]
 fn idle_connections_at_the_descriptor_limit_block_no_client_while_discovery_is_down() {
     let (first, second) = (MockEndpoint::new([ok("first")]), MockEndpoint::new([ok("second")]));
-    let mut setup = Setup::of(&[&first]);
-    setup.sockets = LEAST;
+    let mut setup = Setup::with_endpoints(&[&first]);
+    setup.max_sockets = LEAST;
     setup.descriptors = Some(LEAST);
     let (closed, returned) = (ReservedPort::new(), ReservedPort::new());
     let down = closed.address();
     let config = with_operators(&setup.config(down));
-    let proxy = start_limited(&config, LEAST);
+    let proxy = start_with_descriptor_limit(&config, LEAST);
     // Three kinds of idle ones, far more than there is room for; all of them wait for one that is never accepted.
     let mut idle: Vec<TcpStream> = Vec::new();
     for number in 0..450 {
@@ -56,13 +56,13 @@
         }
         idle.push(stream);
     }
-    let busy = proxy.cpu_time();
+    let busy = proxy.cpu_time_ns();
     let since = Instant::now();
     // Whoever has a whole request is served, in time and each time.
     let mut longest = Duration::ZERO;
     for number in 0..40 {
         let began = Instant::now();
-        assert_eq!(proxy.ask(&read(&format!("whole-{number}"), 9_000)).status(), 200);
+        assert_eq!(proxy.request(&read(&format!("whole-{number}"), 9_000)).status(), 200);
         longest = longest.max(began.elapsed());
         assert!(
             began.elapsed() < Duration::from_millis(3_500),
@@ -71,9 +71,9 @@
         );
     }
     println!("the longest of forty requests took {longest:?}");
-    let (status, _) = proxy.call("GET", "/status/metrics", "");
+    let (status, _) = proxy.operator_request("GET", "/status/metrics", "");
     assert_eq!(status, 200, "operators are heard");
-    let used = Duration::from_nanos(proxy.cpu_time() - busy);
+    let used = Duration::from_nanos(proxy.cpu_time_ns() - busy);
     assert!(
         used < since.elapsed() / 2 + Duration::from_millis(500),
         "{used:?} of {:?}: it spins",
@@ -89,7 +89,7 @@
     assert!(asked - reloaded < Duration::from_secs(6), "asked after {:?}", asked - reloaded);
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        let heard = proxy.ask(&read(&format!("new-{:?}", until.elapsed().as_nanos()), 9_000));
+        let heard = proxy.request(&read(&format!("new-{:?}", until.elapsed().as_nanos()), 9_000));
         if heard.body == b"second" {
             break;
         }
@@ -97,6 +97,6 @@
     }
     let log = proxy.log();
     assert!(log.lines().count() < 20, "the log is flooded: {log}");
-    assert!(proxy.holds().0 <= LEAST as usize);
+    assert!(proxy.descriptors_and_memory().0 <= LEAST as usize);
     drop(idle);
 }
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -179,9 +179,10 @@
         arrivals: Mutex::new(vec![Arrivals::default(); requests.len()]),
     });
     let endpoints = Endpoints::start(&script, protocols.upstream_is_rpc);
-    let site = Site { speaks: protocols.upstream_is_rpc, ..Site::http(&endpoints.addresses()) };
-    let proxy = Both::start(&site);
-    let mut http_client = proxy.process.caller();
+    let site =
+        RpcSite { nodes_speak_rpc: protocols.upstream_is_rpc, ..RpcSite::http(&endpoints.addresses()) };
+    let proxy = DualProtocolProxy::start(&site);
+    let mut http_client = proxy.process.connect();
     let mut rpc_client = proxy.rpc();
     let mut outcomes = Vec::with_capacity(requests.len());
     for (index, request) in requests.iter().enumerate() {
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -20,10 +20,11 @@
     (0..length).map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8).collect()
 }
 
-fn start(backends: &[SocketAddr]) -> (Process, MockDiscovery, Held) {
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let mut setup = Setup { aim_ms: AIM_MS, ..Setup::of(&[]) };
-    setup.hosts = backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
+fn start(backends: &[SocketAddr]) -> (Process, MockDiscovery, InheritedListener) {
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let mut setup = Setup { latency_objective_ms: AIM_MS, ..Setup::with_endpoints(&[]) };
+    setup.endpoints =
+        backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
     let process = held.start(&with_operators(&setup.config(discovery.address)));
     (process, discovery, held)
 }
@@ -43,7 +44,7 @@
 /// A backend with a large answer for each connection.
 fn large() -> SocketAddr {
     let body = pattern(LARGE);
-    raw_backend(move |mut stream| {
+    raw_endpoint(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         head(&mut reader);
         let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n").as_bytes());
@@ -52,7 +53,7 @@
     })
 }
 
-fn connect(held: &Held) -> BufReader<TcpStream> {
+fn connect(held: &InheritedListener) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(held.address).expect("it listens");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     BufReader::new(stream)
@@ -63,7 +64,7 @@
     for chunked in [false, true] {
         let release = Arc::new(Release::default());
         let held_back = Arc::clone(&release);
-        let node = raw_backend(move |stream| {
+        let node = raw_endpoint(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
             head(&mut reader);
             let (mut stream, body) = (stream, pattern(LARGE));
@@ -96,7 +97,7 @@
         assert!(head(&mut caller).contains(" 200 "));
         let mut some = vec![0; 50_000];
         caller.read_exact(&mut some).expect("before the rest has been sent");
-        assert_eq!(process.figure("edge_lb_active"), 1, "it has not ended");
+        assert_eq!(process.metric("edge_lb_active"), 1, "it has not ended");
         release.release();
         let mut rest = Vec::new();
         caller.read_to_end(&mut rest).expect("all of it");
@@ -107,8 +108,8 @@
         } else {
             assert!(some == pattern(LARGE), "byte for byte");
         }
-        process.figure_becomes("edge_lb_ok_total{kind=\"read\"}", 1);
-        assert_eq!(process.figure("edge_lb_active"), 0);
+        process.wait_for_metric("edge_lb_ok_total{kind=\"read\"}", 1);
+        assert_eq!(process.metric("edge_lb_active"), 0);
     }
 }
 
@@ -116,7 +117,7 @@
 fn unread_responses_are_backpressured_and_use_no_memory() {
     let node = large();
     let (process, _discovery, held) = start(&[node]);
-    let (_, before) = process.holds();
+    let (_, before) = process.descriptors_and_memory();
     let mut callers = Vec::new();
     for i in 0..20 {
         let mut caller = connect(&held);
@@ -124,7 +125,7 @@
         assert!(head(&mut caller).contains(" 200 "));
         callers.push(caller);
     }
-    let (_, with) = process.holds();
+    let (_, with) = process.descriptors_and_memory();
     assert!(with - before < 20 * 256, "{} kB for 160 MB of answers", with - before);
     for mut caller in callers {
         let mut all = vec![0; LARGE];
@@ -135,7 +136,7 @@
 
 #[test]
 fn an_interrupted_response_is_visibly_incomplete() {
-    let node = raw_backend(|stream| {
+    let node = raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         head(&mut reader);
         let mut stream = stream;
@@ -151,13 +152,13 @@
     let mut got = Vec::new();
     let _ = caller.read_to_end(&mut got);
     assert!(got.len() < LARGE && got == pattern(LARGE)[..got.len()]);
-    process.figure_becomes("edge_lb_errors_total{kind=\"read\"}", 1);
-    assert_eq!(process.figure("edge_lb_ok_total{kind=\"read\"}"), 0);
+    process.wait_for_metric("edge_lb_errors_total{kind=\"read\"}", 1);
+    assert_eq!(process.metric("edge_lb_ok_total{kind=\"read\"}"), 0);
 }
 
 /// A backend that answers with this at once, and with nothing more.
 fn unfinished(answer: &'static str) -> SocketAddr {
-    raw_backend(move |mut stream| {
+    raw_endpoint(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         head(&mut reader);
         let _ = stream.write_all(answer.as_bytes());
@@ -173,7 +174,7 @@
     let answer = HttpClient::of(TcpStream::connect(held.address).expect("it listens")).ask(&read("r-1", 700));
     assert!([503, 504].contains(&answer.status()), "{answer:?}");
     assert!(began.elapsed() < LONG_BEFORE_A_STALL, "{:?}", began.elapsed());
-    assert_eq!(process.figure("edge_lb_active"), 0);
+    assert_eq!(process.metric("edge_lb_active"), 0);
 }
 
 #[test]
@@ -190,15 +191,15 @@
     assert!(all.starts_with(b"10\r\n") && !all.ends_with(b"0\r\n\r\n"), "its caller can tell");
     let took = began.elapsed();
     assert!(took > Duration::from_millis(500) && took < LONG_BEFORE_A_STALL, "{took:?}");
-    process.figure_becomes("edge_lb_errors_total{kind=\"read\"}", 1);
+    process.wait_for_metric("edge_lb_errors_total{kind=\"read\"}", 1);
 }
 
 #[test]
 fn streamed_responses_outlive_an_upgrade() {
     let node = large();
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let mut setup = Setup { aim_ms: AIM_MS, ..Setup::of(&[]) };
-    setup.hosts = vec![host("s-0", node, "SERVING")];
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let mut setup = Setup { latency_objective_ms: AIM_MS, ..Setup::with_endpoints(&[]) };
+    setup.endpoints = vec![host("s-0", node, "SERVING")];
     let config = with_operators(&setup.config(discovery.address));
     let mut old = held.start(&config);
     let mut callers: Vec<_> = (0..10).map(|_| connect(&held)).collect();
@@ -207,26 +208,26 @@
         assert!(head(caller).contains(" 200 "));
     }
     let new = held.start(&config);
-    assert_eq!(new.call("GET", "/status", "").0, 200);
+    assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
-    old.says("told to end");
+    old.wait_for_log("told to end");
     // The new one serves; the old one still has ten answers to finish, and is not gone before.
     let mut other = connect(&held);
     other.get_mut().write_all(read("other", 9000).as_bytes()).expect("written");
     assert!(head(&mut other).contains(" 200 "));
-    assert!(!old.has_ended());
+    assert!(!old.has_exited());
     for mut caller in callers {
         let mut all = vec![0; LARGE];
         caller.read_exact(&mut all).expect("all of it");
         assert!(all == pattern(LARGE));
     }
-    assert!(old.end().success());
-    assert_eq!(new.figure("edge_lb_active"), 1);
+    assert!(old.wait_for_exit().success());
+    assert_eq!(new.metric("edge_lb_active"), 1);
 }
 
 /// A backend that reads a whole request with this length and says how much came.
 fn counting() -> SocketAddr {
-    raw_backend(|stream| {
+    raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         head(&mut reader);
         let mut body = vec![0; LARGE];
@@ -257,8 +258,8 @@
     assert!(since.elapsed() > Duration::from_millis(u64::from(AIM_MS)));
     let answer = read_message(&mut caller).expect("an answer");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
-    assert_eq!(process.figure("edge_lb_tries_total"), 1);
-    assert_eq!(process.figure("edge_lb_ok_total{kind=\"write\"}"), 1);
+    assert_eq!(process.metric("edge_lb_tries_total"), 1);
+    assert_eq!(process.metric("edge_lb_ok_total{kind=\"write\"}"), 1);
 }
 
 #[test]
@@ -269,8 +270,8 @@
     let answer = read_message(&mut caller).expect("an answer before its body has come");
     assert_eq!(answer.status(), 503);
     caller.get_mut().write_all(&pattern(LARGE)).expect("all of it is taken");
-    process.figure_becomes("edge_lb_shed_total{kind=\"write\"}", 1);
-    assert_eq!(process.figure("edge_lb_active"), 0);
+    process.wait_for_metric("edge_lb_shed_total{kind=\"write\"}", 1);
+    assert_eq!(process.metric("edge_lb_active"), 0);
 }
 
 #[test]
@@ -282,13 +283,13 @@
     drop(caller);
     // Whether it ends as left or as refused is a race that nobody waits for.
     let ended =
-        || ["errors", "shed"].map(|n| process.figure(&format!("edge_lb_{n}_total{{kind=\"write\"}}")));
+        || ["errors", "shed"].map(|n| process.metric(&format!("edge_lb_{n}_total{{kind=\"write\"}}")));
     let since = Instant::now();
     while ended().iter().sum::<u64>() != 1 {
         assert!(since.elapsed() < TEST_TIMEOUT, "{:?}", ended());
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!((process.figure("edge_lb_tries_total"), process.figure("edge_lb_active")), (0, 0));
+    assert_eq!((process.metric("edge_lb_tries_total"), process.metric("edge_lb_active")), (0, 0));
 }
 
 /// An own installation before one node, with this line in `[limits]`.
@@ -300,7 +301,7 @@
              fallback = [{{ pool = \"q\", when = [\"refused\"] }}]\n"
         )
     };
-    serve(
+    start_standalone(
         &format!(
             "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\n[operators]\nlisten = \"127.0.0.1:0\"\n\
              [limits]\n{limit}\n[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n\", address = \"{node}\" }}]\n\
@@ -324,17 +325,17 @@
     };
     let answer = ask(upload("up", AIM_MS), &pattern(LARGE));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
-    assert_eq!(process.figure("edge_lb_tries_total{pool=\"p\"}"), 1);
+    assert_eq!(process.metric("edge_lb_tries_total{pool=\"p\"}"), 1);
     let over = upload("over", AIM_MS).replace(&LARGE.to_string(), &(LARGE + 1).to_string());
     assert_eq!(ask(over, &[]).status(), 413);
     // Refused with its body on the way: it is not sent to the next pool with what is left of it.
     for node in ["p/n", "q/n"] {
-        assert_eq!(process.call("POST", "/maintenance/enter", node).0, 200);
+        assert_eq!(process.operator_request("POST", "/maintenance/enter", node).0, 200);
     }
     assert_eq!(ask(upload("refused", AIM_MS), &pattern(LARGE)).status(), 503);
     // Where no bound is set bodies are held whole.
     let process = own(counting(), "");
-    let mut caller = process.caller();
+    let mut caller = process.connect();
     caller.send(&upload("large", AIM_MS));
     assert_eq!(caller.receive().status(), 413);
 }
@@ -343,12 +344,12 @@
 fn standalone_mode_streams_large_responses_up_to_the_configured_limit() {
     let node = large();
     let process = own(node, &format!("body_bytes = {LARGE}"));
-    let answer = process.ask(&read("down", 9000));
+    let answer = process.request(&read("down", 9000));
     assert!(answer.status() == 200 && answer.body == pattern(LARGE));
     // One byte more than may be is an answer that breaks off, and counts as one.
     let process = own(node, &format!("body_bytes = {}", LARGE - 1));
-    let mut caller = process.caller();
+    let mut caller = process.connect();
     caller.send(&read("over", 9000));
     assert!(caller.try_receive().is_none_or(|answer| answer.status() == 502));
-    process.figure_becomes("edge_lb_errors_total{kind=\"read\",pool=\"p\"}", 1);
+    process.wait_for_metric("edge_lb_errors_total{kind=\"read\",pool=\"p\"}", 1);
 }
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -43,8 +43,8 @@
 #[test]
 fn ambiguous_requests_are_rejected() {
     let (address, bytes) = recorder();
-    let mut setup = Setup::of(&[]);
-    setup.hosts = vec![host("s-0", address, "SERVING")];
+    let mut setup = Setup::with_endpoints(&[]);
+    setup.endpoints = vec![host("s-0", address, "SERVING")];
     let proxy = setup.start();
     let chunks = "3\r\nabc\r\n0\r\n\r\n";
     let coded = |codings: &str| format!("{POST}Transfer-Encoding: {codings}\r\n\r\n{chunks}");
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -21,20 +21,20 @@
 #[test]
 fn nothing_of_a_tenant_is_reached_through_another() {
     let (one, two) = (node("one", 0), node("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     assert_eq!(service.put("/v1/tenants/one", &tenant("one.example", &[one.address], json!({}))).status, 200);
     assert_eq!(
         service.put("/v1/tenants/two", &tenant("*.two.example", &[two.address], json!({}))).status,
         200
     );
-    let served = |host: &str| service.ask(host, "/x").header("X-Served-By").map(str::to_owned);
+    let served = |host: &str| service.request(host, "/x").header("X-Served-By").map(str::to_owned);
     assert_eq!(served("One.Example:80").as_deref(), Some("one"));
     assert_eq!(served("a.two.example").as_deref(), Some("two"));
-    assert_eq!(service.ask("three.example", "/x").status(), 404);
+    assert_eq!(service.request("three.example", "/x").status(), 404);
     // A claim is refused, and a true one changes nothing.
     let claim = |name: &str| {
         let request = format!("GET /x HTTP/1.1\r\nHost: one.example\r\nX-Tenant-Id: {name}\r\n\r\n");
-        service.process.ask(&request).status()
+        service.process.request(&request).status()
     };
     assert_eq!((claim("two"), claim("nobody"), claim("one")), (403, 403, 200));
     // Hosts that reach into another's, and files of the machine, are refused when they are written.
@@ -54,32 +54,32 @@
     service.put("/v1/tenants/one", &tenant("one.example", &[a.address], json!({})));
     service.put("/v1/tenants/two", &tenant("two.example", &[b.address], json!({})));
     let ask = |host: &str| format!("GET /x HTTP/1.1\r\nHost: {host}\r\nX-Request-ID: same\r\n\r\n");
-    let mut open = service.process.caller();
+    let mut open = service.process.connect();
     open.send(&ask("one.example"));
     a.request();
-    assert_eq!(service.process.ask(&ask("one.example")).status(), 409);
-    assert_eq!(service.process.ask(&ask("two.example")).status(), 200);
+    assert_eq!(service.process.request(&ask("one.example")).status(), 409);
+    assert_eq!(service.process.request(&ask("two.example")).status(), 200);
 }
 
 #[test]
 fn a_tenant_that_comes_back_gets_nothing_of_the_formers() {
     let (old, new) = (node("old", 0), node("new", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let limits = json!({ "requests_per_s": 0.001, "burst": 1 });
     service.put("/v1/tenants/club", &tenant("club.example", &[old.address], limits.clone()));
-    assert_eq!(service.ask("club.example", "/x").status(), 200);
-    let refused = service.ask("club.example", "/x");
+    assert_eq!(service.request("club.example", "/x").status(), 200);
+    let refused = service.request("club.example", "/x");
     assert_eq!((refused.status(), refused.header("X-Refusal-Cause")), (429, Some("rate")));
     assert!(refused.header("Retry-After").expect("told").parse::<u64>().expect("whole seconds") >= 1);
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
-    assert_eq!(service.ask("club.example", "/x").status(), 404);
+    assert_eq!(service.request("club.example", "/x").status(), 404);
     service.put("/v1/tenants/club", &tenant("club.example", &[new.address], limits));
     let status = service.get("/v1/tenants/club/status").body;
     assert_eq!(
         (&status["admitted"], &status["refused"]["rate"], &status["started"]),
         (&json!(0), &json!(0), &json!(false))
     );
-    let answer = service.ask("club.example", "/x");
+    let answer = service.request("club.example", "/x");
     assert_eq!((answer.status(), answer.header("X-Served-By")), (200, Some("new")));
 }
 
@@ -89,9 +89,9 @@
     let release = Arc::new(Release::default());
     let done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
     let held = MockEndpoint::new([Behavior::RespondOnRelease(Arc::clone(&release), done)]);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[held.address], json!({})));
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     held.request();
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
@@ -106,8 +106,8 @@
 #[test]
 fn operators_see_tenants_apart_and_take_a_node_of_one_of_them_out() {
     let (one, two) = (node("one", 0), node("two", 0));
-    let file = hosted_file("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
-    let service = host_service(&file);
+    let file = hosted_config("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
+    let service = start_hosted(&file);
     let puts = |name: &str, node: &FixedLatencyEndpoint, rate: u64| {
         let limits = json!({ "requests_per_s": rate });
         let doc = tenant(&format!("{name}.example"), &[node.address], limits);
@@ -115,20 +115,20 @@
     };
     puts("one", &one, 1000);
     puts("two", &two, 1000);
-    let call = |path: &str, id: &str| service.process.call("POST", path, id).0;
+    let call = |path: &str, id: &str| service.process.operator_request("POST", path, id).0;
     // Nobody knows a node before its tenant's pools have run.
     assert_eq!(call("/maintenance/enter", "one/p/n0"), 404);
     for host in ["one.example", "two.example", "two.example"] {
-        assert_eq!(service.ask(host, "/x").status(), 200);
+        assert_eq!(service.request(host, "/x").status(), 200);
     }
     assert_eq!(call("/maintenance/enter", "n0"), 409);
     assert_eq!(call("/maintenance/enter", "one/p/n0"), 200);
     let figure = |name: &str, tenant: &str| {
-        service.process.figure(&format!("edge_lb_{name}{{pool=\"p\",tenant=\"{tenant}\"}}"))
+        service.process.metric(&format!("edge_lb_{name}{{pool=\"p\",tenant=\"{tenant}\"}}"))
     };
     let both = |name: &str| (figure(name, "one"), figure(name, "two"));
     assert_eq!((both("tries_total"), both("pool_ejected")), ((1, 2), (1, 0)));
-    let asked = |host: &str| service.ask(host, "/x").status();
+    let asked = |host: &str| service.request(host, "/x").status();
     assert_eq!((asked("one.example"), asked("two.example")), (503, 200));
     puts("one", &one, 900);
     assert_eq!((asked("one.example"), figure("pool_size", "one")), (503, 1));
@@ -140,11 +140,11 @@
 #[test]
 fn calls_by_json_rpc_are_a_tenants_like_any_request() {
     let (one, two) = (node("one", 0), node("two", 0));
-    let file = hosted_file("", "").replace(
+    let file = hosted_config("", "").replace(
         "listen = [{ address = \"127.0.0.1:0\" }]",
         "listen = [{ address = \"127.0.0.1:0\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", tenant = \"one\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", host = \"two.example\" }]",
     );
-    let service = host_service(&file);
+    let service = start_hosted(&file);
     let with = |host: &str, node: &FixedLatencyEndpoint, limits| {
         let mut doc = tenant(host, &[node.address], limits);
         doc["config"]["class"][0]["semantics"] = json!("deduplicated");
@@ -176,7 +176,7 @@
     let post = |host: &str| {
         let head =
             format!("POST /x HTTP/1.1\r\nHost: {host}\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
-        service.process.ask(&head)
+        service.process.request(&head)
     };
     assert!(
         post("one.example").body.starts_with(b"\"one: ") || post("one.example").body.starts_with(b"one: ")
@@ -214,14 +214,14 @@
 #[test]
 fn each_limit_refuses_with_its_cause_and_is_changed_while_it_runs() {
     let stuck = MockEndpoint::new([Behavior::Hang]);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let with = |limits: serde_json::Value| tenant("club.example", &[stuck.address], limits);
     assert_eq!(service.put("/v1/tenants/club", &with(json!({ "in_flight": 1 }))).status, 200);
-    let mut first = service.process.caller();
+    let mut first = service.process.connect();
     first.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     stuck.request();
     let cause = || {
-        let answer = service.ask("club.example", "/x");
+        let answer = service.request("club.example", "/x");
         (answer.status(), answer.header("X-Refusal-Cause").map(str::to_owned))
     };
     assert_eq!(cause(), (429, Some("in-flight".to_owned())));
@@ -229,7 +229,7 @@
     assert_eq!(cause(), (429, Some("connections".to_owned())));
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "body_bytes": 10 })).status, 200);
     let post = "POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 11\r\n\r\nhello world";
-    let answer = service.process.ask(post);
+    let answer = service.process.request(post);
     assert_eq!((answer.status(), answer.header("X-Refusal-Cause")), (429, Some("bodies")));
     let status = service.get("/v1/tenants/club/status").body;
     assert_eq!(
@@ -248,11 +248,11 @@
 fn a_tenant_whose_nodes_never_answer_takes_nothing_from_the_others() {
     let stuck = MockEndpoint::new([Behavior::Hang]);
     let good = node("good", 0);
-    let service = host_service(&hosted_file("sockets = 512\ncapacity = { in_flight = 200 }\n", ""));
+    let service = start_hosted(&hosted_config("sockets = 512\ncapacity = { in_flight = 200 }\n", ""));
     service.put("/v1/tenants/stuck", &tenant("stuck.example", &[stuck.address], json!({})));
     service.put("/v1/tenants/good", &tenant("good.example", &[good.address], json!({})));
-    service.ask("good.example", "/x");
-    let (before, memory_before) = service.process.holds();
+    service.request("good.example", "/x");
+    let (before, memory_before) = service.process.descriptors_and_memory();
     let stop = Arc::new(AtomicBool::new(false));
     let address = service.process.address;
     let pushing: Vec<_> = (0..160)
@@ -272,12 +272,12 @@
     while service.get("/v1/tenants/stuck/status").body["in_flight"].as_u64() < Some(20) {
         thread::sleep(Duration::from_millis(10));
     }
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     for _ in 0..300 {
         assert_eq!(caller.ask("GET /x HTTP/1.1\r\nHost: good.example\r\n\r\n").status(), 200);
     }
     let stuck_uses = service.get("/v1/tenants/stuck/status").body;
-    let (during, memory) = service.process.holds();
+    let (during, memory) = service.process.descriptors_and_memory();
     stop.store(true, Ordering::Relaxed);
     pushing.into_iter().for_each(|p| p.join().expect("it ends"));
     assert!(stuck_uses["in_flight"].as_u64() <= Some(190), "{stuck_uses}");
@@ -293,11 +293,11 @@
     let breaks: Vec<MockEndpoint> = (0..3).map(|_| MockEndpoint::new([Behavior::Disconnect])).collect();
     let nodes: Vec<_> = breaks.iter().map(|b| b.address).collect();
     let asked = || breaks.iter().map(|b| b.requests().len()).sum::<usize>();
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let status = || service.get("/v1/tenants/club/status").body;
     service.put("/v1/tenants/club", &tenant("club.example", &nodes, json!({})));
     // All that is tried fails or is refused; which of them, the decisions say.
-    let ask = || assert!(matches!(service.ask("club.example", "/x").status(), 502 | 503));
+    let ask = || assert!(matches!(service.request("club.example", "/x").status(), 502 | 503));
     ask();
     let free = asked();
     assert!(free > 1, "nodes that break are tried again where nothing bounds that: {free}");
@@ -331,11 +331,11 @@
         address
     };
     let nodes: Vec<_> = (0..3).map(|_| listen(Arc::clone(&first))).collect();
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let limits = json!({ "retries_per_s": 0.001 });
     assert_eq!(service.put("/v1/tenants/club", &tenant("club.example", &nodes, limits)).status, 200);
     let status = || service.get("/v1/tenants/club/status").body;
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     let since = Instant::now();
     while first.load(Ordering::SeqCst) < 2 {
@@ -350,7 +350,7 @@
     assert_eq!(status()["retries"], 1);
     // It has spent what it had: the next has one attempt at most, and that one says nothing.
     let ask = "GET /x HTTP/1.1\r\nHost: club.example\r\nX-Timeout-Ms: 300\r\n\r\n";
-    assert!(matches!(service.process.ask(ask).status(), 503 | 504));
+    assert!(matches!(service.process.request(ask).status(), 503 | 504));
     assert!(first.load(Ordering::SeqCst) <= 3);
     assert_eq!(status()["retries"], 1);
 }
@@ -359,18 +359,18 @@
 #[test]
 fn a_tenant_without_retries_left_does_not_fall_back_for_a_second_attempt() {
     let (busy, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let mut club = tenant("club.example", &[busy.address], json!({}));
     let pool = |name: &str, node: &MockEndpoint| json!({ "name": name, "nodes": [{ "name": name, "address": node.address.to_string() }] });
     club["config"]["pool"] = json!([pool("p", &busy), pool("q", &spare)]);
     club["config"]["route"][0]["fallback"] = json!([{ "pool": "q", "when": ["refused"] }]);
     assert_eq!(service.put("/v1/tenants/club", &club).status, 200);
-    assert_eq!(service.ask("club.example", "/x").status(), 200, "the spare pool serves");
+    assert_eq!(service.request("club.example", "/x").status(), 200, "the spare pool serves");
     let before = (busy.requests().len(), spare.requests().len());
     assert_eq!(before.1, 1);
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "retries_per_s": 0.001 })).status, 200);
     // The one that is left is spent on a fallback, and then there are none.
-    let answers: Vec<u16> = (0..4).map(|_| service.ask("club.example", "/x").status()).collect();
+    let answers: Vec<u16> = (0..4).map(|_| service.request("club.example", "/x").status()).collect();
     assert_eq!(answers[0], 200);
     let (asked, fell_back) = (busy.requests().len(), spare.requests().len());
     // Where the first pool does not even try, the first attempt may be the other pool's.
@@ -380,7 +380,7 @@
 
 /// Latencies of a quiet tenant's requests over some time, in microseconds and in order.
 fn latencies(service: &Hosted, host: &str, time: Duration) -> Vec<u64> {
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     let (since, mut all) = (Instant::now(), Vec::new());
     while since.elapsed() < time {
         let sent = Instant::now();
@@ -397,7 +397,7 @@
 #[test]
 fn a_retry_storm_of_one_tenant_is_not_felt_by_two_others() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| node(&format!("n{i}"), 1)).collect();
-    let service = host_service(&hosted_file("capacity = { requests_per_s = 450 }\n", ""));
+    let service = start_hosted(&hosted_config("capacity = { requests_per_s = 450 }\n", ""));
     for (i, name) in ["storm", "b", "c"].iter().enumerate() {
         let told = service.put(
             &format!("/v1/tenants/{name}"),
@@ -447,7 +447,7 @@
 #[test]
 fn five_hundred_changes_under_traffic_lose_nothing() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| node(&format!("n{i}"), 0)).collect();
-    let service = Arc::new(host_service(&hosted_file("", "")));
+    let service = Arc::new(start_hosted(&hosted_config("", "")));
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
     let at = |round: usize| {
         let of = &addresses[round % 2..2 + round % 2];
@@ -473,7 +473,7 @@
             let (service, stop) = (Arc::clone(&service), Arc::clone(&stop));
             let (begun, done) = (Arc::clone(&begun), Arc::clone(&done));
             thread::spawn(move || {
-                let (mut caller, mut asked) = (service.process.caller(), 0);
+                let (mut caller, mut asked) = (service.process.connect(), 0);
                 while !stop.load(Ordering::Relaxed) {
                     let from = done.load(Ordering::SeqCst);
                     let answer =
@@ -512,7 +512,7 @@
 #[test]
 fn two_administrators_cannot_overwrite_each_other() {
     let one = node("one", 0);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let doc = tenant("club.example", &[one.address], json!({}));
     service.put("/v1/tenants/club", &doc);
     let tag = service.get("/v1/tenants/club/config").etag;
@@ -537,7 +537,7 @@
 #[test]
 fn a_change_is_held_to_its_own_expectations_and_to_no_others() {
     let (one, two) = (node("one", 0), node("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/one", &tenant("one.example", &[one.address], json!({})));
     service.put("/v1/tenants/two", &tenant("two.example", &[two.address], json!({})));
     // Without its node the tenant's own expectation, a pool for /x, still holds; without its route it does not.
@@ -549,25 +549,25 @@
     assert_eq!(told.body["detail"]["kind"], "expectations");
     let words = told.body["error"].as_str().expect("words");
     assert!(words.contains("tenant `one`") && words.contains("`served`") && words.contains("404"), "{words}");
-    assert_eq!(service.ask("one.example", "/x").status(), 200, "the old one serves on");
+    assert_eq!(service.request("one.example", "/x").status(), 200, "the old one serves on");
     // Every sort of change to the one, and the other's answers, version and state stay as they were.
     let seen = |what: &str| service.get(&format!("/v1/tenants/two{what}"));
     let before = (seen("").etag, seen("/status").body["version"].clone());
     assert_eq!(service.put("/v1/tenants/one/config", &json!({})).status, 200, "an empty one serves nothing");
-    assert_eq!(service.ask("one.example", "/x").status(), 404);
+    assert_eq!(service.request("one.example", "/x").status(), 404);
     assert_eq!(
         service.put("/v1/tenants/one/pools/p/nodes/n0/state", &json!({ "state": "draining" })).status,
         404
     );
     assert_eq!(service.delete("/v1/tenants/one").status, 200);
     assert_eq!(before, (seen("").etag, seen("/status").body["version"].clone()));
-    assert_eq!(service.ask("two.example", "/x").status(), 200);
+    assert_eq!(service.request("two.example", "/x").status(), 200);
 }
 
 #[test]
 fn nodes_are_drained_and_versions_told_and_rolled_back() {
     let (one, two) = (node("one", 0), node("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[one.address, two.address], json!({})));
     let state = |state: &str| {
         let path = "/v1/tenants/club/pools/p/nodes/n0/state?why=maintenance%20of%20one";
@@ -575,7 +575,7 @@
     };
     assert_eq!(state("draining"), 200);
     for _ in 0..20 {
-        assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("two"));
+        assert_eq!(service.request("club.example", "/x").header("X-Served-By"), Some("two"));
     }
     assert_eq!(state("asleep"), 422);
     let versions = service.get("/v1/versions").body;
@@ -594,7 +594,7 @@
     );
     let other = service.put("/v1/tenants/club/pools/p/nodes/n1/state", &json!({ "state": "draining" }));
     assert_eq!(other.status, 200);
-    assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("one"), "restored");
+    assert_eq!(service.request("club.example", "/x").header("X-Served-By"), Some("one"), "restored");
     assert_eq!(service.call("POST", "/v1/versions/9/rollback", None, None, None).status, 404);
     // A tenant's own way back keeps the limits, which are the operator's.
     service.put("/v1/tenants/club/limits", &json!({ "weight": 3 }));
@@ -614,8 +614,8 @@
 fn a_thousand_tenants_of_which_most_are_idle_cost_little() {
     let one = node("one", 0);
     let service = |tenants: usize| {
-        let mut file = hosted_file("sockets = 20000\n", "");
-        let folder = folder();
+        let mut file = hosted_config("sockets = 20000\n", "");
+        let folder = temp_folder();
         for i in 0..tenants {
             let doc = tenant(&format!("t{i}.example"), &[one.address], json!({}));
             let path = format!("t{i}.json");
@@ -626,21 +626,22 @@
             file +=
                 &format!("[[tenant]]\nname = \"t{i}\"\nhosts = [{}]\nfile = \"{path}\"\n", doc["hosts"][0]);
         }
-        start_in(&folder, &file)
+        start_hosted_in(&folder, &file)
     };
     let (few, many) = (service(10), service(1000));
     for i in 0..10 {
         let host = format!("t{i}.example");
-        assert_eq!((few.ask(&host, "/x").status(), many.ask(&host, "/x").status()), (200, 200));
+        assert_eq!((few.request(&host, "/x").status(), many.request(&host, "/x").status()), (200, 200));
     }
-    let per_tenant = (many.process.holds().1 - few.process.holds().1) as f64 / 990.0;
+    let per_tenant =
+        (many.process.descriptors_and_memory().1 - few.process.descriptors_and_memory().1) as f64 / 990.0;
     let started = many.get("/v1/status").body;
     let started = started.as_array().expect("all").iter().filter(|s| s["started"] == true).count();
     assert_eq!(started, 10, "nothing runs for the idle");
     let idle = |service: &Hosted| {
-        let before = service.process.cpu_time();
+        let before = service.process.cpu_time_ns();
         thread::sleep(Duration::from_secs(1));
-        (service.process.cpu_time() - before) as f64 / 1e6
+        (service.process.cpu_time_ns() - before) as f64 / 1e6
     };
     let (one_ms, other_ms) = (idle(&few), idle(&many));
     eprintln!("{per_tenant:.1} KiB for each idle tenant; a second of rest: {one_ms:.1} ms with 10, {other_ms:.1} ms with 1,000");
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -24,7 +24,7 @@
 #[test]
 fn cases_of_the_specification() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     let null = |code: i64, answer: &Value| {
         assert_eq!((&answer["id"], answer["error"]["code"].as_i64()), (&Value::Null, Some(code)), "{answer}");
@@ -53,7 +53,10 @@
 #[test]
 fn ids_are_returned_verbatim() {
     let node = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
-    let proxy = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
+    let proxy = DualProtocolProxy::start(&RpcSite {
+        frames: Framing::ContentLength,
+        ..RpcSite::rpc(&[node.address])
+    });
     let mut caller = proxy.rpc();
     let digits = format!("-1{}", "0".repeat(400));
     for id in [digits.as_str(), r#""A\n""#, r#""""#, "null", "0", "18446744073709551616"] {
@@ -80,9 +83,9 @@
 #[test]
 fn an_endless_message_is_rejected_and_uses_no_memory() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     proxy.rpc().call(1, "standings", json!({}));
-    let (_, before) = proxy.process.holds();
+    let (_, before) = proxy.process.descriptors_and_memory();
     let mut caller = proxy.rpc();
     let mut stream = caller.stream().try_clone().expect("a copy");
     let sending = thread::spawn(move || {
@@ -94,10 +97,13 @@
     assert_eq!((code(&answer), &answer["id"]), (-32005, &Value::Null));
     assert_eq!(caller.receive()["method"], "$/closing");
     let sent = sending.join().expect("it ends");
-    let (_, after) = proxy.process.holds();
+    let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
     // A head that is none.
-    let lengths = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
+    let lengths = DualProtocolProxy::start(&RpcSite {
+        frames: Framing::ContentLength,
+        ..RpcSite::rpc(&[node.address])
+    });
     let mut caller = lengths.rpc();
     caller.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(code(&caller.receive()), -32700);
@@ -113,8 +119,8 @@
         Framing::Lines,
         [held.clone(), RpcBehavior::Result(json!("soon")), held.clone(), held],
     );
-    let site = Site { listen: ", calls = 2".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
+    let site = RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[node.address]) };
+    let proxy = DualProtocolProxy::start(&site);
     let mut caller = proxy.rpc();
     caller.send(&request(1, "standings", json!({})));
     node.request();
@@ -149,7 +155,7 @@
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     let batch = format!(
         "[{},{},{},{},{},{}]",
@@ -175,7 +181,8 @@
         calls.iter().filter(|c| c["params"]["do"] == *what && c["method"] == "close-round").count()
     };
     assert_eq!((ran(&json!("fail")), ran(&Value::Null)), (1, 1));
-    let proxy = Both::start(&Site { aim_ms: 300, ..Site::rpc(&[node.address]) });
+    let proxy =
+        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[node.address]) });
     let mut caller = proxy.rpc();
     // One that hangs holds the others up no longer than the most impatient of them waits.
     let since = Instant::now();
@@ -194,9 +201,9 @@
 #[test]
 fn a_client_that_never_reads_is_bounded_by_the_open_call_limit() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("x".repeat(60_000)))]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     proxy.rpc().call(0, "standings", json!({}));
-    let (_, before) = proxy.process.holds();
+    let (_, before) = proxy.process.descriptors_and_memory();
     let deaf = proxy.rpc();
     deaf.stream().set_nonblocking(true).expect("set");
     let mut sent = 0;
@@ -210,7 +217,7 @@
         }
         proxy.rpc().call(1, "standings", json!({}));
     }
-    let (_, after) = proxy.process.holds();
+    let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (16 << 10), "{before} kB, then {after} kB after {sent} calls");
     let _ = deaf.stream().shutdown(std::net::Shutdown::Both);
 }
@@ -218,7 +225,7 @@
 #[test]
 fn partial_messages_time_out_and_idle_connections_stay() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut silent = proxy.rpc();
     let mut slow = proxy.rpc();
     let since = Instant::now();
@@ -238,8 +245,11 @@
 #[test]
 fn a_client_disconnect_cancels_calls_at_the_endpoint() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Hang]);
-    let site = Site { pool: ", cancel = \"$/cancelRequest\"".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
+    let site = RpcSite {
+        pool_settings: ", cancel = \"$/cancelRequest\"".to_owned(),
+        ..RpcSite::rpc(&[node.address])
+    };
+    let proxy = DualProtocolProxy::start(&site);
     let mut caller = proxy.rpc();
     caller.send(&format!(
         "[{},{}]",
@@ -296,12 +306,12 @@
         }
     });
     let sound = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("second"))]);
-    let site = Site {
-        listen: ", calls = 200".to_owned(),
-        pool: ", calls = 200".to_owned(),
-        ..Site::rpc(&[breaks, sound.address])
+    let site = RpcSite {
+        rpc_listener_settings: ", calls = 200".to_owned(),
+        pool_settings: ", calls = 200".to_owned(),
+        ..RpcSite::rpc(&[breaks, sound.address])
     };
-    let proxy = Both::start(&site);
+    let proxy = DualProtocolProxy::start(&site);
     let mut caller = proxy.rpc();
     for n in 0..CALLS {
         caller.send(&request(
@@ -346,7 +356,7 @@
 fn unmatched_responses_are_ignored() {
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     assert_eq!(caller.call(1, "close-round", json!({}))["result"], 1);
     let echo = caller.call(2, "close-round", json!({}));
@@ -360,7 +370,7 @@
             RpcBehavior::Echo,
         ],
     );
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut caller = proxy.rpc();
     assert_eq!(code(&caller.call(1, "close-round", json!({}))), -32001);
     assert_eq!(code(&caller.call(2, "close-round", json!({}))), -32001);
@@ -376,13 +386,13 @@
         [RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("old"))],
     );
     let next = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("new"))]);
-    let (site, other) = (Site::rpc(&[node.address]), Site::rpc(&[next.address]));
-    let mut proxy = Both::start(&site);
+    let (site, other) = (RpcSite::rpc(&[node.address]), RpcSite::rpc(&[next.address]));
+    let mut proxy = DualProtocolProxy::start(&site);
     let mut caller = proxy.rpc();
     caller.send(&request(1, "close-round", json!({})));
     node.request();
     proxy.process.reload(&other.config());
-    proxy.process.says("configuration 2:");
+    proxy.process.wait_for_log("configuration 2:");
     assert_eq!(
         caller.call(2, "close-round", json!({}))["result"],
         "new",
@@ -400,7 +410,7 @@
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(2)));
     assert!(caller.try_receive().is_none());
     waiting.join().expect("it ends");
-    assert!(proxy.process.end().success());
+    assert!(proxy.process.wait_for_exit().success());
 }
 
 #[test]
@@ -409,7 +419,8 @@
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let mut proxy = Both::start(&Site { aim_ms: 1500, ..Site::rpc(&[node.address]) });
+    let mut proxy =
+        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 1500, ..RpcSite::rpc(&[node.address]) });
     let mut caller = proxy.rpc();
     let calls = [json!({}), json!({ "do": "hang" }), json!({})];
     let calls: Vec<_> =
@@ -417,7 +428,7 @@
     caller.send(&format!("[{}]", calls.join(",")));
     (0..3).for_each(|_| drop(node.request()));
     proxy.process.terminate();
-    proxy.process.says("told to end");
+    proxy.process.wait_for_log("told to end");
     let answers = caller.receive();
     let answers = answers.as_array().expect("one answer to the batch");
     assert_eq!(answers.len(), 3, "{answers:?}");
@@ -427,7 +438,7 @@
     let notice = caller.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(1)));
     assert!(caller.try_receive().is_none());
-    assert!(proxy.process.end().success());
+    assert!(proxy.process.wait_for_exit().success());
 }
 
 // ---- Two protocols ----
@@ -441,12 +452,12 @@
         Framing::Lines,
         [RpcBehavior::Raw("{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":{\"n\":1e400 }}\n".to_owned())],
     );
-    let brief = |site: Site| Both::start(&Site { aim_ms: 300, ..site });
-    let (to_http, to_rpc) = (brief(Site::http(&[http.address])), brief(Site::rpc(&[node.address])));
+    let brief = |site: RpcSite| DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..site });
+    let (to_http, to_rpc) = (brief(RpcSite::http(&[http.address])), brief(RpcSite::rpc(&[node.address])));
     let post = "POST /report-result/12?a=b HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\nX-Timeout-Ms: 900\r\nContent-Length: 7\r\n\r\n{\"a\":1}";
     let call = request(1, "report-result", json!({ "key": "k2", "a": 1, "_meta": { "timeoutMs": 900 } }));
     for proxy in [&to_http, &to_rpc] {
-        let answer = proxy.process.ask(post);
+        let answer = proxy.process.request(post);
         assert_eq!((answer.status(), &*answer.body), (200, &b"{\"n\":1e400 }"[..]));
         let mut caller = proxy.rpc();
         caller.send(&call);
@@ -481,10 +492,10 @@
             RpcBehavior::Result(json!("again")),
         ],
     );
-    let proxy = Both::start(&Site { window_ms: 4_000, ..Site::rpc(&[node.address]) });
+    let proxy = DualProtocolProxy::start(&RpcSite { key_window_ms: 4_000, ..RpcSite::rpc(&[node.address]) });
     let post = |key: &str| {
         let head = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
-        proxy.process.ask(&head)
+        proxy.process.request(&head)
     };
     let mut caller = proxy.rpc();
     caller.send(&request(1, "report-result", json!({ "key": "k" })));
@@ -510,7 +521,7 @@
     // Both at once: one runs, the other is told.
     for round in 0..50 {
         let key = format!("r{round}");
-        let (mut http, mut rpc) = (proxy.process.caller(), proxy.rpc());
+        let (mut http, mut rpc) = (proxy.process.connect(), proxy.rpc());
         let body = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
         http.send(&body);
         rpc.send(&request(round, "report-result", json!({ "key": key })));
@@ -524,9 +535,11 @@
 #[test]
 fn at_the_key_limit_new_keys_are_rejected_and_none_is_executed_twice() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("z".repeat(100)))]);
-    let site =
-        Site { server: "keys = { entries = 3, bytes = 250 }\n".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
+    let site = RpcSite {
+        server_settings: "keys = { entries = 3, bytes = 250 }\n".to_owned(),
+        ..RpcSite::rpc(&[node.address])
+    };
+    let proxy = DualProtocolProxy::start(&site);
     let mut caller = proxy.rpc();
     let mut call = |key: &str| caller.call(1, "report-result", json!({ "key": key }));
     for key in ["a", "b", "c"] {
@@ -544,7 +557,7 @@
 
 #[test]
 fn configuration_errors_are_reported() {
-    let site = Site::rpc(&["127.0.0.1:9".parse().expect("an address")]);
+    let site = RpcSite::rpc(&["127.0.0.1:9".parse().expect("an address")]);
     let good = site.config();
     for (from, to, told) in [
         ("protocol = \"json-rpc\"", "protocol = \"grpc\"", "`protocol`: \"grpc\" is none"),
@@ -562,7 +575,7 @@
         ),
         ("[[class]]", "[members]\nkey = \"a.b.c\"\n[[class]]", "`key`: \"a.b.c\" is no member"),
     ] {
-        let (mut child, _) = try_serve(&good.replacen(from, to, 1), &[]);
+        let (mut child, _) = spawn_standalone(&good.replacen(from, to, 1), &[]);
         let mut words = String::new();
         child.stderr.take().expect("piped").read_to_string(&mut words).expect("text");
         assert_eq!(child.wait().expect("ends").code(), Some(2), "{told}");
@@ -574,7 +587,11 @@
 fn methods_and_members_follow_the_configuration() {
     let http = MockEndpoint::new([ok("{}")]);
     let more = "[[method]]\nname = \"rank\"\nclass = \"standings\"\npath = \"/standings/{where.event}\"\nverb = \"POST\"\n[members]\ntimeout_ms = \"wait\"\nkey = \"_meta.dedup\"\n";
-    let proxy = Both::start(&Site { more: more.to_owned(), aim_ms: 300, ..Site::http(&[http.address]) });
+    let proxy = DualProtocolProxy::start(&RpcSite {
+        extra_config: more.to_owned(),
+        latency_objective_ms: 300,
+        ..RpcSite::http(&[http.address])
+    });
     let mut caller = proxy.rpc();
     caller.call(1, "rank", json!({ "where": { "event": 12 }, "wait": 700 }));
     let heard = http.request().1;
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -59,7 +59,7 @@
             (0..times).filter(|_| caller.ask(ASK).status() == 200).count()
         })
     };
-    let all: Vec<_> = (0..callers).map(|_| one(proxy.caller(), Arc::clone(&together))).collect();
+    let all: Vec<_> = (0..callers).map(|_| one(proxy.connect(), Arc::clone(&together))).collect();
     for served in all {
         assert!(served.join().expect("no panic") > 0);
     }
@@ -97,21 +97,21 @@
 #[test]
 fn a_proxy_that_starts_again_knows_the_slow_node_and_an_old_file_says_nothing() {
     let nodes = nodes();
-    let folder = folder().join("learned");
+    let folder = temp_folder().join("learned");
     let config = config(&[&nodes[0], &nodes[1]], &folder);
-    let mut first = serve(&config, &[]);
+    let mut first = start_standalone(&config, &[]);
     let blind = slow_of_eight(&first, &nodes);
     assert!(blind >= 3, "knows nothing yet: {blind} of 8 to the slow node");
     crowd(&first, 8, 10);
     first.terminate();
-    assert!(first.end().success());
+    assert!(first.wait_for_exit().success());
 
-    let mut second = serve(&config, &[]);
+    let mut second = start_standalone(&config, &[]);
     assert!(second.log().contains("knowledge: from "), "{}", second.log());
     let taught = slow_of_eight(&second, &nodes);
     assert!(taught <= 2, "{taught} of 8 to the slow node");
     second.terminate();
-    assert!(second.end().success());
+    assert!(second.wait_for_exit().success());
 
     // The same, as if written six hours ago; and by a clock that was wrong by years.
     for (hours, words) in [(6, "knowledge: from 21"), (-30_000, "knowledge: very old")] {
@@ -121,7 +121,7 @@
         let written = learned.written_ms.expect("says when");
         learned.written_ms = written.checked_add_signed(-hours * 3_600_000);
         std::fs::write(&file, learned_state::encode(&learned)).expect("written");
-        let third = serve(&config, &[]);
+        let third = start_standalone(&config, &[]);
         assert!(third.log().contains(words), "{}", third.log());
         let forgot = slow_of_eight(&third, &nodes);
         assert!(forgot >= 3, "{forgot} of 8 to the slow node, after {hours} hours");
@@ -133,16 +133,16 @@
 #[test]
 fn what_a_killed_process_learned_is_there_and_a_damaged_file_costs_itself() {
     let nodes = nodes();
-    let folder = folder().join("learned");
+    let folder = temp_folder().join("learned");
     let config = config(&[&nodes[0], &nodes[1]], &folder);
-    let first = serve(&config, &[]);
+    let first = start_standalone(&config, &[]);
     crowd(&first, 8, 10);
     let before = files(&folder).pop();
     until("no two files since", || files(&folder).iter().rev().nth(1) > before.as_ref());
     drop(first);
     // The newest is torn: the one before it counts.
     std::fs::write(newest(&folder), b"amberkno").expect("written");
-    let second = serve(&config, &[]);
+    let second = start_standalone(&config, &[]);
     assert!(second.log().contains("knowledge: from "), "{}", second.log());
     assert!(slow_of_eight(&second, &nodes) <= 2);
     // Four are kept, and the newest of them is sound.
@@ -156,17 +156,17 @@
 #[test]
 fn a_folder_that_another_process_has_is_read_and_taken_over_when_it_is_free() {
     let nodes = nodes();
-    let folder = folder().join("learned");
+    let folder = temp_folder().join("learned");
     let config = config(&[&nodes[0], &nodes[1]], &folder);
-    let mut first = serve(&config, &[]);
+    let mut first = start_standalone(&config, &[]);
     crowd(&first, 8, 4);
     until("no file", || !files(&folder).is_empty());
-    let second = serve(&config, &[]);
-    second.says("another process uses it");
+    let second = start_standalone(&config, &[]);
+    second.wait_for_log("another process uses it");
     assert!(second.log().contains("knowledge: from "), "{}", second.log());
     first.terminate();
-    assert!(first.end().success());
-    second.says("again");
+    assert!(first.wait_for_exit().success());
+    second.wait_for_log("again");
     let before = newest(&folder);
     until("a file of its own", || newest(&folder) != before);
     assert_eq!(second.log().matches("another process uses it").count(), 1, "said once");
@@ -175,16 +175,16 @@
 #[test]
 fn a_folder_that_cannot_be_had_costs_a_line_and_nothing_else() {
     let nodes = nodes();
-    let folder = folder().join("learned");
+    let folder = temp_folder().join("learned");
     std::fs::write(&folder, "a file in its place").expect("written");
-    let mut proxy = serve(&config(&[&nodes[0], &nodes[1]], &folder), &[]);
-    proxy.says("knowledge: not kept in ");
+    let mut proxy = start_standalone(&config(&[&nodes[0], &nodes[1]], &folder), &[]);
+    proxy.wait_for_log("knowledge: not kept in ");
     crowd(&proxy, 2, 4);
     assert_eq!(proxy.log().matches("not kept").count(), 1, "said once");
     // What stood in the way is gone: kept from then on.
     std::fs::remove_file(&folder).expect("removed");
-    proxy.says("again");
+    proxy.wait_for_log("again");
     proxy.terminate();
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(!files(&folder).is_empty());
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -77,14 +77,14 @@
     let length = whole.len() - usize::from(matches!(leaves, Leaves::InItsBody)) * 4;
     stream.write_all(&whole.as_bytes()[..length]).expect("written");
     // Whoever is answered after it came after it.
-    assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     if matches!(
         leaves,
         Leaves::ClosesBehindBytes | Leaves::ResetsBehindBytes | Leaves::EndsItsSideBehindBytes
     ) {
         for _ in 0..3 {
             stream.write_all(b"GET /read/1 HTTP/1.1\r\nHost: a\r\n").expect("written");
-            assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+            assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
         }
     }
     first();
@@ -103,8 +103,8 @@
 }
 
 fn setup(address: SocketAddr) -> Setup {
-    let mut setup = Setup::of(&[]);
-    setup.hosts.push(host("s-0", address, "SERVING"));
+    let mut setup = Setup::with_endpoints(&[]);
+    setup.endpoints.push(host("s-0", address, "SERVING"));
     setup
 }
 
@@ -147,7 +147,7 @@
         let backend = || {
             let (asked, words) = (asked.clone(), Arc::clone(&words));
             let (asked, words) = (Mutex::new(asked), words);
-            raw_backend(move |mut stream| {
+            raw_endpoint(move |mut stream| {
                 let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
                 while read_message(&mut reader).is_some() {
                     let _ = asked.lock().expect("unpoisoned").send(Instant::now());
@@ -159,7 +159,7 @@
             })
         };
         let mut setup = setup(backend());
-        setup.hosts.push(host("s-1", backend(), "SERVING"));
+        setup.endpoints.push(host("s-1", backend(), "SERVING"));
         let proxy = setup.start();
         let (left, _kept) = ask_and_leave(&proxy, leaves, || {
             requests.recv_timeout(TEST_TIMEOUT).expect("the first attempt");
@@ -175,7 +175,7 @@
 fn no_attempts_start_for_five_hundred_simultaneous_disconnects_on_a_busy_core() {
     let shut = Shut::new();
     let mut setup = setup(shut.address);
-    setup.sockets = 4_096;
+    setup.max_sockets = 4_096;
     let proxy = setup.start();
     let mut clients = Vec::new();
     for number in 0..500 {
@@ -183,7 +183,7 @@
         stream.write_all(write(&format!("id-{number}"), 9_000, "x").as_bytes()).expect("written");
         clients.push(stream);
     }
-    assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     // Half of them with bytes behind their requests.
     for client in clients.iter_mut().step_by(2) {
         let _ = client.write_all(b"GET /read/1 HTTP/1.1\r\n");
@@ -209,7 +209,7 @@
 fn a_disconnect_propagates_to_a_second_tier() {
     for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes] {
         let backend = MockEndpoint::new([Behavior::Hang]);
-        let second = Setup::of(&[&backend]).start();
+        let second = Setup::with_endpoints(&[&backend]).start();
         let first = setup(second.address).start();
         let mut number = 0;
         let (left, _) = ask_and_leave(&first, leaves, || number = backend.request().0);
--- a/tests/notification_bound.rs
+++ b/tests/notification_bound.rs
@@ -18,7 +18,7 @@
     let mut served = Vec::new();
     let mut number = 0;
     while Instant::now() < until {
-        let mut caller = proxy.caller();
+        let mut caller = proxy.connect();
         number += 1;
         if caller.ask(&read(&format!("asked-{number}"), 9_000)).status() == 200 {
             served.push(Instant::now());
@@ -29,8 +29,8 @@
 }
 
 fn setup(address: std::net::SocketAddr) -> Setup {
-    let mut setup = Setup::of(&[]);
-    setup.hosts = vec![host("s-0", address, "SERVING")];
+    let mut setup = Setup::with_endpoints(&[]);
+    setup.endpoints = vec![host("s-0", address, "SERVING")];
     setup
 }
 
@@ -38,7 +38,7 @@
 fn nothing_is_forwarded_by_a_list_that_failed_calls_cannot_confirm() {
     let cases = [PollResponse::Unavailable, PollResponse::Disconnect].map(|failure| {
         thread::spawn(move || {
-            let (address, received_at) = noting_backend();
+            let (address, received_at) = recording_endpoint();
             let proxy = setup(address).start();
             proxy.discovery.wait_for_poll(0);
             proxy.discovery.push(PollResponse::List(list(1, false, &[])));
@@ -65,7 +65,7 @@
             proxy.discovery.set_default_response(None);
             proxy.discovery.push(PollResponse::List(list(2, true, &[host("s-0", address, "SERVING")])));
             let until = Instant::now() + TEST_TIMEOUT;
-            while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
+            while proxy.connect().ask(&read("after", 9_000)).status() != 200 {
                 assert!(Instant::now() < until, "{failure:?}: does not go on");
             }
         })
@@ -77,10 +77,10 @@
 
 #[test]
 fn a_drain_is_received_in_time_where_every_second_call_is_rejected() {
-    let (address, received_at) = noting_backend();
-    let (other, other_received_at) = noting_backend();
+    let (address, received_at) = recording_endpoint();
+    let (other, other_received_at) = recording_endpoint();
     let mut setup = setup(address);
-    setup.hosts.push(host("s-1", other, "SERVING"));
+    setup.endpoints.push(host("s-1", other, "SERVING"));
     let proxy = setup.start();
     let drained_list = [host("s-0", address, "DRAINING"), host("s-1", other, "SERVING")];
     proxy.discovery.push(PollResponse::List(list(2, true, &[])));
@@ -112,11 +112,11 @@
 
 #[test]
 fn an_outage_with_refused_connections_does_not_suspend_forwarding_and_its_end_is_noticed_in_time() {
-    let (address, received_at) = noting_backend();
+    let (address, received_at) = recording_endpoint();
     let closed = ReservedPort::new();
-    let (other, _others) = noting_backend();
+    let (other, _others) = recording_endpoint();
     let mut setup = setup(address);
-    setup.hosts.push(host("s-1", other, "SERVING"));
+    setup.endpoints.push(host("s-1", other, "SERVING"));
     let config = setup.config(closed.address());
     let proxy = start_config(&config);
     let started_at = Instant::now();
@@ -149,9 +149,9 @@
 
 #[test]
 fn a_process_without_a_list_polls_until_it_has_one_and_is_ready_then() {
-    let (address, _) = noting_backend();
+    let (address, _) = recording_endpoint();
     let mut setup = setup(address);
-    setup.hosts.clear();
+    setup.endpoints.clear();
     let discovery = MockDiscovery::new();
     // The first response breaks off, the second cannot be parsed, three calls are rejected; then come 1,024 endpoints, indented.
     let hosts: Vec<String> =
@@ -169,9 +169,9 @@
     let proxy = start_config(&(config[..from].to_owned() + &config[to..]));
     let started_at = Instant::now();
     // Clients come before the list: they are rejected, and nothing else.
-    assert_eq!(proxy.caller().ask(&read("early", 9_000)).status(), 503);
+    assert_eq!(proxy.connect().ask(&read("early", 9_000)).status(), 503);
     let health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
-    while proxy.caller().ask(health).status() != 200 {
+    while proxy.connect().ask(health).status() != 200 {
         assert!(
             started_at.elapsed() < Duration::from_secs(10),
             "not ready, after {} calls",
@@ -180,5 +180,5 @@
         thread::sleep(Duration::from_millis(10));
     }
     println!("ready after {:?} and {} calls", started_at.elapsed(), discovery.poll_count());
-    assert_eq!(proxy.caller().ask(&read("late", 9_000)).status(), 200);
+    assert_eq!(proxy.connect().ask(&read("late", 9_000)).status(), 200);
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -10,14 +10,14 @@
 use stubs::*;
 
 /// A proxy with an address for operators, and its discovery.
-fn start(backends: &[&MockEndpoint]) -> (Process, MockDiscovery, Held) {
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let config = with_operators(&Setup::of(backends).config(discovery.address));
+fn start(backends: &[&MockEndpoint]) -> (Process, MockDiscovery, InheritedListener) {
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let config = with_operators(&Setup::with_endpoints(backends).config(discovery.address));
     (held.start(&config), discovery, held)
 }
 
-fn ask(process: &Process, held: &Held, request: &str) -> HttpMessage {
-    assert!(process.id() > 0);
+fn ask(process: &Process, held: &InheritedListener, request: &str) -> HttpMessage {
+    assert!(process.pid() > 0);
     HttpClient::of(TcpStream::connect(held.address).expect("somebody listens")).ask(request)
 }
 
@@ -42,7 +42,7 @@
         ("POST", "/maintenance/exit", "s-0", 200),
         ("POST", "/maintenance/exit", "s-0", 200),
     ] {
-        assert_eq!(process.call(method, path, body).0, status, "{method} {path} {body:.9}");
+        assert_eq!(process.operator_request(method, path, body).0, status, "{method} {path} {body:.9}");
     }
 }
 
@@ -50,13 +50,13 @@
 fn who_hangs_on_the_operators_address_keeps_nobody_out() {
     let backend = MockEndpoint::new([]);
     let (process, ..) = start(&[&backend]);
-    let at = process.operators();
+    let at = process.operators_address();
     let mut hanging: Vec<TcpStream> = Vec::new();
     for n in 0..40 {
         let mut stream = TcpStream::connect(at).expect("it listens");
         stream.write_all(&b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\n"[..n]).expect("written");
         hanging.push(stream);
-        assert_eq!(process.call("GET", "/status", "").0, 200, "beside {n}");
+        assert_eq!(process.operator_request("GET", "/status", "").0, 200, "beside {n}");
     }
     // Nor do readers of figures that stop reading.
     for _ in 0..40 {
@@ -64,7 +64,7 @@
         let _ = stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         hanging.push(stream);
     }
-    assert_eq!(process.call("GET", "/status/metrics", "").0, 200);
+    assert_eq!(process.operator_request("GET", "/status/metrics", "").0, 200);
     // A call byte by byte is one all the same.
     let mut slow = TcpStream::connect(at).expect("it listens");
     slow.set_nodelay(true).expect("set");
@@ -85,10 +85,10 @@
             assert_eq!(ask(&process, &held, &read(&format!("{what}-{i}"), 9000)).status(), 200);
         }
     };
-    assert_eq!(process.call("POST", "/maintenance/enter", "s-0").0, 200);
+    assert_eq!(process.operator_request("POST", "/maintenance/enter", "s-0").0, 200);
     asks(10, "out");
     assert_eq!((first.requests().len(), second.requests().len()), (0, 10));
-    assert_eq!((process.figure("edge_lb_pool_size"), process.figure("edge_lb_pool_ejected")), (2, 1));
+    assert_eq!((process.metric("edge_lb_pool_size"), process.metric("edge_lb_pool_ejected")), (2, 1));
     // Discovery lists it anew, and the whole list once more.
     discovery.push(PollResponse::List(list(2, false, &[host("s-0", first.address, "SERVING")])));
     let hosts = [host("s-0", first.address, "SERVING"), host("s-1", second.address, "SERVING")];
@@ -97,8 +97,8 @@
     discovery.wait_for_poll(2);
     asks(10, "listed");
     assert_eq!(first.requests().len(), 0);
-    assert_eq!(process.call("POST", "/maintenance/exit", "s-0").0, 200);
-    assert_eq!(process.figure("edge_lb_pool_ejected"), 0);
+    assert_eq!(process.operator_request("POST", "/maintenance/exit", "s-0").0, 200);
+    assert_eq!(process.metric("edge_lb_pool_ejected"), 0);
     let since = Instant::now();
     for i in 0.. {
         asks(1, &format!("back-{i}"));
@@ -122,32 +122,32 @@
     seen[usize::from(ask(&process, &held, &bad).status())] += 1;
     ask(&process, &held, &read("nobody", 9000).replace("read", "nobodys"));
     let tries = backend.requests().len() as u64;
-    assert_eq!(process.figure("edge_lb_tries_total"), tries);
-    let of = |name: &str, kind: &str| process.figure(&format!("edge_lb_{name}_total{{kind=\"{kind}\"}}"));
+    assert_eq!(process.metric("edge_lb_tries_total"), tries);
+    let of = |name: &str, kind: &str| process.metric(&format!("edge_lb_{name}_total{{kind=\"{kind}\"}}"));
     assert_eq!((of("ok", "read"), seen[200]), (3, 3));
     // The route itself says that this class is not asked for in that way, before the request is one of it.
     assert_eq!((of("errors", "read") + of("errors", "write") + of("shed", "read"), seen[405]), (0, 1));
-    assert_eq!(process.figure("edge_lb_active"), 0);
+    assert_eq!(process.metric("edge_lb_active"), 0);
     // One that is open, and whose caller then leaves.
     let silent = MockEndpoint::new([Behavior::Hang]);
     let (process, _discovery, held) = start(&[&silent]);
     let mut caller = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     caller.send(&read("open", 9000));
-    process.figure_becomes("edge_lb_tries_total", 1);
-    assert_eq!(process.figure("edge_lb_active"), 1);
+    process.wait_for_metric("edge_lb_tries_total", 1);
+    assert_eq!(process.metric("edge_lb_active"), 1);
     drop(caller);
-    process.figure_becomes("edge_lb_active", 0);
-    assert_eq!(process.figure("edge_lb_errors_total{kind=\"read\"}"), 1);
+    process.wait_for_metric("edge_lb_active", 0);
+    assert_eq!(process.metric("edge_lb_errors_total{kind=\"read\"}"), 1);
 }
 
 #[test]
 fn a_process_takes_over_with_the_socket_and_what_is_out_by_hand() {
     let (first, second) = (MockEndpoint::new(vec![ok("1"); 999]), MockEndpoint::new(vec![ok("2"); 999]));
     let discovery = MockDiscovery::new();
-    let held = Held::new();
-    let config = with_operators(&Setup::of(&[&first, &second]).config(discovery.address));
+    let held = InheritedListener::new();
+    let config = with_operators(&Setup::with_endpoints(&[&first, &second]).config(discovery.address));
     let mut old = held.start(&config);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s-0").0, 200);
+    assert_eq!(old.operator_request("POST", "/maintenance/enter", "s-0").0, 200);
     let mut kept = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
     assert_eq!(kept.ask(&read("kept-1", 9000)).status(), 200);
     // Another stays open for as long as the old one lets it.
@@ -155,10 +155,10 @@
     assert_eq!(idle.ask(&read("idle", 9000)).status(), 200);
 
     let new = held.start(&config);
-    assert_eq!(new.call("GET", "/status", "").0, 200);
-    assert_eq!(new.figure("edge_lb_pool_ejected"), 1, "handed on");
+    assert_eq!(new.operator_request("GET", "/status", "").0, 200);
+    assert_eq!(new.metric("edge_lb_pool_ejected"), 1, "handed on");
     old.terminate();
-    old.says("told to end");
+    old.wait_for_log("told to end");
     // The connection that stands is answered, told to leave, and then closed; the next is the new one's.
     let last = kept.ask(&read("kept-2", 9000));
     assert_eq!((last.status(), last.header("Connection")), (200, Some("close")));
@@ -166,12 +166,12 @@
         assert_eq!(ask(&new, &held, &read(&format!("new-{i}"), 9000)).status(), 200);
     }
     assert_eq!(first.requests().len(), 0);
-    assert_eq!(old.call("GET", "/status", "").0, 503, "it takes no clients");
+    assert_eq!(old.operator_request("GET", "/status", "").0, 503, "it takes no clients");
     // Put back through the new one while the old one may still serve: its word counts for both.
-    assert_eq!(new.call("POST", "/maintenance/exit", "s-0").0, 200);
-    old.figure_becomes("edge_lb_pool_ejected", 0);
+    assert_eq!(new.operator_request("POST", "/maintenance/exit", "s-0").0, 200);
+    old.wait_for_metric("edge_lb_pool_ejected", 0);
     drop(idle);
-    assert!(old.end().success());
+    assert!(old.wait_for_exit().success());
     let since = Instant::now();
     for i in 0.. {
         assert_eq!(ask(&new, &held, &read(&format!("back-{i}"), 9000)).status(), 200);
@@ -186,8 +186,8 @@
 #[test]
 fn a_process_takes_over_what_was_learned_and_passes_over_what_is_damaged() {
     let backend = MockEndpoint::new(vec![ok("1"); 9999]);
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let config = with_operators(&Setup::of(&[&backend]).config(discovery.address));
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let config = with_operators(&Setup::with_endpoints(&[&backend]).config(discovery.address));
     let old = held.start(&config);
     for i in 0..50 {
         assert_eq!(ask(&old, &held, &read(&format!("old-{i}"), 9000)).status(), 200);
@@ -209,14 +209,14 @@
     let third = held.start(&config);
     assert_eq!(third.log().matches("not as it was written").count(), 2, "{}", third.log());
     assert_eq!(ask(&third, &held, &read("third", 9000)).status(), 200);
-    assert_eq!(third.figure("edge_lb_pool_ejected"), 0);
+    assert_eq!(third.metric("edge_lb_pool_ejected"), 0);
 }
 
 #[test]
 fn a_descriptor_that_is_no_listening_socket_ends_the_program_with_a_line() {
-    let config = Setup::of(&[]).config(unused_address());
+    let config = Setup::with_endpoints(&[]).config(unused_address());
     for named in ["3", "x", "", "1", "99999999999999999999"] {
-        let path = folder().join("lb.json");
+        let path = temp_folder().join("lb.json");
         std::fs::write(&path, &config).expect("written");
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_amberlever"));
         let ended = command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", named).output().expect("it runs");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -53,7 +53,7 @@
 fn nodes_of_several_pools_go_out_by_hand_over_a_reload_and_are_counted_apart() {
     let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let text = config("127.0.0.1:0", nodes.each_ref(), "folder = \"kept\"");
-    let process = serve(&text, &[]);
+    let process = start_standalone(&text, &[]);
     for (path, body, status) in [
         ("/maintenance/enter", "n1", 409),
         ("/maintenance/enter", "n9", 404),
@@ -62,22 +62,22 @@
         ("/maintenance/exit", "b/n2", 200),
         ("/maintenance/enter", "b/n1", 200),
     ] {
-        let (answered, line) = process.call("POST", path, body);
+        let (answered, line) = process.operator_request("POST", path, body);
         assert_eq!(answered, status, "{path} {body}: {line}");
     }
     let asks = |n: usize, pool: &str, what: &str| {
         for i in 0..n {
-            assert_eq!(process.ask(&get(pool, &format!("{what}-{pool}-{i}"))).status(), 200);
+            assert_eq!(process.request(&get(pool, &format!("{what}-{pool}-{i}"))).status(), 200);
         }
     };
     asks(10, "b", "out");
     // Another class and another pool: what is out stays so.
     process.reload(&text.replace("\"b\"\nnodes", "\"b\"\nshare = 2\nnodes"));
-    process.says("configuration 2");
+    process.wait_for_log("configuration 2");
     asks(10, "b", "reloaded");
     asks(5, "a", "other");
     assert_eq!(nodes.each_ref().map(|n| n.requests().len()), [5, 0, 20]);
-    let figure = |name: &str| process.figure(name);
+    let figure = |name: &str| process.metric(name);
     assert_eq!(figure("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 20);
     assert_eq!(figure("edge_lb_ok_total{kind=\"read\",pool=\"a\"}"), 5);
     assert_eq!(figure("edge_lb_tries_total{pool=\"b\"}"), 20);
@@ -85,19 +85,19 @@
     assert_eq!((pool("pool_size"), pool("pool_ejected")), ([1, 2], [0, 1]));
     // It is kept for the next process.
     drop(process);
-    let folder = folder();
-    let first = serve(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
-    assert_eq!(first.call("POST", "/maintenance/enter", "a/n1").0, 200);
+    let folder = temp_folder();
+    let first = start_standalone(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
+    assert_eq!(first.operator_request("POST", "/maintenance/enter", "a/n1").0, 200);
     drop(first);
-    let second = serve(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
-    assert_eq!(second.figure("edge_lb_pool_ejected{pool=\"a\"}"), 1);
-    assert_eq!(second.ask(&get("a", "none")).status(), 503, "all of its nodes are out by hand");
-    assert_eq!(second.figure("edge_lb_shed_total{kind=\"read\",pool=\"a\"}"), 1);
+    let second = start_standalone(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
+    assert_eq!(second.metric("edge_lb_pool_ejected{pool=\"a\"}"), 1);
+    assert_eq!(second.request(&get("a", "none")).status(), 503, "all of its nodes are out by hand");
+    assert_eq!(second.metric("edge_lb_shed_total{kind=\"read\",pool=\"a\"}"), 1);
 }
 
 /// Starts the program with a listening socket as systemd would pass it.
 fn start_with(listener: &TcpListener, config: &str, count: usize) -> std::process::Child {
-    let path = folder().join("lb.toml");
+    let path = temp_folder().join("lb.toml");
     std::fs::write(&path, config).expect("written");
     let held = OwnedFd::from(listener.try_clone().expect("another descriptor"));
     let mut command = Command::new("sh");
@@ -114,28 +114,28 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     let text = config(&at.to_string(), nodes.each_ref(), "");
-    let start = || Process::watch(start_with(&listener, &text, 1), folder());
+    let start = || Process::attach(start_with(&listener, &text, 1), temp_folder());
     let mut old = start();
     assert_eq!(old.address, at);
     let mut kept = HttpClient::of(TcpStream::connect(at).expect("it listens"));
     assert_eq!(kept.ask(&get("a", "kept-1")).status(), 200);
     let new = start();
-    assert_eq!(new.call("GET", "/status", "").0, 200);
+    assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
     // Nobody else is told; its figures say when it knows.
     let since = Instant::now();
-    while old.call("GET", "/status", "").0 != 503 {
+    while old.operator_request("GET", "/status", "").0 != 503 {
         assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(1));
     }
     let last = kept.ask(&get("a", "kept-2"));
     assert_eq!((last.status(), last.header("Connection")), (200, Some("close")));
     for i in 0..30 {
-        assert_eq!(new.ask(&get("b", &format!("new-{i}"))).status(), 200);
+        assert_eq!(new.request(&get("b", &format!("new-{i}"))).status(), 200);
     }
     drop(kept);
-    assert!(old.end().success());
-    assert_eq!(new.figure("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 30);
+    assert!(old.wait_for_exit().success());
+    assert_eq!(new.metric("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 30);
 }
 
 #[test]
@@ -161,7 +161,7 @@
         "[operators]\nlisten = \"0.0.0.0:9600\"",
         1,
     );
-    let (child, _) = try_serve(&text, &[]);
+    let (child, _) = spawn_standalone(&text, &[]);
     let ended = child.wait_with_output().expect("it ends");
     let said = String::from_utf8_lossy(&ended.stderr).into_owned();
     assert!(!ended.status.success() && said.contains("not on loopback"), "{said}");
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -14,8 +14,8 @@
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let answer = proxy.ask(&put("id-1", "key-1", 9000, "what to do"));
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let answer = proxy.request(&put("id-1", "key-1", 9000, "what to do"));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
     let (_, request) = backend.request();
     assert_eq!(request.line, "POST /put/7f3a HTTP/1.1");
@@ -25,7 +25,7 @@
     let left: u64 = request.header("X-Timeout-Ms").expect("told").parse().expect("whole milliseconds");
     assert!((1..9000).contains(&left), "{left}");
 
-    proxy.ask(&read("id-2", 9000));
+    proxy.request(&read("id-2", 9000));
     let (_, request) = backend.request();
     assert_eq!(request.line, "GET /read/7f3a?x=1 HTTP/1.1");
     assert_eq!((request.header("Idempotency-Key"), request.body.len()), (None, 0));
@@ -34,7 +34,7 @@
 #[test]
 fn invalid_requests_are_rejected() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let good = read("id-1", 9000);
     let long = "x".repeat((64 << 10) + 1);
     let bad = [
@@ -63,12 +63,12 @@
         ("HELLO\r\n\r\n".to_owned(), 400),
     ];
     for (request, status) in bad {
-        let answer = proxy.ask(&request);
+        let answer = proxy.request(&request);
         assert_eq!(answer.status(), status, "{}", &request[..request.len().min(200)]);
     }
     // A caller that leaves in the middle of its request.
-    proxy.caller().send(&good[..good.len() / 2]);
-    assert_eq!(proxy.ask(&good).status(), 200);
+    proxy.connect().send(&good[..good.len() / 2]);
+    assert_eq!(proxy.request(&good).status(), 200);
     assert_eq!(backend.requests().len(), 1, "nothing bad went on");
 }
 
@@ -76,20 +76,20 @@
 #[test]
 fn a_body_with_two_lengths_is_rejected_and_closes_the_connection() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let hidden = format!("0\r\n\r\n{}", read("id-2", 9000));
     let plain = write("id-1", 9000, &hidden);
     for lengths in
         ["Transfer-Encoding: chunked\r\nContent-", "Content-Length: 0\r\nTransfer-Encoding: chunked\r\nX-"]
     {
-        let mut caller = proxy.caller();
+        let mut caller = proxy.connect();
         let answer = caller.ask(&plain.replace("Content-", lengths));
         assert_eq!((answer.status(), answer.header("Connection")), (400, Some("close")));
         assert!(caller.is_closed());
     }
     assert!(backend.requests().is_empty());
     // Chunks alone are good, and nothing is read behind them either.
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     let chunked = plain.replace(&format!("Content-Length: {}", hidden.len()), "Transfer-Encoding: chunked");
     let (chunked, _) = chunked.split_once("\r\n\r\n").expect("a head");
     let answer = caller.ask(&format!("{chunked}\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
@@ -100,27 +100,27 @@
 #[test]
 fn a_duplicate_id_of_an_open_request_is_rejected() {
     let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let mut first = proxy.caller();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut first = proxy.connect();
     first.send(&write("id-1", 9000, "x"));
     backend.request();
-    assert_eq!(proxy.ask(&write("id-1", 9000, "x")).status(), 409);
-    assert_eq!(proxy.ask(&write("id-2", 9000, "x")).status(), 200);
+    assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 409);
+    assert_eq!(proxy.request(&write("id-2", 9000, "x")).status(), 200);
     assert_eq!(backend.request().1.header("X-Request-ID"), Some("id-2"));
     // The first goes on until its caller leaves, and then the id is free.
     drop(first);
     backend.wait_for_close();
-    assert_eq!(proxy.ask(&write("id-1", 9000, "x")).status(), 200);
+    assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 200);
 }
 
 #[test]
 fn slow_requests_time_out_and_idle_connections_stay() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let mut idle = proxy.caller();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut idle = proxy.connect();
     assert_eq!(idle.ask(&read("id-1", 9000)).status(), 200);
     let since = Instant::now();
-    let (mut silent, mut half, mut trickle) = (proxy.caller(), proxy.caller(), proxy.caller());
+    let (mut silent, mut half, mut trickle) = (proxy.connect(), proxy.connect(), proxy.connect());
     half.send("GET /read/1 HTTP/1.1\r\nHost:");
     let whole = write("id-2", 60_000, "what to do");
     trickle.send(&whole[..whole.len() - 1]);
@@ -135,16 +135,16 @@
 #[test]
 fn timeout_and_class_headers_are_optional() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let request = read("id-1", 9000).replace("X-Timeout-Ms: 9000\r\n", "");
-    assert_eq!(proxy.ask(&request.replace("X-Priority-Class: read\r\n", "")).status(), 200);
+    assert_eq!(proxy.request(&request.replace("X-Priority-Class: read\r\n", "")).status(), 200);
 }
 
 #[test]
 fn health_check_succeeds_once_there_is_an_endpoint_list() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
 }
 
 // ---- What outcomes prove ----
@@ -152,9 +152,9 @@
 #[test]
 fn a_request_rejected_unprocessed_is_retried_on_another_endpoint() {
     let (busy, free) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("done")]));
-    let proxy = Setup::of(&[&busy, &free]).start();
+    let proxy = Setup::with_endpoints(&[&busy, &free]).start();
     for i in 0..4 {
-        assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
+        assert_eq!(proxy.request(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
     }
     assert_eq!(free.requests().len(), 4);
 }
@@ -162,11 +162,11 @@
 #[test]
 fn a_refused_connection_is_retried_on_another_endpoint() {
     let free = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&free]);
-    setup.hosts.push(host("s-dead", unused_address(), "SERVING"));
+    let mut setup = Setup::with_endpoints(&[&free]);
+    setup.endpoints.push(host("s-dead", unused_address(), "SERVING"));
     let proxy = setup.start();
     for i in 0..4 {
-        assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
+        assert_eq!(proxy.request(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
     }
 }
 
@@ -183,8 +183,8 @@
     ];
     for deed in breaks {
         let backends = [MockEndpoint::new([deed.clone()]), MockEndpoint::new([deed.clone()])];
-        let proxy = Setup::of(&[&backends[0], &backends[1]]).start();
-        let answer = proxy.ask(&write("id-1", 9000, "x"));
+        let proxy = Setup::with_endpoints(&[&backends[0], &backends[1]]).start();
+        let answer = proxy.request(&write("id-1", 9000, "x"));
         assert_eq!(answer.status(), 502, "{deed:?}");
         let sent: usize = backends.iter().map(|b| b.requests().len()).sum();
         assert_eq!(sent, 1, "{deed:?}");
@@ -195,16 +195,16 @@
 fn an_interrupted_response_to_an_idempotent_request_is_retried() {
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned();
     let backend = MockEndpoint::new([Behavior::RespondAndClose(half), ok("whole")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let answer = proxy.ask(&read("id-1", 9000));
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let answer = proxy.request(&read("id-1", 9000));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
 }
 
 #[test]
 fn retry_after_is_sent_only_where_the_decisions_set_it() {
     let backend = MockEndpoint::new([full()]);
-    let proxy = Setup::of(&[&backend]).start();
-    let answer = proxy.ask(&write("id-1", 9000, "x"));
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let answer = proxy.request(&write("id-1", 9000, "x"));
     assert_eq!(answer.status(), 503);
     if let Some(wait) = answer.header("Retry-After") {
         assert!(wait.parse::<f64>().expect("seconds") <= 2.0);
@@ -216,9 +216,9 @@
     let report = |json: &str| answer("200 OK", &format!("X-Server-Load: {json}\r\n"), "done");
     let backend =
         MockEndpoint::new([report("{\"depth\":"), report("[]"), report("{\"depth\":\"x\"}"), ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     for i in 0..4 {
-        assert_eq!(proxy.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
+        assert_eq!(proxy.request(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
     assert_eq!(proxy.log().matches("malformed load report").count(), 1);
 }
@@ -228,10 +228,10 @@
 #[test]
 fn a_silent_endpoint_times_out_at_the_client_timeout() {
     let backend = MockEndpoint::new([Behavior::Hang]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.aim_ms = 2000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.latency_objective_ms = 2000;
     let proxy = setup.start();
-    let answer = proxy.ask(&write("id-1", 1000, "x"));
+    let answer = proxy.request(&write("id-1", 1000, "x"));
     assert_eq!(answer.status(), 504);
     // Its connection is closed, so that the backend may stop.
     backend.wait_for_close();
@@ -240,21 +240,21 @@
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
     let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let mut caller = proxy.caller();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut caller = proxy.connect();
     caller.send(&write("id-1", 9000, "x"));
     let (number, _) = backend.request();
     drop(caller);
     assert_eq!(backend.wait_for_close(), number);
     // And the proxy goes on: once it stood still after a caller had left.
-    assert_eq!(proxy.ask(&read("id-2", 9000)).status(), 200);
+    assert_eq!(proxy.request(&read("id-2", 9000)).status(), 200);
 }
 
 #[test]
 fn each_request_of_a_connection_gets_one_response() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
-    let mut caller = proxy.caller();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut caller = proxy.connect();
     for i in 0..50 {
         assert_eq!(caller.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
         assert_eq!(backend.request().1.header("X-Request-ID"), Some(format!("id-{i}").as_str()));
@@ -267,9 +267,9 @@
 #[test]
 fn upstream_connections_are_reused_most_recent_first() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     for i in 0..5 {
-        proxy.ask(&read(&format!("id-{i}"), 9000));
+        proxy.request(&read(&format!("id-{i}"), 9000));
         assert_eq!(backend.request().0, 0);
     }
 }
@@ -277,10 +277,10 @@
 #[test]
 fn idle_upstream_connections_close_before_the_endpoint_closes_them() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
+    let mut setup = Setup::with_endpoints(&[&backend]);
     setup.keepalive_ms = 1000;
     let proxy = setup.start();
-    assert_eq!(proxy.ask(&read("id-1", 9000)).status(), 200);
+    assert_eq!(proxy.request(&read("id-1", 9000)).status(), 200);
     // The stub backend never closes by itself.
     assert_eq!(backend.wait_for_close(), 0);
 }
@@ -289,9 +289,9 @@
 fn an_upstream_connection_closed_by_the_endpoint_loses_no_request() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
     let backend = MockEndpoint::new([Behavior::RespondAndClose(text)]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     for i in 0..20 {
-        assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
+        assert_eq!(proxy.request(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
         assert_eq!(backend.request().0, i, "each on a connection of its own");
         backend.wait_for_close();
     }
@@ -302,8 +302,8 @@
 #[test]
 fn the_watch_continues_and_draining_endpoints_get_no_new_requests() {
     let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
-    let proxy = Setup::of(&[&old]).start();
-    assert_eq!(proxy.ask(&write("id-0", 9000, "x")).body, b"old");
+    let proxy = Setup::with_endpoints(&[&old]).start();
+    assert_eq!(proxy.request(&write("id-0", 9000, "x")).body, b"old");
     let discovery = &proxy.discovery;
     assert_eq!(discovery.wait_for_poll(0).0.split("&wait_ms=").next(), Some("/v1/servers?after=1"));
     let hosts = [host("s-0", old.address, "DRAINING"), host("s-new", new.address, "SERVING")];
@@ -311,24 +311,24 @@
     // The next call says that the list before has been taken in.
     assert_eq!(discovery.wait_for_poll(1).0.split("&wait_ms=").next(), Some("/v1/servers?after=2"));
     for i in 1..6 {
-        assert_eq!(proxy.ask(&write(&format!("id-{i}"), 9000, "x")).body, b"new");
+        assert_eq!(proxy.request(&write(&format!("id-{i}"), 9000, "x")).body, b"new");
     }
     // A whole list leaves out what is gone, and may give another address.
     let moved = MockEndpoint::new([ok("moved")]);
     discovery.push(PollResponse::List(list(3, true, &[host("s-new", moved.address, "SERVING")])));
     discovery.wait_for_poll(2);
-    assert_eq!(proxy.ask(&write("id-6", 9000, "x")).body, b"moved");
+    assert_eq!(proxy.request(&write("id-6", 9000, "x")).body, b"moved");
     discovery.push(PollResponse::List(list(4, false, &[host("s-new", moved.address, "DELETED")])));
     discovery.wait_for_poll(3);
-    assert_eq!(proxy.ask(&write("id-7", 9000, "x")).status(), 503);
+    assert_eq!(proxy.request(&write("id-7", 9000, "x")).status(), 503);
 }
 
 /// The process behind an address is told by its id: a connection to the old one says nothing of the new.
 #[test]
 fn an_endpoint_with_an_unreadable_entry_gets_no_new_requests() {
     let backends: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::new([ok("done")])).collect();
-    let mut setup = Setup::of(&backends.iter().collect::<Vec<_>>());
-    setup.aim_ms = 2000;
+    let mut setup = Setup::with_endpoints(&backends.iter().collect::<Vec<_>>());
+    setup.latency_objective_ms = 2000;
     let proxy = setup.start();
     proxy.discovery.wait_for_poll(0);
     let odd = host("s-0", backends[0].address, "SLEEPING");
@@ -337,10 +337,10 @@
         true,
         &[odd, host("s-1", backends[1].address, "SERVING")],
     )));
-    proxy.says("passing over a malformed entry in the list of backends: \"s-0\": ");
+    proxy.wait_for_log("passing over a malformed entry in the list of backends: \"s-0\": ");
     let before = backends[0].requests().len();
     for n in 0..20 {
-        assert_eq!(proxy.ask(&read(&format!("id-{n}"), 2000)).status(), 200);
+        assert_eq!(proxy.request(&read(&format!("id-{n}"), 2000)).status(), 200);
     }
     assert_eq!(backends[0].requests().len(), before);
     assert_eq!(backends[1].requests().len(), 20);
@@ -349,7 +349,7 @@
     let since = Instant::now();
     for n in 20.. {
         assert!(since.elapsed() < TEST_TIMEOUT, "it is not used again");
-        assert_eq!(proxy.ask(&read(&format!("id-{n}"), 2000)).status(), 200);
+        assert_eq!(proxy.request(&read(&format!("id-{n}"), 2000)).status(), 200);
         if backends[0].requests().len() > before {
             break;
         }
@@ -360,22 +360,22 @@
 #[test]
 fn an_address_with_a_new_endpoint_gets_new_connections() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     proxy.discovery.wait_for_poll(0);
-    assert_eq!(proxy.ask(&read("id-1", 9000)).status(), 200);
+    assert_eq!(proxy.request(&read("id-1", 9000)).status(), 200);
     assert_eq!(backend.request().0, 0);
     let hosts = [host("s-0", backend.address, "DELETED"), host("s-1", backend.address, "SERVING")];
     proxy.discovery.push(PollResponse::List(list(2, false, &hosts)));
     proxy.discovery.wait_for_poll(1);
     assert_eq!(backend.wait_for_close(), 0);
-    assert_eq!(proxy.ask(&read("id-2", 9000)).status(), 200);
+    assert_eq!(proxy.request(&read("id-2", 9000)).status(), 200);
     assert_eq!(backend.request().0, 1);
 }
 
 #[test]
 fn discovery_that_answers_at_once_is_not_polled_in_a_busy_loop() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let discovery = &proxy.discovery;
     discovery.wait_for_poll(0);
     for _ in 0..10 {
@@ -396,14 +396,14 @@
     let filler = TcpStream::connect(address).expect("connects");
 
     let free = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[]);
-    setup.hosts.push(host("s-old", address, "SERVING"));
+    let mut setup = Setup::with_endpoints(&[]);
+    setup.endpoints.push(host("s-old", address, "SERVING"));
     let proxy = setup.start();
     let discovery = &proxy.discovery;
     discovery.wait_for_poll(0);
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     caller.send(&write("id-1", 9000, "x"));
-    assert_eq!(proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     let hosts = [host("s-old", address, "DRAINING"), host("s-new", free.address, "SERVING")];
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.wait_for_poll(1);
@@ -427,7 +427,7 @@
 #[test]
 fn a_failed_watch_is_retried_and_the_endpoint_list_stays() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let discovery = &proxy.discovery;
     discovery.wait_for_poll(0);
     discovery.push(PollResponse::Unavailable);
@@ -437,7 +437,7 @@
         discovery.push(PollResponse::List(malformed.to_owned()));
         // Asked for again at once, from the list that it has, which is relied on meanwhile.
         assert_eq!(discovery.wait_for_poll(2 + 2 * n).0, "/v1/servers?after=1&wait_ms=250");
-        assert_eq!(proxy.ask(&write(&format!("id-{n}"), 9000, "x")).status(), 200);
+        assert_eq!(proxy.request(&write(&format!("id-{n}"), 9000, "x")).status(), 200);
         discovery.push(PollResponse::List(list(1, false, &[])));
         discovery.wait_for_poll(3 + 2 * n);
     }
@@ -447,7 +447,7 @@
 #[test]
 fn a_silent_discovery_is_polled_again_within_seconds() {
     let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
-    let proxy = Setup::of(&[&old]).start();
+    let proxy = Setup::with_endpoints(&[&old]).start();
     let discovery = &proxy.discovery;
     // It never answers the first call, as if cut off. The next one comes over a new connection, and the news of
     // the time in between with it.
@@ -458,13 +458,13 @@
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.wait_for_poll(2);
-    assert_eq!(proxy.ask(&write("id-1", 9000, "x")).body, b"new");
+    assert_eq!(proxy.request(&write("id-1", 9000, "x")).body, b"new");
 }
 
 #[test]
 fn truncated_discovery_responses_are_retried_until_the_list_expires() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let discovery = &proxy.discovery;
     discovery.wait_for_poll(0);
     let broke = Instant::now();
@@ -481,21 +481,21 @@
             "{served} served after a drain that counts as told"
         );
         served += 1;
-        status = proxy.ask(&write(&format!("id-{served}"), 9000, "x")).status();
+        status = proxy.request(&write(&format!("id-{served}"), 9000, "x")).status();
         thread::sleep(Duration::from_millis(20));
     }
     let held = broke.elapsed();
     assert!(held > Duration::from_secs(2) && held < Duration::from_millis(2900), "{held:?}");
     assert_eq!(status, 503, "a refusal: it has not run");
     for number in 0..5 {
-        assert_eq!(proxy.ask(&write(&format!("held-{number}"), 9000, "x")).status(), 503);
+        assert_eq!(proxy.request(&write(&format!("held-{number}"), 9000, "x")).status(), 503);
     }
     // The first list that is whole ends it.
     for _ in 0..4 {
         discovery.push(PollResponse::List(list(2, false, &[])));
     }
-    proxy.says("sending again");
-    assert_eq!(proxy.ask(&write("id-last", 9000, "x")).status(), 200);
+    proxy.wait_for_log("sending again");
+    assert_eq!(proxy.request(&write("id-last", 9000, "x")).status(), 200);
     // What the backend heard: all before, and nothing in between.
     let heard = |_| backend.request().1.header("X-Request-ID").map(str::to_owned);
     let all: Vec<_> = (0..served).filter_map(heard).collect();
@@ -505,22 +505,22 @@
 #[test]
 fn a_reload_moves_the_watch_and_keeps_all_other_state() {
     let (old, new) = (MockEndpoint::new([ok("old"), Behavior::Hang]), MockEndpoint::new([ok("new")]));
-    let setup = Setup::of(&[&old]);
+    let setup = Setup::with_endpoints(&[&old]);
     let first = setup.config(unused_address());
     let proxy = setup.start();
     proxy.discovery.wait_for_poll(0);
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     assert_eq!(caller.ask(&read("id-1", 9000)).body, b"old");
-    let mut held = proxy.caller();
+    let mut held = proxy.connect();
     held.send(&write("id-2", 9000, "x"));
     // Both went over one connection to the backend, which is kept, too.
     assert_eq!((old.request().0, old.request().0), (0, 0));
     // What can't be read changes nothing, and the program goes on.
     proxy.reload("{");
-    proxy.says("old configuration");
+    proxy.wait_for_log("old configuration");
 
     let moved = MockDiscovery::new();
-    let second = Setup::of(&[&old]).config(moved.address);
+    let second = Setup::with_endpoints(&[&old]).config(moved.address);
     assert_ne!(first, second);
     proxy.reload(&second);
     // At once, from the start: the versions of the new one are its own.
@@ -548,14 +548,14 @@
     peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     // The proxy's own port must be known before it starts: one on an address that nobody else here uses.
     let own = UdpSocket::bind("127.0.0.9:0").expect("a port").local_addr().expect("bound");
-    let mut setup = Setup::of(&[&backend]);
+    let mut setup = Setup::with_endpoints(&[&backend]);
     setup.peers = Some((own, vec![own, peer.local_addr().expect("bound")]));
     let proxy = setup.start();
     // What a peer says is taken in or passed over, and harms nothing.
     peer.send_to(&[0; 6], own).expect("sent");
     peer.send_to(&[0; 300], own).expect("sent");
     UdpSocket::bind("127.0.0.1:0").expect("a port").send_to(b"stranger", own).expect("sent");
-    assert_eq!(proxy.ask(&read("id-1", 9000)).status(), 200);
+    assert_eq!(proxy.request(&read("id-1", 9000)).status(), 200);
     let mut message = [0; 300];
     let (length, sender) = peer.recv_from(&mut message).expect("a message");
     assert_eq!((length, sender), (6, own));
@@ -566,10 +566,10 @@
 #[test]
 fn idle_connections_beyond_the_descriptor_limit_block_no_client() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.sockets = 60;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.max_sockets = 60;
     let proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..60).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
     for (i, caller) in callers.iter_mut().rev().take(10).enumerate() {
         assert_eq!(caller.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
@@ -578,17 +578,18 @@
 #[test]
 fn busy_connections_beyond_the_descriptor_limit_are_served_in_turn() {
     let backend = MockEndpoint::new([Behavior::Hang]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.sockets = 60;
-    setup.aim_ms = 1000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.max_sockets = 60;
+    setup.latency_objective_ms = 1000;
     let proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..40).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..40).map(|_| proxy.connect()).collect();
     for (i, caller) in callers.iter_mut().enumerate() {
         caller.send(&read(&format!("id-{i}"), 500));
     }
     for (i, caller) in callers.iter_mut().enumerate() {
         // One that took its time to ask may have been closed for it, and asks again as callers do.
-        let answer = caller.try_receive().unwrap_or_else(|| proxy.ask(&read(&format!("id-{i}-again"), 500)));
+        let answer =
+            caller.try_receive().unwrap_or_else(|| proxy.request(&read(&format!("id-{i}-again"), 500)));
         assert!(matches!(answer.status(), 503 | 504), "number {i}");
     }
 }
@@ -596,13 +597,13 @@
 #[test]
 fn a_busy_connection_closes_with_its_response_while_others_wait() {
     let backends = [MockEndpoint::new([Behavior::Hang]), MockEndpoint::new([Behavior::Hang])];
-    let mut setup = Setup::of(&[&backends[0], &backends[1]]);
-    setup.sockets = 60;
-    setup.aim_ms = 3000;
+    let mut setup = Setup::with_endpoints(&[&backends[0], &backends[1]]);
+    setup.max_sockets = 60;
+    setup.latency_objective_ms = 3000;
     let proxy = setup.start();
     // As many as fit: some with requests that are held, as far as there are sockets for backends, and some
     // in the middle of a request.
-    let mut callers: Vec<HttpClient> = (0..16).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..16).map(|_| proxy.connect()).collect();
     let mut half = callers.split_off(12);
     for (i, caller) in half.iter_mut().enumerate() {
         let whole = write(&format!("id-half-{i}"), 9000, "x");
@@ -618,7 +619,7 @@
         thread::sleep(Duration::from_millis(1));
     }
     // One of them is to leave with its answer; the others are not asked to go for one newcomer.
-    let answer = proxy.ask(&read("id-late", 2900));
+    let answer = proxy.request(&read("id-late", 2900));
     assert!(matches!(answer.status(), 503 | 504));
     let answers: Vec<HttpMessage> = callers.iter_mut().map(HttpClient::receive).collect();
     assert_eq!(answers.iter().filter(|a| a.header("Connection") == Some("close")).count(), 1);
@@ -627,24 +628,24 @@
 #[test]
 fn a_process_without_free_descriptors_continues() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
+    let mut setup = Setup::with_endpoints(&[&backend]);
     setup.descriptors = Some(32);
     let mut proxy = setup.start();
-    assert_eq!(proxy.ask(&read("id-0", 9000)).status(), 200);
-    let callers: Vec<HttpClient> = (0..60).map(|_| proxy.caller()).collect();
-    let mut last = proxy.caller();
+    assert_eq!(proxy.request(&read("id-0", 9000)).status(), 200);
+    let callers: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
+    let mut last = proxy.connect();
     assert_eq!(last.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     drop(callers);
     assert_eq!(last.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
-    assert!(!proxy.has_ended());
+    assert!(!proxy.has_exited());
 }
 
 #[test]
 fn an_endless_request_body_times_out() {
     let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::of(&[&backend]).start();
+    let proxy = Setup::with_endpoints(&[&backend]).start();
     let whole = write("id-1", 300, "what to do");
-    assert_eq!(proxy.ask(&whole[..whole.len() - 1]).status(), 408);
+    assert_eq!(proxy.request(&whole[..whole.len() - 1]).status(), 408);
     assert!(backend.requests().is_empty());
 }
 
@@ -658,11 +659,11 @@
         all.map(|(i, (b, health))| host(&format!("s-{i}"), b.address, health)).collect()
     };
     // As after a restart, from a list in which two of three are missing.
-    let proxy = Setup::of(&[&silent[0]]).start();
+    let proxy = Setup::with_endpoints(&[&silent[0]]).start();
     proxy.discovery.push(PollResponse::List(list(2, true, &hosts(["SERVING"; 3]))));
     proxy.discovery.wait_for_poll(1);
     let ask = |n: usize| {
-        let mut caller = proxy.caller();
+        let mut caller = proxy.connect();
         caller.send(&read(&format!("id-{n}"), 19_000));
         caller
     };
@@ -680,17 +681,17 @@
         &hosts(["SERVING", "DRAINING", "DRAINING"])[1..],
     )));
     proxy.discovery.wait_for_poll(2);
-    assert_eq!(proxy.ask(&read("late", 9000)).status(), 503);
+    assert_eq!(proxy.request(&read("late", 9000)).status(), 503);
     callers.clear();
 }
 
 #[test]
 fn late_responses_at_low_concurrency_do_not_shed_load() {
     let silent = MockEndpoint::new([Behavior::Hang]);
-    let mut setup = Setup::of(&[&silent]);
-    setup.aim_ms = 200;
+    let mut setup = Setup::with_endpoints(&[&silent]);
+    setup.latency_objective_ms = 200;
     let proxy = setup.start();
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     for n in 0..8 {
         assert!(matches!(caller.ask(&read(&format!("id-{n}"), 9000)).status(), 503 | 504));
     }
@@ -703,37 +704,37 @@
 #[test]
 fn graceful_shutdown_answers_open_and_new_requests() {
     let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.aim_ms = 3000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.latency_objective_ms = 3000;
     let mut proxy = setup.start();
-    let mut idle = proxy.caller();
+    let mut idle = proxy.connect();
     assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
-    let mut held = proxy.caller();
+    let mut held = proxy.connect();
     held.send(&read("id-1", 2000));
     backend.request();
-    let mut early = proxy.caller();
+    let mut early = proxy.connect();
     proxy.terminate();
     // It says that it ends, and goes on accepting for a while.
     let since = Instant::now();
-    while proxy.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
+    while proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
         assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
     let answer = early.ask(&write("id-2", 2000, "x"));
     assert_eq!(answer.status(), 200);
-    assert!(!proxy.has_ended(), "a request is still held");
+    assert!(!proxy.has_exited(), "a request is still held");
     assert!(matches!(held.receive().status(), 503 | 504));
     assert!(idle.is_closed());
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
 fn graceful_shutdown_serves_as_long_as_allowed() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.aim_ms = 1000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.latency_objective_ms = 1000;
     let mut proxy = setup.start();
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     // The longest deadline of a class says how soon the proxy may be killed, here not within 3.7 s, and not the
     // little time that its clients had so far.
     assert_eq!(caller.ask(&read("id-0", 600)).status(), 200);
@@ -755,7 +756,7 @@
     // It is the only one of its tier, so nobody is served elsewhere.
     assert!(served > Duration::from_millis(2600), "{served:?}");
     assert!(caller.is_closed());
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
@@ -771,15 +772,15 @@
 
 fn callers_find_a_connection_free(balancers: usize) {
     let silent: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::new([Behavior::Hang])).collect();
-    let mut setup = Setup::of(&silent.iter().collect::<Vec<_>>());
+    let mut setup = Setup::with_endpoints(&silent.iter().collect::<Vec<_>>());
     setup.balancers = balancers;
     let mut proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..20).map(|_| proxy.caller()).collect();
+    let mut callers: Vec<HttpClient> = (0..20).map(|_| proxy.connect()).collect();
     for caller in &mut callers {
         assert_eq!(caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     }
     proxy.terminate();
-    proxy.says("told to end: serving on for 3.2 s, on 20 connections");
+    proxy.wait_for_log("told to end: serving on for 3.2 s, on 20 connections");
     let (since, mut taken) = (Instant::now(), 0);
     for (n, caller) in callers[..17].iter_mut().enumerate() {
         caller.send(&read(&format!("id-{n}"), 9000));
@@ -802,16 +803,16 @@
     assert_eq!(silent.iter().map(|b| b.requests().len()).sum::<usize>(), 0);
     // What it holds has its answer, which may have run, before it may be killed.
     assert!(callers[..17].iter_mut().all(|caller| matches!(caller.receive().status(), 502..=504)));
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
 fn late_requests_during_shutdown_are_answered_before_the_kill() {
     let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.aim_ms = 7000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.latency_objective_ms = 7000;
     let mut proxy = setup.start();
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     assert_eq!(caller.ask(&read("id-1", 2000)).status(), 200);
     proxy.terminate();
     while caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
@@ -822,22 +823,22 @@
     caller.send(&read("id-2", 19_000));
     assert!(matches!(caller.receive().status(), 502..=504));
     assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 /// Starts a proxy whose classes give up after a second: it may be killed 1.7 s after the word to end, and ends 0.2 s
 /// before that.
 fn soon_killed(backends: &[&MockEndpoint]) -> Proxy {
-    let mut setup = Setup::of(backends);
+    let mut setup = Setup::with_endpoints(backends);
     setup.deadline_ms = 1000;
-    setup.aim_ms = 1000;
+    setup.latency_objective_ms = 1000;
     setup.start()
 }
 /// Well after that, for a busy machine, and well before the 3.5 s of one that takes its callers' word.
 const SOON: Duration = Duration::from_millis(2700);
 
 fn ends_in_time(proxy: &mut Proxy, told: Instant) {
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(told.elapsed() < SOON, "{:?}", told.elapsed());
 }
 
@@ -845,11 +846,11 @@
 fn client_timeouts_do_not_move_the_termination_deadline() {
     let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
     let mut proxy = soon_killed(&[&backend]);
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     assert_eq!(caller.ask(&read("id-1", 60_000)).status(), 200);
     let told = Instant::now();
     proxy.terminate();
-    proxy.says("told to end: serving on for 1.2 s");
+    proxy.wait_for_log("told to end: serving on for 1.2 s");
     caller.send(&read("id-2", 60_000));
     assert!(matches!(caller.receive().status(), 502..=504));
     ends_in_time(&mut proxy, told);
@@ -858,18 +859,18 @@
 #[test]
 fn requests_open_at_shutdown_are_answered_before_the_kill() {
     let backend = MockEndpoint::new([Behavior::Hang]);
-    let mut setup = Setup::of(&[&backend]);
-    setup.aim_ms = 20_000;
+    let mut setup = Setup::with_endpoints(&[&backend]);
+    setup.latency_objective_ms = 20_000;
     // Its class gives up long after the kill.
     setup.deadline_ms = 20_000;
     let mut proxy = setup.start();
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     caller.send(&write("id-1", 20_000, "x"));
     backend.request();
     let told = Instant::now();
     proxy.terminate();
     assert_eq!(caller.receive().status(), 504);
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_secs(10), "{:?}", told.elapsed());
 }
 
@@ -877,13 +878,13 @@
 fn a_partial_request_at_shutdown_is_answered_once_complete() {
     let backend = MockEndpoint::new([ok("done")]);
     let mut proxy = soon_killed(&[&backend]);
-    let mut caller = proxy.caller();
+    let mut caller = proxy.connect();
     assert_eq!(caller.ask(&read("id-1", 900)).status(), 200);
-    let mut other = proxy.caller();
+    let mut other = proxy.connect();
     assert_eq!(other.ask(&read("id-2", 900)).status(), 200);
     let told = Instant::now();
     proxy.terminate();
-    proxy.says("told to end");
+    proxy.wait_for_log("told to end");
     let request = read("id-3", 900);
     let (first, rest) = request.split_at(40);
     caller.send(first);
@@ -898,16 +899,16 @@
 #[test]
 fn a_partial_request_does_not_block_shutdown() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut proxy = Setup::of(&[&backend]).start();
-    let mut caller = proxy.caller();
+    let mut proxy = Setup::with_endpoints(&[&backend]).start();
+    let mut caller = proxy.connect();
     caller.send("GET /read/1 HTTP/1.1\r\nHost:");
     proxy.terminate();
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
 fn a_missing_or_malformed_configuration_exits_with_one_line() {
-    let good = Setup::of(&[]).config(unused_address());
+    let good = Setup::with_endpoints(&[]).config(unused_address());
     let changed = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
         Some(good.replacen(from, to, 1))
@@ -927,7 +928,7 @@
     ];
     for config in bad {
         let config = config.as_deref();
-        let output = run(config, None).wait_with_output().expect("it ends");
+        let output = spawn(config, None).wait_with_output().expect("it ends");
         let said = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{config:?}");
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -42,17 +42,17 @@
         Behavior::Hang,
     ]);
     let new = MockEndpoint::new([ok("new")]);
-    let proxy = serve(&config(&[("old", &old), ("new", &new)], ""), &[]);
-    let (mut running, mut silent, mut kept) = (proxy.caller(), proxy.caller(), proxy.caller());
+    let proxy = start_standalone(&config(&[("old", &old), ("new", &new)], ""), &[]);
+    let (mut running, mut silent, mut kept) = (proxy.connect(), proxy.connect(), proxy.connect());
     running.send(&post("/old/1", ""));
     old.request();
     silent.send(&post("/old/2", "X-Timeout-Ms: 2500\r\n"));
     old.request();
     assert_eq!(kept.ask(&post("/new/1", "")).body, b"new");
     proxy.reload(&config(&[("new", &new)], ""));
-    proxy.says("configuration 2: 1 routes, 1 pools");
+    proxy.wait_for_log("configuration 2: 1 routes, 1 pools");
     // Nothing new goes there, on old connections either.
-    assert_eq!(proxy.ask(&post("/old/3", "")).status(), 404);
+    assert_eq!(proxy.request(&post("/old/3", "")).status(), 404);
     assert_eq!(kept.ask(&post("/new/2", "")).body, b"new");
     // Taken before: one answer each, at its end or its deadline.
     release.release();
@@ -69,19 +69,19 @@
 #[test]
 fn a_pool_that_did_not_change_keeps_its_connections() {
     let (same, other) = (MockEndpoint::new([ok("same")]), MockEndpoint::new([ok("other")]));
-    let proxy = serve(&config(&[("same", &same)], ""), &[]);
-    let mut caller = proxy.caller();
+    let proxy = start_standalone(&config(&[("same", &same)], ""), &[]);
+    let mut caller = proxy.connect();
     for reload in 2..6 {
         caller.ask(&post("/same/1", ""));
         assert_eq!(same.request().0, 0, "the first connection serves on");
         let pools: &[(&str, &MockEndpoint)] =
             if reload % 2 == 0 { &[("same", &same), ("other", &other)] } else { &[("same", &same)] };
         proxy.reload(&config(pools, ""));
-        proxy.says(&format!("configuration {reload}: "));
+        proxy.wait_for_log(&format!("configuration {reload}: "));
     }
     // Another figure of its class, and its decisions stand on other ground: a new pool.
     proxy.reload(&config(&[("same", &same)], "").replace("aim_ms = 8000", "aim_ms = 7000"));
-    proxy.says("configuration 6: ");
+    proxy.wait_for_log("configuration 6: ");
     caller.ask(&post("/same/1", ""));
     assert_eq!(same.request().0, 1);
 }
@@ -92,7 +92,7 @@
     let good = config(&[("p", &node)], "");
     let expect = "[[expect]]\nname = \"p stays\"\nwhen = { method = \"POST\", path = \"/p/1\" }\nthen = { pool = \"p\" }\n";
     let good = good.replacen("\n\n[[class]]", "\nexpectations = [\"expect.toml\"]\n\n[[class]]", 1);
-    let proxy = serve(&good, &[("expect.toml", expect)]);
+    let proxy = start_standalone(&good, &[("expect.toml", expect)]);
     let bad = [
         ("[server]".to_owned(), "configuration 1 stays: "),
         (
@@ -107,12 +107,12 @@
     ];
     for (text, words) in &bad {
         proxy.reload(text);
-        proxy.says(words);
-        assert_eq!(proxy.ask(&post("/p/1", "")).status(), 200, "{words}");
+        proxy.wait_for_log(words);
+        assert_eq!(proxy.request(&post("/p/1", "")).status(), 200, "{words}");
     }
     assert_eq!(proxy.log().matches("configuration 1 stays: ").count(), bad.len(), "{}", proxy.log());
     proxy.reload(&good);
-    proxy.says("configuration 2: ");
+    proxy.wait_for_log("configuration 2: ");
 }
 
 /// Pools come, go and change while six callers ask without a pause: each request has its one answer.
@@ -141,13 +141,13 @@
         );
         text
     };
-    let proxy = Arc::new(serve(&text(0), &[]));
+    let proxy = Arc::new(start_standalone(&text(0), &[]));
     let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
     let callers: Vec<_> = (0..6)
         .map(|i| {
             let (proxy, stop, asked) = (Arc::clone(&proxy), Arc::clone(&stop), Arc::clone(&asked));
             thread::spawn(move || {
-                let mut caller = proxy.caller();
+                let mut caller = proxy.connect();
                 let path = if i % 2 == 0 { "/steady/1" } else { "/changing/1" };
                 while !stop.load(Ordering::Relaxed) {
                     let answer = caller.ask(&post(path, ""));
@@ -168,15 +168,16 @@
     let since = Instant::now();
     for round in 1..=200 {
         proxy.reload(&text(round));
-        proxy.says(&format!("configuration {}: ", round + 1));
+        proxy.wait_for_log(&format!("configuration {}: ", round + 1));
         if round == 20 {
             settled(200);
-            began = Some(proxy.holds());
+            began = Some(proxy.descriptors_and_memory());
         }
     }
     eprintln!("200 reloads in {:?}, {} requests", since.elapsed(), asked.load(Ordering::Relaxed));
     settled(200);
-    let ((descriptors, memory), (before, memory_before)) = (proxy.holds(), began.expect("taken"));
+    let ((descriptors, memory), (before, memory_before)) =
+        (proxy.descriptors_and_memory(), began.expect("taken"));
     stop.store(true, Ordering::Relaxed);
     callers.into_iter().for_each(|caller| caller.join().expect("every request was answered"));
     assert!(descriptors <= before + 4, "{before} descriptors, then {descriptors}");
--- a/tests/request_outcomes.rs
+++ b/tests/request_outcomes.rs
@@ -78,7 +78,7 @@
 
 /// An endpoint that records what it has received in full.
 fn endpoint(received: ReceivedIds) -> SocketAddr {
-    raw_backend(move |stream| {
+    raw_endpoint(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         while serve(&mut reader, &stream, &received).is_some() {}
         let _ = stream.shutdown(Shutdown::Both);
@@ -198,7 +198,7 @@
 }
 
 fn metrics(proxy: &Process) -> String {
-    proxy.call("GET", "/status/metrics", "").1
+    proxy.operator_request("GET", "/status/metrics", "").1
 }
 
 /// The sum of a metric over its labels.
@@ -290,10 +290,10 @@
     let received = ReceivedIds::default();
     let endpoints = [endpoint(Arc::clone(&received)), endpoint(Arc::clone(&received))];
     let discovery = MockDiscovery::new();
-    let socket = Held::new();
-    let mut setup = Setup { aim_ms: 4000, ..Setup::of(&[]) };
+    let socket = InheritedListener::new();
+    let mut setup = Setup { latency_objective_ms: 4000, ..Setup::with_endpoints(&[]) };
     let hosts = endpoints.iter().enumerate();
-    setup.hosts = hosts.map(|(i, address)| host(&format!("s-{i}"), *address, "SERVING")).collect();
+    setup.endpoints = hosts.map(|(i, address)| host(&format!("s-{i}"), *address, "SERVING")).collect();
     let process = socket.start(&with_operators(&setup.config(discovery.address)));
     let proxy = socket.address;
     let mut run = Run { process, proxy, received, last_id: 0, counted: 0, responses: BTreeMap::new() };
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -69,17 +69,17 @@
         + &route("one", r#"path = "/one/{x}""#, "read", "pool = \"one\"")
         + &route("judges", r#"path = "/one/{x}", headers = { X-App = "judge" }"#, "read", "pool = \"other\"")
         + &route("host", r#"host = "*.b.example", path = "/one/{x}""#, "read", "pool = \"other\"");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
-    let body = |request: &str| String::from_utf8(proxy.ask(request).body).expect("text");
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
+    let body = |request: &str| String::from_utf8(proxy.request(request).body).expect("text");
     assert_eq!(body(&get("/one/1", "")), "one");
     assert_eq!(body(&get("/one/1", "x-app: judge\r\n")), "other");
     assert_eq!(body(&get("/one/1", "").replace("a.example", "C.B.example.:80")), "other");
     for unrouted in ["/one", "/one/1/2", "/ONE/1", "/"] {
-        assert_eq!(proxy.ask(&get(unrouted, "")).status(), 404, "{unrouted}");
+        assert_eq!(proxy.request(&get(unrouted, "")).status(), 404, "{unrouted}");
     }
     // A request without an id gets a unique one, and one that has an id keeps it.
-    proxy.ask(&get("/one/1", ""));
-    proxy.ask(&get("/one/1", "X-Request-ID: mine\r\n"));
+    proxy.request(&get("/one/1", ""));
+    proxy.request(&get("/one/1", "X-Request-ID: mine\r\n"));
     let mut ids: Vec<String> =
         one.requests().iter().map(|r| r.header("X-Request-ID").expect("an id").to_owned()).collect();
     assert_eq!(ids.last().map(String::as_str), Some("mine"));
@@ -96,7 +96,7 @@
         + &route("all", r#"path = "/a/*""#, "read", "pool = \"p\"")
         + &route("secret", r#"path = "/secret""#, "read", "pool = \"p\"\nnodes = { zones = [\"nowhere\"] }")
             .replace("nowhere", "south");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     let cases = [
         ("/a/b?x=%2e%2e//", "/a/b?x=%2e%2e//"),
         ("/a/x/%2e%2e/b", "/a/b"),
@@ -106,18 +106,18 @@
         ("/a/../secret", "/secret"),
     ];
     for (sent, seen) in cases {
-        assert_eq!(proxy.ask(&get(sent, "")).status(), 200, "{sent}");
+        assert_eq!(proxy.request(&get(sent, "")).status(), 200, "{sent}");
         assert_eq!(node.request().1.line, format!("GET {seen} HTTP/1.1"), "{sent}");
     }
     for (host, seen) in [("A.Example.", "a.example"), ("a.example:8080", "a.example:8080"), ("A:80", "a")] {
-        assert_eq!(proxy.ask(&get("/a/b", "").replace("a.example", host)).status(), 200, "{host}");
+        assert_eq!(proxy.request(&get("/a/b", "").replace("a.example", host)).status(), 200, "{host}");
         assert_eq!(node.request().1.header("Host"), Some(seen), "{host}");
     }
     for bad in ["/a/%00", "/a/../../b", "/a/%2e%2e%2f..%2fsecret", "/a/%0d%0ax"] {
-        assert_eq!(proxy.ask(&get(bad, "")).status(), 400, "{bad}");
+        assert_eq!(proxy.request(&get(bad, "")).status(), 400, "{bad}");
     }
     for bad in ["a..b", "a b", "a:x", "user@a"] {
-        assert_eq!(proxy.ask(&get("/a/b", "").replace("a.example", bad)).status(), 400, "{bad}");
+        assert_eq!(proxy.request(&get("/a/b", "").replace("a.example", bad)).status(), 400, "{bad}");
     }
     assert!(node.requests().is_empty());
 }
@@ -140,18 +140,18 @@
                 "pool = \"p\"\nnodes = { zones = [\"north\"] }",
             );
     let listen = r#"{ address = "127.0.0.1:0", zone = "south", zone_header = "X-Zone" }"#;
-    let proxy = serve(&config(listen, &rest), &[]);
+    let proxy = start_standalone(&config(listen, &rest), &[]);
     for _ in 0..5 {
-        assert_eq!(proxy.ask(&post("/close", "")).body, b"south");
-        assert_eq!(proxy.ask(&post("/close", "x-zone: north\r\n")).body, b"north");
+        assert_eq!(proxy.request(&post("/close", "")).body, b"south");
+        assert_eq!(proxy.request(&post("/close", "x-zone: north\r\n")).body, b"north");
     }
-    assert_eq!(proxy.ask(&post("/close", "X-Zone: west\r\n")).status(), 404);
+    assert_eq!(proxy.request(&post("/close", "X-Zone: west\r\n")).status(), 404);
     // Without an endpoint in its zone a request is rejected, not sent to another zone.
     let text = std::fs::read_to_string(&proxy.path).expect("there");
     proxy.reload(&text.replace("zone = \"south\" }, {", "zone = \"south\", state = \"draining\" }, {"));
-    proxy.says("configuration 2: ");
-    assert_eq!(proxy.ask(&post("/close", "")).status(), 503);
-    assert_eq!(proxy.ask(&post("/close", "x-zone: north\r\n")).body, b"north");
+    proxy.wait_for_log("configuration 2: ");
+    assert_eq!(proxy.request(&post("/close", "")).status(), 503);
+    assert_eq!(proxy.request(&post("/close", "x-zone: north\r\n")).body, b"north");
 }
 
 #[test]
@@ -161,9 +161,9 @@
     let rest = pool("a", &[("n", a.address, "")])
         + &pool("b", &[("n", b.address, "")])
         + &route("r", r#"path = "/*""#, "read", split);
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     let chosen_pools = || -> Vec<u8> {
-        let mut caller = proxy.caller();
+        let mut caller = proxy.connect();
         (0..60).map(|i| caller.ask(&get("/x", &format!("X-Player: p{i}\r\n"))).body[0]).collect()
     };
     let before = chosen_pools();
@@ -172,10 +172,10 @@
     assert!((5..=27).contains(&count_b), "{count_b} of 60");
     // A smaller weight moves clients off that pool, and none onto it.
     proxy.reload(&config(LOOPBACK, &rest.replace("weight = 1 }", "weight = 0 }")));
-    proxy.says("configuration 2: ");
+    proxy.wait_for_log("configuration 2: ");
     assert!(chosen_pools().iter().all(|s| *s == b'a'));
     proxy.reload(&config(LOOPBACK, &rest));
-    proxy.says("configuration 3: ");
+    proxy.wait_for_log("configuration 3: ");
     assert_eq!(before, chosen_pools());
 }
 
@@ -192,21 +192,21 @@
 fn a_fallback_is_used_under_its_condition_only() {
     let (main, spare) = (MockEndpoint::new([ok("main")]), MockEndpoint::new([ok("spare")]));
     let rest = two_pools(&main, &spare, "read", "all-draining");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"main");
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
+    assert_eq!(proxy.request(&get("/x", "")).body, b"main");
     let draining = rest
         .replace(&format!("\"{}\"", main.address), &format!("\"{}\", state = \"draining\"", main.address));
     proxy.reload(&config(LOOPBACK, &draining));
-    proxy.says("configuration 2: ");
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"spare");
+    proxy.wait_for_log("configuration 2: ");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
     // A removed endpoint is not draining: the preferred pool rejects the request.
     let node = format!("{{ name = \"m\", address = \"{}\" }}", main.address);
     proxy.reload(&config(LOOPBACK, &rest.replace(&node, "")));
-    proxy.says("configuration 3: ");
-    assert_eq!(proxy.ask(&get("/x", "")).status(), 503);
+    proxy.wait_for_log("configuration 3: ");
+    assert_eq!(proxy.request(&get("/x", "")).status(), 503);
     proxy.reload(&config(LOOPBACK, &rest.replace(&node, "").replace("all-draining", "none-ready")));
-    proxy.says("configuration 4: ");
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"spare");
+    proxy.wait_for_log("configuration 4: ");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
 }
 
 #[test]
@@ -214,8 +214,8 @@
     // Rejected before it was executed: a request of any class may fall back.
     for class in ["read", "put", "write"] {
         let (main, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
-        let proxy = serve(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
-        let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
+        let proxy = start_standalone(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
+        let answer = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"spare"[..]), "{class}");
         assert_eq!(spare.requests().len(), 1, "{class}");
     }
@@ -224,8 +224,8 @@
     for (class, status, fallback_requests) in [("write", 502, 0), ("put", 502, 0), ("read", 200, 1)] {
         let main = MockEndpoint::new([Behavior::Disconnect, full()]);
         let spare = MockEndpoint::new([ok("spare")]);
-        let proxy = serve(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
-        let answer = proxy.ask(&post("/x", "Idempotency-Key: k\r\n"));
+        let proxy = start_standalone(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
+        let answer = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
         assert_eq!(answer.status(), status, "{class}");
         assert_eq!(spare.requests().len(), fallback_requests, "{class}");
     }
@@ -233,8 +233,8 @@
     let main = MockEndpoint::new([Behavior::Disconnect, full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "put", "pool = \"main\"");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
-    assert_eq!(proxy.ask(&post("/x", "Idempotency-Key: k\r\n")).status(), 503);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
+    assert_eq!(proxy.request(&post("/x", "Idempotency-Key: k\r\n")).status(), 503);
 }
 
 #[test]
@@ -242,9 +242,9 @@
     let main = MockEndpoint::new([full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "read", "pool = \"main\"");
-    let proxy = serve(&config(LOOPBACK, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
     let retry_after = (0..400).find_map(|_| {
-        let answer = proxy.ask(&get("/x", ""));
+        let answer = proxy.request(&get("/x", ""));
         assert_eq!(answer.status(), 503);
         answer.header("Retry-After").map(str::to_owned)
     });
@@ -261,10 +261,10 @@
     let rest = "[[pool]]\nname = \"p\"\nfile = \"nodes.json\"\n".to_owned()
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
     let of = |backend: &MockEndpoint| list(1, true, &[host("n", backend.address, "SERVING")]);
-    let proxy = serve(&config(LOOPBACK, &rest), &[("nodes.json", &of(&one))]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[("nodes.json", &of(&one))]);
     let file = proxy.path.with_file_name("nodes.json");
-    proxy.says("pool `p`: 1 nodes from ");
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"one");
+    proxy.wait_for_log("pool `p`: 1 nodes from ");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"one");
     // Replaced by a rename.
     let next = proxy.path.with_file_name("next.json");
     std::fs::write(
@@ -273,8 +273,8 @@
     )
     .expect("written");
     std::fs::rename(&next, &file).expect("renamed");
-    proxy.says("pool `p`: 2 nodes from ");
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
+    proxy.wait_for_log("pool `p`: 2 nodes from ");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"other");
     // Truncated after complete hosts, empty, with garbage, an incomplete list, and no file at all.
     let complete = of(&one);
     let duplicate = list(3, true, &[host("n", one.address, "SERVING"), host("n", one.address, "SERVING")]);
@@ -287,16 +287,16 @@
     ];
     for (text, why) in bad {
         std::fs::write(&file, text).expect("written");
-        proxy.says(why);
-        assert_eq!(proxy.ask(&get("/x", "")).body, b"other", "{why}");
+        proxy.wait_for_log(why);
+        assert_eq!(proxy.request(&get("/x", "")).body, b"other", "{why}");
     }
     std::fs::remove_file(&file).expect("removed");
-    proxy.says("No such file");
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
+    proxy.wait_for_log("No such file");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"other");
     assert_eq!(proxy.log().matches("No such file").count(), 1, "logged once");
     std::fs::write(&file, of(&one)).expect("written");
     // The log has this line from the start, so it cannot be waited for.
-    while proxy.ask(&get("/x", "")).body != b"one" {}
+    while proxy.request(&get("/x", "")).body != b"one" {}
 }
 
 #[test]
@@ -306,17 +306,17 @@
     discovery.push(PollResponse::List(list(1, true, &[host("n", one.address, "SERVING")])));
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     assert_eq!(discovery.wait_for_poll(0).0, "/v1/servers");
     discovery.wait_for_poll(1);
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"one");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"one");
     discovery.push(PollResponse::List(list(2, true, &[host("m", other.address, "SERVING")])));
     discovery.wait_for_poll(2);
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"other");
     // When discovery fails, its last list stays.
     discovery.push(PollResponse::Unavailable);
     discovery.wait_for_poll(3);
-    assert_eq!(proxy.ask(&get("/x", "")).body, b"other");
+    assert_eq!(proxy.request(&get("/x", "")).body, b"other");
 }
 
 #[test]
@@ -326,12 +326,12 @@
     let rest = pool("q", &[("n", node.address, "")])
         + &format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let proxy = serve(&config(LOOPBACK, &rest), &[]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     discovery.wait_for_poll(0);
-    assert_eq!(proxy.ask(&get("/healthz", "")).status(), 503);
+    assert_eq!(proxy.request(&get("/healthz", "")).status(), 503);
     discovery.push(PollResponse::List(list(1, true, &[host("n", node.address, "SERVING")])));
     discovery.wait_for_poll(1);
-    assert_eq!(proxy.ask(&get("/healthz", "")).status(), 200);
+    assert_eq!(proxy.request(&get("/healthz", "")).status(), 200);
 }
 
 // ---- Starting ----
@@ -351,12 +351,15 @@
         (broken, 1, "`a is served`: expected pool `p`, but it would be refused with 404"),
     ];
     for (config, code, words) in cases {
-        let (child, _) = try_serve(&config, &[("expect.toml", expect)]);
+        let (child, _) = spawn_standalone(&config, &[("expect.toml", expect)]);
         let output = child.wait_with_output().expect("it ends");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(code), "{said}");
         assert!(said.starts_with("amberlever: ") && said.contains(words), "{said}");
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
     }
-    assert_eq!(serve(&expecting, &[("expect.toml", expect)]).ask(&get("/b", "")).status(), 404);
+    assert_eq!(
+        start_standalone(&expecting, &[("expect.toml", expect)]).request(&get("/b", "")).status(),
+        404
+    );
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -23,16 +23,16 @@
 }
 
 fn setup(hosts: Vec<String>) -> Setup {
-    let mut setup = Setup::of(&[]);
+    let mut setup = Setup::with_endpoints(&[]);
     // Addresses of the greatest length, one for each proxy; only the first is anybody's here.
     let others = (1..MANY).map(|n| format!("127.255.{}.{}:65535", 100 + n / 200, 1 + n % 200));
     let own: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let all = std::iter::once(own).chain(others.map(|a| a.parse().expect("an address"))).collect();
     setup.peers = Some((own, all));
-    setup.hosts = hosts;
-    setup.sockets = LEAST_DESCRIPTORS;
+    setup.endpoints = hosts;
+    setup.max_sockets = LEAST_DESCRIPTORS;
     setup.descriptors = Some(LEAST_DESCRIPTORS);
-    setup.aim_ms = 5000;
+    setup.latency_objective_ms = 5000;
     setup
 }
 
@@ -43,23 +43,23 @@
     // All but one drain: each of the thousand counts.
     let proxy = setup(hosts("old", first.address, away, "DRAINING")).start();
     for n in 0..5 {
-        assert_eq!(proxy.ask(&read(&format!("a-{n}"), 5000)).body, b"first");
+        assert_eq!(proxy.request(&read(&format!("a-{n}"), 5000)).body, b"first");
     }
     proxy.discovery.wait_for_poll(0);
     let news = hosts("new", second.address, away, "DRAINING");
     proxy.discovery.push(PollResponse::List(list(2, true, &news)));
     proxy.discovery.wait_for_poll(1);
     for n in 0..5 {
-        assert_eq!(proxy.ask(&read(&format!("b-{n}"), 5000)).body, b"second");
+        assert_eq!(proxy.request(&read(&format!("b-{n}"), 5000)).body, b"second");
     }
     // And all but one are there to be tried, of which most refuse.
     let news = hosts("new", second.address, away, "SERVING");
     proxy.discovery.push(PollResponse::List(list(3, true, &news)));
     proxy.discovery.wait_for_poll(2);
     for n in 0..40 {
-        assert!(matches!(proxy.ask(&read(&format!("c-{n}"), 5000)).status(), 200 | 502..=504));
+        assert!(matches!(proxy.request(&read(&format!("c-{n}"), 5000)).status(), 200 | 502..=504));
     }
-    let (descriptors, memory) = proxy.holds();
+    let (descriptors, memory) = proxy.descriptors_and_memory();
     assert!(memory < LEAST_MEMORY, "{memory} kB");
     assert!(descriptors < LEAST_DESCRIPTORS as usize / 2, "{descriptors}");
 }
@@ -70,7 +70,7 @@
     if let Some((_, all)) = &mut setup.peers {
         all[700] = all[3];
     }
-    let output = run(Some(&setup.config(unused_address())), None).wait_with_output().expect("it ends");
+    let output = spawn(Some(&setup.config(unused_address())), None).wait_with_output().expect("it ends");
     assert!(!output.status.success());
     let said = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -16,8 +16,8 @@
 
 /// The configuration of one proxy of a large fleet, whose balancer polls late for the first time.
 fn fleet_config(hosts: Vec<String>, discovery: SocketAddr, seed: u64) -> String {
-    let mut setup = Setup::of(&[]);
-    (setup.hosts, setup.balancers) = (hosts, 300);
+    let mut setup = Setup::with_endpoints(&[]);
+    (setup.endpoints, setup.balancers) = (hosts, 300);
     let config = setup.config(discovery).replace("\"must_ask_in_ms\":2000", "\"must_ask_in_ms\":10000");
     config.replace("8c1f30d27a5be964", &format!("{seed:016x}"))
 }
@@ -28,7 +28,7 @@
     let (mut served, mut number) = (0, 0);
     while Instant::now() < until {
         number += 1;
-        let answer = proxy.caller().ask(&read(&format!("asked-{number}"), 9_000));
+        let answer = proxy.connect().ask(&read(&format!("asked-{number}"), 9_000));
         served += usize::from(answer.status() == 200);
         thread::sleep(Duration::from_millis(20));
     }
@@ -39,7 +39,7 @@
 fn a_restarted_process_keeps_a_drain_that_was_made_while_it_was_down() {
     let runs = (1..=3).map(|seed| {
         thread::spawn(move || {
-            let ((draining, received_at), (other, _)) = (noting_backend(), noting_backend());
+            let ((draining, received_at), (other, _)) = (recording_endpoint(), recording_endpoint());
             let discovery = MockDiscovery::new();
             // The endpoint has been draining for an hour; the list in hand is older.
             let hosts = [host("s-0", draining, "DRAINING"), host("s-1", other, "SERVING")];
@@ -66,7 +66,7 @@
 #[test]
 fn nothing_is_forwarded_by_a_list_that_discovery_does_not_confirm() {
     for failure in [PollResponse::Unavailable, PollResponse::Disconnect] {
-        let (address, received_at) = noting_backend();
+        let (address, received_at) = recording_endpoint();
         let discovery = MockDiscovery::new();
         discovery.set_default_response(Some(failure.clone()));
         let hosts = vec![host("s-0", address, "SERVING")];
@@ -80,7 +80,7 @@
         discovery.set_default_response(None);
         discovery.push(PollResponse::List(list(1, false, &[])));
         let until = Instant::now() + TEST_TIMEOUT;
-        while proxy.caller().ask(&read("after", 9_000)).status() != 200 {
+        while proxy.connect().ask(&read("after", 9_000)).status() != 200 {
             assert!(Instant::now() < until, "{failure:?}: does not go on");
         }
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -128,9 +128,9 @@
 
 /// Starts with a folder and stops without a request; returns the log and the state that was written under this name.
 fn start_and_stop(folder: &Path, written: &str) -> (String, Snapshot) {
-    let mut proxy = serve(&two_pools(folder), &[]);
+    let mut proxy = start_standalone(&two_pools(folder), &[]);
     proxy.terminate();
-    assert!(proxy.end().success());
+    assert!(proxy.wait_for_exit().success());
     let bytes = fs::read(folder.join(written)).expect("the next number");
     let (left, skipped) = learned_state::decode(&bytes).expect("sound");
     assert_eq!(skipped, SkippedSections::default());
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_proxy_starts_with_the_learned_state_of_its_folder() {
-    let folder = folder().join("learned");
+    let folder = temp_folder().join("learned");
     let kept = copy(IN_A_FOLDER, &folder);
     let (log, _) = start_and_stop(&folder, "00000000000000000004.known");
     // The older the file is, the less it counts.
@@ -171,8 +171,9 @@
 #[test]
 fn a_process_takes_over_learned_state_and_maintenance() {
     let nodes: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let config =
+        with_operators(&Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
     copy(HANDED_OVER, &held.folder);
     let maintenance = copy(MAINTENANCE, &held.folder);
     let process = held.start(&config);
@@ -181,11 +182,11 @@
     assert!(is_read && !log.contains("passing over"), "{log}");
     assert!(log.contains("maintenance: 1 backends are out by hand, from before"), "{log}");
     for i in 0..10 {
-        assert_eq!(process.ask(&read(&format!("r-{i}"), 5000)).status(), 200);
+        assert_eq!(process.request(&read(&format!("r-{i}"), 5000)).status(), 200);
     }
     assert_eq!(nodes.iter().map(|n| n.requests().len()).collect::<Vec<_>>(), [10, 0]);
     // The endpoint is drained already: the file stays the same, to the byte.
-    assert_eq!(process.call("POST", "/maintenance/enter", "s-1").0, 200);
+    assert_eq!(process.operator_request("POST", "/maintenance/enter", "s-1").0, 200);
     assert_eq!(fs::read_to_string(&maintenance).expect("kept"), text(MAINTENANCE));
     assert_eq!(text(MAINTENANCE), "amberlever-maintenance 1 29c25ce6\n-s-1\n+s-0\n+s-1\n");
 }
@@ -229,7 +230,7 @@
 
 /// A folder with copies of these files.
 fn state_with(files: &[&str]) -> PathBuf {
-    let folder = folder();
+    let folder = temp_folder();
     for name in files {
         copy(&format!("versions/{name}"), &folder.join("state"));
     }
@@ -281,11 +282,11 @@
 
 #[test]
 fn a_hosted_service_starts_with_the_stored_versions_and_tokens() {
-    let service = start_in(&state_with(&VERSION_FILES), &hosted_file("", ""));
+    let service = start_hosted_in(&state_with(&VERSION_FILES), &hosted_config("", ""));
     let get = |path: &str, token: &str| service.call("GET", path, Some(token), None, None);
     let [operator, administrator, reader, own_reader] = BEARERS;
     let listed = get("/v1/versions", operator);
-    let numbers = |told: &Told| -> Vec<u64> {
+    let numbers = |told: &ApiResponse| -> Vec<u64> {
         let all = told.body.as_array().into_iter().flatten();
         all.filter_map(|version| version["number"].as_u64()).collect()
     };
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -12,19 +12,19 @@
 
 pub struct Hosted {
     pub process: Process,
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
 }
 
-/// An answer of the API.
+/// A response of the API.
 #[derive(Debug)]
-pub struct Told {
+pub struct ApiResponse {
     pub status: u16,
     pub etag: Option<String>,
     pub body: Value,
 }
 
 /// The file of a hosted service; `more` comes behind its [server] and [admin] sections.
-pub fn hosted_file(server: &str, more: &str) -> String {
+pub fn hosted_config(server: &str, more: &str) -> String {
     format!(
         "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\nzone = \"south\"\n{server}\n[admin]\nlisten = \"127.0.0.1:0\"\nstate = \"state\"\n{more}"
     )
@@ -32,19 +32,19 @@
 
 /// Starts a hosted service in a folder of its own.
 #[track_caller]
-pub fn host_service(file: &str) -> Hosted {
-    start_in(&folder(), file)
+pub fn start_hosted(file: &str) -> Hosted {
+    start_hosted_in(&temp_folder(), file)
 }
 
 /// Starts one in this folder, with the state that is there.
 #[track_caller]
-pub fn start_in(folder: &std::path::Path, file: &str) -> Hosted {
-    start_with(folder, file, "")
+pub fn start_hosted_in(folder: &std::path::Path, file: &str) -> Hosted {
+    start_hosted_with(folder, file, "")
 }
 
-/// The same, behind some words of the shell.
+/// The same, after shell commands.
 #[track_caller]
-pub fn start_with(folder: &std::path::Path, file: &str, before: &str) -> Hosted {
+pub fn start_hosted_with(folder: &std::path::Path, file: &str, before: &str) -> Hosted {
     let path: PathBuf = folder.join("lb.toml");
     std::fs::write(&path, file).expect("written");
     let mut command = Command::new("sh");
@@ -54,11 +54,11 @@
         env!("CARGO_BIN_EXE_amberlever"),
     ]);
     command.arg(&path).env_remove("LB_CONFIG").stderr(Stdio::piped());
-    let process = Process::watch(command.spawn().expect("the proxy starts"), path);
-    process.says("administration on ");
+    let process = Process::attach(command.spawn().expect("the proxy starts"), path);
+    process.wait_for_log("administration on ");
     let log = process.log();
     let admin = log.lines().find_map(|l| l.strip_prefix("administration on ")).expect("said");
-    Hosted { admin: admin.parse().expect("an address"), process }
+    Hosted { admin_address: admin.parse().expect("an address"), process }
 }
 
 /// A tenant with one class, one pool and one route.
@@ -90,7 +90,7 @@
         token: Option<&str>,
         tag: Option<&str>,
         body: Option<&Value>,
-    ) -> Told {
+    ) -> ApiResponse {
         let mut head = format!("{method} {path} HTTP/1.1\r\nHost: admin\r\nConnection: close\r\n");
         if let Some(token) = token {
             head += &format!("Authorization: Bearer {token}\r\n");
@@ -100,22 +100,23 @@
         }
         let body = body.map(ToString::to_string).unwrap_or_default();
         head += &format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let heard = HttpClient::of(TcpStream::connect(self.admin).expect("the API listens")).ask(&head);
-        Told {
-            status: heard.status(),
-            etag: heard.header("ETag").map(str::to_owned),
-            body: serde_json::from_slice(&heard.body).unwrap_or(Value::Null),
+        let response =
+            HttpClient::of(TcpStream::connect(self.admin_address).expect("the API listens")).ask(&head);
+        ApiResponse {
+            status: response.status(),
+            etag: response.header("ETag").map(str::to_owned),
+            body: serde_json::from_slice(&response.body).unwrap_or(Value::Null),
         }
     }
 
     #[track_caller]
-    pub fn get(&self, path: &str) -> Told {
+    pub fn get(&self, path: &str) -> ApiResponse {
         self.call("GET", path, None, None, None)
     }
 
-    /// Puts something in place of what is there now.
+    /// Replaces what is there now.
     #[track_caller]
-    pub fn put(&self, path: &str, body: &Value) -> Told {
+    pub fn put(&self, path: &str, body: &Value) -> ApiResponse {
         let under = path.trim_start_matches("/v1/tenants/");
         let name = under.split(['/', '?']).next().expect("a tenant");
         let tag = self.get(&format!("/v1/tenants/{name}")).etag;
@@ -123,32 +124,32 @@
     }
 
     /// The same of a service that may die over it.
-    pub fn try_put(&self, path: &str, body: &Value) -> Option<Told> {
-        let ask = |head: String| {
-            let mut stream = TcpStream::connect(self.admin).ok()?;
+    pub fn try_put(&self, path: &str, body: &Value) -> Option<ApiResponse> {
+        let send = |head: String| {
+            let mut stream = TcpStream::connect(self.admin_address).ok()?;
             std::io::Write::write_all(&mut stream, head.as_bytes()).ok()?;
             HttpClient::of(stream).try_receive()
         };
-        let got = ask(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))?;
+        let got = send(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))?;
         let tag = got.header("ETag").map(|tag| format!("If-Match: {tag}\r\n")).unwrap_or_default();
         let body = body.to_string();
-        let heard = ask(format!(
+        let response = send(format!(
             "PUT {path} HTTP/1.1\r\nHost: a\r\n{tag}Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         ))?;
-        let told = serde_json::from_slice(&heard.body).unwrap_or(Value::Null);
-        Some(Told { status: heard.status(), etag: None, body: told })
+        let parsed = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        Some(ApiResponse { status: response.status(), etag: None, body: parsed })
     }
 
     #[track_caller]
-    pub fn delete(&self, path: &str) -> Told {
+    pub fn delete(&self, path: &str) -> ApiResponse {
         let tag = self.get(path).etag;
         self.call("DELETE", path, None, tag.as_deref(), None)
     }
 
-    /// One request of a tenant's caller, over a connection of its own.
+    /// One request of a client of a tenant, over a connection of its own.
     #[track_caller]
-    pub fn ask(&self, host: &str, path: &str) -> HttpMessage {
-        self.process.ask(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n"))
+    pub fn request(&self, host: &str, path: &str) -> HttpMessage {
+        self.process.request(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n"))
     }
 }
