--- a/tests/stubs/rpc.rs
+++ b/tests/stubs/rpc.rs
@@ -5,39 +5,39 @@
 
 use super::stubs::*;
 
-/// What the proxy is told.
-pub struct Site {
+/// The configuration of a proxy that listens for both protocols.
+pub struct RpcSite {
     pub nodes: Vec<SocketAddr>,
     /// The nodes speak JSON-RPC.
-    pub speaks: bool,
+    pub nodes_speak_rpc: bool,
     pub frames: Framing,
-    /// How long keys are known.
-    pub window_ms: u32,
-    /// What is promised: calls with less time than that are refused at once.
-    pub aim_ms: u32,
-    /// More keys of the server, the listener for JSON-RPC, the pool, and the file.
-    pub server: String,
-    pub listen: String,
-    pub pool: String,
-    pub more: String,
+    /// How long idempotency keys are stored.
+    pub key_window_ms: u32,
+    /// Calls with less time than that are rejected at once.
+    pub latency_objective_ms: u32,
+    /// Further settings of the server, the JSON-RPC listener, the pool, and the file.
+    pub server_settings: String,
+    pub rpc_listener_settings: String,
+    pub pool_settings: String,
+    pub extra_config: String,
 }
 
-impl Site {
-    pub fn rpc(nodes: &[SocketAddr]) -> Site {
-        Site { speaks: true, ..Site::http(nodes) }
+impl RpcSite {
+    pub fn rpc(nodes: &[SocketAddr]) -> RpcSite {
+        RpcSite { nodes_speak_rpc: true, ..RpcSite::http(nodes) }
     }
 
-    pub fn http(nodes: &[SocketAddr]) -> Site {
-        Site {
+    pub fn http(nodes: &[SocketAddr]) -> RpcSite {
+        RpcSite {
             nodes: nodes.to_vec(),
-            speaks: false,
+            nodes_speak_rpc: false,
             frames: Framing::Lines,
-            window_ms: 60_000,
-            aim_ms: 4_000,
-            server: String::new(),
-            listen: String::new(),
-            pool: String::new(),
-            more: String::new(),
+            key_window_ms: 60_000,
+            latency_objective_ms: 4_000,
+            server_settings: String::new(),
+            rpc_listener_settings: String::new(),
+            pool_settings: String::new(),
+            extra_config: String::new(),
         }
     }
 
@@ -50,39 +50,40 @@
         let nodes = self.nodes.iter().enumerate();
         let nodes: Vec<String> =
             nodes.map(|(i, a)| format!("{{ name = \"n{i}\", address = \"{a}\" }}")).collect();
-        let speaks = if self.speaks { protocol.clone() + &self.pool } else { String::new() };
-        let speaks = speaks.replace(", ", "\n");
+        let nodes_speak_rpc =
+            if self.nodes_speak_rpc { protocol.clone() + &self.pool_settings } else { String::new() };
+        let nodes_speak_rpc = nodes_speak_rpc.replace(", ", "\n");
         let class = |name: &str, more: &str| {
-            format!("[[class]]\nname = \"{name}\"\naim_ms = {}\ndeadline_ms = 4000\n{more}\n[[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/{{x}}\" }}\nclass = \"{name}\"\npool = \"p\"\n", self.aim_ms)
+            format!("[[class]]\nname = \"{name}\"\naim_ms = {}\ndeadline_ms = 4000\n{more}\n[[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/{{x}}\" }}\nclass = \"{name}\"\npool = \"p\"\n", self.latency_objective_ms)
         };
         format!(
-            "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}, {{ address = \"127.0.0.1:0\", {protocol}{} }}]\n{}{}{}{}[[pool]]\nname = \"p\"\nnodes = [{}]\n{speaks}\n{}",
-            self.listen,
-            self.server,
+            "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}, {{ address = \"127.0.0.1:0\", {protocol}{} }}]\n{}{}{}{}[[pool]]\nname = \"p\"\nnodes = [{}]\n{nodes_speak_rpc}\n{}",
+            self.rpc_listener_settings,
+            self.server_settings,
             class("standings", "semantics = \"idempotent\""),
-            class("report-result", &format!("semantics = \"deduplicated\"\ndedup_group = \"all\"\ndedup_window_ms = {}", self.window_ms)),
+            class("report-result", &format!("semantics = \"deduplicated\"\ndedup_group = \"all\"\ndedup_window_ms = {}", self.key_window_ms)),
             class("close-round", "semantics = \"at-most-once\""),
             nodes.join(", "),
-            self.more,
+            self.extra_config,
         )
     }
 }
 
 /// A proxy that listens for both protocols.
-pub struct Both {
+pub struct DualProtocolProxy {
     pub process: Process,
     pub rpc: SocketAddr,
     frames: Framing,
 }
 
-impl Both {
+impl DualProtocolProxy {
     #[track_caller]
-    pub fn start(site: &Site) -> Both {
-        let process = serve(&site.config(), &[]);
-        process.says("listening on ");
+    pub fn start(site: &RpcSite) -> DualProtocolProxy {
+        let process = start_standalone(&site.config(), &[]);
+        process.wait_for_log("listening on ");
         let log = process.log();
         let rpc = log.lines().find_map(|l| l.strip_prefix("listening on ")).expect("said");
-        Both { rpc: rpc.parse().expect("an address"), process, frames: site.frames }
+        DualProtocolProxy { rpc: rpc.parse().expect("an address"), process, frames: site.frames }
     }
 
     #[track_caller]
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -29,8 +29,9 @@
 fn upgrades_in_a_row_under_load_lose_nothing_and_turn_nobody_away() {
     let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("how many upgrades"));
     let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
-    let (discovery, held) = (MockDiscovery::new(), Held::new());
-    let config = with_operators(&Setup::of(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
+    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let config =
+        with_operators(&Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
     let mut serving = held.start(&config);
     let (heard, over) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
     let callers: Vec<_> = (0..2 * CALLERS)
@@ -53,14 +54,14 @@
         thread::sleep(ALONE);
         let since = Instant::now();
         let next = held.start(&config);
-        while next.call("GET", "/status", "").0 != 200 {
+        while next.operator_request("GET", "/status", "").0 != 200 {
             thread::sleep(Duration::from_millis(1));
         }
         slowest = slowest.max(since.elapsed());
         let mut before = std::mem::replace(&mut serving, next);
         before.terminate();
         let since = Instant::now();
-        assert!(before.end().success(), "{}", before.log());
+        assert!(before.wait_for_exit().success(), "{}", before.log());
         longest = longest.max(since.elapsed());
     }
     over.store(true, Ordering::Relaxed);
