--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients fill the descriptors while discovery is down: what discovery, operators and nodes need stays free, and who has
-//! a whole request is served.
+//! Idle connections fill the descriptors while discovery is down: what discovery, operators and endpoints need stays free,
+//! and complete requests are served.
 
 mod stubs;
 
@@ -10,12 +10,12 @@
 
 use stubs::*;
 
-/// The least that the platform gives.
-const LEAST: u32 = 256;
+/// The smallest limit that the platform sets.
+const MIN_DESCRIPTORS: u32 = 256;
 
-/// Answers each call with this list, until the test ends.
-fn discovery_at(closed: ReservedPort, list: String) -> thread::JoinHandle<Instant> {
-    let listener = closed.open();
+/// Answers the first poll with this list and leaves the next one open; returns when the first connection was accepted.
+fn serve_discovery(unreachable: ReservedPort, list: String) -> thread::JoinHandle<Instant> {
+    let listener = unreachable.open();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("asked");
         let since = Instant::now();
@@ -37,13 +37,13 @@
 fn idle_connections_at_the_descriptor_limit_block_no_client_while_discovery_is_down() {
     let (first, second) = (MockEndpoint::new([ok("first")]), MockEndpoint::new([ok("second")]));
     let mut setup = Setup::with_endpoints(&[&first]);
-    setup.max_sockets = LEAST;
-    setup.descriptors = Some(LEAST);
-    let (closed, returned) = (ReservedPort::new(), ReservedPort::new());
-    let down = closed.address();
+    setup.max_sockets = MIN_DESCRIPTORS;
+    setup.descriptors = Some(MIN_DESCRIPTORS);
+    let (unreachable, reachable_again) = (ReservedPort::new(), ReservedPort::new());
+    let down = unreachable.address();
     let config = with_operators(&setup.config(down));
-    let proxy = start_with_descriptor_limit(&config, LEAST);
-    // Three kinds of idle ones, far more than there is room for; all of them wait for one that is never accepted.
+    let proxy = start_with_descriptor_limit(&config, MIN_DESCRIPTORS);
+    // Three kinds of idle connections, far more than the limit; all of them wait for one that is never accepted.
     let mut idle: Vec<TcpStream> = Vec::new();
     for number in 0..450 {
         let Ok(mut stream) = TcpStream::connect_timeout(&proxy.address, Duration::from_millis(300)) else {
@@ -56,47 +56,47 @@
         }
         idle.push(stream);
     }
-    let busy = proxy.cpu_time_ns();
+    let cpu_time_before = proxy.cpu_time_ns();
     let since = Instant::now();
-    // Whoever has a whole request is served, in time and each time.
+    // Each complete request is served in time.
     let mut longest = Duration::ZERO;
     for number in 0..40 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(proxy.request(&read(&format!("whole-{number}"), 9_000)).status(), 200);
-        longest = longest.max(began.elapsed());
+        longest = longest.max(started_at.elapsed());
         assert!(
-            began.elapsed() < Duration::from_millis(3_500),
+            started_at.elapsed() < Duration::from_millis(3_500),
             "request {number} took {:?}",
-            began.elapsed()
+            started_at.elapsed()
         );
     }
     println!("the longest of forty requests took {longest:?}");
     let (status, _) = proxy.operator_request("GET", "/status/metrics", "");
     assert_eq!(status, 200, "operators are heard");
-    let used = Duration::from_nanos(proxy.cpu_time_ns() - busy);
+    let used = Duration::from_nanos(proxy.cpu_time_ns() - cpu_time_before);
     assert!(
         used < since.elapsed() / 2 + Duration::from_millis(500),
         "{used:?} of {:?}: it spins",
         since.elapsed()
     );
-    // Discovery returns, at another address that a new configuration names, and tells of a node that was never connected to.
-    let back = returned.address();
-    let told = list(7, true, &[host("s-new", second.address, "SERVING")]);
-    let asked = discovery_at(returned, told);
+    // Discovery returns at an address that a new configuration names, and lists an endpoint that was never connected to.
+    let new_address = reachable_again.address();
+    let updated_list = list(7, true, &[host("s-new", second.address, "SERVING")]);
+    let polled_at = serve_discovery(reachable_again, updated_list);
     let reloaded = Instant::now();
-    proxy.reload(&config.replace(&down.to_string(), &back.to_string()));
-    let asked = asked.join().expect("asked");
-    assert!(asked - reloaded < Duration::from_secs(6), "asked after {:?}", asked - reloaded);
-    let until = Instant::now() + TEST_TIMEOUT;
+    proxy.reload(&config.replace(&down.to_string(), &new_address.to_string()));
+    let polled_at = polled_at.join().expect("asked");
+    assert!(polled_at - reloaded < Duration::from_secs(6), "asked after {:?}", polled_at - reloaded);
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        let heard = proxy.request(&read(&format!("new-{:?}", until.elapsed().as_nanos()), 9_000));
-        if heard.body == b"second" {
+        let response = proxy.request(&read(&format!("new-{:?}", deadline.elapsed().as_nanos()), 9_000));
+        if response.body == b"second" {
             break;
         }
-        assert!(Instant::now() < until, "the new node is never connected to");
+        assert!(Instant::now() < deadline, "the new node is never connected to");
     }
     let log = proxy.log();
     assert!(log.lines().count() < 20, "the log is flooded: {log}");
-    assert!(proxy.descriptors_and_memory().0 <= LEAST as usize);
+    assert!(proxy.descriptors_and_memory().0 <= MIN_DESCRIPTORS as usize);
     drop(idle);
 }
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Bodies that are larger than what is held whole: they flow, under back-pressure, and their ends are told apart.
+//! Bodies that are larger than what is buffered: they are streamed under back-pressure, and incomplete ones are recognizable.
 mod stubs;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,9 +11,9 @@
 
 const LARGE: usize = 8 << 20;
 /// Time enough for what is quick on a busy machine; an upload takes longer.
-const AIM_MS: u32 = 2000;
-/// Who sends nothing of a body counts as stalled after 10 s.
-const LONG_BEFORE_A_STALL: Duration = Duration::from_secs(6);
+const LATENCY_OBJECTIVE_MS: u32 = 2000;
+/// A peer that sends nothing of a body has stalled after 10 s.
+const WELL_BELOW_STALL_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Bytes in which none could be lost, doubled or moved unseen.
 fn pattern(length: usize) -> Vec<u8> {
@@ -21,16 +21,16 @@
 }
 
 fn start(backends: &[SocketAddr]) -> (Process, MockDiscovery, InheritedListener) {
-    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let mut setup = Setup { latency_objective_ms: AIM_MS, ..Setup::with_endpoints(&[]) };
+    let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
+    let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
     setup.endpoints =
         backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
-    let process = held.start(&with_operators(&setup.config(discovery.address)));
-    (process, discovery, held)
+    let process = listener.start(&with_operators(&setup.config(discovery.address)));
+    (process, discovery, listener)
 }
 
 /// Reads a head: its first line.
-fn head(from: &mut impl BufRead) -> String {
+fn read_head(from: &mut impl BufRead) -> String {
     let mut first = String::new();
     from.read_line(&mut first).expect("text");
     let mut line = String::new();
@@ -41,20 +41,20 @@
     first
 }
 
-/// A backend with a large answer for each connection.
-fn large() -> SocketAddr {
+/// An endpoint with a large response on each connection.
+fn large_response_endpoint() -> SocketAddr {
     let body = pattern(LARGE);
     raw_endpoint(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-        head(&mut reader);
+        read_head(&mut reader);
         let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n").as_bytes());
         let _ = stream.write_all(&body);
         let _ = reader.read_to_end(&mut Vec::new());
     })
 }
 
-fn connect(held: &InheritedListener) -> BufReader<TcpStream> {
-    let stream = TcpStream::connect(held.address).expect("it listens");
+fn connect(listener: &InheritedListener) -> BufReader<TcpStream> {
+    let stream = TcpStream::connect(listener.address).expect("it listens");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     BufReader::new(stream)
 }
@@ -63,10 +63,10 @@
 fn large_responses_are_streamed_before_they_are_complete() {
     for chunked in [false, true] {
         let release = Arc::new(Release::default());
-        let held_back = Arc::clone(&release);
+        let release_signal = Arc::clone(&release);
         let node = raw_endpoint(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-            head(&mut reader);
+            read_head(&mut reader);
             let (mut stream, body) = (stream, pattern(LARGE));
             let (first, rest) = body.split_at(100_000);
             let (before, after, end) = if chunked {
@@ -80,27 +80,27 @@
             };
             stream.write_all(format!("HTTP/1.1 200 OK\r\n{before}").as_bytes()).expect("written");
             stream.write_all(first).expect("written");
-            held_back.wait();
+            release_signal.wait();
             stream.write_all(after.as_bytes()).expect("written");
             stream.write_all(rest).expect("written");
             stream.write_all(end.as_bytes()).expect("written");
             let _ = reader.read_to_end(&mut Vec::new());
         });
-        let (process, _discovery, held) = start(&[node]);
-        let mut caller = connect(&held);
-        caller
+        let (process, _discovery, listener) = start(&[node]);
+        let mut client = connect(&listener);
+        client
             .get_mut()
             .write_all(
                 read("large", 9000).replace("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n").as_bytes(),
             )
             .expect("written");
-        assert!(head(&mut caller).contains(" 200 "));
+        assert!(read_head(&mut client).contains(" 200 "));
         let mut some = vec![0; 50_000];
-        caller.read_exact(&mut some).expect("before the rest has been sent");
+        client.read_exact(&mut some).expect("before the rest has been sent");
         assert_eq!(process.metric("edge_lb_active"), 1, "it has not ended");
         release.release();
         let mut rest = Vec::new();
-        caller.read_to_end(&mut rest).expect("all of it");
+        client.read_to_end(&mut rest).expect("all of it");
         some.extend(rest);
         if chunked {
             // Pieces may be cut anywhere; what is left without their sizes is what was sent.
@@ -115,21 +115,21 @@
 
 #[test]
 fn unread_responses_are_backpressured_and_use_no_memory() {
-    let node = large();
-    let (process, _discovery, held) = start(&[node]);
+    let node = large_response_endpoint();
+    let (process, _discovery, listener) = start(&[node]);
     let (_, before) = process.descriptors_and_memory();
-    let mut callers = Vec::new();
+    let mut clients = Vec::new();
     for i in 0..20 {
-        let mut caller = connect(&held);
-        caller.get_mut().write_all(read(&format!("r-{i}"), 9000).as_bytes()).expect("written");
-        assert!(head(&mut caller).contains(" 200 "));
-        callers.push(caller);
+        let mut client = connect(&listener);
+        client.get_mut().write_all(read(&format!("r-{i}"), 9000).as_bytes()).expect("written");
+        assert!(read_head(&mut client).contains(" 200 "));
+        clients.push(client);
     }
     let (_, with) = process.descriptors_and_memory();
     assert!(with - before < 20 * 256, "{} kB for 160 MB of answers", with - before);
-    for mut caller in callers {
+    for mut client in clients {
         let mut all = vec![0; LARGE];
-        caller.read_exact(&mut all).expect("all of it");
+        client.read_exact(&mut all).expect("all of it");
         assert!(all == pattern(LARGE));
     }
 }
@@ -138,98 +138,100 @@
 fn an_interrupted_response_is_visibly_incomplete() {
     let node = raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-        head(&mut reader);
+        read_head(&mut reader);
         let mut stream = stream;
         stream
             .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n").as_bytes())
             .expect("written");
         stream.write_all(&pattern(200_000)).expect("written");
     });
-    let (process, _discovery, held) = start(&[node]);
-    let mut caller = connect(&held);
-    caller.get_mut().write_all(read("broken", 9000).as_bytes()).expect("written");
-    assert!(head(&mut caller).contains(" 200 "));
+    let (process, _discovery, listener) = start(&[node]);
+    let mut client = connect(&listener);
+    client.get_mut().write_all(read("broken", 9000).as_bytes()).expect("written");
+    assert!(read_head(&mut client).contains(" 200 "));
     let mut got = Vec::new();
-    let _ = caller.read_to_end(&mut got);
+    let _ = client.read_to_end(&mut got);
     assert!(got.len() < LARGE && got == pattern(LARGE)[..got.len()]);
     process.wait_for_metric("edge_lb_errors_total{kind=\"read\"}", 1);
     assert_eq!(process.metric("edge_lb_ok_total{kind=\"read\"}"), 0);
 }
 
-/// A backend that answers with this at once, and with nothing more.
-fn unfinished(answer: &'static str) -> SocketAddr {
+/// An endpoint that sends this at once, and nothing more.
+fn unfinished_response_endpoint(response: &'static str) -> SocketAddr {
     raw_endpoint(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-        head(&mut reader);
-        let _ = stream.write_all(answer.as_bytes());
+        read_head(&mut reader);
+        let _ = stream.write_all(response.as_bytes());
         let _ = reader.read_to_end(&mut Vec::new());
     })
 }
 
 #[test]
 fn a_small_response_that_never_ends_fails_at_the_deadline() {
-    let (process, _discovery, held) =
-        start(&[unfinished("HTTP/1.1 200 OK\r\nContent-Length: 339\r\n\r\nthe first of it")]);
-    let began = Instant::now();
-    let answer = HttpClient::of(TcpStream::connect(held.address).expect("it listens")).ask(&read("r-1", 700));
-    assert!([503, 504].contains(&answer.status()), "{answer:?}");
-    assert!(began.elapsed() < LONG_BEFORE_A_STALL, "{:?}", began.elapsed());
+    let (process, _discovery, listener) = start(&[unfinished_response_endpoint(
+        "HTTP/1.1 200 OK\r\nContent-Length: 339\r\n\r\nthe first of it",
+    )]);
+    let started_at = Instant::now();
+    let response =
+        HttpClient::of(TcpStream::connect(listener.address).expect("it listens")).ask(&read("r-1", 700));
+    assert!([503, 504].contains(&response.status()), "{response:?}");
+    assert!(started_at.elapsed() < WELL_BELOW_STALL_TIMEOUT, "{:?}", started_at.elapsed());
     assert_eq!(process.metric("edge_lb_active"), 0);
 }
 
 #[test]
 fn an_endless_response_of_unknown_length_is_cut_off_at_the_deadline() {
-    let (process, _discovery, held) = start(&[unfinished(
+    let (process, _discovery, listener) = start(&[unfinished_response_endpoint(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nthe first of it.\r\n",
     )]);
-    let mut caller = connect(&held);
-    let began = Instant::now();
-    caller.get_mut().write_all(read("r-1", 700).as_bytes()).expect("written");
-    assert!(head(&mut caller).contains(" 200 "));
+    let mut client = connect(&listener);
+    let started_at = Instant::now();
+    client.get_mut().write_all(read("r-1", 700).as_bytes()).expect("written");
+    assert!(read_head(&mut client).contains(" 200 "));
     let mut all = Vec::new();
-    let _ = caller.read_to_end(&mut all);
+    let _ = client.read_to_end(&mut all);
     assert!(all.starts_with(b"10\r\n") && !all.ends_with(b"0\r\n\r\n"), "its caller can tell");
-    let took = began.elapsed();
-    assert!(took > Duration::from_millis(500) && took < LONG_BEFORE_A_STALL, "{took:?}");
+    let took = started_at.elapsed();
+    assert!(took > Duration::from_millis(500) && took < WELL_BELOW_STALL_TIMEOUT, "{took:?}");
     process.wait_for_metric("edge_lb_errors_total{kind=\"read\"}", 1);
 }
 
 #[test]
 fn streamed_responses_outlive_an_upgrade() {
-    let node = large();
-    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let mut setup = Setup { latency_objective_ms: AIM_MS, ..Setup::with_endpoints(&[]) };
+    let node = large_response_endpoint();
+    let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
+    let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
     setup.endpoints = vec![host("s-0", node, "SERVING")];
     let config = with_operators(&setup.config(discovery.address));
-    let mut old = held.start(&config);
-    let mut callers: Vec<_> = (0..10).map(|_| connect(&held)).collect();
-    for (i, caller) in callers.iter_mut().enumerate() {
-        caller.get_mut().write_all(read(&format!("r-{i}"), 9000).as_bytes()).expect("written");
-        assert!(head(caller).contains(" 200 "));
+    let mut old = listener.start(&config);
+    let mut clients: Vec<_> = (0..10).map(|_| connect(&listener)).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.get_mut().write_all(read(&format!("r-{i}"), 9000).as_bytes()).expect("written");
+        assert!(read_head(client).contains(" 200 "));
     }
-    let new = held.start(&config);
+    let new = listener.start(&config);
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
     old.wait_for_log("told to end");
-    // The new one serves; the old one still has ten answers to finish, and is not gone before.
-    let mut other = connect(&held);
+    // The new one serves; the old one still has ten responses to finish, and is not gone before.
+    let mut other = connect(&listener);
     other.get_mut().write_all(read("other", 9000).as_bytes()).expect("written");
-    assert!(head(&mut other).contains(" 200 "));
+    assert!(read_head(&mut other).contains(" 200 "));
     assert!(!old.has_exited());
-    for mut caller in callers {
+    for mut client in clients {
         let mut all = vec![0; LARGE];
-        caller.read_exact(&mut all).expect("all of it");
+        client.read_exact(&mut all).expect("all of it");
         assert!(all == pattern(LARGE));
     }
     assert!(old.wait_for_exit().success());
     assert_eq!(new.metric("edge_lb_active"), 1);
 }
 
-/// A backend that reads a whole request with this length and says how much came.
-fn counting() -> SocketAddr {
+/// An endpoint that reads a large request and says whether its body was complete.
+fn body_checking_endpoint() -> SocketAddr {
     raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
-        head(&mut reader);
+        read_head(&mut reader);
         let mut body = vec![0; LARGE];
         let whole = reader.read_exact(&mut body).is_ok() && body == pattern(LARGE);
         let mut stream = stream;
@@ -239,49 +241,49 @@
     })
 }
 
-fn upload(id: &str, timeout_ms: u32) -> String {
+fn large_request(id: &str, timeout_ms: u32) -> String {
     write(id, timeout_ms, "").replace("Content-Length: 0", &format!("Content-Length: {LARGE}"))
 }
 
 #[test]
 fn large_requests_are_streamed_and_time_out_from_the_last_byte() {
-    let (process, _discovery, held) = start(&[counting()]);
-    let mut caller = connect(&held);
-    // It takes longer to come than its caller waits for the answer.
-    caller.get_mut().write_all(upload("up", AIM_MS).as_bytes()).expect("written");
+    let (process, _discovery, listener) = start(&[body_checking_endpoint()]);
+    let mut client = connect(&listener);
+    // It takes longer to come than its client waits for the answer.
+    client.get_mut().write_all(large_request("up", LATENCY_OBJECTIVE_MS).as_bytes()).expect("written");
     let body = pattern(LARGE);
     let since = Instant::now();
     for piece in body.chunks(LARGE / 10) {
-        caller.get_mut().write_all(piece).expect("written");
+        client.get_mut().write_all(piece).expect("written");
         thread::sleep(Duration::from_millis(250));
     }
-    assert!(since.elapsed() > Duration::from_millis(u64::from(AIM_MS)));
-    let answer = read_message(&mut caller).expect("an answer");
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
+    assert!(since.elapsed() > Duration::from_millis(u64::from(LATENCY_OBJECTIVE_MS)));
+    let response = read_message(&mut client).expect("an answer");
+    assert_eq!((response.status(), &response.body[..]), (200, &b"whole"[..]));
     assert_eq!(process.metric("edge_lb_tries_total"), 1);
     assert_eq!(process.metric("edge_lb_ok_total{kind=\"write\"}"), 1);
 }
 
 #[test]
 fn a_rejected_large_request_is_answered_at_once_and_read_to_its_end() {
-    let (process, _discovery, held) = start(&[]);
-    let mut caller = connect(&held);
-    caller.get_mut().write_all(upload("up", 9000).as_bytes()).expect("written");
-    let answer = read_message(&mut caller).expect("an answer before its body has come");
-    assert_eq!(answer.status(), 503);
-    caller.get_mut().write_all(&pattern(LARGE)).expect("all of it is taken");
+    let (process, _discovery, listener) = start(&[]);
+    let mut client = connect(&listener);
+    client.get_mut().write_all(large_request("up", 9000).as_bytes()).expect("written");
+    let response = read_message(&mut client).expect("an answer before its body has come");
+    assert_eq!(response.status(), 503);
+    client.get_mut().write_all(&pattern(LARGE)).expect("all of it is taken");
     process.wait_for_metric("edge_lb_shed_total{kind=\"write\"}", 1);
     assert_eq!(process.metric("edge_lb_active"), 0);
 }
 
 #[test]
 fn a_large_request_whose_client_disconnects_is_no_attempt() {
-    let (process, _discovery, held) = start(&[counting()]);
-    let mut caller = connect(&held);
-    caller.get_mut().write_all(upload("up", 9000).as_bytes()).expect("written");
-    caller.get_mut().write_all(&pattern(LARGE)[..LARGE / 2]).expect("written");
-    drop(caller);
-    // Whether it ends as left or as refused is a race that nobody waits for.
+    let (process, _discovery, listener) = start(&[body_checking_endpoint()]);
+    let mut client = connect(&listener);
+    client.get_mut().write_all(large_request("up", 9000).as_bytes()).expect("written");
+    client.get_mut().write_all(&pattern(LARGE)[..LARGE / 2]).expect("written");
+    drop(client);
+    // Whether it ends as left or as rejected is a race that nobody waits for.
     let ended =
         || ["errors", "shed"].map(|n| process.metric(&format!("edge_lb_{n}_total{{kind=\"write\"}}")));
     let since = Instant::now();
@@ -292,11 +294,11 @@
     assert_eq!((process.metric("edge_lb_tries_total"), process.metric("edge_lb_active")), (0, 0));
 }
 
-/// An own installation before one node, with this line in `[limits]`.
-fn own(node: SocketAddr, limit: &str) -> Process {
+/// A proxy in standalone mode in front of one endpoint, with this line in `[limits]`.
+fn start_standalone_with_limit(node: SocketAddr, limit: &str) -> Process {
     let class = |name: &str, semantics: &str| {
         format!(
-            "[[class]]\nname = \"{name}\"\naim_ms = {AIM_MS}\ndeadline_ms = 9000\nsemantics = \"{semantics}\"\n\
+            "[[class]]\nname = \"{name}\"\naim_ms = {LATENCY_OBJECTIVE_MS}\ndeadline_ms = 9000\nsemantics = \"{semantics}\"\n\
              [[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/*\" }}\nclass = \"{name}\"\npool = \"p\"\n\
              fallback = [{{ pool = \"q\", when = [\"refused\"] }}]\n"
         )
@@ -315,41 +317,42 @@
 
 #[test]
 fn standalone_mode_streams_large_requests_up_to_the_configured_limit() {
-    let process = own(counting(), &format!("body_bytes = {LARGE}"));
-    let ask = |request: String, body: &[u8]| {
-        let mut caller = BufReader::new(TcpStream::connect(process.address).expect("it listens"));
-        caller.get_mut().write_all(request.as_bytes()).expect("written");
+    let process = start_standalone_with_limit(body_checking_endpoint(), &format!("body_bytes = {LARGE}"));
+    let send = |request: String, body: &[u8]| {
+        let mut client = BufReader::new(TcpStream::connect(process.address).expect("it listens"));
+        client.get_mut().write_all(request.as_bytes()).expect("written");
         // An answer may come before all of it is written.
-        let _ = caller.get_mut().write_all(body);
-        read_message(&mut caller).expect("an answer")
+        let _ = client.get_mut().write_all(body);
+        read_message(&mut client).expect("an answer")
     };
-    let answer = ask(upload("up", AIM_MS), &pattern(LARGE));
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
+    let response = send(large_request("up", LATENCY_OBJECTIVE_MS), &pattern(LARGE));
+    assert_eq!((response.status(), &response.body[..]), (200, &b"whole"[..]));
     assert_eq!(process.metric("edge_lb_tries_total{pool=\"p\"}"), 1);
-    let over = upload("over", AIM_MS).replace(&LARGE.to_string(), &(LARGE + 1).to_string());
-    assert_eq!(ask(over, &[]).status(), 413);
-    // Refused with its body on the way: it is not sent to the next pool with what is left of it.
+    let over =
+        large_request("over", LATENCY_OBJECTIVE_MS).replace(&LARGE.to_string(), &(LARGE + 1).to_string());
+    assert_eq!(send(over, &[]).status(), 413);
+    // Rejected with its body on the way: it is not sent to the next pool with what is left of it.
     for node in ["p/n", "q/n"] {
         assert_eq!(process.operator_request("POST", "/maintenance/enter", node).0, 200);
     }
-    assert_eq!(ask(upload("refused", AIM_MS), &pattern(LARGE)).status(), 503);
-    // Where no bound is set bodies are held whole.
-    let process = own(counting(), "");
-    let mut caller = process.connect();
-    caller.send(&upload("large", AIM_MS));
-    assert_eq!(caller.receive().status(), 413);
+    assert_eq!(send(large_request("refused", LATENCY_OBJECTIVE_MS), &pattern(LARGE)).status(), 503);
+    // Where no bound is set bodies are buffered.
+    let process = start_standalone_with_limit(body_checking_endpoint(), "");
+    let mut client = process.connect();
+    client.send(&large_request("large", LATENCY_OBJECTIVE_MS));
+    assert_eq!(client.receive().status(), 413);
 }
 
 #[test]
 fn standalone_mode_streams_large_responses_up_to_the_configured_limit() {
-    let node = large();
-    let process = own(node, &format!("body_bytes = {LARGE}"));
-    let answer = process.request(&read("down", 9000));
-    assert!(answer.status() == 200 && answer.body == pattern(LARGE));
+    let node = large_response_endpoint();
+    let process = start_standalone_with_limit(node, &format!("body_bytes = {LARGE}"));
+    let response = process.request(&read("down", 9000));
+    assert!(response.status() == 200 && response.body == pattern(LARGE));
     // One byte more than may be is an answer that breaks off, and counts as one.
-    let process = own(node, &format!("body_bytes = {}", LARGE - 1));
-    let mut caller = process.connect();
-    caller.send(&read("over", 9000));
-    assert!(caller.try_receive().is_none_or(|answer| answer.status() == 502));
+    let process = start_standalone_with_limit(node, &format!("body_bytes = {}", LARGE - 1));
+    let mut client = process.connect();
+    client.send(&read("over", 9000));
+    assert!(client.try_receive().is_none_or(|response| response.status() == 502));
     process.wait_for_metric("edge_lb_errors_total{kind=\"read\",pool=\"p\"}", 1);
 }
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Ambiguous and malformed requests, by RFC 9112: each is turned away with a status or a close, and the backend,
+//! Ambiguous and malformed requests, by RFC 9112: each is rejected with a status or a close, and the endpoint,
 //! which records raw bytes, gets none of it.
 mod stubs;
 
@@ -9,19 +9,19 @@
 
 use stubs::*;
 
-/// Records every byte that comes, and answers each request by its head's end.
-fn recorder() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
+/// An endpoint that records every byte it receives, and answers each read.
+fn raw_byte_recorder() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let bytes = Arc::<Mutex<Vec<u8>>>::default();
-    let kept = Arc::clone(&bytes);
+    let recorded = Arc::clone(&bytes);
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, kept) = (stream.expect("accepts"), Arc::clone(&kept));
+            let (mut stream, recorded) = (stream.expect("accepts"), Arc::clone(&recorded));
             thread::spawn(move || {
                 let mut buffer = [0; 4096];
                 while let Ok(n @ 1..) = stream.read(&mut buffer) {
-                    kept.lock().expect("unpoisoned").extend(&buffer[..n]);
+                    recorded.lock().expect("unpoisoned").extend(&buffer[..n]);
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                 }
             });
@@ -30,11 +30,11 @@
     (address, bytes)
 }
 
-/// The whole of what comes back until the proxy closes the connection or has answered once.
+/// The status of the first response; None where the proxy closes without one.
 fn status(address: SocketAddr, raw: &[u8]) -> Option<u16> {
     let mut stream = TcpStream::connect(address).expect("listens");
     stream.write_all(raw).expect("written");
-    HttpClient::of(stream).try_receive().map(|heard| heard.status())
+    HttpClient::of(stream).try_receive().map(|response| response.status())
 }
 
 const POST: &str = "POST /write/7f3a HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\n";
@@ -42,7 +42,7 @@
 
 #[test]
 fn ambiguous_requests_are_rejected() {
-    let (address, bytes) = recorder();
+    let (address, bytes) = raw_byte_recorder();
     let mut setup = Setup::with_endpoints(&[]);
     setup.endpoints = vec![host("s-0", address, "SERVING")];
     let proxy = setup.start();
@@ -129,7 +129,7 @@
         assert!(got.is_none() || got == Some(*expected), "{name}: {got:?}, not {expected}");
         assert!(bytes.lock().expect("unpoisoned").is_empty(), "{name}: passed on");
     }
-    // Each of these is one request in one reading only, so what is refused above is refused for its fault.
+    // Each of these is one request in one reading only, so what is rejected above is rejected for its fault.
     let good: Vec<(&str, String)> = vec![
         ("plain", GET.to_owned()),
         ("an empty line first", format!("\r\n{GET}")),
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC through sockets: callers and nodes of both protocols, with stand-ins that share no code with the proxy.
+//! JSON-RPC through sockets: clients and nodes of both protocols, with mock peers that share no code with the proxy.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -15,8 +15,8 @@
 use stubs::*;
 use testkit::json_rpc::request;
 
-fn code(answer: &Value) -> i64 {
-    answer["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {answer}"))
+fn code(response: &Value) -> i64 {
+    response["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {response}"))
 }
 
 // ---- Messages ----
@@ -25,29 +25,33 @@
 fn cases_of_the_specification() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    let null = |code: i64, answer: &Value| {
-        assert_eq!((&answer["id"], answer["error"]["code"].as_i64()), (&Value::Null, Some(code)), "{answer}");
+    let mut client = proxy.rpc();
+    let null = |code: i64, response: &Value| {
+        assert_eq!(
+            (&response["id"], response["error"]["code"].as_i64()),
+            (&Value::Null, Some(code)),
+            "{response}"
+        );
     };
-    assert_eq!(caller.ask(r#"{"jsonrpc":"2.0","method":"standings","params":[42,23],"id":1}"#)["result"], 19);
-    assert_eq!(caller.ask(r#"{"jsonrpc":"2.0","method":"standings","id":"2"}"#)["id"], "2");
-    assert_eq!(code(&caller.ask(r#"{"jsonrpc":"2.0","method":"foobar","id":"1"}"#)), -32601);
-    null(-32700, &caller.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
-    null(-32600, &caller.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
+    assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","params":[42,23],"id":1}"#)["result"], 19);
+    assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","id":"2"}"#)["id"], "2");
+    assert_eq!(code(&client.ask(r#"{"jsonrpc":"2.0","method":"foobar","id":"1"}"#)), -32601);
+    null(-32700, &client.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
+    null(-32600, &client.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
     null(
         -32700,
-        &caller
+        &client
             .ask(r#"[{"jsonrpc":"2.0","method":"sum","params":[1,2,4],"id":"1"},{"jsonrpc":"2.0","method"]"#),
     );
-    null(-32600, &caller.ask("[]"));
-    let three = caller.ask("[1,2,3]");
+    null(-32600, &client.ask("[]"));
+    let three = client.ask("[1,2,3]");
     assert_eq!(three.as_array().map(Vec::len), Some(3));
     three.as_array().into_iter().flatten().for_each(|one| null(-32600, one));
     // Notifications have no answer, alone or together; an answer that nobody asked for is passed over.
-    caller.send(r#"{"jsonrpc":"2.0","method":"standings","params":[1]}"#);
-    caller.send(r#"[{"jsonrpc":"2.0","method":"standings"},{"jsonrpc":"2.0","method":"foobar"}]"#);
-    caller.send(r#"{"jsonrpc":"2.0","result":1,"id":7}"#);
-    assert_eq!(caller.call(9, "standings", json!({}))["id"], 9);
+    client.send(r#"{"jsonrpc":"2.0","method":"standings","params":[1]}"#);
+    client.send(r#"[{"jsonrpc":"2.0","method":"standings"},{"jsonrpc":"2.0","method":"foobar"}]"#);
+    client.send(r#"{"jsonrpc":"2.0","result":1,"id":7}"#);
+    assert_eq!(client.call(9, "standings", json!({}))["id"], 9);
 }
 
 #[test]
@@ -57,12 +61,12 @@
         frames: Framing::ContentLength,
         ..RpcSite::rpc(&[node.address])
     });
-    let mut caller = proxy.rpc();
+    let mut client = proxy.rpc();
     let digits = format!("-1{}", "0".repeat(400));
     for id in [digits.as_str(), r#""A\n""#, r#""""#, "null", "0", "18446744073709551616"] {
         let message = format!(r#"{{"id":{id},"jsonrpc":"2.0","method":"standings"}}"#);
-        caller.send(&message);
-        let text = caller.try_receive_text().expect("an answer");
+        client.send(&message);
+        let text = client.try_receive_text().expect("an answer");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
     // What the node gets are the proxy's own, each another.
@@ -70,13 +74,13 @@
         node.requests().iter().map(|c| c["id"].as_str().expect("a string").to_owned()).collect();
     assert_eq!(own.len(), 6);
     for bad in ["1.5", "1e3", "{}", "true", r#""\ud800""#] {
-        caller.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
-        assert_eq!(code(&caller.receive()), -32600, "{bad}");
+        client.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
+        assert_eq!(code(&client.receive()), -32600, "{bad}");
     }
-    caller.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
-    assert_eq!(caller.receive()["id"], Value::Null, "which of the two is meant?");
-    caller.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
-    assert_eq!(code(&caller.receive()), -32700);
+    client.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
+    assert_eq!(client.receive()["id"], Value::Null, "which of the two is meant?");
+    client.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
+    assert_eq!(code(&client.receive()), -32700);
     assert!(node.requests().is_empty());
 }
 
@@ -86,16 +90,16 @@
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     proxy.rpc().call(1, "standings", json!({}));
     let (_, before) = proxy.process.descriptors_and_memory();
-    let mut caller = proxy.rpc();
-    let mut stream = caller.stream().try_clone().expect("a copy");
+    let mut client = proxy.rpc();
+    let mut stream = client.stream().try_clone().expect("a copy");
     let sending = thread::spawn(move || {
         // 200 MB, if it were taken.
         let piece = vec![b'x'; 1 << 20];
         (0..200).take_while(|_| stream.write_all(&piece).is_ok()).count()
     });
-    let answer = caller.receive();
-    assert_eq!((code(&answer), &answer["id"]), (-32005, &Value::Null));
-    assert_eq!(caller.receive()["method"], "$/closing");
+    let response = client.receive();
+    assert_eq!((code(&response), &response["id"]), (-32005, &Value::Null));
+    assert_eq!(client.receive()["method"], "$/closing");
     let sent = sending.join().expect("it ends");
     let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
@@ -104,9 +108,9 @@
         frames: Framing::ContentLength,
         ..RpcSite::rpc(&[node.address])
     });
-    let mut caller = lengths.rpc();
-    caller.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
-    assert_eq!(code(&caller.receive()), -32700);
+    let mut client = lengths.rpc();
+    client.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
+    assert_eq!(code(&client.receive()), -32700);
 }
 
 // ---- Many calls at once ----
@@ -121,29 +125,29 @@
     );
     let site = RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[node.address]) };
     let proxy = DualProtocolProxy::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "standings", json!({})));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "standings", json!({})));
     node.request();
-    caller.send(&request(2, "standings", json!({})));
+    client.send(&request(2, "standings", json!({})));
     assert_eq!(
-        (&caller.receive()["result"], node.request().0),
+        (&client.receive()["result"], node.request().0),
         (&json!("soon"), 0),
         "on the same connection"
     );
     // An id that is open, and one in other spelling.
-    caller.send(&request(1, "standings", json!({})));
-    assert_eq!(code(&caller.receive()), -32003);
+    client.send(&request(1, "standings", json!({})));
+    assert_eq!(code(&client.receive()), -32003);
     for id in 3..=10 {
-        caller.send(&request(id, "standings", json!({})));
+        client.send(&request(id, "standings", json!({})));
     }
     assert_eq!(node.request().1["method"], "standings");
-    // Another caller is served meanwhile; of this one nothing more has been read.
+    // Another client is served meanwhile; of this one nothing more has been read.
     proxy.rpc().send(&request(99, "standings", json!({})));
     assert_eq!(node.request().1["params"]["_meta"]["verb"], Value::Null);
     assert!(node.requests().is_empty());
     release.release();
     let answered: BTreeSet<i64> =
-        (0..9).map(|_| caller.receive()["id"].as_i64().expect("a number")).collect();
+        (0..9).map(|_| client.receive()["id"].as_i64().expect("a number")).collect();
     assert_eq!(answered, BTreeSet::from([1, 3, 4, 5, 6, 7, 8, 9, 10]));
 }
 
@@ -156,7 +160,7 @@
         _ => RpcBehavior::Echo,
     });
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
+    let mut client = proxy.rpc();
     let batch = format!(
         "[{},{},{},{},{},{}]",
         request(1, "standings", json!({})),
@@ -166,10 +170,10 @@
         r#"{"jsonrpc":"2.0","method":"close-round","params":{"note":1}}"#,
         request("five", "report-result", json!({})),
     );
-    let answers = caller.ask(&batch);
-    let answers = answers.as_array().expect("answers");
-    let of = |id: Value| answers.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
-    assert_eq!(answers.len(), 5, "{answers:?}");
+    let responses = client.ask(&batch);
+    let responses = responses.as_array().expect("answers");
+    let of = |id: Value| responses.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
+    assert_eq!(responses.len(), 5, "{responses:?}");
     assert_eq!(of(json!(1))["result"]["method"], "standings");
     assert_eq!(code(of(json!(2))), -32000, "nothing ran: a refusal");
     assert_eq!(code(of(json!(3))), -32001, "it may have run");
@@ -183,7 +187,7 @@
     assert_eq!((ran(&json!("fail")), ran(&Value::Null)), (1, 1));
     let proxy =
         DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[node.address]) });
-    let mut caller = proxy.rpc();
+    let mut client = proxy.rpc();
     // One that hangs holds the others up no longer than the most impatient of them waits.
     let since = Instant::now();
     let slow = format!(
@@ -191,10 +195,11 @@
         request(1, "close-round", json!({ "do": "hang" })),
         request(2, "standings", json!({ "_meta": { "timeoutMs": 400 } })),
     );
-    let answers = caller.ask(&slow);
+    let responses = client.ask(&slow);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let of =
-        |id: i64| answers.as_array().into_iter().flatten().find(|a| a["id"] == id).expect("answered").clone();
+    let of = |id: i64| {
+        responses.as_array().into_iter().flatten().find(|a| a["id"] == id).expect("answered").clone()
+    };
     assert_eq!((code(&of(1)), &of(2)["result"]["method"]), (-32002, &json!("standings")));
 }
 
@@ -250,14 +255,14 @@
         ..RpcSite::rpc(&[node.address])
     };
     let proxy = DualProtocolProxy::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&format!(
+    let mut client = proxy.rpc();
+    client.send(&format!(
         "[{},{}]",
         request(1, "close-round", json!({})),
         r#"{"jsonrpc":"2.0","method":"close-round","params":{}}"#
     ));
     let ids: BTreeSet<String> = (0..2).map(|_| node.request().1["id"].to_string()).collect();
-    drop(caller);
+    drop(client);
     let called_off: BTreeSet<String> = (0..2)
         .map(|_| {
             let notice = node.request().1;
@@ -267,8 +272,8 @@
         .collect();
     assert_eq!(called_off, ids);
     // The connection goes on.
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "standings", json!({})));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "standings", json!({})));
     assert_eq!(node.request().0, 0);
 }
 
@@ -295,9 +300,9 @@
                     let call: Value = serde_json::from_str(&text).expect("JSON");
                     told.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
                     if n < 3 {
-                        let answer =
+                        let response =
                             json!({ "jsonrpc": "2.0", "id": call["id"], "result": "first" }).to_string();
-                        (&stream).write_all(&Framing::Lines.encode(&answer)).expect("written");
+                        (&stream).write_all(&Framing::Lines.encode(&response)).expect("written");
                     }
                 }
                 wait.wait();
@@ -312,43 +317,43 @@
         ..RpcSite::rpc(&[breaks, sound.address])
     };
     let proxy = DualProtocolProxy::start(&site);
-    let mut caller = proxy.rpc();
+    let mut client = proxy.rpc();
     for n in 0..CALLS {
-        caller.send(&request(
+        client.send(&request(
             n,
             "close-round",
             json!({ "n": n, "pad": "z".repeat(60_000), "_meta": { "timeoutMs": 20_000 } }),
         ));
     }
-    let mut answers: Vec<Value> = Vec::new();
+    let mut responses: Vec<Value> = Vec::new();
     let mut whole: BTreeSet<u64> = BTreeSet::new();
     // The first have been read and answered; then the connection goes.
     whole.extend((0..6).map(|_| read.recv_timeout(TEST_TIMEOUT).expect("a call")));
-    while answers.iter().filter(|a| a["result"] == "first").count() < 3 {
-        answers.push(caller.receive());
+    while responses.iter().filter(|a| a["result"] == "first").count() < 3 {
+        responses.push(client.receive());
     }
     go.release();
-    while answers.len() < CALLS {
-        answers.push(caller.receive());
+    while responses.len() < CALLS {
+        responses.push(client.receive());
     }
     whole.extend(read.try_iter());
-    let ids: BTreeSet<u64> = answers.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
+    let ids: BTreeSet<u64> = responses.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
     assert_eq!(ids.len(), CALLS, "one answer each");
     let second: BTreeSet<u64> =
         sound.requests().iter().map(|c| c["params"]["n"].as_u64().expect("a number")).collect();
     assert!(second.is_disjoint(&whole), "ran twice: {:?}", second.intersection(&whole).collect::<Vec<_>>());
-    for answer in &answers {
-        match answer["result"].as_str() {
+    for response in &responses {
+        match response["result"].as_str() {
             Some("first") => {}
-            Some(_) => assert!(second.contains(&answer["id"].as_u64().expect("a number"))),
-            // Refused is what cannot have run; it must not have been read whole.
-            None if code(answer) == -32000 => {
-                assert!(!whole.contains(&answer["id"].as_u64().expect("a number")))
+            Some(_) => assert!(second.contains(&response["id"].as_u64().expect("a number"))),
+            // Rejected is what cannot have run; it must not have been read whole.
+            None if code(response) == -32000 => {
+                assert!(!whole.contains(&response["id"].as_u64().expect("a number")))
             }
-            None => assert!(matches!(code(answer), -32001 | -32002), "{answer}"),
+            None => assert!(matches!(code(response), -32001 | -32002), "{response}"),
         }
     }
-    let failed = answers.iter().filter(|a| a["error"].is_object() && code(a) != -32000).count();
+    let failed = responses.iter().filter(|a| a["error"].is_object() && code(a) != -32000).count();
     assert!(failed >= 3, "those that it read and did not answer: {failed}");
 }
 
@@ -357,9 +362,9 @@
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    assert_eq!(caller.call(1, "close-round", json!({}))["result"], 1);
-    let echo = caller.call(2, "close-round", json!({}));
+    let mut client = proxy.rpc();
+    assert_eq!(client.call(1, "close-round", json!({}))["result"], 1);
+    let echo = client.call(2, "close-round", json!({}));
     assert_eq!((&echo["id"], &echo["result"]["method"]), (&json!(2), &json!("close-round")));
     // What is no answer ends the one it is for, which may have run; what is no message ends the connection.
     let node = MockRpcEndpoint::new(
@@ -371,10 +376,10 @@
         ],
     );
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    assert_eq!(code(&caller.call(1, "close-round", json!({}))), -32001);
-    assert_eq!(code(&caller.call(2, "close-round", json!({}))), -32001);
-    assert_eq!(caller.call(3, "close-round", json!({}))["result"]["method"], "close-round");
+    let mut client = proxy.rpc();
+    assert_eq!(code(&client.call(1, "close-round", json!({}))), -32001);
+    assert_eq!(code(&client.call(2, "close-round", json!({}))), -32001);
+    assert_eq!(client.call(3, "close-round", json!({}))["result"]["method"], "close-round");
     assert_eq!(node.requests().len(), 3);
 }
 
@@ -388,13 +393,13 @@
     let next = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("new"))]);
     let (site, other) = (RpcSite::rpc(&[node.address]), RpcSite::rpc(&[next.address]));
     let mut proxy = DualProtocolProxy::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "close-round", json!({})));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "close-round", json!({})));
     node.request();
     proxy.process.reload(&other.config());
     proxy.process.wait_for_log("configuration 2:");
     assert_eq!(
-        caller.call(2, "close-round", json!({}))["result"],
+        client.call(2, "close-round", json!({}))["result"],
         "new",
         "a stream goes on under the next one"
     );
@@ -405,10 +410,10 @@
         thread::sleep(Duration::from_millis(700));
         release.release();
     });
-    assert_eq!(caller.receive()["result"], "old");
-    let notice = caller.receive();
+    assert_eq!(client.receive()["result"], "old");
+    let notice = client.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(2)));
-    assert!(caller.try_receive().is_none());
+    assert!(client.try_receive().is_none());
     waiting.join().expect("it ends");
     assert!(proxy.process.wait_for_exit().success());
 }
@@ -421,23 +426,23 @@
     });
     let mut proxy =
         DualProtocolProxy::start(&RpcSite { latency_objective_ms: 1500, ..RpcSite::rpc(&[node.address]) });
-    let mut caller = proxy.rpc();
+    let mut client = proxy.rpc();
     let calls = [json!({}), json!({ "do": "hang" }), json!({})];
     let calls: Vec<_> =
         calls.into_iter().enumerate().map(|(n, params)| request(n as i64, "standings", params)).collect();
-    caller.send(&format!("[{}]", calls.join(",")));
+    client.send(&format!("[{}]", calls.join(",")));
     (0..3).for_each(|_| drop(node.request()));
     proxy.process.terminate();
     proxy.process.wait_for_log("told to end");
-    let answers = caller.receive();
-    let answers = answers.as_array().expect("one answer to the batch");
-    assert_eq!(answers.len(), 3, "{answers:?}");
-    for (n, answer) in answers.iter().enumerate() {
-        assert_eq!((&answer["id"], answer.get("result").is_some()), (&json!(n), n != 1), "{answer}");
+    let responses = client.receive();
+    let responses = responses.as_array().expect("one answer to the batch");
+    assert_eq!(responses.len(), 3, "{responses:?}");
+    for (n, response) in responses.iter().enumerate() {
+        assert_eq!((&response["id"], response.get("result").is_some()), (&json!(n), n != 1), "{response}");
     }
-    let notice = caller.receive();
+    let notice = client.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(1)));
-    assert!(caller.try_receive().is_none());
+    assert!(client.try_receive().is_none());
     assert!(proxy.process.wait_for_exit().success());
 }
 
@@ -457,11 +462,11 @@
     let post = "POST /report-result/12?a=b HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\nX-Timeout-Ms: 900\r\nContent-Length: 7\r\n\r\n{\"a\":1}";
     let call = request(1, "report-result", json!({ "key": "k2", "a": 1, "_meta": { "timeoutMs": 900 } }));
     for proxy in [&to_http, &to_rpc] {
-        let answer = proxy.process.request(post);
-        assert_eq!((answer.status(), &*answer.body), (200, &b"{\"n\":1e400 }"[..]));
-        let mut caller = proxy.rpc();
-        caller.send(&call);
-        assert!(caller.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
+        let response = proxy.process.request(post);
+        assert_eq!((response.status(), &*response.body), (200, &b"{\"n\":1e400 }"[..]));
+        let mut client = proxy.rpc();
+        client.send(&call);
+        assert!(client.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
     }
     let (by_http, by_rpc) = (http.request().1, http.request().1);
     assert_eq!(
@@ -497,8 +502,8 @@
         let head = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
         proxy.process.request(&head)
     };
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "report-result", json!({ "key": "k" })));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "report-result", json!({ "key": "k" })));
     node.request();
     // Open: told so, the same on both.
     let told = post("k");
@@ -507,7 +512,7 @@
     assert_eq!((code(&told), &told["error"]["data"]["cause"]), (-32003, &json!("key-open")));
     assert_eq!(told["error"]["data"]["retryAfterMs"], 1000);
     release.release();
-    assert_eq!(caller.receive()["result"], "done");
+    assert_eq!(client.receive()["result"], "done");
     let served = Instant::now();
     // Served: the same answer, and nothing is sent.
     assert_eq!(post("k").body, b"\"done\"");
@@ -540,8 +545,8 @@
         ..RpcSite::rpc(&[node.address])
     };
     let proxy = DualProtocolProxy::start(&site);
-    let mut caller = proxy.rpc();
-    let mut call = |key: &str| caller.call(1, "report-result", json!({ "key": key }));
+    let mut client = proxy.rpc();
+    let mut call = |key: &str| client.call(1, "report-result", json!({ "key": key }));
     for key in ["a", "b", "c"] {
         assert!(call(key)["result"].is_string(), "{key}");
     }
@@ -592,26 +597,26 @@
         latency_objective_ms: 300,
         ..RpcSite::http(&[http.address])
     });
-    let mut caller = proxy.rpc();
-    caller.call(1, "rank", json!({ "where": { "event": 12 }, "wait": 700 }));
-    let heard = http.request().1;
-    assert_eq!(heard.line, "POST /standings/12 HTTP/1.1");
-    assert!(heard.header("X-Timeout-Ms").and_then(|ms| ms.parse::<u64>().ok()) <= Some(700));
-    caller.call(2, "report-result", json!({ "_meta": { "dedup": "k" } }));
+    let mut client = proxy.rpc();
+    client.call(1, "rank", json!({ "where": { "event": 12 }, "wait": 700 }));
+    let received = http.request().1;
+    assert_eq!(received.line, "POST /standings/12 HTTP/1.1");
+    assert!(received.header("X-Timeout-Ms").and_then(|ms| ms.parse::<u64>().ok()) <= Some(700));
+    client.call(2, "report-result", json!({ "_meta": { "dedup": "k" } }));
     assert_eq!(http.request().1.header("Idempotency-Key"), Some("k"));
-    assert_eq!(code(&caller.call(3, "standings", json!({}))), -32601, "`rank` stands for its class");
+    assert_eq!(code(&client.call(3, "standings", json!({}))), -32601, "`rank` stands for its class");
     for bad in [json!({ "wait": -1 }), json!({ "wait": "soon" }), json!({ "wait": 0 }), json!({ "wait": {} })]
     {
-        assert_eq!(code(&caller.call(4, "rank", bad.clone())), -32602, "{bad}");
+        assert_eq!(code(&client.call(4, "rank", bad.clone())), -32602, "{bad}");
     }
-    caller.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
-    assert_eq!(code(&caller.receive()), -32602);
+    client.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
+    assert_eq!(code(&client.receive()), -32602);
     assert_eq!(http.requests().len(), 0);
     // The wire is the proxy's: nothing of a call reaches a head.
-    let odd = caller.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
+    let odd = client.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
     assert_eq!(code(&odd), -32602, "as over HTTP, a path is not to hide a step or a line");
     assert_eq!(http.requests().len(), 0);
-    caller.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
+    client.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
     assert_eq!(http.request().1.line, "POST /standings/a%20b%3F%23 HTTP/1.1");
     let _ = TcpStream::connect(proxy.rpc).expect("it still listens");
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! A client that has closed its connection, or its side of it, has gone: nothing is begun for it any more. Each order of
-//! events is forced by the stand-ins.
+//! No attempt starts for a client that has closed its connection or its sending side. The mock peers force each order of
+//! events.
 
 mod stubs;
 
@@ -12,75 +12,85 @@
 use socket2::{Domain, SockRef, Socket, Type};
 use stubs::*;
 
-/// A backend whose connections do not come up, as its backlog is full.
-struct Shut {
+/// An endpoint to which no connection can be established, as its backlog is full.
+struct FullBacklogEndpoint {
     listener: TcpListener,
-    filler: TcpStream,
+    backlog_filler: TcpStream,
     address: SocketAddr,
 }
 
-impl Shut {
-    fn new() -> Shut {
+impl FullBacklogEndpoint {
+    fn new() -> FullBacklogEndpoint {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
         listener.listen(0).expect("listens");
         let listener = TcpListener::from(listener);
         let address = listener.local_addr().expect("bound");
-        Shut { filler: TcpStream::connect(address).expect("connects"), listener, address }
+        FullBacklogEndpoint {
+            backlog_filler: TcpStream::connect(address).expect("connects"),
+            listener,
+            address,
+        }
     }
 
-    /// There is room from now on, and the kernel tries again to connect what waits: all that is written to it until nothing
-    /// more comes for three seconds, and when it came.
+    /// Accepts from now on, so that the kernel establishes what waits: returns all that is written until no connection arrives
+    /// for three seconds, and when it arrived.
     fn open(self) -> Vec<(Instant, Vec<u8>)> {
-        drop(self.filler);
-        let heard = Arc::<Mutex<Vec<(Instant, Vec<u8>)>>>::default();
-        let (told, last) = mpsc::channel();
-        let (listener, kept) = (self.listener, Arc::clone(&heard));
+        drop(self.backlog_filler);
+        let received = Arc::<Mutex<Vec<(Instant, Vec<u8>)>>>::default();
+        let (connected, last) = mpsc::channel();
+        let (listener, recorder) = (self.listener, Arc::clone(&received));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, kept) = (stream.expect("accepts"), Arc::clone(&kept));
-                let _ = told.send(());
+                let (mut stream, recorder) = (stream.expect("accepts"), Arc::clone(&recorder));
+                let _ = connected.send(());
                 thread::spawn(move || {
                     let mut piece = [0; 4096];
                     while let Ok(n @ 1..) = stream.read(&mut piece) {
-                        kept.lock().expect("unpoisoned").push((Instant::now(), piece[..n].to_vec()));
+                        recorder.lock().expect("unpoisoned").push((Instant::now(), piece[..n].to_vec()));
                     }
                 });
             }
         });
         while last.recv_timeout(Duration::from_secs(3)).is_ok() {}
-        let heard = heard.lock().expect("unpoisoned");
-        heard.clone()
+        let received = received.lock().expect("unpoisoned");
+        received.clone()
     }
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    /// Bytes lie unread behind its request, so that its end is behind them.
-    ClosesBehindBytes,
-    Resets,
-    ResetsBehindBytes,
-    /// It reads on, and sends nothing more: by the page an attempt is given up in that way too.
-    EndsItsSide,
-    EndsItsSideBehindBytes,
-    InItsBody,
+enum Disconnect {
+    Close,
+    /// Unread bytes follow its request, so that its close is behind them.
+    CloseAfterUnreadBytes,
+    Reset,
+    ResetAfterUnreadBytes,
+    /// It goes on reading and sends nothing more, which cancels its attempts too.
+    HalfClose,
+    HalfCloseAfterUnreadBytes,
+    DuringBody,
 }
 
-/// Sends a request, and goes once the proxy has taken it and `first` has come to pass. Its connection, where it only ends its
-/// side of it.
-fn ask_and_leave(proxy: &Process, leaves: Leaves, first: impl FnOnce()) -> (Instant, Option<TcpStream>) {
+/// Sends a request, and disconnects once the proxy has read it and `first` has returned. Returns when that was, and the
+/// connection of a half-close.
+fn send_and_disconnect(
+    proxy: &Process,
+    disconnect: Disconnect,
+    first: impl FnOnce(),
+) -> (Instant, Option<TcpStream>) {
     let mut stream = TcpStream::connect(proxy.address).expect("listens");
     stream.set_nodelay(true).expect("set");
     let whole = write("id-1", 9_000, "what to do");
-    let length = whole.len() - usize::from(matches!(leaves, Leaves::InItsBody)) * 4;
+    let length = whole.len() - usize::from(matches!(disconnect, Disconnect::DuringBody)) * 4;
     stream.write_all(&whole.as_bytes()[..length]).expect("written");
     // Whoever is answered after it came after it.
     assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     if matches!(
-        leaves,
-        Leaves::ClosesBehindBytes | Leaves::ResetsBehindBytes | Leaves::EndsItsSideBehindBytes
+        disconnect,
+        Disconnect::CloseAfterUnreadBytes
+            | Disconnect::ResetAfterUnreadBytes
+            | Disconnect::HalfCloseAfterUnreadBytes
     ) {
         for _ in 0..3 {
             stream.write_all(b"GET /read/1 HTTP/1.1\r\nHost: a\r\n").expect("written");
@@ -88,12 +98,12 @@
         }
     }
     first();
-    match leaves {
-        Leaves::EndsItsSide | Leaves::EndsItsSideBehindBytes => {
+    match disconnect {
+        Disconnect::HalfClose | Disconnect::HalfCloseAfterUnreadBytes => {
             stream.shutdown(Shutdown::Write).expect("ended");
             return (Instant::now(), Some(stream));
         }
-        Leaves::Resets | Leaves::ResetsBehindBytes => {
+        Disconnect::Reset | Disconnect::ResetAfterUnreadBytes => {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
         }
         _ => {}
@@ -110,25 +120,25 @@
 
 #[test]
 fn no_attempt_starts_for_a_client_that_disconnected_during_connect() {
-    let ways = [
-        Leaves::Closes,
-        Leaves::ClosesBehindBytes,
-        Leaves::Resets,
-        Leaves::ResetsBehindBytes,
-        Leaves::EndsItsSide,
-        Leaves::EndsItsSideBehindBytes,
-        Leaves::InItsBody,
+    let disconnects = [
+        Disconnect::Close,
+        Disconnect::CloseAfterUnreadBytes,
+        Disconnect::Reset,
+        Disconnect::ResetAfterUnreadBytes,
+        Disconnect::HalfClose,
+        Disconnect::HalfCloseAfterUnreadBytes,
+        Disconnect::DuringBody,
     ];
-    let cases = ways.map(|leaves| {
+    let cases = disconnects.map(|disconnect| {
         thread::spawn(move || {
-            let shut = Shut::new();
-            let proxy = setup(shut.address).start();
-            let (_, _kept) = ask_and_leave(&proxy, leaves, || {});
-            let heard = shut.open();
+            let endpoint = FullBacklogEndpoint::new();
+            let proxy = setup(endpoint.address).start();
+            let (_, _half_closed) = send_and_disconnect(&proxy, disconnect, || {});
+            let received = endpoint.open();
             assert!(
-                heard.is_empty(),
-                "{leaves:?}: {:?}",
-                heard.iter().map(|h| h.1.len()).collect::<Vec<_>>()
+                received.is_empty(),
+                "{disconnect:?}: {:?}",
+                received.iter().map(|h| h.1.len()).collect::<Vec<_>>()
             );
         })
     });
@@ -139,42 +149,51 @@
 
 #[test]
 fn no_retry_starts_for_a_client_that_disconnected_during_its_first_attempt() {
-    for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes, Leaves::Resets, Leaves::ResetsBehindBytes] {
-        // Two backends: whichever has the request first waits for the word, and then turns it away unseen.
-        let (asked, requests) = mpsc::channel();
-        let (word, words) = mpsc::channel::<()>();
-        let words = Arc::new(Mutex::new(words));
+    for disconnect in [
+        Disconnect::Close,
+        Disconnect::CloseAfterUnreadBytes,
+        Disconnect::Reset,
+        Disconnect::ResetAfterUnreadBytes,
+    ] {
+        // Two endpoints: whichever has the request first waits for the release, and then rejects it unprocessed.
+        let (request_started, requests) = mpsc::channel();
+        let (release, releases) = mpsc::channel::<()>();
+        let releases = Arc::new(Mutex::new(releases));
         let backend = || {
-            let (asked, words) = (asked.clone(), Arc::clone(&words));
-            let (asked, words) = (Mutex::new(asked), words);
+            let (request_started, releases) = (request_started.clone(), Arc::clone(&releases));
+            let (request_started, releases) = (Mutex::new(request_started), releases);
             raw_endpoint(move |mut stream| {
                 let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
                 while read_message(&mut reader).is_some() {
-                    let _ = asked.lock().expect("unpoisoned").send(Instant::now());
-                    let _ = words.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
-                    let turned =
+                    let _ = request_started.lock().expect("unpoisoned").send(Instant::now());
+                    let _ = releases.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
+                    let rejection =
                         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-                    let _ = stream.write_all(turned.as_bytes());
+                    let _ = stream.write_all(rejection.as_bytes());
                 }
             })
         };
         let mut setup = setup(backend());
         setup.endpoints.push(host("s-1", backend(), "SERVING"));
         let proxy = setup.start();
-        let (left, _kept) = ask_and_leave(&proxy, leaves, || {
+        let (disconnected_at, _half_closed) = send_and_disconnect(&proxy, disconnect, || {
             requests.recv_timeout(TEST_TIMEOUT).expect("the first attempt");
         });
-        word.send(()).expect("it waits");
+        release.send(()).expect("it waits");
         let further = requests.recv_timeout(Duration::from_secs(1)).ok();
-        assert!(further.is_none(), "{leaves:?}: begun {:?} after", further.map(|at| at - left));
-        let _ = word.send(());
+        assert!(
+            further.is_none(),
+            "{disconnect:?}: begun {:?} after",
+            further.map(|at| at - disconnected_at)
+        );
+        let _ = release.send(());
     }
 }
 
 #[test]
 fn no_attempts_start_for_five_hundred_simultaneous_disconnects_on_a_busy_core() {
-    let shut = Shut::new();
-    let mut setup = setup(shut.address);
+    let endpoint = FullBacklogEndpoint::new();
+    let mut setup = setup(endpoint.address);
     setup.max_sockets = 4_096;
     let proxy = setup.start();
     let mut clients = Vec::new();
@@ -196,28 +215,32 @@
         })
         .collect();
     drop(clients);
-    let left = Instant::now();
-    let heard = shut.open();
+    let disconnected_at = Instant::now();
+    let received = endpoint.open();
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     busy.into_iter().for_each(|b| b.join().expect("no panic"));
-    let last = heard.iter().map(|(at, _)| at.saturating_duration_since(left)).max();
-    println!("from the clients' end to the last attempt that was begun: {last:?}, {} in all", heard.len());
+    let last = received.iter().map(|(at, _)| at.saturating_duration_since(disconnected_at)).max();
+    println!("from the clients' end to the last attempt that was begun: {last:?}, {} in all", received.len());
     assert!(last.is_none_or(|last| last <= Duration::from_millis(100)), "{last:?}");
 }
 
 #[test]
 fn a_disconnect_propagates_to_a_second_tier() {
-    for leaves in [Leaves::Closes, Leaves::ClosesBehindBytes] {
+    for disconnect in [Disconnect::Close, Disconnect::CloseAfterUnreadBytes] {
         let backend = MockEndpoint::new([Behavior::Hang]);
         let second = Setup::with_endpoints(&[&backend]).start();
         let first = setup(second.address).start();
         let mut number = 0;
-        let (left, _) = ask_and_leave(&first, leaves, || number = backend.request().0);
+        let (disconnected_at, _) = send_and_disconnect(&first, disconnect, || number = backend.request().0);
         assert_eq!(backend.wait_for_close(), number);
         println!(
-            "{leaves:?}: the second tier's attempt was closed {:?} after its client had left",
-            left.elapsed()
+            "{disconnect:?}: the second tier's attempt was closed {:?} after its client had left",
+            disconnected_at.elapsed()
+        );
+        assert!(
+            disconnected_at.elapsed() < Duration::from_secs(2),
+            "{disconnect:?}: {:?}",
+            disconnected_at.elapsed()
         );
-        assert!(left.elapsed() < Duration::from_secs(2), "{leaves:?}: {:?}", left.elapsed());
     }
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The real proxy on loopback sockets: what callers and backends see of it, one promise a test.
+//! The real proxy on loopback sockets: what clients and endpoints see of it, one promise a test.
 mod stubs;
 
 use std::io::Read;
@@ -15,8 +15,8 @@
 fn requests_and_responses_are_forwarded_unchanged() {
     let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::with_endpoints(&[&backend]).start();
-    let answer = proxy.request(&put("id-1", "key-1", 9000, "what to do"));
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
+    let response = proxy.request(&put("id-1", "key-1", 9000, "what to do"));
+    assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
     let (_, request) = backend.request();
     assert_eq!(request.line, "POST /put/7f3a HTTP/1.1");
     assert_eq!(request.header("X-Request-ID"), Some("id-1"));
@@ -63,10 +63,10 @@
         ("HELLO\r\n\r\n".to_owned(), 400),
     ];
     for (request, status) in bad {
-        let answer = proxy.request(&request);
-        assert_eq!(answer.status(), status, "{}", &request[..request.len().min(200)]);
+        let response = proxy.request(&request);
+        assert_eq!(response.status(), status, "{}", &request[..request.len().min(200)]);
     }
-    // A caller that leaves in the middle of its request.
+    // A client that leaves in the middle of its request.
     proxy.connect().send(&good[..good.len() / 2]);
     assert_eq!(proxy.request(&good).status(), 200);
     assert_eq!(backend.requests().len(), 1, "nothing bad went on");
@@ -82,18 +82,18 @@
     for lengths in
         ["Transfer-Encoding: chunked\r\nContent-", "Content-Length: 0\r\nTransfer-Encoding: chunked\r\nX-"]
     {
-        let mut caller = proxy.connect();
-        let answer = caller.ask(&plain.replace("Content-", lengths));
-        assert_eq!((answer.status(), answer.header("Connection")), (400, Some("close")));
-        assert!(caller.is_closed());
+        let mut client = proxy.connect();
+        let response = client.ask(&plain.replace("Content-", lengths));
+        assert_eq!((response.status(), response.header("Connection")), (400, Some("close")));
+        assert!(client.is_closed());
     }
     assert!(backend.requests().is_empty());
     // Chunks alone are good, and nothing is read behind them either.
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     let chunked = plain.replace(&format!("Content-Length: {}", hidden.len()), "Transfer-Encoding: chunked");
     let (chunked, _) = chunked.split_once("\r\n\r\n").expect("a head");
-    let answer = caller.ask(&format!("{chunked}\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
-    assert_eq!((answer.status(), answer.header("Connection")), (200, Some("close")));
+    let response = client.ask(&format!("{chunked}\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
+    assert_eq!((response.status(), response.header("Connection")), (200, Some("close")));
     assert_eq!(backend.request().1.body, b"abc");
 }
 
@@ -107,7 +107,7 @@
     assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 409);
     assert_eq!(proxy.request(&write("id-2", 9000, "x")).status(), 200);
     assert_eq!(backend.request().1.header("X-Request-ID"), Some("id-2"));
-    // The first goes on until its caller leaves, and then the id is free.
+    // The first goes on until its client leaves, and then the id is free.
     drop(first);
     backend.wait_for_close();
     assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 200);
@@ -184,8 +184,8 @@
     for deed in breaks {
         let backends = [MockEndpoint::new([deed.clone()]), MockEndpoint::new([deed.clone()])];
         let proxy = Setup::with_endpoints(&[&backends[0], &backends[1]]).start();
-        let answer = proxy.request(&write("id-1", 9000, "x"));
-        assert_eq!(answer.status(), 502, "{deed:?}");
+        let response = proxy.request(&write("id-1", 9000, "x"));
+        assert_eq!(response.status(), 502, "{deed:?}");
         let sent: usize = backends.iter().map(|b| b.requests().len()).sum();
         assert_eq!(sent, 1, "{deed:?}");
     }
@@ -196,17 +196,17 @@
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned();
     let backend = MockEndpoint::new([Behavior::RespondAndClose(half), ok("whole")]);
     let proxy = Setup::with_endpoints(&[&backend]).start();
-    let answer = proxy.request(&read("id-1", 9000));
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
+    let response = proxy.request(&read("id-1", 9000));
+    assert_eq!((response.status(), &response.body[..]), (200, &b"whole"[..]));
 }
 
 #[test]
 fn retry_after_is_sent_only_where_the_decisions_set_it() {
     let backend = MockEndpoint::new([full()]);
     let proxy = Setup::with_endpoints(&[&backend]).start();
-    let answer = proxy.request(&write("id-1", 9000, "x"));
-    assert_eq!(answer.status(), 503);
-    if let Some(wait) = answer.header("Retry-After") {
+    let response = proxy.request(&write("id-1", 9000, "x"));
+    assert_eq!(response.status(), 503);
+    if let Some(wait) = response.header("Retry-After") {
         assert!(wait.parse::<f64>().expect("seconds") <= 2.0);
     }
 }
@@ -231,9 +231,9 @@
     let mut setup = Setup::with_endpoints(&[&backend]);
     setup.latency_objective_ms = 2000;
     let proxy = setup.start();
-    let answer = proxy.request(&write("id-1", 1000, "x"));
-    assert_eq!(answer.status(), 504);
-    // Its connection is closed, so that the backend may stop.
+    let response = proxy.request(&write("id-1", 1000, "x"));
+    assert_eq!(response.status(), 504);
+    // Its connection is closed, so that the endpoint may stop.
     backend.wait_for_close();
 }
 
@@ -241,12 +241,12 @@
 fn a_client_disconnect_cancels_its_attempt() {
     let backend = MockEndpoint::new([Behavior::Hang, ok("done")]);
     let proxy = Setup::with_endpoints(&[&backend]).start();
-    let mut caller = proxy.connect();
-    caller.send(&write("id-1", 9000, "x"));
+    let mut client = proxy.connect();
+    client.send(&write("id-1", 9000, "x"));
     let (number, _) = backend.request();
-    drop(caller);
+    drop(client);
     assert_eq!(backend.wait_for_close(), number);
-    // And the proxy goes on: once it stood still after a caller had left.
+    // And the proxy goes on: once it stood still after a client had left.
     assert_eq!(proxy.request(&read("id-2", 9000)).status(), 200);
 }
 
@@ -254,15 +254,15 @@
 fn each_request_of_a_connection_gets_one_response() {
     let backend = MockEndpoint::new([ok("done")]);
     let proxy = Setup::with_endpoints(&[&backend]).start();
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     for i in 0..50 {
-        assert_eq!(caller.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
+        assert_eq!(client.ask(&write(&format!("id-{i}"), 9000, "x")).status(), 200);
         assert_eq!(backend.request().1.header("X-Request-ID"), Some(format!("id-{i}").as_str()));
     }
     assert!(backend.requests().is_empty());
 }
 
-// ---- Connections to backends ----
+// ---- Connections to endpoints ----
 
 #[test]
 fn upstream_connections_are_reused_most_recent_first() {
@@ -281,7 +281,7 @@
     setup.keepalive_ms = 1000;
     let proxy = setup.start();
     assert_eq!(proxy.request(&read("id-1", 9000)).status(), 200);
-    // The stub backend never closes by itself.
+    // The stub endpoint never closes by itself.
     assert_eq!(backend.wait_for_close(), 0);
 }
 
@@ -387,7 +387,7 @@
 
 #[test]
 fn an_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_endpoint() {
-    // A backend that lets no connection come up: its backlog is full.
+    // An endpoint that lets no connection come up: its backlog is full.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
     listener.listen(0).expect("listens");
@@ -401,8 +401,8 @@
     let proxy = setup.start();
     let discovery = &proxy.discovery;
     discovery.wait_for_poll(0);
-    let mut caller = proxy.connect();
-    caller.send(&write("id-1", 9000, "x"));
+    let mut client = proxy.connect();
+    client.send(&write("id-1", 9000, "x"));
     assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     let hosts = [host("s-old", address, "DRAINING"), host("s-new", free.address, "SERVING")];
     discovery.push(PollResponse::List(list(2, false, &hosts)));
@@ -411,14 +411,14 @@
     thread::sleep(Duration::from_millis(600));
     drop(filler);
     let accepting = thread::spawn(move || {
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         for _ in 0..2 {
             let (mut stream, _) = listener.accept().expect("accepts");
-            stream.read_to_end(&mut heard).expect("read");
+            stream.read_to_end(&mut received).expect("read");
         }
-        heard
+        received
     });
-    assert_eq!(caller.receive().body, b"done");
+    assert_eq!(client.receive().body, b"done");
     assert_eq!(free.request().1.header("X-Request-ID"), Some("id-1"));
     drop(proxy);
     assert!(accepting.join().expect("accepted").is_empty(), "something was written to it");
@@ -496,9 +496,9 @@
     }
     proxy.wait_for_log("sending again");
     assert_eq!(proxy.request(&write("id-last", 9000, "x")).status(), 200);
-    // What the backend heard: all before, and nothing in between.
-    let heard = |_| backend.request().1.header("X-Request-ID").map(str::to_owned);
-    let all: Vec<_> = (0..served).filter_map(heard).collect();
+    // What the endpoint heard: all before, and nothing in between.
+    let received = |_| backend.request().1.header("X-Request-ID").map(str::to_owned);
+    let all: Vec<_> = (0..served).filter_map(received).collect();
     assert_eq!(all.last().map(String::as_str), Some("id-last"), "{:?}", &all[all.len().saturating_sub(3)..]);
 }
 
@@ -509,11 +509,11 @@
     let first = setup.config(unused_address());
     let proxy = setup.start();
     proxy.discovery.wait_for_poll(0);
-    let mut caller = proxy.connect();
-    assert_eq!(caller.ask(&read("id-1", 9000)).body, b"old");
+    let mut client = proxy.connect();
+    assert_eq!(client.ask(&read("id-1", 9000)).body, b"old");
     let mut held = proxy.connect();
     held.send(&write("id-2", 9000, "x"));
-    // Both went over one connection to the backend, which is kept, too.
+    // Both went over one connection to the endpoint, which is kept, too.
     assert_eq!((old.request().0, old.request().0), (0, 0));
     // What can't be read changes nothing, and the program goes on.
     proxy.reload("{");
@@ -531,7 +531,7 @@
         &[host("s-0", old.address, "DRAINING"), host("s-1", new.address, "SERVING")],
     )));
     assert!(moved.wait_for_poll(1).0.starts_with("/v1/servers?after=1&wait_ms="));
-    assert_eq!(caller.ask(&read("id-3", 9000)).body, b"new");
+    assert_eq!(client.ask(&read("id-3", 9000)).body, b"new");
     // The same address again is no reason to begin anew.
     proxy.reload(&second);
     moved.push(PollResponse::List(list(2, false, &[])));
@@ -569,9 +569,9 @@
     let mut setup = Setup::with_endpoints(&[&backend]);
     setup.max_sockets = 60;
     let proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
-    for (i, caller) in callers.iter_mut().rev().take(10).enumerate() {
-        assert_eq!(caller.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
+    let mut clients: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
+    for (i, client) in clients.iter_mut().rev().take(10).enumerate() {
+        assert_eq!(client.ask(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
 }
 
@@ -582,15 +582,15 @@
     setup.max_sockets = 60;
     setup.latency_objective_ms = 1000;
     let proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..40).map(|_| proxy.connect()).collect();
-    for (i, caller) in callers.iter_mut().enumerate() {
-        caller.send(&read(&format!("id-{i}"), 500));
+    let mut clients: Vec<HttpClient> = (0..40).map(|_| proxy.connect()).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.send(&read(&format!("id-{i}"), 500));
     }
-    for (i, caller) in callers.iter_mut().enumerate() {
-        // One that took its time to ask may have been closed for it, and asks again as callers do.
-        let answer =
-            caller.try_receive().unwrap_or_else(|| proxy.request(&read(&format!("id-{i}-again"), 500)));
-        assert!(matches!(answer.status(), 503 | 504), "number {i}");
+    for (i, client) in clients.iter_mut().enumerate() {
+        // One that took its time to ask may have been closed for it, and asks again as clients do.
+        let response =
+            client.try_receive().unwrap_or_else(|| proxy.request(&read(&format!("id-{i}-again"), 500)));
+        assert!(matches!(response.status(), 503 | 504), "number {i}");
     }
 }
 
@@ -601,16 +601,16 @@
     setup.max_sockets = 60;
     setup.latency_objective_ms = 3000;
     let proxy = setup.start();
-    // As many as fit: some with requests that are held, as far as there are sockets for backends, and some
+    // As many as fit: some with requests that are held, as far as there are sockets for endpoints, and some
     // in the middle of a request.
-    let mut callers: Vec<HttpClient> = (0..16).map(|_| proxy.connect()).collect();
-    let mut half = callers.split_off(12);
-    for (i, caller) in half.iter_mut().enumerate() {
+    let mut clients: Vec<HttpClient> = (0..16).map(|_| proxy.connect()).collect();
+    let mut half = clients.split_off(12);
+    for (i, client) in half.iter_mut().enumerate() {
         let whole = write(&format!("id-half-{i}"), 9000, "x");
-        caller.send(&whole[..whole.len() - 1]);
+        client.send(&whole[..whole.len() - 1]);
     }
-    for (i, caller) in callers.iter_mut().enumerate() {
-        caller.send(&read(&format!("id-{i}"), 2900));
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.send(&read(&format!("id-{i}"), 2900));
     }
     let (mut held, since) = (0, Instant::now());
     while held < 12 {
@@ -619,10 +619,10 @@
         thread::sleep(Duration::from_millis(1));
     }
     // One of them is to leave with its answer; the others are not asked to go for one newcomer.
-    let answer = proxy.request(&read("id-late", 2900));
-    assert!(matches!(answer.status(), 503 | 504));
-    let answers: Vec<HttpMessage> = callers.iter_mut().map(HttpClient::receive).collect();
-    assert_eq!(answers.iter().filter(|a| a.header("Connection") == Some("close")).count(), 1);
+    let response = proxy.request(&read("id-late", 2900));
+    assert!(matches!(response.status(), 503 | 504));
+    let responses: Vec<HttpMessage> = clients.iter_mut().map(HttpClient::receive).collect();
+    assert_eq!(responses.iter().filter(|a| a.header("Connection") == Some("close")).count(), 1);
 }
 
 #[test]
@@ -632,10 +632,10 @@
     setup.descriptors = Some(32);
     let mut proxy = setup.start();
     assert_eq!(proxy.request(&read("id-0", 9000)).status(), 200);
-    let callers: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
+    let clients: Vec<HttpClient> = (0..60).map(|_| proxy.connect()).collect();
     let mut last = proxy.connect();
     assert_eq!(last.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
-    drop(callers);
+    drop(clients);
     assert_eq!(last.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     assert!(!proxy.has_exited());
 }
@@ -663,11 +663,11 @@
     proxy.discovery.push(PollResponse::List(list(2, true, &hosts(["SERVING"; 3]))));
     proxy.discovery.wait_for_poll(1);
     let ask = |n: usize| {
-        let mut caller = proxy.connect();
-        caller.send(&read(&format!("id-{n}"), 19_000));
-        caller
+        let mut client = proxy.connect();
+        client.send(&read(&format!("id-{n}"), 19_000));
+        client
     };
-    let mut callers: Vec<HttpClient> = (0..25).map(ask).collect();
+    let mut clients: Vec<HttpClient> = (0..25).map(ask).collect();
     let (since, mut taken) = (Instant::now(), 0);
     while taken < 25 {
         assert!(since.elapsed() < TEST_TIMEOUT / 3, "only {taken} of 25 were let in");
@@ -682,7 +682,7 @@
     )));
     proxy.discovery.wait_for_poll(2);
     assert_eq!(proxy.request(&read("late", 9000)).status(), 503);
-    callers.clear();
+    clients.clear();
 }
 
 #[test]
@@ -691,9 +691,9 @@
     let mut setup = Setup::with_endpoints(&[&silent]);
     setup.latency_objective_ms = 200;
     let proxy = setup.start();
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     for n in 0..8 {
-        assert!(matches!(caller.ask(&read(&format!("id-{n}"), 9000)).status(), 503 | 504));
+        assert!(matches!(client.ask(&read(&format!("id-{n}"), 9000)).status(), 503 | 504));
     }
     assert_eq!(silent.requests().len(), 8);
     assert!(!proxy.log().contains("shedding begins"), "{}", proxy.log());
@@ -720,8 +720,8 @@
         assert!(since.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
-    let answer = early.ask(&write("id-2", 2000, "x"));
-    assert_eq!(answer.status(), 200);
+    let response = early.ask(&write("id-2", 2000, "x"));
+    assert_eq!(response.status(), 200);
     assert!(!proxy.has_exited(), "a request is still held");
     assert!(matches!(held.receive().status(), 503 | 504));
     assert!(idle.is_closed());
@@ -734,56 +734,56 @@
     let mut setup = Setup::with_endpoints(&[&backend]);
     setup.latency_objective_ms = 1000;
     let mut proxy = setup.start();
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     // The longest deadline of a class says how soon the proxy may be killed, here not within 3.7 s, and not the
     // little time that its clients had so far.
-    assert_eq!(caller.ask(&read("id-0", 600)).status(), 200);
+    assert_eq!(client.ask(&read("id-0", 600)).status(), 200);
     proxy.terminate();
     let (since, mut served) = (Instant::now(), Duration::ZERO);
     // Both who is connected and who comes may have nowhere else to go.
     for n in 1.. {
         let Ok(newcomer) = TcpStream::connect(proxy.address) else { break };
         if served < Duration::from_secs(2) {
-            assert_eq!(caller.ask(&write(&format!("id-{n}-old"), 9000, "x")).status(), 200);
+            assert_eq!(client.ask(&write(&format!("id-{n}-old"), 9000, "x")).status(), 200);
         }
         let mut newcomer = HttpClient::of(newcomer);
         newcomer.send(&read(&format!("id-{n}-new"), 9000));
-        if newcomer.try_receive().is_some_and(|answer| answer.status() == 200) {
+        if newcomer.try_receive().is_some_and(|response| response.status() == 200) {
             served = since.elapsed();
         }
         thread::sleep(Duration::from_millis(20));
     }
     // It is the only one of its tier, so nobody is served elsewhere.
     assert!(served > Duration::from_millis(2600), "{served:?}");
-    assert!(caller.is_closed());
+    assert!(client.is_closed());
     assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
 fn clients_of_a_single_draining_proxy_find_a_free_connection() {
-    callers_find_a_connection_free(1);
+    clients_find_a_free_connection(1);
 }
 
 /// In a rolling restart the second of two is told to end before the first is back.
 #[test]
 fn clients_of_one_of_two_draining_proxies_find_a_free_connection() {
-    callers_find_a_connection_free(2);
+    clients_find_a_free_connection(2);
 }
 
-fn callers_find_a_connection_free(balancers: usize) {
+fn clients_find_a_free_connection(balancers: usize) {
     let silent: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::new([Behavior::Hang])).collect();
     let mut setup = Setup::with_endpoints(&silent.iter().collect::<Vec<_>>());
     setup.balancers = balancers;
     let mut proxy = setup.start();
-    let mut callers: Vec<HttpClient> = (0..20).map(|_| proxy.connect()).collect();
-    for caller in &mut callers {
-        assert_eq!(caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    let mut clients: Vec<HttpClient> = (0..20).map(|_| proxy.connect()).collect();
+    for client in &mut clients {
+        assert_eq!(client.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     }
     proxy.terminate();
     proxy.wait_for_log("told to end: serving on for 3.2 s, on 20 connections");
     let (since, mut taken) = (Instant::now(), 0);
-    for (n, caller) in callers[..17].iter_mut().enumerate() {
-        caller.send(&read(&format!("id-{n}"), 9000));
+    for (n, client) in clients[..17].iter_mut().enumerate() {
+        client.send(&read(&format!("id-{n}"), 9000));
         // One after another, as each counts what the others use.
         while taken <= n {
             assert!(since.elapsed() < Duration::from_secs(3), "only {taken} of 17 were let in");
@@ -793,16 +793,16 @@
     }
     // With three connections left, each of them is answered at once and free again, however often it is asked.
     for round in 0..3 {
-        for (n, caller) in callers[17..].iter_mut().enumerate() {
-            let answer = caller.ask(&read(&format!("id-{round}-{n}"), 9000));
-            assert_eq!((answer.status(), answer.header("Retry-After")), (503, Some("2.000")));
-            assert_eq!(answer.header("Connection"), None);
+        for (n, client) in clients[17..].iter_mut().enumerate() {
+            let response = client.ask(&read(&format!("id-{round}-{n}"), 9000));
+            assert_eq!((response.status(), response.header("Retry-After")), (503, Some("2.000")));
+            assert_eq!(response.header("Connection"), None);
         }
     }
     assert!(since.elapsed() < Duration::from_secs(3), "refused at once, before it ends");
     assert_eq!(silent.iter().map(|b| b.requests().len()).sum::<usize>(), 0);
     // What it holds has its answer, which may have run, before it may be killed.
-    assert!(callers[..17].iter_mut().all(|caller| matches!(caller.receive().status(), 502..=504)));
+    assert!(clients[..17].iter_mut().all(|client| matches!(client.receive().status(), 502..=504)));
     assert!(proxy.wait_for_exit().success());
 }
 
@@ -812,16 +812,16 @@
     let mut setup = Setup::with_endpoints(&[&backend]);
     setup.latency_objective_ms = 7000;
     let mut proxy = setup.start();
-    let mut caller = proxy.connect();
-    assert_eq!(caller.ask(&read("id-1", 2000)).status(), 200);
+    let mut client = proxy.connect();
+    assert_eq!(client.ask(&read("id-1", 2000)).status(), 200);
     proxy.terminate();
-    while caller.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
+    while client.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status() == 200 {
         thread::sleep(Duration::from_millis(5));
     }
     let asked = Instant::now();
     // Waits for far longer than the 3.5 s for which the proxy may go on.
-    caller.send(&read("id-2", 19_000));
-    assert!(matches!(caller.receive().status(), 502..=504));
+    client.send(&read("id-2", 19_000));
+    assert!(matches!(client.receive().status(), 502..=504));
     assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
     assert!(proxy.wait_for_exit().success());
 }
@@ -834,7 +834,7 @@
     setup.latency_objective_ms = 1000;
     setup.start()
 }
-/// Well after that, for a busy machine, and well before the 3.5 s of one that takes its callers' word.
+/// Well after that, for a busy machine, and well before the 3.5 s of one that takes its clients' word.
 const SOON: Duration = Duration::from_millis(2700);
 
 fn ends_in_time(proxy: &mut Proxy, told: Instant) {
@@ -846,13 +846,13 @@
 fn client_timeouts_do_not_move_the_termination_deadline() {
     let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
     let mut proxy = soon_killed(&[&backend]);
-    let mut caller = proxy.connect();
-    assert_eq!(caller.ask(&read("id-1", 60_000)).status(), 200);
+    let mut client = proxy.connect();
+    assert_eq!(client.ask(&read("id-1", 60_000)).status(), 200);
     let told = Instant::now();
     proxy.terminate();
     proxy.wait_for_log("told to end: serving on for 1.2 s");
-    caller.send(&read("id-2", 60_000));
-    assert!(matches!(caller.receive().status(), 502..=504));
+    client.send(&read("id-2", 60_000));
+    assert!(matches!(client.receive().status(), 502..=504));
     ends_in_time(&mut proxy, told);
 }
 
@@ -864,12 +864,12 @@
     // Its class gives up long after the kill.
     setup.deadline_ms = 20_000;
     let mut proxy = setup.start();
-    let mut caller = proxy.connect();
-    caller.send(&write("id-1", 20_000, "x"));
+    let mut client = proxy.connect();
+    client.send(&write("id-1", 20_000, "x"));
     backend.request();
     let told = Instant::now();
     proxy.terminate();
-    assert_eq!(caller.receive().status(), 504);
+    assert_eq!(client.receive().status(), 504);
     assert!(proxy.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_secs(10), "{:?}", told.elapsed());
 }
@@ -878,8 +878,8 @@
 fn a_partial_request_at_shutdown_is_answered_once_complete() {
     let backend = MockEndpoint::new([ok("done")]);
     let mut proxy = soon_killed(&[&backend]);
-    let mut caller = proxy.connect();
-    assert_eq!(caller.ask(&read("id-1", 900)).status(), 200);
+    let mut client = proxy.connect();
+    assert_eq!(client.ask(&read("id-1", 900)).status(), 200);
     let mut other = proxy.connect();
     assert_eq!(other.ask(&read("id-2", 900)).status(), 200);
     let told = Instant::now();
@@ -887,12 +887,12 @@
     proxy.wait_for_log("told to end");
     let request = read("id-3", 900);
     let (first, rest) = request.split_at(40);
-    caller.send(first);
+    client.send(first);
     // Who is idle is sent away first.
     assert!(other.is_closed());
-    caller.send(rest);
-    let answer = caller.receive();
-    assert_eq!((answer.status(), answer.header("Connection")), (200, Some("close")));
+    client.send(rest);
+    let response = client.receive();
+    assert_eq!((response.status(), response.header("Connection")), (200, Some("close")));
     ends_in_time(&mut proxy, told);
 }
 
@@ -900,8 +900,8 @@
 fn a_partial_request_does_not_block_shutdown() {
     let backend = MockEndpoint::new([ok("done")]);
     let mut proxy = Setup::with_endpoints(&[&backend]).start();
-    let mut caller = proxy.connect();
-    caller.send("GET /read/1 HTTP/1.1\r\nHost:");
+    let mut client = proxy.connect();
+    client.send("GET /read/1 HTTP/1.1\r\nHost:");
     proxy.terminate();
     assert!(proxy.wait_for_exit().success());
 }
