--- a/crates/proxy/src/downstream/request/routed.rs
+++ b/crates/proxy/src/downstream/request/routed.rs
@@ -20,7 +20,7 @@
 use crate::idempotency_keys::{KeyLookup, KeyScope};
 use crate::metrics::RequestCounters;
 use crate::request_ids::OpenRequestIds;
-use crate::router::{single_header_value, Connection, PoolSequence, Router};
+use crate::router::{single_header_value, Connection, PoolSequence, Rejection, Router};
 
 /// The longest client timeout.
 const MAX_CLIENT_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
@@ -114,7 +114,7 @@
     /// # Errors
     /// Another open request has its id or key, or its key cannot be reserved.
     pub fn accept(
-        self,
+        mut self,
         mut head: Parts,
         body: MessageBody,
         call: Option<RpcCall>,
@@ -122,36 +122,21 @@
     ) -> Result<Admission, RequestError> {
         let open_ids = self.open_ids.as_ref().unwrap_or(listener_ids);
         let id_claim = open_ids.claim(&self.request_id).ok_or(InvalidRequest::DuplicateRequestId)?;
-        let lookup = match self.key_scope.zip(self.idempotency_key) {
-            Some((scope, key)) => Some(scope.reserve(&key)?),
-            None => None,
-        };
-        let reserved_key = match lookup {
+        let reserved_key = match self.reserve_key()? {
             Some(KeyLookup::Reserved(key)) => Some(key),
             Some(KeyLookup::Replayed(response)) => return Ok(Admission::Replayed(response)),
             None => None,
         };
-        let mut decision_input = self.decision_input;
-        remove_hop_by_hop(&mut head.headers);
-        head.extensions.clear();
         if let Some(stream) = body.streaming() {
             // A streamed body cannot be sent again.
-            decision_input.max_attempts = 1;
+            self.decision_input.max_attempts = 1;
             if stream.completed_at().is_none() {
-                decision_input.body_pending = max_arrival_time(&body, self.streaming_limit);
+                self.decision_input.body_pending = max_arrival_time(&body, self.streaming_limit);
             }
-            head.extensions.insert(ClientTimeout(self.client_timeout));
         }
-        // A response that is stored for replay has to be buffered.
-        if let Some(bytes) = self.streaming_limit.filter(|_| reserved_key.is_none()) {
-            head.extensions.insert(StreamedResponseLimit(bytes));
-        }
-        if let Some(call) = call.or_else(|| self.rpc_method.map(call_over_http)) {
-            head.extensions.insert(call);
-        }
-        head.version = hyper::Version::HTTP_11;
+        self.prepare_head(&mut head, &body, call, reserved_key.is_some());
         Ok(Admission::Accepted(Box::new(AcceptedRequest {
-            decision_input,
+            decision_input: self.decision_input,
             message: Rc::new(Request::from_parts(head, body)),
             pools: self.pools,
             client_timeout: self.client_timeout,
@@ -159,6 +144,31 @@
             id_claim,
         })))
     }
+
+    /// Reserves its idempotency key. None where it has none.
+    fn reserve_key(&mut self) -> Result<Option<KeyLookup>, Rejection> {
+        match self.key_scope.take().zip(self.idempotency_key.take()) {
+            Some((scope, key)) => scope.reserve(&key).map(Some),
+            None => Ok(None),
+        }
+    }
+
+    /// Brings a head into the form in which it is sent upstream.
+    fn prepare_head(&self, head: &mut Parts, body: &MessageBody, call: Option<RpcCall>, has_key: bool) {
+        remove_hop_by_hop(&mut head.headers);
+        head.extensions.clear();
+        head.version = hyper::Version::HTTP_11;
+        if body.streaming().is_some() {
+            head.extensions.insert(ClientTimeout(self.client_timeout));
+        }
+        // A response that is stored for replay has to be buffered.
+        if let Some(bytes) = self.streaming_limit.filter(|_| !has_key) {
+            head.extensions.insert(StreamedResponseLimit(bytes));
+        }
+        if let Some(call) = call.or_else(|| self.rpc_method.clone().map(call_over_http)) {
+            head.extensions.insert(call);
+        }
+    }
 }
 
 /// How long a body may still take to arrive.
