--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC through sockets: clients and nodes of both protocols, with mock peers that share no code with the proxy.
+//! JSON-RPC through sockets: clients and endpoints of both protocols, with mock peers that share no code with the proxy.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -26,7 +26,7 @@
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
     let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut client = proxy.rpc();
-    let null = |code: i64, response: &Value| {
+    let assert_null_id_error = |code: i64, response: &Value| {
         assert_eq!(
             (&response["id"], response["error"]["code"].as_i64()),
             (&Value::Null, Some(code)),
@@ -36,18 +36,18 @@
     assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","params":[42,23],"id":1}"#)["result"], 19);
     assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","id":"2"}"#)["id"], "2");
     assert_eq!(code(&client.ask(r#"{"jsonrpc":"2.0","method":"foobar","id":"1"}"#)), -32601);
-    null(-32700, &client.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
-    null(-32600, &client.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
-    null(
+    assert_null_id_error(-32700, &client.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
+    assert_null_id_error(-32600, &client.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
+    assert_null_id_error(
         -32700,
         &client
             .ask(r#"[{"jsonrpc":"2.0","method":"sum","params":[1,2,4],"id":"1"},{"jsonrpc":"2.0","method"]"#),
     );
-    null(-32600, &client.ask("[]"));
+    assert_null_id_error(-32600, &client.ask("[]"));
     let three = client.ask("[1,2,3]");
     assert_eq!(three.as_array().map(Vec::len), Some(3));
-    three.as_array().into_iter().flatten().for_each(|one| null(-32600, one));
-    // Notifications have no answer, alone or together; an answer that nobody asked for is passed over.
+    three.as_array().into_iter().flatten().for_each(|one| assert_null_id_error(-32600, one));
+    // Notifications get no response, alone or in a batch; an unsolicited response is ignored.
     client.send(r#"{"jsonrpc":"2.0","method":"standings","params":[1]}"#);
     client.send(r#"[{"jsonrpc":"2.0","method":"standings"},{"jsonrpc":"2.0","method":"foobar"}]"#);
     client.send(r#"{"jsonrpc":"2.0","result":1,"id":7}"#);
@@ -69,7 +69,7 @@
         let text = client.try_receive_text().expect("an answer");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
-    // What the node gets are the proxy's own, each another.
+    // The endpoint gets ids of the proxy, all different.
     let own: BTreeSet<String> =
         node.requests().iter().map(|c| c["id"].as_str().expect("a string").to_owned()).collect();
     assert_eq!(own.len(), 6);
@@ -93,7 +93,7 @@
     let mut client = proxy.rpc();
     let mut stream = client.stream().try_clone().expect("a copy");
     let sending = thread::spawn(move || {
-        // 200 MB, if it were taken.
+        // 200 MB, if it were read.
         let piece = vec![b'x'; 1 << 20];
         (0..200).take_while(|_| stream.write_all(&piece).is_ok()).count()
     });
@@ -118,10 +118,10 @@
 #[test]
 fn responses_come_in_any_order_and_the_open_call_limit_pauses_reading() {
     let release = Arc::new(Release::default());
-    let held = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
+    let on_release = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
     let node = MockRpcEndpoint::new(
         Framing::Lines,
-        [held.clone(), RpcBehavior::Result(json!("soon")), held.clone(), held],
+        [on_release.clone(), RpcBehavior::Result(json!("soon")), on_release.clone(), on_release],
     );
     let site = RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[node.address]) };
     let proxy = DualProtocolProxy::start(&site);
@@ -188,7 +188,7 @@
     let proxy =
         DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[node.address]) });
     let mut client = proxy.rpc();
-    // One that hangs holds the others up no longer than the most impatient of them waits.
+    // One that hangs delays the others no longer than the shortest client timeout.
     let since = Instant::now();
     let slow = format!(
         "[{},{}]",
@@ -213,7 +213,7 @@
     deaf.stream().set_nonblocking(true).expect("set");
     let mut sent = 0;
     let since = Instant::now();
-    // Until nothing more of it is taken.
+    // Until nothing more of it is read.
     while since.elapsed() < Duration::from_secs(3) && sent < 20_000 {
         let call = Framing::Lines.encode(&request(sent, "standings", json!({ "pad": "y".repeat(2_000) })));
         match deaf.stream().write(&call) {
@@ -277,28 +277,28 @@
     assert_eq!(node.request().0, 0);
 }
 
-/// A connection breaks with calls on it that were not written, written in part, written, answered: each has one answer,
-/// what may have run is not sent again, and what was not written whole is.
+/// A connection breaks with calls on it that were not written, written in part, written, answered: each gets one response,
+/// what may have been executed is not retried, and what was not written completely is.
 #[test]
 fn a_broken_upstream_connection_fails_each_of_its_calls() {
     const CALLS: usize = 150;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
     let breaks = listener.local_addr().expect("bound");
-    // Reads some calls whole, answers three of them, then waits until all it gets is stuck, and breaks.
-    let (told, read) = std::sync::mpsc::channel();
+    // Reads some calls, answers three of them, then waits until all further bytes are stuck, and breaks.
+    let (call_read, read_calls) = std::sync::mpsc::channel();
     let go = Arc::new(Release::default());
     let wait = Arc::clone(&go);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (told, wait) = (told.clone(), Arc::clone(&wait));
+            let (call_read, wait) = (call_read.clone(), Arc::clone(&wait));
             thread::spawn(move || {
                 let mut reader =
                     std::io::BufReader::with_capacity(1 << 10, stream.try_clone().expect("a copy"));
                 for n in 0..6 {
                     let Some(text) = Framing::Lines.read(&mut reader) else { return };
                     let call: Value = serde_json::from_str(&text).expect("JSON");
-                    told.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
+                    call_read.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
                     if n < 3 {
                         let response =
                             json!({ "jsonrpc": "2.0", "id": call["id"], "result": "first" }).to_string();
@@ -326,9 +326,9 @@
         ));
     }
     let mut responses: Vec<Value> = Vec::new();
-    let mut whole: BTreeSet<u64> = BTreeSet::new();
-    // The first have been read and answered; then the connection goes.
-    whole.extend((0..6).map(|_| read.recv_timeout(TEST_TIMEOUT).expect("a call")));
+    let mut completely_read: BTreeSet<u64> = BTreeSet::new();
+    // The first have been read and answered; then the connection breaks.
+    completely_read.extend((0..6).map(|_| read_calls.recv_timeout(TEST_TIMEOUT).expect("a call")));
     while responses.iter().filter(|a| a["result"] == "first").count() < 3 {
         responses.push(client.receive());
     }
@@ -336,19 +336,23 @@
     while responses.len() < CALLS {
         responses.push(client.receive());
     }
-    whole.extend(read.try_iter());
+    completely_read.extend(read_calls.try_iter());
     let ids: BTreeSet<u64> = responses.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
     assert_eq!(ids.len(), CALLS, "one answer each");
     let second: BTreeSet<u64> =
         sound.requests().iter().map(|c| c["params"]["n"].as_u64().expect("a number")).collect();
-    assert!(second.is_disjoint(&whole), "ran twice: {:?}", second.intersection(&whole).collect::<Vec<_>>());
+    assert!(
+        second.is_disjoint(&completely_read),
+        "ran twice: {:?}",
+        second.intersection(&completely_read).collect::<Vec<_>>()
+    );
     for response in &responses {
         match response["result"].as_str() {
             Some("first") => {}
             Some(_) => assert!(second.contains(&response["id"].as_u64().expect("a number"))),
-            // Rejected is what cannot have run; it must not have been read whole.
+            // Only what cannot have been executed is rejected; it must not have been read completely.
             None if code(response) == -32000 => {
-                assert!(!whole.contains(&response["id"].as_u64().expect("a number")))
+                assert!(!completely_read.contains(&response["id"].as_u64().expect("a number")))
             }
             None => assert!(matches!(code(response), -32001 | -32002), "{response}"),
         }
@@ -366,7 +370,7 @@
     assert_eq!(client.call(1, "close-round", json!({}))["result"], 1);
     let echo = client.call(2, "close-round", json!({}));
     assert_eq!((&echo["id"], &echo["result"]["method"]), (&json!(2), &json!("close-round")));
-    // What is no answer ends the one it is for, which may have run; what is no message ends the connection.
+    // What is no valid response fails its call, which may have been executed; what is no message ends the connection.
     let node = MockRpcEndpoint::new(
         Framing::Lines,
         [
@@ -404,7 +408,7 @@
         "a stream goes on under the next one"
     );
     proxy.process.terminate();
-    // Its port stays open for a while, and what comes is served.
+    // Its port stays open for a while, and new requests are served.
     assert_eq!(proxy.rpc().call(3, "standings", json!({}))["result"], "new");
     let waiting = thread::spawn(move || {
         thread::sleep(Duration::from_millis(700));
@@ -505,16 +509,16 @@
     let mut client = proxy.rpc();
     client.send(&request(1, "report-result", json!({ "key": "k" })));
     node.request();
-    // Open: told so, the same on both.
-    let told = post("k");
-    assert_eq!((told.status(), told.header("X-Refusal-Cause")), (409, Some("key-open")));
-    let told = proxy.rpc().call(2, "report-result", json!({ "key": "k" }));
-    assert_eq!((code(&told), &told["error"]["data"]["cause"]), (-32003, &json!("key-open")));
-    assert_eq!(told["error"]["data"]["retryAfterMs"], 1000);
+    // In progress: rejected alike on both protocols.
+    let rejection = post("k");
+    assert_eq!((rejection.status(), rejection.header("X-Refusal-Cause")), (409, Some("key-open")));
+    let rejection = proxy.rpc().call(2, "report-result", json!({ "key": "k" }));
+    assert_eq!((code(&rejection), &rejection["error"]["data"]["cause"]), (-32003, &json!("key-open")));
+    assert_eq!(rejection["error"]["data"]["retryAfterMs"], 1000);
     release.release();
     assert_eq!(client.receive()["result"], "done");
     let served = Instant::now();
-    // Served: the same answer, and nothing is sent.
+    // Served: the stored response, and nothing is sent upstream.
     assert_eq!(post("k").body, b"\"done\"");
     assert_eq!(proxy.rpc().call(3, "report-result", json!({ "key": "k" }))["result"], "done");
     assert!(node.requests().is_empty());
@@ -523,7 +527,7 @@
     thread::sleep(Duration::from_millis(4_100).saturating_sub(served.elapsed()));
     assert_eq!(post("k").body, b"\"again\"");
     assert_eq!(node.requests().len(), 2);
-    // Both at once: one runs, the other is told.
+    // Both at once: one is executed, the other rejected.
     for round in 0..50 {
         let key = format!("r{round}");
         let (mut http, mut rpc) = (proxy.process.connect(), proxy.rpc());
@@ -564,7 +568,7 @@
 fn configuration_errors_are_reported() {
     let site = RpcSite::rpc(&["127.0.0.1:9".parse().expect("an address")]);
     let good = site.config();
-    for (from, to, told) in [
+    for (from, to, message) in [
         ("protocol = \"json-rpc\"", "protocol = \"grpc\"", "`protocol`: \"grpc\" is none"),
         ("framing = \"line\"", "framing = \"lines\"", "`framing`: \"lines\" is none"),
         ("framing = \"line\"", "calls = 0", "`calls`: 0 is not from 1 to 1024"),
@@ -581,10 +585,10 @@
         ("[[class]]", "[members]\nkey = \"a.b.c\"\n[[class]]", "`key`: \"a.b.c\" is no member"),
     ] {
         let (mut child, _) = spawn_standalone(&good.replacen(from, to, 1), &[]);
-        let mut words = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut words).expect("text");
-        assert_eq!(child.wait().expect("ends").code(), Some(2), "{told}");
-        assert!(words.contains(told), "{words}");
+        let mut stderr_text = String::new();
+        child.stderr.take().expect("piped").read_to_string(&mut stderr_text).expect("text");
+        assert_eq!(child.wait().expect("ends").code(), Some(2), "{message}");
+        assert!(stderr_text.contains(message), "{stderr_text}");
     }
 }
 
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -9,7 +9,7 @@
 use socket2::{Domain, Socket, Type};
 use stubs::*;
 
-// ---- Requests and answers ----
+// ---- Requests and responses ----
 
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
@@ -22,8 +22,9 @@
     assert_eq!(request.header("X-Request-ID"), Some("id-1"));
     assert_eq!(request.header("Idempotency-Key"), Some("key-1"));
     assert_eq!(request.body, b"what to do");
-    let left: u64 = request.header("X-Timeout-Ms").expect("told").parse().expect("whole milliseconds");
-    assert!((1..9000).contains(&left), "{left}");
+    let time_left_ms: u64 =
+        request.header("X-Timeout-Ms").expect("told").parse().expect("whole milliseconds");
+    assert!((1..9000).contains(&time_left_ms), "{time_left_ms}");
 
     proxy.request(&read("id-2", 9000));
     let (_, request) = backend.request();
@@ -66,7 +67,7 @@
         let response = proxy.request(&request);
         assert_eq!(response.status(), status, "{}", &request[..request.len().min(200)]);
     }
-    // A client that leaves in the middle of its request.
+    // A client that disconnects during its request.
     proxy.connect().send(&good[..good.len() / 2]);
     assert_eq!(proxy.request(&good).status(), 200);
     assert_eq!(backend.requests().len(), 1, "nothing bad went on");
@@ -107,7 +108,7 @@
     assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 409);
     assert_eq!(proxy.request(&write("id-2", 9000, "x")).status(), 200);
     assert_eq!(backend.request().1.header("X-Request-ID"), Some("id-2"));
-    // The first goes on until its client leaves, and then the id is free.
+    // The first stays open until its client disconnects; then the id is free.
     drop(first);
     backend.wait_for_close();
     assert_eq!(proxy.request(&write("id-1", 9000, "x")).status(), 200);
@@ -147,7 +148,7 @@
     assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
 }
 
-// ---- What outcomes prove ----
+// ---- Outcomes of attempts ----
 
 #[test]
 fn a_request_rejected_unprocessed_is_retried_on_another_endpoint() {
@@ -308,12 +309,12 @@
     assert_eq!(discovery.wait_for_poll(0).0.split("&wait_ms=").next(), Some("/v1/servers?after=1"));
     let hosts = [host("s-0", old.address, "DRAINING"), host("s-new", new.address, "SERVING")];
     discovery.push(PollResponse::List(list(2, false, &hosts)));
-    // The next call says that the list before has been taken in.
+    // The next poll shows that the previous list was applied.
     assert_eq!(discovery.wait_for_poll(1).0.split("&wait_ms=").next(), Some("/v1/servers?after=2"));
     for i in 1..6 {
         assert_eq!(proxy.request(&write(&format!("id-{i}"), 9000, "x")).body, b"new");
     }
-    // A whole list leaves out what is gone, and may give another address.
+    // A complete list omits removed endpoints, and may contain new addresses.
     let moved = MockEndpoint::new([ok("moved")]);
     discovery.push(PollResponse::List(list(3, true, &[host("s-new", moved.address, "SERVING")])));
     discovery.wait_for_poll(2);
@@ -323,7 +324,7 @@
     assert_eq!(proxy.request(&write("id-7", 9000, "x")).status(), 503);
 }
 
-/// The process behind an address is told by its id: a connection to the old one says nothing of the new.
+/// An entry that cannot be read drains its endpoint until a readable one arrives.
 #[test]
 fn an_endpoint_with_an_unreadable_entry_gets_no_new_requests() {
     let backends: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::new([ok("done")])).collect();
@@ -344,7 +345,7 @@
     }
     assert_eq!(backends[0].requests().len(), before);
     assert_eq!(backends[1].requests().len(), 20);
-    // Once it is told of readably it is used again.
+    // With a readable entry it is used again.
     proxy.discovery.push(PollResponse::List(list(3, false, &[host("s-0", backends[0].address, "SERVING")])));
     let since = Instant::now();
     for n in 20.. {
@@ -357,6 +358,7 @@
     assert_eq!(proxy.log().matches("malformed entry").count(), 1);
 }
 
+/// An endpoint is identified by its id: a connection to the previous one at an address says nothing about the next.
 #[test]
 fn an_address_with_a_new_endpoint_gets_new_connections() {
     let backend = MockEndpoint::new([ok("done")]);
@@ -387,7 +389,7 @@
 
 #[test]
 fn an_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_endpoint() {
-    // An endpoint that lets no connection come up: its backlog is full.
+    // An endpoint to which no connection can be established: its backlog is full.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
     listener.listen(0).expect("listens");
@@ -407,7 +409,7 @@
     let hosts = [host("s-old", address, "DRAINING"), host("s-new", free.address, "SERVING")];
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.wait_for_poll(1);
-    // Past the grace there is room, and the kernel tries the connection again.
+    // After the grace period the backlog has room, and the kernel retries the connection.
     thread::sleep(Duration::from_millis(600));
     drop(filler);
     let accepting = thread::spawn(move || {
@@ -449,12 +451,12 @@
     let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
     let proxy = Setup::with_endpoints(&[&old]).start();
     let discovery = &proxy.discovery;
-    // It never answers the first call, as if cut off. The next one comes over a new connection, and the news of
-    // the time in between with it.
+    // It never answers the first poll, as if disconnected. The next one uses a new connection, and the update of
+    // the time in between arrives with it.
     let (silent, again) = (discovery.wait_for_poll(0).1, discovery.wait_for_poll(1).1);
     assert!(again - silent < Duration::from_secs(15), "{:?}", again - silent);
     let hosts = [host("s-0", old.address, "DELETED"), host("s-1", new.address, "SERVING")];
-    // One for the call that nobody listens to any more.
+    // One for the poll that nobody waits for any more.
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.push(PollResponse::List(list(2, false, &hosts)));
     discovery.wait_for_poll(2);
@@ -469,11 +471,11 @@
     discovery.wait_for_poll(0);
     let broke = Instant::now();
     discovery.push(PollResponse::Truncated(list(2, false, &[host("s-0", backend.address, "DRAINING")])));
-    // Asked for again at once, and for a short time only; no answer comes to that.
+    // Retried at once with a short wait; that poll is not answered.
     let (again, at) = discovery.wait_for_poll(1);
     assert!(at - broke < Duration::from_secs(1), "{:?}", at - broke);
     assert_eq!(again, "/v1/servers?after=1&wait_ms=250");
-    // The list is relied on for as long as the drain may not yet count as told, and no longer.
+    // The list is valid until the drain counts as announced, and no longer.
     let (mut served, mut status) = (0, 200);
     while status == 200 {
         assert!(
@@ -490,13 +492,13 @@
     for number in 0..5 {
         assert_eq!(proxy.request(&write(&format!("held-{number}"), 9000, "x")).status(), 503);
     }
-    // The first list that is whole ends it.
+    // The first complete list ends it.
     for _ in 0..4 {
         discovery.push(PollResponse::List(list(2, false, &[])));
     }
     proxy.wait_for_log("sending again");
     assert_eq!(proxy.request(&write("id-last", 9000, "x")).status(), 200);
-    // What the endpoint heard: all before, and nothing in between.
+    // The endpoint received all requests before, and none in between.
     let received = |_| backend.request().1.header("X-Request-ID").map(str::to_owned);
     let all: Vec<_> = (0..served).filter_map(received).collect();
     assert_eq!(all.last().map(String::as_str), Some("id-last"), "{:?}", &all[all.len().saturating_sub(3)..]);
@@ -513,7 +515,7 @@
     assert_eq!(client.ask(&read("id-1", 9000)).body, b"old");
     let mut held = proxy.connect();
     held.send(&write("id-2", 9000, "x"));
-    // Both went over one connection to the endpoint, which is kept, too.
+    // Both went over one upstream connection, which stays open too.
     assert_eq!((old.request().0, old.request().0), (0, 0));
     // What can't be read changes nothing, and the program goes on.
     proxy.reload("{");
@@ -551,7 +553,7 @@
     let mut setup = Setup::with_endpoints(&[&backend]);
     setup.peers = Some((own, vec![own, peer.local_addr().expect("bound")]));
     let proxy = setup.start();
-    // What a peer says is taken in or passed over, and harms nothing.
+    // Gossip of a peer is applied or ignored, and harms nothing.
     peer.send_to(&[0; 6], own).expect("sent");
     peer.send_to(&[0; 300], own).expect("sent");
     UdpSocket::bind("127.0.0.1:0").expect("a port").send_to(b"stranger", own).expect("sent");
@@ -601,7 +603,7 @@
     setup.max_sockets = 60;
     setup.latency_objective_ms = 3000;
     let proxy = setup.start();
-    // As many as fit: some with requests that are held, as far as there are sockets for endpoints, and some
+    // As many as the limit allows: some with open requests, as far as there are upstream sockets, and some
     // in the middle of a request.
     let mut clients: Vec<HttpClient> = (0..16).map(|_| proxy.connect()).collect();
     let mut half = clients.split_off(12);
@@ -618,7 +620,7 @@
         held += backends.iter().map(|b| b.requests().len()).sum::<usize>();
         thread::sleep(Duration::from_millis(1));
     }
-    // One of them is to leave with its answer; the others are not asked to go for one newcomer.
+    // One of them closes with its response; the others stay, as only one connection waits.
     let response = proxy.request(&read("id-late", 2900));
     assert!(matches!(response.status(), 503 | 504));
     let responses: Vec<HttpMessage> = clients.iter_mut().map(HttpClient::receive).collect();
@@ -674,7 +676,7 @@
         taken += silent.iter().map(|b| b.requests().len()).sum::<usize>();
         thread::sleep(Duration::from_millis(5));
     }
-    // With two of them draining, what is in flight is more than one should hold.
+    // With two of them draining, more is in flight than one should have.
     proxy.discovery.push(PollResponse::List(list(
         3,
         false,
@@ -740,7 +742,7 @@
     assert_eq!(client.ask(&read("id-0", 600)).status(), 200);
     proxy.terminate();
     let (since, mut served) = (Instant::now(), Duration::ZERO);
-    // Both who is connected and who comes may have nowhere else to go.
+    // Connected clients and new ones may have no other proxy.
     for n in 1.. {
         let Ok(newcomer) = TcpStream::connect(proxy.address) else { break };
         if served < Duration::from_secs(2) {
@@ -764,7 +766,7 @@
     clients_find_a_free_connection(1);
 }
 
-/// In a rolling restart the second of two is told to end before the first is back.
+/// In a rolling restart the second of two is terminated before the first is back.
 #[test]
 fn clients_of_one_of_two_draining_proxies_find_a_free_connection() {
     clients_find_a_free_connection(2);
@@ -791,7 +793,7 @@
             thread::sleep(Duration::from_millis(1));
         }
     }
-    // With three connections left, each of them is answered at once and free again, however often it is asked.
+    // With three connections left, each request on them is answered at once.
     for round in 0..3 {
         for (n, client) in clients[17..].iter_mut().enumerate() {
             let response = client.ask(&read(&format!("id-{round}-{n}"), 9000));
@@ -801,7 +803,7 @@
     }
     assert!(since.elapsed() < Duration::from_secs(3), "refused at once, before it ends");
     assert_eq!(silent.iter().map(|b| b.requests().len()).sum::<usize>(), 0);
-    // What it holds has its answer, which may have run, before it may be killed.
+    // Open requests get their responses, though they may have been executed, before the kill.
     assert!(clients[..17].iter_mut().all(|client| matches!(client.receive().status(), 502..=504)));
     assert!(proxy.wait_for_exit().success());
 }
@@ -826,34 +828,35 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Starts a proxy whose classes give up after a second: it may be killed 1.7 s after the word to end, and ends 0.2 s
+/// Starts a proxy with deadlines of one second: it may be killed 1.7 s after its termination signal, and exits 0.2 s
 /// before that.
-fn soon_killed(backends: &[&MockEndpoint]) -> Proxy {
+fn start_with_short_kill_deadline(backends: &[&MockEndpoint]) -> Proxy {
     let mut setup = Setup::with_endpoints(backends);
     setup.deadline_ms = 1000;
     setup.latency_objective_ms = 1000;
     setup.start()
 }
-/// Well after that, for a busy machine, and well before the 3.5 s of one that takes its clients' word.
-const SOON: Duration = Duration::from_millis(2700);
 
-fn ends_in_time(proxy: &mut Proxy, told: Instant) {
+/// Well after that, for a busy machine, and well before the 3.5 s that client timeouts would give.
+const MAX_EXIT_TIME: Duration = Duration::from_millis(2700);
+
+fn assert_exits_in_time(proxy: &mut Proxy, terminated_at: Instant) {
     assert!(proxy.wait_for_exit().success());
-    assert!(told.elapsed() < SOON, "{:?}", told.elapsed());
+    assert!(terminated_at.elapsed() < MAX_EXIT_TIME, "{:?}", terminated_at.elapsed());
 }
 
 #[test]
 fn client_timeouts_do_not_move_the_termination_deadline() {
     let backend = MockEndpoint::new([ok("done"), Behavior::Hang]);
-    let mut proxy = soon_killed(&[&backend]);
+    let mut proxy = start_with_short_kill_deadline(&[&backend]);
     let mut client = proxy.connect();
     assert_eq!(client.ask(&read("id-1", 60_000)).status(), 200);
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     proxy.terminate();
     proxy.wait_for_log("told to end: serving on for 1.2 s");
     client.send(&read("id-2", 60_000));
     assert!(matches!(client.receive().status(), 502..=504));
-    ends_in_time(&mut proxy, told);
+    assert_exits_in_time(&mut proxy, terminated_at);
 }
 
 #[test]
@@ -867,33 +870,33 @@
     let mut client = proxy.connect();
     client.send(&write("id-1", 20_000, "x"));
     backend.request();
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     proxy.terminate();
     assert_eq!(client.receive().status(), 504);
     assert!(proxy.wait_for_exit().success());
-    assert!(told.elapsed() < Duration::from_secs(10), "{:?}", told.elapsed());
+    assert!(terminated_at.elapsed() < Duration::from_secs(10), "{:?}", terminated_at.elapsed());
 }
 
 #[test]
 fn a_partial_request_at_shutdown_is_answered_once_complete() {
     let backend = MockEndpoint::new([ok("done")]);
-    let mut proxy = soon_killed(&[&backend]);
+    let mut proxy = start_with_short_kill_deadline(&[&backend]);
     let mut client = proxy.connect();
     assert_eq!(client.ask(&read("id-1", 900)).status(), 200);
     let mut other = proxy.connect();
     assert_eq!(other.ask(&read("id-2", 900)).status(), 200);
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     proxy.terminate();
     proxy.wait_for_log("told to end");
     let request = read("id-3", 900);
     let (first, rest) = request.split_at(40);
     client.send(first);
-    // Who is idle is sent away first.
+    // Idle connections are closed first.
     assert!(other.is_closed());
     client.send(rest);
     let response = client.receive();
     assert_eq!((response.status(), response.header("Connection")), (200, Some("close")));
-    ends_in_time(&mut proxy, told);
+    assert_exits_in_time(&mut proxy, terminated_at);
 }
 
 #[test]
