--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -195,3 +195,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/downstream/rpc/output.rs
+++ b/crates/proxy/src/downstream/rpc/output.rs
@@ -63,3 +63,6 @@
         completed_calls
     }
 }
+
+#[cfg(test)]
+mod tests;
