--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -19,20 +19,20 @@
 #[test]
 fn tenants_are_isolated_from_each_other() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     assert_eq!(service.put("/v1/tenants/one", &tenant("one.example", &[one.address], json!({}))).status, 200);
     assert_eq!(
         service.put("/v1/tenants/two", &tenant("*.two.example", &[two.address], json!({}))).status,
         200
     );
-    let served = |host: &str| service.ask(host, "/x").header("X-Served-By").map(str::to_owned);
+    let served = |host: &str| service.request(host, "/x").header("X-Served-By").map(str::to_owned);
     assert_eq!(served("One.Example:80").as_deref(), Some("one"));
     assert_eq!(served("a.two.example").as_deref(), Some("two"));
-    assert_eq!(service.ask("three.example", "/x").status(), 404);
+    assert_eq!(service.request("three.example", "/x").status(), 404);
     // A header that claims another tenant is rejected; one that names the right tenant changes nothing.
     let claim = |name: &str| {
         let request = format!("GET /x HTTP/1.1\r\nHost: one.example\r\nX-Tenant-Id: {name}\r\n\r\n");
-        service.process.ask(&request).status()
+        service.process.request(&request).status()
     };
     assert_eq!((claim("two"), claim("nobody"), claim("one")), (403, 403, 200));
     // Hosts that overlap with another tenant's, and local files, are rejected when they are configured.
@@ -52,32 +52,32 @@
     service.put("/v1/tenants/one", &tenant("one.example", &[a.address], json!({})));
     service.put("/v1/tenants/two", &tenant("two.example", &[b.address], json!({})));
     let ask = |host: &str| format!("GET /x HTTP/1.1\r\nHost: {host}\r\nX-Request-ID: same\r\n\r\n");
-    let mut open = service.process.caller();
+    let mut open = service.process.connect();
     open.send(&ask("one.example"));
     a.request();
-    assert_eq!(service.process.ask(&ask("one.example")).status(), 409);
-    assert_eq!(service.process.ask(&ask("two.example")).status(), 200);
+    assert_eq!(service.process.request(&ask("one.example")).status(), 409);
+    assert_eq!(service.process.request(&ask("two.example")).status(), 200);
 }
 
 #[test]
 fn a_tenant_created_again_takes_over_nothing_from_the_deleted_one() {
     let (old, new) = (endpoint("old", 0), endpoint("new", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let limits = json!({ "requests_per_s": 0.001, "burst": 1 });
     service.put("/v1/tenants/club", &tenant("club.example", &[old.address], limits.clone()));
-    assert_eq!(service.ask("club.example", "/x").status(), 200);
-    let rejected = service.ask("club.example", "/x");
+    assert_eq!(service.request("club.example", "/x").status(), 200);
+    let rejected = service.request("club.example", "/x");
     assert_eq!((rejected.status(), rejected.header("X-Refusal-Cause")), (429, Some("rate")));
     assert!(rejected.header("Retry-After").expect("told").parse::<u64>().expect("whole seconds") >= 1);
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
-    assert_eq!(service.ask("club.example", "/x").status(), 404);
+    assert_eq!(service.request("club.example", "/x").status(), 404);
     service.put("/v1/tenants/club", &tenant("club.example", &[new.address], limits));
     let status = service.get("/v1/tenants/club/status").body;
     assert_eq!(
         (&status["admitted"], &status["refused"]["rate"], &status["started"]),
         (&json!(0), &json!(0), &json!(false))
     );
-    let answer = service.ask("club.example", "/x");
+    let answer = service.request("club.example", "/x");
     assert_eq!((answer.status(), answer.header("X-Served-By")), (200, Some("new")));
 }
 
@@ -87,9 +87,9 @@
     let release = Arc::new(Release::default());
     let done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone".to_owned();
     let endpoint = MockEndpoint::new([Behavior::RespondOnRelease(Arc::clone(&release), done)]);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[endpoint.address], json!({})));
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     endpoint.request();
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
@@ -104,8 +104,8 @@
 #[test]
 fn metrics_and_maintenance_are_separate_for_each_tenant() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
-    let file = hosted_file("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
-    let service = host_service(&file);
+    let file = hosted_config("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
+    let service = start_hosted(&file);
     let configure = |name: &str, node: &FixedLatencyEndpoint, rate: u64| {
         let limits = json!({ "requests_per_s": rate });
         let doc = tenant(&format!("{name}.example"), &[node.address], limits);
@@ -113,20 +113,20 @@
     };
     configure("one", &one, 1000);
     configure("two", &two, 1000);
-    let call = |path: &str, id: &str| service.process.call("POST", path, id).0;
+    let call = |path: &str, id: &str| service.process.operator_request("POST", path, id).0;
     // An endpoint is unknown before its tenant's pools have run.
     assert_eq!(call("/maintenance/enter", "one/p/n0"), 404);
     for host in ["one.example", "two.example", "two.example"] {
-        assert_eq!(service.ask(host, "/x").status(), 200);
+        assert_eq!(service.request(host, "/x").status(), 200);
     }
     assert_eq!(call("/maintenance/enter", "n0"), 409);
     assert_eq!(call("/maintenance/enter", "one/p/n0"), 200);
     let metric = |name: &str, tenant: &str| {
-        service.process.figure(&format!("edge_lb_{name}{{pool=\"p\",tenant=\"{tenant}\"}}"))
+        service.process.metric(&format!("edge_lb_{name}{{pool=\"p\",tenant=\"{tenant}\"}}"))
     };
     let both = |name: &str| (metric(name, "one"), metric(name, "two"));
     assert_eq!((both("tries_total"), both("pool_ejected")), ((1, 2), (1, 0)));
-    let status = |host: &str| service.ask(host, "/x").status();
+    let status = |host: &str| service.request(host, "/x").status();
     assert_eq!((status("one.example"), status("two.example")), (503, 200));
     configure("one", &one, 900);
     assert_eq!((status("one.example"), metric("pool_size", "one")), (503, 1));
@@ -154,11 +154,11 @@
 #[test]
 fn json_rpc_calls_belong_to_a_tenant_like_http_requests() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
-    let file = hosted_file("", "").replace(
+    let file = hosted_config("", "").replace(
         "listen = [{ address = \"127.0.0.1:0\" }]",
         "listen = [{ address = \"127.0.0.1:0\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", tenant = \"one\" }, { address = \"127.0.0.1:0\", protocol = \"json-rpc\", host = \"two.example\" }]",
     );
-    let service = host_service(&file);
+    let service = start_hosted(&file);
     let limits = json!({ "requests_per_s": 0.001, "burst": 3 });
     assert_eq!(
         service.put("/v1/tenants/one", &deduplicating_tenant("one.example", &one, limits)).status,
@@ -183,7 +183,7 @@
     let post = |host: &str| {
         let head =
             format!("POST /x HTTP/1.1\r\nHost: {host}\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
-        service.process.ask(&head)
+        service.process.request(&head)
     };
     assert!(
         post("one.example").body.starts_with(b"\"one: ") || post("one.example").body.starts_with(b"one: ")
@@ -220,8 +220,8 @@
 fn a_thousand_mostly_idle_tenants_cost_little() {
     let one = endpoint("one", 0);
     let service = |tenants: usize| {
-        let mut file = hosted_file("sockets = 20000\n", "");
-        let folder = folder();
+        let mut file = hosted_config("sockets = 20000\n", "");
+        let folder = temp_folder();
         for i in 0..tenants {
             let doc = tenant(&format!("t{i}.example"), &[one.address], json!({}));
             let path = format!("t{i}.json");
@@ -232,21 +232,22 @@
             file +=
                 &format!("[[tenant]]\nname = \"t{i}\"\nhosts = [{}]\nfile = \"{path}\"\n", doc["hosts"][0]);
         }
-        start_in(&folder, &file)
+        start_hosted_in(&folder, &file)
     };
     let (few, many) = (service(10), service(1000));
     for i in 0..10 {
         let host = format!("t{i}.example");
-        assert_eq!((few.ask(&host, "/x").status(), many.ask(&host, "/x").status()), (200, 200));
+        assert_eq!((few.request(&host, "/x").status(), many.request(&host, "/x").status()), (200, 200));
     }
-    let per_tenant = (many.process.holds().1 - few.process.holds().1) as f64 / 990.0;
+    let per_tenant =
+        (many.process.descriptors_and_memory().1 - few.process.descriptors_and_memory().1) as f64 / 990.0;
     let started = many.get("/v1/status").body;
     let started = started.as_array().expect("all").iter().filter(|s| s["started"] == true).count();
     assert_eq!(started, 10, "nothing runs for the idle");
     let idle = |service: &Hosted| {
-        let before = service.process.cpu_time();
+        let before = service.process.cpu_time_ns();
         thread::sleep(Duration::from_secs(1));
-        (service.process.cpu_time() - before) as f64 / 1e6
+        (service.process.cpu_time_ns() - before) as f64 / 1e6
     };
     let (one_ms, other_ms) = (idle(&few), idle(&many));
     eprintln!("{per_tenant:.1} KiB for each idle tenant; a second of rest: {one_ms:.1} ms with 10, {other_ms:.1} ms with 1,000");
--- a/tests/hosted_changes.rs
+++ b/tests/hosted_changes.rs
@@ -42,7 +42,7 @@
 
 /// Sends requests and checks that each was served under a version of its time. Returns their number.
 fn send_until_stopped(service: &Hosted, progress: &Progress) -> usize {
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     let mut sent = 0;
     while !progress.stop.load(Ordering::Relaxed) {
         let from = progress.confirmed.load(Ordering::SeqCst);
@@ -61,7 +61,7 @@
 #[test]
 fn five_hundred_changes_under_load_lose_no_request() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 0)).collect();
-    let service = Arc::new(host_service(&hosted_file("", "")));
+    let service = Arc::new(start_hosted(&hosted_config("", "")));
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
     let at = |round: usize| tenant_of_round(round, &addresses);
     assert_eq!(service.put("/v1/tenants/club", &at(0)).status, 200);
@@ -98,7 +98,7 @@
 #[test]
 fn concurrent_changes_need_the_current_version() {
     let one = endpoint("one", 0);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let doc = tenant("club.example", &[one.address], json!({}));
     service.put("/v1/tenants/club", &doc);
     let tag = service.get("/v1/tenants/club/config").etag;
@@ -123,7 +123,7 @@
 #[test]
 fn a_change_is_checked_against_the_expectations_of_its_own_tenant() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/one", &tenant("one.example", &[one.address], json!({})));
     service.put("/v1/tenants/two", &tenant("two.example", &[two.address], json!({})));
     // The tenant's expectation, a pool for /x, does not hold without its route.
@@ -135,25 +135,25 @@
     assert_eq!(response.body["detail"]["kind"], "expectations");
     let words = response.body["error"].as_str().expect("words");
     assert!(words.contains("tenant `one`") && words.contains("`served`") && words.contains("404"), "{words}");
-    assert_eq!(service.ask("one.example", "/x").status(), 200, "the old one serves on");
+    assert_eq!(service.request("one.example", "/x").status(), 200, "the old one serves on");
     // No change of one tenant changes the other's responses, version or state.
     let seen = |what: &str| service.get(&format!("/v1/tenants/two{what}"));
     let before = (seen("").etag, seen("/status").body["version"].clone());
     assert_eq!(service.put("/v1/tenants/one/config", &json!({})).status, 200, "an empty one serves nothing");
-    assert_eq!(service.ask("one.example", "/x").status(), 404);
+    assert_eq!(service.request("one.example", "/x").status(), 404);
     assert_eq!(
         service.put("/v1/tenants/one/pools/p/nodes/n0/state", &json!({ "state": "draining" })).status,
         404
     );
     assert_eq!(service.delete("/v1/tenants/one").status, 200);
     assert_eq!(before, (seen("").etag, seen("/status").body["version"].clone()));
-    assert_eq!(service.ask("two.example", "/x").status(), 200);
+    assert_eq!(service.request("two.example", "/x").status(), 200);
 }
 
 #[test]
 fn endpoints_are_drained_and_versions_are_listed_and_rolled_back() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[one.address, two.address], json!({})));
     let state = |state: &str| {
         let path = "/v1/tenants/club/pools/p/nodes/n0/state?why=maintenance%20of%20one";
@@ -161,7 +161,7 @@
     };
     assert_eq!(state("draining"), 200);
     for _ in 0..20 {
-        assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("two"));
+        assert_eq!(service.request("club.example", "/x").header("X-Served-By"), Some("two"));
     }
     assert_eq!(state("asleep"), 422);
     let versions = service.get("/v1/versions").body;
@@ -180,7 +180,7 @@
     );
     let other = service.put("/v1/tenants/club/pools/p/nodes/n1/state", &json!({ "state": "draining" }));
     assert_eq!(other.status, 200);
-    assert_eq!(service.ask("club.example", "/x").header("X-Served-By"), Some("one"), "restored");
+    assert_eq!(service.request("club.example", "/x").header("X-Served-By"), Some("one"), "restored");
     assert_eq!(service.call("POST", "/v1/versions/9/rollback", None, None, None).status, 404);
     // A rollback by the tenant keeps the limits, which the operator sets.
     service.put("/v1/tenants/club/limits", &json!({ "weight": 3 }));
--- a/tests/hosted_limits.rs
+++ b/tests/hosted_limits.rs
@@ -19,14 +19,14 @@
 #[test]
 fn each_limit_rejects_with_its_reason_and_changes_at_run_time() {
     let stuck = MockEndpoint::new([Behavior::Hang]);
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let with = |limits: serde_json::Value| tenant("club.example", &[stuck.address], limits);
     assert_eq!(service.put("/v1/tenants/club", &with(json!({ "in_flight": 1 }))).status, 200);
-    let mut first = service.process.caller();
+    let mut first = service.process.connect();
     first.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     stuck.request();
     let rejection = || {
-        let answer = service.ask("club.example", "/x");
+        let answer = service.request("club.example", "/x");
         (answer.status(), answer.header("X-Refusal-Cause").map(str::to_owned))
     };
     assert_eq!(rejection(), (429, Some("in-flight".to_owned())));
@@ -34,7 +34,7 @@
     assert_eq!(rejection(), (429, Some("connections".to_owned())));
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "body_bytes": 10 })).status, 200);
     let post = "POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 11\r\n\r\nhello world";
-    let answer = service.process.ask(post);
+    let answer = service.process.request(post);
     assert_eq!((answer.status(), answer.header("X-Refusal-Cause")), (429, Some("bodies")));
     let status = service.get("/v1/tenants/club/status").body;
     assert_eq!(
@@ -53,11 +53,11 @@
 fn a_tenant_with_hanging_endpoints_does_not_affect_others() {
     let stuck = MockEndpoint::new([Behavior::Hang]);
     let good = endpoint("good", 0);
-    let service = host_service(&hosted_file("sockets = 512\ncapacity = { in_flight = 200 }\n", ""));
+    let service = start_hosted(&hosted_config("sockets = 512\ncapacity = { in_flight = 200 }\n", ""));
     service.put("/v1/tenants/stuck", &tenant("stuck.example", &[stuck.address], json!({})));
     service.put("/v1/tenants/good", &tenant("good.example", &[good.address], json!({})));
-    service.ask("good.example", "/x");
-    let (before, memory_before) = service.process.holds();
+    service.request("good.example", "/x");
+    let (before, memory_before) = service.process.descriptors_and_memory();
     let stop = Arc::new(AtomicBool::new(false));
     let address = service.process.address;
     let clients: Vec<_> = (0..160)
@@ -77,12 +77,12 @@
     while service.get("/v1/tenants/stuck/status").body["in_flight"].as_u64() < Some(20) {
         thread::sleep(Duration::from_millis(10));
     }
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     for _ in 0..300 {
         assert_eq!(caller.ask("GET /x HTTP/1.1\r\nHost: good.example\r\n\r\n").status(), 200);
     }
     let stuck_uses = service.get("/v1/tenants/stuck/status").body;
-    let (during, memory) = service.process.holds();
+    let (during, memory) = service.process.descriptors_and_memory();
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|p| p.join().expect("it ends"));
     assert!(stuck_uses["in_flight"].as_u64() <= Some(190), "{stuck_uses}");
@@ -99,11 +99,11 @@
         (0..3).map(|_| MockEndpoint::new([Behavior::Disconnect])).collect();
     let nodes: Vec<_> = disconnecting.iter().map(|endpoint| endpoint.address).collect();
     let attempts = || disconnecting.iter().map(|endpoint| endpoint.requests().len()).sum::<usize>();
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let status = || service.get("/v1/tenants/club/status").body;
     service.put("/v1/tenants/club", &tenant("club.example", &nodes, json!({})));
     // Every attempt fails or is rejected.
-    let send_request = || assert!(matches!(service.ask("club.example", "/x").status(), 502 | 503));
+    let send_request = || assert!(matches!(service.request("club.example", "/x").status(), 502 | 503));
     send_request();
     let unlimited = attempts();
     assert!(unlimited > 1, "attempts are retried without a limit: {unlimited}");
@@ -137,11 +137,11 @@
         address
     };
     let nodes: Vec<_> = (0..3).map(|_| listen(Arc::clone(&first))).collect();
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let limits = json!({ "retries_per_s": 0.001 });
     assert_eq!(service.put("/v1/tenants/club", &tenant("club.example", &nodes, limits)).status, 200);
     let status = || service.get("/v1/tenants/club/status").body;
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     let since = Instant::now();
     while first.load(Ordering::SeqCst) < 2 {
@@ -156,7 +156,7 @@
     assert_eq!(status()["retries"], 1);
     // No retry is left: the next request has one attempt at most, which is not responded to.
     let ask = "GET /x HTTP/1.1\r\nHost: club.example\r\nX-Timeout-Ms: 300\r\n\r\n";
-    assert!(matches!(service.process.ask(ask).status(), 503 | 504));
+    assert!(matches!(service.process.request(ask).status(), 503 | 504));
     assert!(first.load(Ordering::SeqCst) <= 3);
     assert_eq!(status()["retries"], 1);
 }
@@ -165,18 +165,18 @@
 #[test]
 fn a_tenant_without_retries_left_does_not_fall_back_for_a_second_attempt() {
     let (busy, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
-    let service = host_service(&hosted_file("", ""));
+    let service = start_hosted(&hosted_config("", ""));
     let mut club = tenant("club.example", &[busy.address], json!({}));
     let pool = |name: &str, node: &MockEndpoint| json!({ "name": name, "nodes": [{ "name": name, "address": node.address.to_string() }] });
     club["config"]["pool"] = json!([pool("p", &busy), pool("q", &spare)]);
     club["config"]["route"][0]["fallback"] = json!([{ "pool": "q", "when": ["refused"] }]);
     assert_eq!(service.put("/v1/tenants/club", &club).status, 200);
-    assert_eq!(service.ask("club.example", "/x").status(), 200, "the spare pool serves");
+    assert_eq!(service.request("club.example", "/x").status(), 200, "the spare pool serves");
     let before = (busy.requests().len(), spare.requests().len());
     assert_eq!(before.1, 1);
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "retries_per_s": 0.001 })).status, 200);
     // The retry that is left is used for a fallback, and then there is none.
-    let answers: Vec<u16> = (0..4).map(|_| service.ask("club.example", "/x").status()).collect();
+    let answers: Vec<u16> = (0..4).map(|_| service.request("club.example", "/x").status()).collect();
     assert_eq!(answers[0], 200);
     let (asked, fell_back) = (busy.requests().len(), spare.requests().len());
     // If the first pool makes no attempt, the first one may be the other pool's.
@@ -186,7 +186,7 @@
 
 /// Latencies of a tenant's requests over some time, in microseconds, sorted.
 fn latencies(service: &Hosted, host: &str, time: Duration) -> Vec<u64> {
-    let mut caller = service.process.caller();
+    let mut caller = service.process.connect();
     let (since, mut all) = (Instant::now(), Vec::new());
     while since.elapsed() < time {
         let sent = Instant::now();
@@ -203,7 +203,7 @@
 #[test]
 fn a_retry_storm_of_one_tenant_does_not_affect_two_others() {
     let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 1)).collect();
-    let service = host_service(&hosted_file("capacity = { requests_per_s = 450 }\n", ""));
+    let service = start_hosted(&hosted_config("capacity = { requests_per_s = 450 }\n", ""));
     for (i, name) in ["storm", "b", "c"].iter().enumerate() {
         let response = service.put(
             &format!("/v1/tenants/{name}"),
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC through sockets: callers and nodes of both protocols, with stand-ins that share no code with the proxy.
+//! JSON-RPC through sockets: clients and endpoints of both protocols, with mock peers that share no code with the proxy.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -15,8 +15,8 @@
 use stubs::*;
 use testkit::json_rpc::request;
 
-fn code(answer: &Value) -> i64 {
-    answer["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {answer}"))
+fn code(response: &Value) -> i64 {
+    response["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {response}"))
 }
 
 // ---- Messages ----
@@ -24,83 +24,93 @@
 #[test]
 fn cases_of_the_specification() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    let null = |code: i64, answer: &Value| {
-        assert_eq!((&answer["id"], answer["error"]["code"].as_i64()), (&Value::Null, Some(code)), "{answer}");
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let mut client = proxy.rpc();
+    let assert_null_id_error = |code: i64, response: &Value| {
+        assert_eq!(
+            (&response["id"], response["error"]["code"].as_i64()),
+            (&Value::Null, Some(code)),
+            "{response}"
+        );
     };
-    assert_eq!(caller.ask(r#"{"jsonrpc":"2.0","method":"standings","params":[42,23],"id":1}"#)["result"], 19);
-    assert_eq!(caller.ask(r#"{"jsonrpc":"2.0","method":"standings","id":"2"}"#)["id"], "2");
-    assert_eq!(code(&caller.ask(r#"{"jsonrpc":"2.0","method":"foobar","id":"1"}"#)), -32601);
-    null(-32700, &caller.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
-    null(-32600, &caller.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
-    null(
+    assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","params":[42,23],"id":1}"#)["result"], 19);
+    assert_eq!(client.ask(r#"{"jsonrpc":"2.0","method":"standings","id":"2"}"#)["id"], "2");
+    assert_eq!(code(&client.ask(r#"{"jsonrpc":"2.0","method":"foobar","id":"1"}"#)), -32601);
+    assert_null_id_error(-32700, &client.ask(r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#));
+    assert_null_id_error(-32600, &client.ask(r#"{"jsonrpc":"2.0","method":1,"params":"bar"}"#));
+    assert_null_id_error(
         -32700,
-        &caller
+        &client
             .ask(r#"[{"jsonrpc":"2.0","method":"sum","params":[1,2,4],"id":"1"},{"jsonrpc":"2.0","method"]"#),
     );
-    null(-32600, &caller.ask("[]"));
-    let three = caller.ask("[1,2,3]");
+    assert_null_id_error(-32600, &client.ask("[]"));
+    let three = client.ask("[1,2,3]");
     assert_eq!(three.as_array().map(Vec::len), Some(3));
-    three.as_array().into_iter().flatten().for_each(|one| null(-32600, one));
-    // Notifications have no answer, alone or together; an answer that nobody asked for is passed over.
-    caller.send(r#"{"jsonrpc":"2.0","method":"standings","params":[1]}"#);
-    caller.send(r#"[{"jsonrpc":"2.0","method":"standings"},{"jsonrpc":"2.0","method":"foobar"}]"#);
-    caller.send(r#"{"jsonrpc":"2.0","result":1,"id":7}"#);
-    assert_eq!(caller.call(9, "standings", json!({}))["id"], 9);
+    three.as_array().into_iter().flatten().for_each(|one| assert_null_id_error(-32600, one));
+    // Notifications get no response, alone or in a batch; an unsolicited response is ignored.
+    client.send(r#"{"jsonrpc":"2.0","method":"standings","params":[1]}"#);
+    client.send(r#"[{"jsonrpc":"2.0","method":"standings"},{"jsonrpc":"2.0","method":"foobar"}]"#);
+    client.send(r#"{"jsonrpc":"2.0","result":1,"id":7}"#);
+    assert_eq!(client.call(9, "standings", json!({}))["id"], 9);
 }
 
 #[test]
 fn ids_are_returned_verbatim() {
     let node = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
-    let proxy = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
-    let mut caller = proxy.rpc();
+    let proxy = DualProtocolProxy::start(&RpcSite {
+        frames: Framing::ContentLength,
+        ..RpcSite::rpc(&[node.address])
+    });
+    let mut client = proxy.rpc();
     let digits = format!("-1{}", "0".repeat(400));
     for id in [digits.as_str(), r#""A\n""#, r#""""#, "null", "0", "18446744073709551616"] {
         let message = format!(r#"{{"id":{id},"jsonrpc":"2.0","method":"standings"}}"#);
-        caller.send(&message);
-        let text = caller.try_receive_text().expect("an answer");
+        client.send(&message);
+        let text = client.try_receive_text().expect("an answer");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
-    // What the node gets are the proxy's own, each another.
+    // The endpoint gets ids of the proxy, all different.
     let own: BTreeSet<String> =
         node.requests().iter().map(|c| c["id"].as_str().expect("a string").to_owned()).collect();
     assert_eq!(own.len(), 6);
     for bad in ["1.5", "1e3", "{}", "true", r#""\ud800""#] {
-        caller.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
-        assert_eq!(code(&caller.receive()), -32600, "{bad}");
+        client.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
+        assert_eq!(code(&client.receive()), -32600, "{bad}");
     }
-    caller.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
-    assert_eq!(caller.receive()["id"], Value::Null, "which of the two is meant?");
-    caller.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
-    assert_eq!(code(&caller.receive()), -32700);
+    client.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
+    assert_eq!(client.receive()["id"], Value::Null, "which of the two is meant?");
+    client.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
+    assert_eq!(code(&client.receive()), -32700);
     assert!(node.requests().is_empty());
 }
 
 #[test]
 fn an_endless_message_is_rejected_and_uses_no_memory() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     proxy.rpc().call(1, "standings", json!({}));
-    let (_, before) = proxy.process.holds();
-    let mut caller = proxy.rpc();
-    let mut stream = caller.stream().try_clone().expect("a copy");
+    let (_, before) = proxy.process.descriptors_and_memory();
+    let mut client = proxy.rpc();
+    let mut stream = client.stream().try_clone().expect("a copy");
     let sending = thread::spawn(move || {
-        // 200 MB, if it were taken.
+        // 200 MB, if it were read.
         let piece = vec![b'x'; 1 << 20];
         (0..200).take_while(|_| stream.write_all(&piece).is_ok()).count()
     });
-    let answer = caller.receive();
-    assert_eq!((code(&answer), &answer["id"]), (-32005, &Value::Null));
-    assert_eq!(caller.receive()["method"], "$/closing");
+    let response = client.receive();
+    assert_eq!((code(&response), &response["id"]), (-32005, &Value::Null));
+    assert_eq!(client.receive()["method"], "$/closing");
     let sent = sending.join().expect("it ends");
-    let (_, after) = proxy.process.holds();
+    let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
     // A head that is none.
-    let lengths = Both::start(&Site { frames: Framing::ContentLength, ..Site::rpc(&[node.address]) });
-    let mut caller = lengths.rpc();
-    caller.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
-    assert_eq!(code(&caller.receive()), -32700);
+    let lengths = DualProtocolProxy::start(&RpcSite {
+        frames: Framing::ContentLength,
+        ..RpcSite::rpc(&[node.address])
+    });
+    let mut client = lengths.rpc();
+    client.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
+    assert_eq!(code(&client.receive()), -32700);
 }
 
 // ---- Many calls at once ----
@@ -108,36 +118,36 @@
 #[test]
 fn responses_come_in_any_order_and_the_open_call_limit_pauses_reading() {
     let release = Arc::new(Release::default());
-    let held = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
+    let on_release = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
     let node = MockRpcEndpoint::new(
         Framing::Lines,
-        [held.clone(), RpcBehavior::Result(json!("soon")), held.clone(), held],
+        [on_release.clone(), RpcBehavior::Result(json!("soon")), on_release.clone(), on_release],
     );
-    let site = Site { listen: ", calls = 2".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "standings", json!({})));
+    let site = RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[node.address]) };
+    let proxy = DualProtocolProxy::start(&site);
+    let mut client = proxy.rpc();
+    client.send(&request(1, "standings", json!({})));
     node.request();
-    caller.send(&request(2, "standings", json!({})));
+    client.send(&request(2, "standings", json!({})));
     assert_eq!(
-        (&caller.receive()["result"], node.request().0),
+        (&client.receive()["result"], node.request().0),
         (&json!("soon"), 0),
         "on the same connection"
     );
     // An id that is open, and one in other spelling.
-    caller.send(&request(1, "standings", json!({})));
-    assert_eq!(code(&caller.receive()), -32003);
+    client.send(&request(1, "standings", json!({})));
+    assert_eq!(code(&client.receive()), -32003);
     for id in 3..=10 {
-        caller.send(&request(id, "standings", json!({})));
+        client.send(&request(id, "standings", json!({})));
     }
     assert_eq!(node.request().1["method"], "standings");
-    // Another caller is served meanwhile; of this one nothing more has been read.
+    // Another client is served meanwhile; of this one nothing more has been read.
     proxy.rpc().send(&request(99, "standings", json!({})));
     assert_eq!(node.request().1["params"]["_meta"]["verb"], Value::Null);
     assert!(node.requests().is_empty());
     release.release();
     let answered: BTreeSet<i64> =
-        (0..9).map(|_| caller.receive()["id"].as_i64().expect("a number")).collect();
+        (0..9).map(|_| client.receive()["id"].as_i64().expect("a number")).collect();
     assert_eq!(answered, BTreeSet::from([1, 3, 4, 5, 6, 7, 8, 9, 10]));
 }
 
@@ -149,8 +159,8 @@
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let proxy = Both::start(&Site::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let mut client = proxy.rpc();
     let batch = format!(
         "[{},{},{},{},{},{}]",
         request(1, "standings", json!({})),
@@ -160,10 +170,10 @@
         r#"{"jsonrpc":"2.0","method":"close-round","params":{"note":1}}"#,
         request("five", "report-result", json!({})),
     );
-    let answers = caller.ask(&batch);
-    let answers = answers.as_array().expect("answers");
-    let of = |id: Value| answers.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
-    assert_eq!(answers.len(), 5, "{answers:?}");
+    let responses = client.ask(&batch);
+    let responses = responses.as_array().expect("answers");
+    let of = |id: Value| responses.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
+    assert_eq!(responses.len(), 5, "{responses:?}");
     assert_eq!(of(json!(1))["result"]["method"], "standings");
     assert_eq!(code(of(json!(2))), -32000, "nothing ran: a refusal");
     assert_eq!(code(of(json!(3))), -32001, "it may have run");
@@ -175,33 +185,35 @@
         calls.iter().filter(|c| c["params"]["do"] == *what && c["method"] == "close-round").count()
     };
     assert_eq!((ran(&json!("fail")), ran(&Value::Null)), (1, 1));
-    let proxy = Both::start(&Site { aim_ms: 300, ..Site::rpc(&[node.address]) });
-    let mut caller = proxy.rpc();
-    // One that hangs holds the others up no longer than the most impatient of them waits.
+    let proxy =
+        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[node.address]) });
+    let mut client = proxy.rpc();
+    // One that hangs delays the others no longer than the shortest client timeout.
     let since = Instant::now();
     let slow = format!(
         "[{},{}]",
         request(1, "close-round", json!({ "do": "hang" })),
         request(2, "standings", json!({ "_meta": { "timeoutMs": 400 } })),
     );
-    let answers = caller.ask(&slow);
+    let responses = client.ask(&slow);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let of =
-        |id: i64| answers.as_array().into_iter().flatten().find(|a| a["id"] == id).expect("answered").clone();
+    let of = |id: i64| {
+        responses.as_array().into_iter().flatten().find(|a| a["id"] == id).expect("answered").clone()
+    };
     assert_eq!((code(&of(1)), &of(2)["result"]["method"]), (-32002, &json!("standings")));
 }
 
 #[test]
 fn a_client_that_never_reads_is_bounded_by_the_open_call_limit() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("x".repeat(60_000)))]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     proxy.rpc().call(0, "standings", json!({}));
-    let (_, before) = proxy.process.holds();
+    let (_, before) = proxy.process.descriptors_and_memory();
     let deaf = proxy.rpc();
     deaf.stream().set_nonblocking(true).expect("set");
     let mut sent = 0;
     let since = Instant::now();
-    // Until nothing more of it is taken.
+    // Until nothing more of it is read.
     while since.elapsed() < Duration::from_secs(3) && sent < 20_000 {
         let call = Framing::Lines.encode(&request(sent, "standings", json!({ "pad": "y".repeat(2_000) })));
         match deaf.stream().write(&call) {
@@ -210,7 +222,7 @@
         }
         proxy.rpc().call(1, "standings", json!({}));
     }
-    let (_, after) = proxy.process.holds();
+    let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (16 << 10), "{before} kB, then {after} kB after {sent} calls");
     let _ = deaf.stream().shutdown(std::net::Shutdown::Both);
 }
@@ -218,7 +230,7 @@
 #[test]
 fn partial_messages_time_out_and_idle_connections_stay() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
     let mut silent = proxy.rpc();
     let mut slow = proxy.rpc();
     let since = Instant::now();
@@ -238,16 +250,19 @@
 #[test]
 fn a_client_disconnect_cancels_calls_at_the_endpoint() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Hang]);
-    let site = Site { pool: ", cancel = \"$/cancelRequest\"".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&format!(
+    let site = RpcSite {
+        pool_settings: ", cancel = \"$/cancelRequest\"".to_owned(),
+        ..RpcSite::rpc(&[node.address])
+    };
+    let proxy = DualProtocolProxy::start(&site);
+    let mut client = proxy.rpc();
+    client.send(&format!(
         "[{},{}]",
         request(1, "close-round", json!({})),
         r#"{"jsonrpc":"2.0","method":"close-round","params":{}}"#
     ));
     let ids: BTreeSet<String> = (0..2).map(|_| node.request().1["id"].to_string()).collect();
-    drop(caller);
+    drop(client);
     let called_off: BTreeSet<String> = (0..2)
         .map(|_| {
             let notice = node.request().1;
@@ -257,37 +272,37 @@
         .collect();
     assert_eq!(called_off, ids);
     // The connection goes on.
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "standings", json!({})));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "standings", json!({})));
     assert_eq!(node.request().0, 0);
 }
 
-/// A connection breaks with calls on it that were not written, written in part, written, answered: each has one answer,
-/// what may have run is not sent again, and what was not written whole is.
+/// A connection breaks with calls on it that were not written, written in part, written, answered: each gets one response,
+/// what may have been executed is not retried, and what was not written completely is.
 #[test]
 fn a_broken_upstream_connection_fails_each_of_its_calls() {
     const CALLS: usize = 150;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
     let breaks = listener.local_addr().expect("bound");
-    // Reads some calls whole, answers three of them, then waits until all it gets is stuck, and breaks.
-    let (told, read) = std::sync::mpsc::channel();
+    // Reads some calls, answers three of them, then waits until all further bytes are stuck, and breaks.
+    let (call_read, read_calls) = std::sync::mpsc::channel();
     let go = Arc::new(Release::default());
     let wait = Arc::clone(&go);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (told, wait) = (told.clone(), Arc::clone(&wait));
+            let (call_read, wait) = (call_read.clone(), Arc::clone(&wait));
             thread::spawn(move || {
                 let mut reader =
                     std::io::BufReader::with_capacity(1 << 10, stream.try_clone().expect("a copy"));
                 for n in 0..6 {
                     let Some(text) = Framing::Lines.read(&mut reader) else { return };
                     let call: Value = serde_json::from_str(&text).expect("JSON");
-                    told.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
+                    call_read.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
                     if n < 3 {
-                        let answer =
+                        let response =
                             json!({ "jsonrpc": "2.0", "id": call["id"], "result": "first" }).to_string();
-                        (&stream).write_all(&Framing::Lines.encode(&answer)).expect("written");
+                        (&stream).write_all(&Framing::Lines.encode(&response)).expect("written");
                     }
                 }
                 wait.wait();
@@ -296,49 +311,53 @@
         }
     });
     let sound = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("second"))]);
-    let site = Site {
-        listen: ", calls = 200".to_owned(),
-        pool: ", calls = 200".to_owned(),
-        ..Site::rpc(&[breaks, sound.address])
+    let site = RpcSite {
+        rpc_listener_settings: ", calls = 200".to_owned(),
+        pool_settings: ", calls = 200".to_owned(),
+        ..RpcSite::rpc(&[breaks, sound.address])
     };
-    let proxy = Both::start(&site);
-    let mut caller = proxy.rpc();
+    let proxy = DualProtocolProxy::start(&site);
+    let mut client = proxy.rpc();
     for n in 0..CALLS {
-        caller.send(&request(
+        client.send(&request(
             n,
             "close-round",
             json!({ "n": n, "pad": "z".repeat(60_000), "_meta": { "timeoutMs": 20_000 } }),
         ));
     }
-    let mut answers: Vec<Value> = Vec::new();
-    let mut whole: BTreeSet<u64> = BTreeSet::new();
-    // The first have been read and answered; then the connection goes.
-    whole.extend((0..6).map(|_| read.recv_timeout(TEST_TIMEOUT).expect("a call")));
-    while answers.iter().filter(|a| a["result"] == "first").count() < 3 {
-        answers.push(caller.receive());
+    let mut responses: Vec<Value> = Vec::new();
+    let mut completely_read: BTreeSet<u64> = BTreeSet::new();
+    // The first have been read and answered; then the connection breaks.
+    completely_read.extend((0..6).map(|_| read_calls.recv_timeout(TEST_TIMEOUT).expect("a call")));
+    while responses.iter().filter(|a| a["result"] == "first").count() < 3 {
+        responses.push(client.receive());
     }
     go.release();
-    while answers.len() < CALLS {
-        answers.push(caller.receive());
+    while responses.len() < CALLS {
+        responses.push(client.receive());
     }
-    whole.extend(read.try_iter());
-    let ids: BTreeSet<u64> = answers.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
+    completely_read.extend(read_calls.try_iter());
+    let ids: BTreeSet<u64> = responses.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
     assert_eq!(ids.len(), CALLS, "one answer each");
     let second: BTreeSet<u64> =
         sound.requests().iter().map(|c| c["params"]["n"].as_u64().expect("a number")).collect();
-    assert!(second.is_disjoint(&whole), "ran twice: {:?}", second.intersection(&whole).collect::<Vec<_>>());
-    for answer in &answers {
-        match answer["result"].as_str() {
+    assert!(
+        second.is_disjoint(&completely_read),
+        "ran twice: {:?}",
+        second.intersection(&completely_read).collect::<Vec<_>>()
+    );
+    for response in &responses {
+        match response["result"].as_str() {
             Some("first") => {}
-            Some(_) => assert!(second.contains(&answer["id"].as_u64().expect("a number"))),
-            // Refused is what cannot have run; it must not have been read whole.
-            None if code(answer) == -32000 => {
-                assert!(!whole.contains(&answer["id"].as_u64().expect("a number")))
+            Some(_) => assert!(second.contains(&response["id"].as_u64().expect("a number"))),
+            // Only what cannot have been executed is rejected; it must not have been read completely.
+            None if code(response) == -32000 => {
+                assert!(!completely_read.contains(&response["id"].as_u64().expect("a number")))
             }
-            None => assert!(matches!(code(answer), -32001 | -32002), "{answer}"),
+            None => assert!(matches!(code(response), -32001 | -32002), "{response}"),
         }
     }
-    let failed = answers.iter().filter(|a| a["error"].is_object() && code(a) != -32000).count();
+    let failed = responses.iter().filter(|a| a["error"].is_object() && code(a) != -32000).count();
     assert!(failed >= 3, "those that it read and did not answer: {failed}");
 }
 
@@ -346,12 +365,12 @@
 fn unmatched_responses_are_ignored() {
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
-    let proxy = Both::start(&Site::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    assert_eq!(caller.call(1, "close-round", json!({}))["result"], 1);
-    let echo = caller.call(2, "close-round", json!({}));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let mut client = proxy.rpc();
+    assert_eq!(client.call(1, "close-round", json!({}))["result"], 1);
+    let echo = client.call(2, "close-round", json!({}));
     assert_eq!((&echo["id"], &echo["result"]["method"]), (&json!(2), &json!("close-round")));
-    // What is no answer ends the one it is for, which may have run; what is no message ends the connection.
+    // What is no valid response fails its call, which may have been executed; what is no message ends the connection.
     let node = MockRpcEndpoint::new(
         Framing::Lines,
         [
@@ -360,11 +379,11 @@
             RpcBehavior::Echo,
         ],
     );
-    let proxy = Both::start(&Site::rpc(&[node.address]));
-    let mut caller = proxy.rpc();
-    assert_eq!(code(&caller.call(1, "close-round", json!({}))), -32001);
-    assert_eq!(code(&caller.call(2, "close-round", json!({}))), -32001);
-    assert_eq!(caller.call(3, "close-round", json!({}))["result"]["method"], "close-round");
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let mut client = proxy.rpc();
+    assert_eq!(code(&client.call(1, "close-round", json!({}))), -32001);
+    assert_eq!(code(&client.call(2, "close-round", json!({}))), -32001);
+    assert_eq!(client.call(3, "close-round", json!({}))["result"]["method"], "close-round");
     assert_eq!(node.requests().len(), 3);
 }
 
@@ -376,31 +395,31 @@
         [RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("old"))],
     );
     let next = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("new"))]);
-    let (site, other) = (Site::rpc(&[node.address]), Site::rpc(&[next.address]));
-    let mut proxy = Both::start(&site);
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "close-round", json!({})));
+    let (site, other) = (RpcSite::rpc(&[node.address]), RpcSite::rpc(&[next.address]));
+    let mut proxy = DualProtocolProxy::start(&site);
+    let mut client = proxy.rpc();
+    client.send(&request(1, "close-round", json!({})));
     node.request();
     proxy.process.reload(&other.config());
-    proxy.process.says("configuration 2:");
+    proxy.process.wait_for_log("configuration 2:");
     assert_eq!(
-        caller.call(2, "close-round", json!({}))["result"],
+        client.call(2, "close-round", json!({}))["result"],
         "new",
         "a stream goes on under the next one"
     );
     proxy.process.terminate();
-    // Its port stays open for a while, and what comes is served.
+    // Its port stays open for a while, and new requests are served.
     assert_eq!(proxy.rpc().call(3, "standings", json!({}))["result"], "new");
     let waiting = thread::spawn(move || {
         thread::sleep(Duration::from_millis(700));
         release.release();
     });
-    assert_eq!(caller.receive()["result"], "old");
-    let notice = caller.receive();
+    assert_eq!(client.receive()["result"], "old");
+    let notice = client.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(2)));
-    assert!(caller.try_receive().is_none());
+    assert!(client.try_receive().is_none());
     waiting.join().expect("it ends");
-    assert!(proxy.process.end().success());
+    assert!(proxy.process.wait_for_exit().success());
 }
 
 #[test]
@@ -409,25 +428,26 @@
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let mut proxy = Both::start(&Site { aim_ms: 1500, ..Site::rpc(&[node.address]) });
-    let mut caller = proxy.rpc();
+    let mut proxy =
+        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 1500, ..RpcSite::rpc(&[node.address]) });
+    let mut client = proxy.rpc();
     let calls = [json!({}), json!({ "do": "hang" }), json!({})];
     let calls: Vec<_> =
         calls.into_iter().enumerate().map(|(n, params)| request(n as i64, "standings", params)).collect();
-    caller.send(&format!("[{}]", calls.join(",")));
+    client.send(&format!("[{}]", calls.join(",")));
     (0..3).for_each(|_| drop(node.request()));
     proxy.process.terminate();
-    proxy.process.says("told to end");
-    let answers = caller.receive();
-    let answers = answers.as_array().expect("one answer to the batch");
-    assert_eq!(answers.len(), 3, "{answers:?}");
-    for (n, answer) in answers.iter().enumerate() {
-        assert_eq!((&answer["id"], answer.get("result").is_some()), (&json!(n), n != 1), "{answer}");
+    proxy.process.wait_for_log("told to end");
+    let responses = client.receive();
+    let responses = responses.as_array().expect("one answer to the batch");
+    assert_eq!(responses.len(), 3, "{responses:?}");
+    for (n, response) in responses.iter().enumerate() {
+        assert_eq!((&response["id"], response.get("result").is_some()), (&json!(n), n != 1), "{response}");
     }
-    let notice = caller.receive();
+    let notice = client.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(1)));
-    assert!(caller.try_receive().is_none());
-    assert!(proxy.process.end().success());
+    assert!(client.try_receive().is_none());
+    assert!(proxy.process.wait_for_exit().success());
 }
 
 // ---- Two protocols ----
@@ -441,16 +461,16 @@
         Framing::Lines,
         [RpcBehavior::Raw("{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":{\"n\":1e400 }}\n".to_owned())],
     );
-    let brief = |site: Site| Both::start(&Site { aim_ms: 300, ..site });
-    let (to_http, to_rpc) = (brief(Site::http(&[http.address])), brief(Site::rpc(&[node.address])));
+    let brief = |site: RpcSite| DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..site });
+    let (to_http, to_rpc) = (brief(RpcSite::http(&[http.address])), brief(RpcSite::rpc(&[node.address])));
     let post = "POST /report-result/12?a=b HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\nX-Timeout-Ms: 900\r\nContent-Length: 7\r\n\r\n{\"a\":1}";
     let call = request(1, "report-result", json!({ "key": "k2", "a": 1, "_meta": { "timeoutMs": 900 } }));
     for proxy in [&to_http, &to_rpc] {
-        let answer = proxy.process.ask(post);
-        assert_eq!((answer.status(), &*answer.body), (200, &b"{\"n\":1e400 }"[..]));
-        let mut caller = proxy.rpc();
-        caller.send(&call);
-        assert!(caller.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
+        let response = proxy.process.request(post);
+        assert_eq!((response.status(), &*response.body), (200, &b"{\"n\":1e400 }"[..]));
+        let mut client = proxy.rpc();
+        client.send(&call);
+        assert!(client.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
     }
     let (by_http, by_rpc) = (http.request().1, http.request().1);
     assert_eq!(
@@ -481,24 +501,24 @@
             RpcBehavior::Result(json!("again")),
         ],
     );
-    let proxy = Both::start(&Site { window_ms: 4_000, ..Site::rpc(&[node.address]) });
+    let proxy = DualProtocolProxy::start(&RpcSite { key_window_ms: 4_000, ..RpcSite::rpc(&[node.address]) });
     let post = |key: &str| {
         let head = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
-        proxy.process.ask(&head)
+        proxy.process.request(&head)
     };
-    let mut caller = proxy.rpc();
-    caller.send(&request(1, "report-result", json!({ "key": "k" })));
+    let mut client = proxy.rpc();
+    client.send(&request(1, "report-result", json!({ "key": "k" })));
     node.request();
-    // Open: told so, the same on both.
-    let told = post("k");
-    assert_eq!((told.status(), told.header("X-Refusal-Cause")), (409, Some("key-open")));
-    let told = proxy.rpc().call(2, "report-result", json!({ "key": "k" }));
-    assert_eq!((code(&told), &told["error"]["data"]["cause"]), (-32003, &json!("key-open")));
-    assert_eq!(told["error"]["data"]["retryAfterMs"], 1000);
+    // In progress: rejected alike on both protocols.
+    let rejection = post("k");
+    assert_eq!((rejection.status(), rejection.header("X-Refusal-Cause")), (409, Some("key-open")));
+    let rejection = proxy.rpc().call(2, "report-result", json!({ "key": "k" }));
+    assert_eq!((code(&rejection), &rejection["error"]["data"]["cause"]), (-32003, &json!("key-open")));
+    assert_eq!(rejection["error"]["data"]["retryAfterMs"], 1000);
     release.release();
-    assert_eq!(caller.receive()["result"], "done");
+    assert_eq!(client.receive()["result"], "done");
     let served = Instant::now();
-    // Served: the same answer, and nothing is sent.
+    // Served: the stored response, and nothing is sent upstream.
     assert_eq!(post("k").body, b"\"done\"");
     assert_eq!(proxy.rpc().call(3, "report-result", json!({ "key": "k" }))["result"], "done");
     assert!(node.requests().is_empty());
@@ -507,10 +527,10 @@
     thread::sleep(Duration::from_millis(4_100).saturating_sub(served.elapsed()));
     assert_eq!(post("k").body, b"\"again\"");
     assert_eq!(node.requests().len(), 2);
-    // Both at once: one runs, the other is told.
+    // Both at once: one is executed, the other rejected.
     for round in 0..50 {
         let key = format!("r{round}");
-        let (mut http, mut rpc) = (proxy.process.caller(), proxy.rpc());
+        let (mut http, mut rpc) = (proxy.process.connect(), proxy.rpc());
         let body = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
         http.send(&body);
         rpc.send(&request(round, "report-result", json!({ "key": key })));
@@ -524,11 +544,13 @@
 #[test]
 fn at_the_key_limit_new_keys_are_rejected_and_none_is_executed_twice() {
     let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("z".repeat(100)))]);
-    let site =
-        Site { server: "keys = { entries = 3, bytes = 250 }\n".to_owned(), ..Site::rpc(&[node.address]) };
-    let proxy = Both::start(&site);
-    let mut caller = proxy.rpc();
-    let mut call = |key: &str| caller.call(1, "report-result", json!({ "key": key }));
+    let site = RpcSite {
+        server_settings: "keys = { entries = 3, bytes = 250 }\n".to_owned(),
+        ..RpcSite::rpc(&[node.address])
+    };
+    let proxy = DualProtocolProxy::start(&site);
+    let mut client = proxy.rpc();
+    let mut call = |key: &str| client.call(1, "report-result", json!({ "key": key }));
     for key in ["a", "b", "c"] {
         assert!(call(key)["result"].is_string(), "{key}");
     }
@@ -544,9 +566,9 @@
 
 #[test]
 fn configuration_errors_are_reported() {
-    let site = Site::rpc(&["127.0.0.1:9".parse().expect("an address")]);
+    let site = RpcSite::rpc(&["127.0.0.1:9".parse().expect("an address")]);
     let good = site.config();
-    for (from, to, told) in [
+    for (from, to, message) in [
         ("protocol = \"json-rpc\"", "protocol = \"grpc\"", "`protocol`: \"grpc\" is none"),
         ("framing = \"line\"", "framing = \"lines\"", "`framing`: \"lines\" is none"),
         ("framing = \"line\"", "calls = 0", "`calls`: 0 is not from 1 to 1024"),
@@ -562,11 +584,11 @@
         ),
         ("[[class]]", "[members]\nkey = \"a.b.c\"\n[[class]]", "`key`: \"a.b.c\" is no member"),
     ] {
-        let (mut child, _) = try_serve(&good.replacen(from, to, 1), &[]);
-        let mut words = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut words).expect("text");
-        assert_eq!(child.wait().expect("ends").code(), Some(2), "{told}");
-        assert!(words.contains(told), "{words}");
+        let (mut child, _) = spawn_standalone(&good.replacen(from, to, 1), &[]);
+        let mut stderr_text = String::new();
+        child.stderr.take().expect("piped").read_to_string(&mut stderr_text).expect("text");
+        assert_eq!(child.wait().expect("ends").code(), Some(2), "{message}");
+        assert!(stderr_text.contains(message), "{stderr_text}");
     }
 }
 
@@ -574,27 +596,31 @@
 fn methods_and_members_follow_the_configuration() {
     let http = MockEndpoint::new([ok("{}")]);
     let more = "[[method]]\nname = \"rank\"\nclass = \"standings\"\npath = \"/standings/{where.event}\"\nverb = \"POST\"\n[members]\ntimeout_ms = \"wait\"\nkey = \"_meta.dedup\"\n";
-    let proxy = Both::start(&Site { more: more.to_owned(), aim_ms: 300, ..Site::http(&[http.address]) });
-    let mut caller = proxy.rpc();
-    caller.call(1, "rank", json!({ "where": { "event": 12 }, "wait": 700 }));
-    let heard = http.request().1;
-    assert_eq!(heard.line, "POST /standings/12 HTTP/1.1");
-    assert!(heard.header("X-Timeout-Ms").and_then(|ms| ms.parse::<u64>().ok()) <= Some(700));
-    caller.call(2, "report-result", json!({ "_meta": { "dedup": "k" } }));
+    let proxy = DualProtocolProxy::start(&RpcSite {
+        extra_config: more.to_owned(),
+        latency_objective_ms: 300,
+        ..RpcSite::http(&[http.address])
+    });
+    let mut client = proxy.rpc();
+    client.call(1, "rank", json!({ "where": { "event": 12 }, "wait": 700 }));
+    let received = http.request().1;
+    assert_eq!(received.line, "POST /standings/12 HTTP/1.1");
+    assert!(received.header("X-Timeout-Ms").and_then(|ms| ms.parse::<u64>().ok()) <= Some(700));
+    client.call(2, "report-result", json!({ "_meta": { "dedup": "k" } }));
     assert_eq!(http.request().1.header("Idempotency-Key"), Some("k"));
-    assert_eq!(code(&caller.call(3, "standings", json!({}))), -32601, "`rank` stands for its class");
+    assert_eq!(code(&client.call(3, "standings", json!({}))), -32601, "`rank` stands for its class");
     for bad in [json!({ "wait": -1 }), json!({ "wait": "soon" }), json!({ "wait": 0 }), json!({ "wait": {} })]
     {
-        assert_eq!(code(&caller.call(4, "rank", bad.clone())), -32602, "{bad}");
+        assert_eq!(code(&client.call(4, "rank", bad.clone())), -32602, "{bad}");
     }
-    caller.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
-    assert_eq!(code(&caller.receive()), -32602);
+    client.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
+    assert_eq!(code(&client.receive()), -32602);
     assert_eq!(http.requests().len(), 0);
     // The wire is the proxy's: nothing of a call reaches a head.
-    let odd = caller.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
+    let odd = client.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
     assert_eq!(code(&odd), -32602, "as over HTTP, a path is not to hide a step or a line");
     assert_eq!(http.requests().len(), 0);
-    caller.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
+    client.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
     assert_eq!(http.request().1.line, "POST /standings/a%20b%3F%23 HTTP/1.1");
     let _ = TcpStream::connect(proxy.rpc).expect("it still listens");
 }
