--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -98,6 +98,7 @@
         }
     }
     first();
+    let _guard = exclude_process_starts();
     match disconnect {
         Disconnect::HalfClose | Disconnect::HalfCloseAfterUnreadBytes => {
             stream.shutdown(Shutdown::Write).expect("ended");
@@ -214,7 +215,9 @@
             thread::spawn(move || while !stop.load(std::sync::atomic::Ordering::Relaxed) {})
         })
         .collect();
+    let guard = exclude_process_starts();
     drop(clients);
+    drop(guard);
     let disconnected_at = Instant::now();
     let received = endpoint.open();
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
--- a/tests/stubs/platform.rs
+++ b/tests/stubs/platform.rs
@@ -3,6 +3,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use testkit::*;
 
@@ -141,9 +142,17 @@
     if let Some(path) = path {
         command.env("LB_CONFIG", path);
     }
+    let _guard = exclude_process_starts();
     command.spawn().expect("the proxy starts")
 }
 
+/// Keeps this test program from starting processes while the guard lives. A process that is being started holds a copy of every
+/// open socket until its program is loaded: a socket that is closed meanwhile stays open for its peer.
+pub fn exclude_process_starts() -> MutexGuard<'static, ()> {
+    static PROCESS_STARTS: Mutex<()> = Mutex::new(());
+    PROCESS_STARTS.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// A listening socket that proxies inherit, and a folder that they share.
 pub struct InheritedListener {
     listener: std::net::TcpListener,
