--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -11,7 +11,7 @@
 #[must_use]
 pub struct Permit {
     tenant: TenantId,
-    body: u64,
+    body_bytes: u64,
     /// The attempts that the request may have; None if they are not limited.
     pub max_attempts: Option<usize>,
 }
@@ -21,7 +21,7 @@
 pub struct ResourcesInUse {
     /// Requests in flight.
     pub in_flight: u64,
-    /// Bytes of buffered bodies.
+    /// Bytes of request bodies, as announced.
     pub body_bytes: u64,
 }
 
@@ -66,7 +66,7 @@
         id
     }
 
-    /// Sets other limits of a tenant; what it holds stays.
+    /// Sets other limits of a tenant; requests in flight and acquired quota are unaffected.
     pub fn set_limits(&mut self, now: Micros, id: TenantId, limits: Limits) {
         let Some(tenant) = self.tenants.get_mut(id).filter(|tenant| tenant.limits != limits) else { return };
         let previous_weight = tenant.weight();
@@ -104,8 +104,8 @@
 
     // ---- Requests ----
 
-    /// Admits a request. `priority_rank` is the priority of its class within the tenant, from 0 to 1; `body` the most
-    /// bytes that its body may take.
+    /// Admits a request. `priority_rank` is the priority of its class within the tenant, from 0 to 1; `body_bytes` the
+    /// announced length of its body.
     ///
     /// # Errors
     /// The tenant is over a limit, or has been removed.
@@ -114,11 +114,12 @@
         now: Micros,
         id: TenantId,
         priority_rank: f64,
-        body: u64,
+        body_bytes: u64,
     ) -> Result<Permit, Rejection> {
         if now - self.period_start >= SHARE_PERIOD {
             self.begin_period(now);
         }
+        // A removed tenant has no share of the capacity.
         let unknown_tenant = Rejection { reason: RejectReason::Share, retry_after: 0 };
         let tenant = self.tenants.get_mut(id).ok_or(unknown_tenant)?;
         tenant.note_request(now);
@@ -127,27 +128,27 @@
             tenant.set_active(&mut self.quotas, true);
             tenant.reset_share(&self.capacity, self.total_weight);
         }
-        if let Err(rejection) = tenant.check(now, priority_rank, body, &self.capacity, &self.quotas) {
+        if let Err(rejection) = tenant.check(now, priority_rank, body_bytes, &self.capacity, &self.quotas) {
             tenant.reject(rejection.reason);
             return Err(rejection);
         }
-        tenant.admit(body, &mut self.quotas);
-        Ok(Permit { tenant: id, body, max_attempts: tenant.max_attempts(now) })
+        tenant.admit(body_bytes, &mut self.quotas);
+        Ok(Permit { tenant: id, body_bytes, max_attempts: tenant.max_attempts(now) })
     }
 
     /// Returns the permit of a request that has ended after so many attempts.
     pub fn release(&mut self, now: Micros, permit: Permit, attempts: usize) {
-        let Permit { tenant: id, body, .. } = permit;
+        let Permit { tenant: id, body_bytes: acquired_bytes, .. } = permit;
         let Quotas { in_flight, body_bytes } = &mut self.quotas;
         match self.tenants.get_mut(id) {
             Some(tenant) => {
                 in_flight.release(Some(&mut tenant.in_flight), 1);
-                body_bytes.release(Some(&mut tenant.body_bytes), body);
+                body_bytes.release(Some(&mut tenant.body_bytes), acquired_bytes);
                 tenant.count_retries(now, attempts);
             }
             None => {
                 in_flight.release(None, 1);
-                body_bytes.release(None, body);
+                body_bytes.release(None, acquired_bytes);
             }
         }
     }
--- a/crates/limit/src/limits.rs
+++ b/crates/limit/src/limits.rs
@@ -7,7 +7,7 @@
     pub requests_per_s: f64,
     /// Requests in flight.
     pub in_flight: u64,
-    /// Bytes of buffered bodies.
+    /// Bytes of request bodies by their announced lengths; a body without one counts as the caller states.
     pub body_bytes: u64,
 }
 
@@ -24,7 +24,7 @@
     pub in_flight: u64,
     /// Downstream connections.
     pub connections: u64,
-    /// Bytes of buffered bodies.
+    /// Bytes of request bodies by their announced lengths; a body without one counts as the caller states.
     pub body_bytes: u64,
     /// Attempts beyond the first, a second.
     pub retries_per_s: f64,
--- a/crates/limit/src/quota.rs
+++ b/crates/limit/src/quota.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether a tenant may use this much more.
-    pub fn has_room(&self, tenant: &TenantQuota, amount: u64) -> bool {
+    pub fn can_acquire(&self, tenant: &TenantQuota, amount: u64) -> bool {
         let free = self.total.saturating_sub(self.used);
         if tenant.used + amount <= tenant.guaranteed {
             return amount <= free;
--- a/crates/limit/src/tenant.rs
+++ b/crates/limit/src/tenant.rs
@@ -131,22 +131,22 @@
         &mut self,
         now: Micros,
         priority_rank: f64,
-        body: u64,
+        body_bytes: u64,
         capacity: &Capacity,
         quotas: &Quotas,
     ) -> Result<(), Rejection> {
-        self.check_quotas(body, quotas)?;
+        self.check_quotas(body_bytes, quotas)?;
         self.check_rate(now)?;
         self.check_share(now, priority_rank, capacity)
     }
 
-    fn check_quotas(&self, body: u64, quotas: &Quotas) -> Result<(), Rejection> {
+    fn check_quotas(&self, body_bytes: u64, quotas: &Quotas) -> Result<(), Rejection> {
         let limits = &self.limits;
-        if self.in_flight.used >= limits.in_flight || !quotas.in_flight.has_room(&self.in_flight, 1) {
+        if self.in_flight.used >= limits.in_flight || !quotas.in_flight.can_acquire(&self.in_flight, 1) {
             return Err(Rejection { reason: RejectReason::InFlight, retry_after: 0 });
         }
-        let is_over_limit = self.body_bytes.used.saturating_add(body) > limits.body_bytes;
-        if is_over_limit || !quotas.body_bytes.has_room(&self.body_bytes, body) {
+        let is_over_limit = self.body_bytes.used.saturating_add(body_bytes) > limits.body_bytes;
+        if is_over_limit || !quotas.body_bytes.can_acquire(&self.body_bytes, body_bytes) {
             return Err(Rejection { reason: RejectReason::Bodies, retry_after: 0 });
         }
         Ok(())
@@ -176,11 +176,11 @@
     }
 
     /// Counts a request that was admitted.
-    pub fn admit(&mut self, body: u64, quotas: &mut Quotas) {
+    pub fn admit(&mut self, body_bytes: u64, quotas: &mut Quotas) {
         self.rate.take(1.0);
         self.credit.take(1.0);
         quotas.in_flight.acquire(&mut self.in_flight, 1);
-        quotas.body_bytes.acquire(&mut self.body_bytes, body);
+        quotas.body_bytes.acquire(&mut self.body_bytes, body_bytes);
         self.usage.admitted += 1;
     }
 
--- a/crates/limit/src/token_bucket.rs
+++ b/crates/limit/src/token_bucket.rs
@@ -2,6 +2,11 @@
 
 use crate::Micros;
 
+/// The longest wait that is stated for a rate above 0, in microseconds: some 30 years, exact as an `f64`.
+const MAX_WAIT_MICROS: f64 = 1e15;
+/// The wait where no token is ever refilled, in microseconds; sums with times of the clock stay in range.
+const NEVER: Micros = Micros::MAX / 4;
+
 /// Tokens that are refilled at a steady rate, up to a depth.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
@@ -30,14 +35,14 @@
         self.tokens -= tokens;
     }
 
-    /// The time in microseconds until this many tokens are available at `rate` tokens a second.
+    /// The time in microseconds until this many tokens are available at `rate` tokens a second; one that never comes at 0.
     #[must_use]
     pub fn time_until(&self, tokens: f64, rate: f64) -> Micros {
         let missing = (tokens - self.tokens).max(0.0);
         if rate > 0.0 {
-            (missing / rate * 1e6).ceil().min(1e15) as Micros
+            (missing / rate * 1e6).ceil().min(MAX_WAIT_MICROS) as Micros
         } else {
-            Micros::MAX / 4
+            NEVER
         }
     }
 }
--- a/crates/limit/src/usage.rs
+++ b/crates/limit/src/usage.rs
@@ -50,6 +50,6 @@
     pub in_flight: u64,
     /// Connections now.
     pub connections: u64,
-    /// Bytes of buffered bodies now.
+    /// Bytes of request bodies now, as announced.
     pub body_bytes: u64,
 }
