--- a/crates/route/src/normalize/mod.rs
+++ b/crates/route/src/normalize/mod.rs
@@ -42,7 +42,7 @@
             NormalizeError::BrokenEncoding => "a percent sign without two hex digits behind it",
             NormalizeError::ControlCharacter => "a control character in the path",
             NormalizeError::HiddenDotSegment => "a dot segment behind an encoded slash",
-            NormalizeError::TooManySegments => "more than 128 segments",
+            NormalizeError::TooManySegments => return write!(f, "more than {MAX_SEGMENTS} segments"),
             NormalizeError::InvalidHost => "not a host name or address",
             NormalizeError::InvalidPort => "not a port",
         })
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -19,7 +19,7 @@
     roots: HostMap<NodeIndex>,
 }
 
-/// The index of a route, half the size of that in the public interface.
+/// The index of a route; `u32` to halve the lists' memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RouteIndex(u32);
 
