--- a/crates/jsonrpc/src/lib.rs
+++ b/crates/jsonrpc/src/lib.rs
@@ -54,7 +54,8 @@
     pub const FAILED: i64 = -32001;
     /// Timed out; the call may have been executed.
     pub const TIMED_OUT: i64 = -32002;
-    /// Another call with this id or idempotency key is open.
+    /// Another call with this id or idempotency key is open, or one with this key was served and its response is no longer
+    /// stored.
     pub const CONFLICT: i64 = -32003;
     /// Rejected by a server before anything was executed.
     pub const NOT_PROCESSED: i64 = -32004;
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -1,8 +1,8 @@
 //! Message bodies: buffered and replayable, or streamed from one connection to another.
 //!
 //! A streamed body holds no more than what hyper reads ahead and has a single reader; flow control of the two connections
-//! is its only buffer bound. Sizes are in bytes. Each transfer is bounded by a minimum rate, a stall timeout and a maximum
-//! size.
+//! is its only buffer bound. Sizes are in bytes. Each transfer has a stall timeout and a maximum size; a request
+//! body has a minimum rate as well, a response of unknown length a bounded wait past its deadline.
 
 mod buffering;
 mod streaming;
@@ -51,7 +51,7 @@
     Interrupted,
     /// The transfer was too slow or stalled.
     TimedOut,
-    /// It is larger than its limit, or was read before.
+    /// It is larger than its limit.
     TooLarge,
 }
 
--- a/crates/proxy/src/body/streaming.rs
+++ b/crates/proxy/src/body/streaming.rs
@@ -2,7 +2,7 @@
 //!
 //! A request body is read to its end whatever becomes of the request, since a client may read no response before it has
 //! sent all of its body. A response body of unknown length is bounded by the deadline of its request: past it, only bodies
-//! that arrive at the promised rate go on.
+//! that arrive at `MIN_BYTES_PER_SECOND` or faster go on, until more than `MAX_BODY_WITHIN_DEADLINE_BYTES` have arrived.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
--- a/crates/proxy/src/downstream/request/head.rs
+++ b/crates/proxy/src/downstream/request/head.rs
@@ -30,7 +30,7 @@
     "x-forwarded-port",
     "x-forwarded-proto",
 ];
-/// The number of fields that hyper reads.
+/// hyper's limit on fields.
 const MAX_FIELDS: usize = 100;
 /// Fields that most requests have at most.
 const TYPICAL_FIELDS: usize = 16;
--- a/src/bin/amberlever-simulator/fields.rs
+++ b/src/bin/amberlever-simulator/fields.rs
@@ -9,7 +9,7 @@
 
 /// An absent value.
 pub const ABSENT: &str = "-";
-/// The largest time, in milliseconds: beyond it a double no longer counts microseconds.
+/// The largest time, in milliseconds: far beyond `decide::TIME_LIMIT`, and safe to convert to microseconds in an `i64`.
 const MAX_TIME_MS: f64 = 1e15;
 
 /// Reads the fields of a line from the left.
