--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts connections up to the limit of a listener.
+//! Accepts connections. At most the listener's limit stay open; one more is accepted, and then a connection is closed for
+//! it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use super::connection::DownstreamConnection;
 use super::{http, rpc, ListenerState};
 use crate::exchange::MAX_HEAD_BYTES;
-use crate::socket::Socket;
+use crate::socket::{Socket, NO_HEAD_CAPTURE};
 
 /// Pause before accepting again after a failure or at the limit; accepting at once would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -32,7 +33,7 @@
             if connections.stays_over_limit() {
                 connections.close_least_recently_used();
             }
-            // A new connection can be closed after a while, which nothing notifies of.
+            // Checked again after a pause, as a new connection may be closed later and that is not notified.
             let _ = timeout(ACCEPT_PAUSE, connections.connection_ended()).await;
         }
     }
@@ -41,7 +42,7 @@
 /// Registers a connection, and serves it in a task of its own.
 pub fn spawn_connection(listener: &Rc<ListenerState>, stream: TcpStream) {
     let protocol = listener.frontend.protocol;
-    let max_head_bytes = if protocol == Protocol::Http { MAX_HEAD_BYTES } else { 0 };
+    let max_head_bytes = if protocol == Protocol::Http { MAX_HEAD_BYTES } else { NO_HEAD_CAPTURE };
     let socket = Socket::for_downstream(stream, max_head_bytes);
     let connection = Rc::new(DownstreamConnection::new(socket.clone()));
     let registration = listener.connections.register(Rc::clone(&connection));
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -7,8 +7,8 @@
 
 use crate::body::STALL_TIMEOUT;
 use crate::clock::Clock;
-use crate::exchange::{ClientConnection, MAX_HEAD_BYTES};
-use crate::router::Connection;
+use crate::exchange::{DisconnectProbe, MAX_HEAD_BYTES};
+use crate::router::RouterConnectionState;
 use crate::socket::{Socket, UnreadInput};
 
 /// The connection of a client, as shared by its protocol, the timeouts and the drain.
@@ -16,12 +16,12 @@
     /// Where its protocol reads and writes.
     pub socket: Socket,
     /// What the router keeps with it.
-    pub router_state: Connection,
+    pub router_state: RouterConnectionState,
     is_busy: Cell<bool>,
     has_received_request: Cell<bool>,
     last_used_at: Cell<Instant>,
     is_closing: Cell<bool>,
-    response_progress: Cell<Option<WriteProgress>>,
+    response_progress: Cell<Option<ResponseWriteProgress>>,
     close_request: Notify,
     idle_abort_request: Notify,
     abort_request: Notify,
@@ -29,7 +29,7 @@
 
 /// How far a streamed response was written when that was last checked.
 #[derive(Clone, Copy)]
-struct WriteProgress {
+struct ResponseWriteProgress {
     bytes_written: u64,
     /// Since when it has not changed.
     since: Instant,
@@ -40,7 +40,7 @@
     pub fn new(socket: Socket) -> DownstreamConnection {
         DownstreamConnection {
             socket,
-            router_state: Connection::default(),
+            router_state: RouterConnectionState::default(),
             is_busy: Cell::new(false),
             has_received_request: Cell::new(false),
             last_used_at: Cell::new(Instant::now()),
@@ -92,10 +92,10 @@
         self.socket.start_next_message(MAX_HEAD_BYTES);
     }
 
-    /// The client that waits for its responses.
-    pub fn client(&self) -> ClientConnection {
+    /// Tells whether the client that waits for its responses has disconnected.
+    pub fn disconnect_probe(&self) -> DisconnectProbe {
         let socket = self.socket.clone();
-        ClientConnection::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
+        DisconnectProbe::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
     }
 
     /// Whether a part of its next request has arrived.
@@ -107,7 +107,8 @@
 
     /// A streamed response begins, or has been read further.
     pub fn on_response_streaming(&self) {
-        let progress = WriteProgress { bytes_written: self.socket.bytes_written(), since: Instant::now() };
+        let progress =
+            ResponseWriteProgress { bytes_written: self.socket.bytes_written(), since: Instant::now() };
         self.response_progress.set(Some(progress));
     }
 
--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -9,15 +9,16 @@
 
 use super::request::AcceptedRequest;
 use super::ListenerState;
-use crate::exchange::{ClientConnection, FinalResponse, UpstreamRequest};
+use crate::exchange::{DisconnectProbe, FinalResponse, UpstreamRequest};
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, RejectionOutcome};
 
-/// The decisions get this much less than the client's time, for the way of the response.
+/// Reserved out of the client's timeout for sending the response.
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
-/// But at most this part of the client's time.
+/// The reserved time is at most the client's timeout divided by this.
 const RESPONSE_TIME_DIVISOR: u32 = 10;
-/// This much before the client's time is up, a request without a decision fails.
+/// A request without a decision fails this long before its client's timeout; less than [`RESPONSE_TIME`], so that the
+/// decisions answer first, except with client timeouts under 80 ms.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(8);
 
 /// The time that a request may take.
@@ -52,7 +53,7 @@
 pub async fn dispatch(
     listener: &ListenerState,
     request: AcceptedRequest,
-    client: &ClientConnection,
+    disconnect_probe: &DisconnectProbe,
     received_at: Instant,
 ) -> FinalResponse {
     let AcceptedRequest { mut decision_input, message, mut pools, client_timeout, reserved_key, id_claim } =
@@ -65,7 +66,7 @@
     let budget = TimeBudget::new(received_at, decision_input.body_pending, timeout);
     decision_input.time_left = budget.decision_time.as_micros() as Micros;
     let response = loop {
-        let response = submit(listener, &*pools, &decision_input, &message, client, &budget).await;
+        let response = submit(listener, &*pools, &decision_input, &message, disconnect_probe, &budget).await;
         let FinalResponse::Rejected { never_ran, .. } = response else { break response };
         match pools.on_rejected(never_ran) {
             RejectionOutcome::Final => break response,
@@ -82,6 +83,7 @@
     if let Some(mut key) = reserved_key {
         key.record_response(&response);
     }
+    // Held until here so that the id stays claimed while attempts run.
     drop(id_claim);
     response
 }
@@ -92,12 +94,16 @@
     pools: &dyn PoolSequence,
     decision_input: &NewRequest,
     message: &Rc<UpstreamRequest>,
-    client: &ClientConnection,
+    disconnect_probe: &DisconnectProbe,
     budget: &TimeBudget,
 ) -> FinalResponse {
     let driver = pools.driver().clone();
-    let (id, response) =
-        driver.request(decision_input.clone(), Rc::clone(message), client.clone(), pools.attempt_counter());
+    let (id, response) = driver.submit(
+        decision_input.clone(),
+        Rc::clone(message),
+        disconnect_probe.clone(),
+        pools.attempt_counter(),
+    );
     let _cancellation = CancelOnDrop { driver: &driver, id };
     tokio::select! {
         biased;
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -19,14 +19,15 @@
 
 /// How often connections are checked while the listener drains.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest client timeout that is reckoned with, in microseconds; sums with times of the clock stay in range.
+/// Stands in for a client timeout that does not fit into [`Micros`]; sums with times of the clock stay in range. Not the
+/// limit that requests are validated against, which is `MAX_CLIENT_TIMEOUT_MS` in `request::routed`.
 const MAX_CLIENT_TIMEOUT: Micros = Micros::MAX / 4;
 
 /// How far the graceful shutdown of a listener has come.
 pub struct DrainState {
     shutdown: RefCell<Shutdown>,
     clock: Clock,
-    /// No further requests are waited for.
+    /// The time in which further requests are accepted is over: connections close with their next response.
     is_serving_over: Cell<bool>,
     /// True once open requests have to fail, as the process is about to be killed.
     is_deadline_passed: watch::Sender<bool>,
@@ -133,7 +134,7 @@
         let now = drain.clock.now();
         drain.advance(now);
         let open = listener.connections.snapshot();
-        // What the kernel holds unread was taken too.
+        // Requests that the kernel has acknowledged must be answered too.
         let has_work = |connection: &&Rc<DownstreamConnection>| {
             connection.is_busy() || connection.socket.unread_input() == UnreadInput::Data
         };
--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -1,5 +1,5 @@
 //! Why a request has no response of an endpoint: the side that caused the error, the HTTP status that it maps to, and the
-//! outcome that it is counted under. This is the only place that maps errors to statuses.
+//! outcome that it is counted under. Maps invalid requests and upstream failures to statuses; a [`Rejection`] brings its own.
 
 use decide::Micros;
 use hyper::StatusCode;
@@ -70,7 +70,7 @@
     TrailingBytes,
     /// An open request has its id.
     DuplicateRequestId,
-    /// Its method has no route in its class.
+    /// The route that a JSON-RPC call matches belongs to another class than its method.
     MethodNotRouted,
 }
 
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -18,7 +18,7 @@
 use super::connection::DownstreamConnection;
 use super::dispatch::dispatch;
 use super::error::{into_result, RequestError};
-use super::request::{Admission, RequestReader};
+use super::request::{AcceptOutcome, RequestReader};
 use super::ListenerState;
 use crate::exchange::{UpstreamResponse, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::metrics::{RequestOutcome, RequestRecorder};
@@ -68,10 +68,10 @@
     let handled = catch_panic(handle(listener, connection, request)).await;
     let mut response = match handled.unwrap_or(Err(RequestError::Internal)) {
         Ok(response) => response,
-        Err(error) => error_response(&error, listener.frontend.router.retry_after_in_seconds()),
+        Err(error) => error_response(&error, listener.frontend.router.retry_after_in_whole_seconds()),
     };
     let must_close = is_end_uncertain
-        || breaks_framing(response.status(), has_body)
+        || closes_after_status(response.status(), has_body)
         || listener.drain.is_serving_over()
         || connection.is_closing();
     if must_close {
@@ -83,9 +83,9 @@
     response
 }
 
-/// Whether it is unknown where the next request begins: after a malformed one, or where a limit rejected a valid one before
-/// its body was read.
-fn breaks_framing(status: StatusCode, has_body: bool) -> bool {
+/// Whether the connection closes after a response with this status: after every 4xx and 501, as the request's body may not
+/// have been read. 429 closes it only where the request has a body.
+fn closes_after_status(status: StatusCode, has_body: bool) -> bool {
     match status {
         StatusCode::TOO_MANY_REQUESTS => has_body,
         status => status.is_client_error() || status == StatusCode::NOT_IMPLEMENTED,
@@ -128,14 +128,14 @@
         router: &*listener.frontend.router,
         open_ids: &listener.frontend.ids,
         socket: &connection.socket,
-        connection: &connection.router_state,
+        router_state: &connection.router_state,
     };
     match reader.read(request, recorder).await? {
-        Admission::Accepted(accepted) => {
+        AcceptOutcome::Accepted(accepted) => {
             // The request's time counts from its last byte; of a streamed one, from now plus what its body may take.
             let received_at = Instant::now();
-            into_result(dispatch(listener, *accepted, &connection.client(), received_at).await)
+            into_result(dispatch(listener, *accepted, &connection.disconnect_probe(), received_at).await)
         }
-        Admission::Replayed(response) => into_result(response),
+        AcceptOutcome::Replayed(response) => into_result(response),
     }
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -56,7 +56,7 @@
 impl ListenerState {
     fn new(frontend: Frontend, max_connections: usize) -> ListenerState {
         let router = &frontend.router;
-        let terms = ShutdownPolicy {
+        let policy = ShutdownPolicy {
             longest_client_timeout: router.max_request_deadline().as_micros() as Micros,
             is_killed: router.has_termination_deadline(),
             is_only_proxy: router.may_shut_down_alone(),
@@ -66,7 +66,7 @@
         ListenerState {
             frontend,
             connections: Rc::new(ConnectionRegistry::new(max_connections, clock)),
-            drain: DrainState::new(Shutdown::new(terms), clock),
+            drain: DrainState::new(Shutdown::new(policy), clock),
         }
     }
 
@@ -87,7 +87,7 @@
 }
 
 /// Serves clients until `stop` completes, then drains: returns once every request that was taken has its response.
-/// `max_connections` connections are open at a time.
+/// At most `max_connections` connections stay open; one more is accepted, and then a connection is closed for it.
 pub async fn run(
     frontend: Frontend,
     socket: TcpListener,
--- a/crates/proxy/src/downstream/registry.rs
+++ b/crates/proxy/src/downstream/registry.rs
@@ -34,7 +34,7 @@
 }
 
 impl ConnectionRegistry {
-    /// Has no connections yet; `max_connections` may be open at a time.
+    /// Has no connections yet; at most `max_connections` stay open.
     pub fn new(max_connections: usize, clock: Clock) -> ConnectionRegistry {
         ConnectionRegistry {
             max_connections,
@@ -99,8 +99,8 @@
             !connection.is_closing() && (connection.is_busy() || !is_new())
         };
         let least_recently_used = connections.values().filter(is_candidate).min_by_key(|connection| {
-            let has_partial_request = connection.socket.message_bytes() > 0;
-            (connection.is_busy(), has_partial_request, connection.last_used_at())
+            let has_read_partial_request = connection.socket.message_bytes() > 0;
+            (connection.is_busy(), has_read_partial_request, connection.last_used_at())
         });
         if let Some(connection) = least_recently_used {
             connection.close();
--- a/crates/proxy/src/downstream/request/mod.rs
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -24,7 +24,7 @@
 use crate::idempotency_keys::ReservedKey;
 use crate::metrics::RequestRecorder;
 use crate::request_ids::{OpenRequestIds, RequestIdClaim};
-use crate::router::{Connection, PoolSequence, Router};
+use crate::router::{PoolSequence, Router, RouterConnectionState};
 use crate::socket::{Socket, UnreadInput};
 
 /// A buffered request is complete within this time from its first byte, as clients may send too slowly or less than they
@@ -48,7 +48,7 @@
 }
 
 /// What becomes of a valid request.
-pub enum Admission {
+pub enum AcceptOutcome {
     /// It can be submitted.
     Accepted(Box<AcceptedRequest>),
     /// It was served before; this is the stored response.
@@ -64,7 +64,7 @@
     /// Where they are read from.
     pub socket: &'a Socket,
     /// What the router keeps with the connection.
-    pub connection: &'a Connection,
+    pub router_state: &'a RouterConnectionState,
 }
 
 impl RequestReader<'_> {
@@ -76,7 +76,7 @@
         &self,
         request: Request<Incoming>,
         recorder: &Rc<RequestRecorder>,
-    ) -> Result<Admission, RequestError> {
+    ) -> Result<AcceptOutcome, RequestError> {
         let started_at = self.socket.message_started_at().unwrap_or_else(Instant::now);
         let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
         let head_bytes = head::validate_head(&self.socket.take_head())?;
@@ -86,7 +86,7 @@
         }
         // A body of unknown length is measured against the limit as it arrives.
         let body_bytes = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
-        let mut routed = routed::route(self.router, self.connection, &mut head, body_bytes)?;
+        let mut routed = routed::route(self.router, self.router_state, &mut head, body_bytes)?;
         recorder.set_counters(routed.counters.take());
         if head.method == Method::GET && body.size_hint().exact() != Some(0) {
             return Err(InvalidRequest::UnexpectedBody.into());
--- a/crates/proxy/src/downstream/request/routed.rs
+++ b/crates/proxy/src/downstream/request/routed.rs
@@ -10,7 +10,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request};
 
-use super::{AcceptedRequest, Admission};
+use super::{AcceptOutcome, AcceptedRequest};
 use crate::body::{self, MessageBody, StreamedResponseLimit};
 use crate::downstream::error::{InvalidRequest, RequestError};
 use crate::exchange::{
@@ -20,7 +20,7 @@
 use crate::idempotency_keys::{KeyLookup, KeyScope};
 use crate::metrics::RequestCounters;
 use crate::request_ids::OpenRequestIds;
-use crate::router::{single_header_value, Connection, PoolSequence, Rejection, Router};
+use crate::router::{single_header_value, PoolSequence, Rejection, Router, RouterConnectionState};
 
 /// The longest client timeout.
 const MAX_CLIENT_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
@@ -52,21 +52,21 @@
     streaming_limit: Option<u64>,
 }
 
-/// Validates and routes a head. `body_bytes` is the largest size that the body may have.
+/// Validates and routes a head. `announced_body_bytes` is as in [`Router::route`].
 ///
 /// # Errors
 /// The head is invalid, or the router rejects the request.
 pub fn route(
     router: &dyn Router,
-    connection: &Connection,
+    router_state: &RouterConnectionState,
     head: &mut Parts,
-    body_bytes: u64,
+    announced_body_bytes: u64,
 ) -> Result<RoutedRequest, RequestError> {
     let request_id = ensure_request_id(router, &mut head.headers)?;
-    if body_bytes > router.max_body_bytes() {
+    if announced_body_bytes > router.max_body_bytes() {
         return Err(InvalidRequest::BodyTooLarge.into());
     }
-    let decision = router.route(head, &request_id, body_bytes, connection)?;
+    let decision = router.route(head, &request_id, announced_body_bytes, router_state)?;
     let idempotency_key = idempotency_key(&head.headers, decision.semantics)?;
     let client_timeout = client_timeout(&head.headers, decision.deadline)?;
     let decision_input = NewRequest {
@@ -87,7 +87,7 @@
         idempotency_key,
         open_ids: decision.open_request_ids,
         key_scope: decision.key_scope,
-        rpc_method: decision.method,
+        rpc_method: decision.rpc_method,
         pools: decision.pools,
         class: decision.class,
         counters: decision.counters,
@@ -119,12 +119,12 @@
         body: MessageBody,
         call: Option<RpcCall>,
         listener_ids: &OpenRequestIds,
-    ) -> Result<Admission, RequestError> {
+    ) -> Result<AcceptOutcome, RequestError> {
         let open_ids = self.open_ids.as_ref().unwrap_or(listener_ids);
         let id_claim = open_ids.claim(&self.request_id).ok_or(InvalidRequest::DuplicateRequestId)?;
         let reserved_key = match self.reserve_key()? {
             Some(KeyLookup::Reserved(key)) => Some(key),
-            Some(KeyLookup::Replayed(response)) => return Ok(Admission::Replayed(response)),
+            Some(KeyLookup::Replayed(response)) => return Ok(AcceptOutcome::Replayed(response)),
             None => None,
         };
         if let Some(stream) = body.streaming() {
@@ -135,7 +135,7 @@
             }
         }
         self.prepare_head(&mut head, &body, call, reserved_key.is_some());
-        Ok(Admission::Accepted(Box::new(AcceptedRequest {
+        Ok(AcceptOutcome::Accepted(Box::new(AcceptedRequest {
             decision_input: self.decision_input,
             message: Rc::new(Request::from_parts(head, body)),
             pools: self.pools,
@@ -215,6 +215,10 @@
     Ok(Duration::from_millis(milliseconds))
 }
 
+/// The client's estimate of the work. One that cannot be read is ignored: it is a hint only.
+///
+/// # Errors
+/// The header is repeated or not text.
 fn estimated_work(headers: &HeaderMap) -> Result<Option<Micros>, InvalidRequest> {
     let work = header_value(headers, WORK_HEADER)?.and_then(parse_digits);
     Ok(work.and_then(|micros| Micros::try_from(micros).ok()).filter(|micros| *micros > 0))
--- a/crates/proxy/src/downstream/rpc/batch.rs
+++ b/crates/proxy/src/downstream/rpc/batch.rs
@@ -8,7 +8,7 @@
 use super::call::PreparedCall;
 use super::response::{encode_bounded_batch, CallResponse};
 use crate::downstream::ListenerState;
-use crate::exchange::ClientConnection;
+use crate::exchange::DisconnectProbe;
 
 /// A call of a batch that has been executed.
 struct BatchEntry {
@@ -22,7 +22,7 @@
 pub async fn execute_batch(
     mut calls: Vec<PreparedCall>,
     listener: Rc<ListenerState>,
-    client: ClientConnection,
+    disconnect_probe: DisconnectProbe,
     received_at: Instant,
 ) -> Option<Vec<u8>> {
     limit_to_shortest_timeout(&mut calls);
@@ -31,10 +31,10 @@
     let mut running: JoinSet<BatchEntry> = JoinSet::new();
     for (position, call) in calls.into_iter().enumerate() {
         let listener = Rc::clone(&listener);
-        let client = client.clone();
+        let disconnect_probe = disconnect_probe.clone();
         running.spawn_local(async move {
             let id = call.id.clone();
-            let message = call.execute(&listener, &client, received_at).await;
+            let message = call.execute(&listener, &disconnect_probe, received_at).await;
             BatchEntry { position, response: message.map(|message| CallResponse { id, message }) }
         });
     }
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -11,9 +11,9 @@
 use crate::downstream::connection::DownstreamConnection;
 use crate::downstream::dispatch::dispatch;
 use crate::downstream::error::{into_result, InvalidRequest, RequestError};
-use crate::downstream::request::{self, AcceptedRequest, Admission};
+use crate::downstream::request::{self, AcceptOutcome, AcceptedRequest};
 use crate::downstream::ListenerState;
-use crate::exchange::{ClientConnection, FinalResponse, RpcCall, UpstreamResponse};
+use crate::exchange::{DisconnectProbe, FinalResponse, RpcCall, UpstreamResponse};
 use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::panic_guard::catch_panic;
 use crate::rpc_mapping;
@@ -66,9 +66,9 @@
         let id: CallId = call.id.map(ToOwned::to_owned);
         let is_notification = id.is_none();
         let mut prepared = PreparedCall::new(id, is_notification, CallState::Ignored);
-        prepared.state = match admit(listener, connection, call, frame, &prepared.recorder) {
-            Ok(Admission::Accepted(accepted)) => CallState::Accepted(accepted),
-            Ok(Admission::Replayed(response)) => CallState::Replayed(response),
+        prepared.state = match route_and_accept(listener, connection, call, frame, &prepared.recorder) {
+            Ok(AcceptOutcome::Accepted(accepted)) => CallState::Accepted(accepted),
+            Ok(AcceptOutcome::Replayed(response)) => CallState::Replayed(response),
             Err(error) => {
                 prepared.recorder.record(error.outcome());
                 CallState::Rejected(error)
@@ -101,13 +101,13 @@
     pub async fn execute(
         self,
         listener: &ListenerState,
-        client: &ClientConnection,
+        disconnect_probe: &DisconnectProbe,
         received_at: Instant,
     ) -> Option<Vec<u8>> {
         let id = self.id.as_deref();
         let response = match self.state {
             CallState::Accepted(accepted) => {
-                catch_panic(dispatch(listener, *accepted, client, received_at)).await
+                catch_panic(dispatch(listener, *accepted, disconnect_probe, received_at)).await
             }
             CallState::Replayed(response) => Some(response),
             CallState::Rejected(error) => return Some(encode_request_error(id, &error)),
@@ -129,13 +129,13 @@
 }
 
 /// Routes a call by its form in HTTP, and accepts it.
-fn admit(
+fn route_and_accept(
     listener: &ListenerState,
     connection: &DownstreamConnection,
     call: &Call<'_>,
     frame: &Bytes,
     recorder: &RequestRecorder,
-) -> Result<Admission, RequestError> {
+) -> Result<AcceptOutcome, RequestError> {
     let frontend = &listener.frontend;
     let router = Rc::clone(&frontend.router);
     let (mut head, class_of_method) = router.route_call(call)?;
--- a/crates/proxy/src/downstream/rpc/mod.rs
+++ b/crates/proxy/src/downstream/rpc/mod.rs
@@ -28,7 +28,7 @@
 use self::response::{encode_duplicate_id, encode_invalid_message};
 use super::connection::DownstreamConnection;
 use super::ListenerState;
-use crate::socket::{Socket, UnreadInput};
+use crate::socket::{Socket, UnreadInput, NO_HEAD_CAPTURE};
 
 /// A client that reads nothing of its responses for this long is disconnected.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -45,7 +45,7 @@
     framing: Framing,
     max_open_calls: usize,
 ) {
-    let mut rpc = RpcConnection {
+    let mut rpc = DownstreamRpcConnection {
         listener: Rc::clone(listener),
         connection: Rc::clone(connection),
         framing,
@@ -67,7 +67,7 @@
     }
 }
 
-struct RpcConnection {
+struct DownstreamRpcConnection {
     listener: Rc<ListenerState>,
     connection: Rc<DownstreamConnection>,
     framing: Framing,
@@ -94,7 +94,7 @@
     ids: Vec<String>,
 }
 
-impl RpcConnection {
+impl DownstreamRpcConnection {
     async fn run(&mut self, socket: Socket) {
         let (mut reader, mut writer) = (socket.clone(), socket.clone());
         let mut is_close_requested = false;
@@ -112,7 +112,7 @@
             }
             if can_read && is_paused {
                 // The client has not caused the pause, so its time for a message starts again.
-                socket.start_next_message(0);
+                socket.start_next_message(NO_HEAD_CAPTURE);
             }
             is_paused = !can_read;
             tokio::select! {
@@ -208,7 +208,7 @@
     fn on_frame(&mut self, frame: &Bytes) {
         self.messages_read += 1;
         self.connection.on_request_received();
-        self.connection.socket.start_next_message(0);
+        self.connection.socket.start_next_message(NO_HEAD_CAPTURE);
         let received_at = Instant::now();
         match jsonrpc::parse(frame, &Limits::default()) {
             Ok(Parsed::One(message)) => {
@@ -264,9 +264,9 @@
         self.open_calls += 1;
         let ids = call.open_id.take().into_iter().collect();
         let listener = Rc::clone(&self.listener);
-        let client = self.connection.client();
+        let disconnect_probe = self.connection.disconnect_probe();
         self.running.spawn_local(async move {
-            let response = call.execute(&listener, &client, received_at).await;
+            let response = call.execute(&listener, &disconnect_probe, received_at).await;
             FinishedCalls { response, calls: 1, ids }
         });
     }
@@ -275,9 +275,9 @@
     fn start_notification(&mut self, call: PreparedCall, received_at: Instant) {
         self.open_calls += 1;
         let listener = Rc::clone(&self.listener);
-        let client = self.connection.client();
+        let disconnect_probe = self.connection.disconnect_probe();
         self.running.spawn_local(async move {
-            call.execute(&listener, &client, received_at).await;
+            call.execute(&listener, &disconnect_probe, received_at).await;
             FinishedCalls { response: None, calls: 1, ids: Vec::new() }
         });
     }
@@ -296,9 +296,9 @@
         self.open_calls += call_count;
         let ids = calls.iter_mut().filter_map(|call| call.open_id.take()).collect();
         let listener = Rc::clone(&self.listener);
-        let client = self.connection.client();
+        let disconnect_probe = self.connection.disconnect_probe();
         self.running.spawn_local(async move {
-            let response = execute_batch(calls, listener, client, received_at).await;
+            let response = execute_batch(calls, listener, disconnect_probe, received_at).await;
             FinishedCalls { response, calls: call_count, ids }
         });
     }
--- a/crates/proxy/src/driver/attempt_task.rs
+++ b/crates/proxy/src/driver/attempt_task.rs
@@ -32,15 +32,15 @@
     attempt: AttemptId,
     request: AttemptRequest,
     driver: &DriverHandle,
-    upstreams: &Rc<UpstreamPool>,
+    upstream_pool: &Rc<UpstreamPool>,
 ) -> AttemptTask {
     let mut guard = ResultGuard::new(driver.clone(), attempt);
-    let upstreams = Rc::clone(upstreams);
+    let upstream_pool = Rc::clone(upstream_pool);
     let write_started = request.write_started.clone();
     let task = spawn_local(async move {
-        let end = upstreams.attempt(&request).await;
+        let end = upstream_pool.attempt(&request).await;
         guard.send(end.result);
-        upstreams.reuse(request.endpoint, end.reusable_connection).await;
+        upstream_pool.reuse(request.endpoint, end.reusable_connection).await;
     });
     AttemptTask { abort: task.abort_handle(), write_started }
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -23,7 +23,7 @@
 use crate::clock::Clock;
 use crate::exchange::{AttemptResult, FinalResponse};
 use crate::gossip::GossipSocket;
-use crate::inbox::{AcceptedRequest, AttemptId, AttemptTarget, DriverHandle, DriverInput};
+use crate::inbox::{AttemptId, AttemptTarget, DriverHandle, DriverInput, SubmittedRequest};
 use crate::log::say;
 use crate::upstream::UpstreamPool;
 
@@ -35,7 +35,7 @@
     /// The seed of `balancer`, which also tells its timers from those of an earlier one.
     balancer_seed: u64,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    upstreams: Rc<UpstreamPool>,
+    upstream_pool: Rc<UpstreamPool>,
     gossip: Option<Rc<GossipSocket>>,
     poll_discovery: Rc<Notify>,
     handle: DriverHandle,
@@ -50,7 +50,7 @@
         settings: Settings,
         seed: u64,
         clock: Clock,
-        upstreams: Rc<UpstreamPool>,
+        upstream_pool: Rc<UpstreamPool>,
         gossip: Option<Rc<GossipSocket>>,
         poll_discovery: Rc<Notify>,
     ) -> Driver {
@@ -61,7 +61,7 @@
             settings,
             balancer_seed: seed,
             open_requests: BTreeMap::new(),
-            upstreams,
+            upstream_pool,
             gossip,
             poll_discovery,
             handle,
@@ -80,16 +80,16 @@
         while let Some(input) = self.inputs.recv().await {
             self.follow_ups.push_back(input);
             while let Some(input) = self.follow_ups.pop_front() {
-                self.take_guarded(input);
+                self.handle_input_or_replace_balancer(input);
             }
         }
     }
 
-    /// Takes an input, and replaces the balancer if it panics.
-    fn take_guarded(&mut self, input: DriverInput) {
+    /// Handles an input, and replaces the balancer if it panics.
+    fn handle_input_or_replace_balancer(&mut self, input: DriverInput) {
         // A new balancer that panics on the cached endpoints does not get them again.
         let is_cached_list = matches!(input, DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. });
-        if catch_unwind(AssertUnwindSafe(|| self.take(input))).is_err() {
+        if catch_unwind(AssertUnwindSafe(|| self.handle_input(input))).is_err() {
             self.replace_balancer(!is_cached_list);
         }
     }
@@ -105,19 +105,19 @@
         self.balancer_seed = self.balancer_seed.wrapping_add(1);
         self.balancer = Balancer::new(self.settings.clone(), self.balancer_seed);
         if with_cached_list {
-            let endpoints = self.upstreams.listed_endpoints();
+            let endpoints = self.upstream_pool.listed_endpoints();
             self.follow_ups.push_back(DriverInput::EndpointUpdate { scope: UpdateScope::Cached, endpoints });
         }
     }
 
     // ---- Inputs to events ----
 
-    fn take(&mut self, input: DriverInput) {
+    fn handle_input(&mut self, input: DriverInput) {
         match input {
             DriverInput::EndpointUpdate { scope, endpoints } => {
                 self.decide(Event::EndpointUpdate { scope, endpoints: &endpoints });
             }
-            DriverInput::Request(accepted) => self.on_request(accepted),
+            DriverInput::Request(submitted) => self.on_request(submitted),
             DriverInput::BodyReceived(id) => self.decide(Event::BodyReceived(id)),
             DriverInput::AttemptEnded { attempt, result } => self.on_attempt_ended(attempt, result),
             DriverInput::AttemptCancelled { attempt, target, outcome } => {
@@ -142,16 +142,16 @@
         }
     }
 
-    fn on_request(&mut self, accepted: AcceptedRequest) {
-        let AcceptedRequest { new, message, client, attempts, response } = accepted;
-        let id = new.id;
-        let request = OpenRequest::new(message, client, attempts, response);
+    fn on_request(&mut self, submitted: SubmittedRequest) {
+        let SubmittedRequest { decision_input, message, disconnect_probe, attempts, response } = submitted;
+        let id = decision_input.id;
+        let request = OpenRequest::new(message, disconnect_probe, attempts, response);
         if let Some(body) = request.streamed_body() {
             let handle = self.handle();
             body.on_complete(move || handle.send(DriverInput::BodyReceived(id)));
         }
         self.open_requests.insert(id, request);
-        self.decide(Event::Request(new));
+        self.decide(Event::Request(decision_input));
     }
 
     fn on_client_disconnected(&mut self, id: RequestId) {
@@ -246,8 +246,8 @@
     fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: Micros) {
         let Some(request) = self.open_requests.get_mut(&id) else { return };
         let attempt = AttemptId { request: id, number: request.attempt_count() };
-        let order = request.attempt_request(endpoint, self.clock.instant(deadline));
-        let task = attempt_task::spawn(attempt, order, &self.handle, &self.upstreams);
+        let attempt_request = request.attempt_request(endpoint, self.clock.instant(deadline));
+        let task = attempt_task::spawn(attempt, attempt_request, &self.handle, &self.upstream_pool);
         let started_at = self.clock.now();
         request.record_attempt(AttemptTarget { endpoint, started_at }, task);
     }
@@ -283,10 +283,10 @@
 
     fn start_health_check(&self, endpoint: EndpointId) {
         let handle = self.handle();
-        let upstreams = Rc::clone(&self.upstreams);
+        let upstream_pool = Rc::clone(&self.upstream_pool);
         let target = AttemptTarget { endpoint, started_at: self.clock.now() };
         spawn_local(async move {
-            let result = upstreams.health_check(endpoint).await;
+            let result = upstream_pool.health_check(endpoint).await;
             handle.send(DriverInput::HealthCheckEnded { target, result });
         });
     }
--- a/crates/proxy/src/driver/open_request.rs
+++ b/crates/proxy/src/driver/open_request.rs
@@ -9,14 +9,14 @@
 use super::attempt_history::{AttemptHistory, RunningAttempt};
 use super::attempt_task::AttemptTask;
 use crate::body::StreamingBody;
-use crate::exchange::{AttemptCounter, ClientConnection, ClientTimeout, FinalResponse, UpstreamRequest};
+use crate::exchange::{AttemptCounter, ClientTimeout, DisconnectProbe, FinalResponse, UpstreamRequest};
 use crate::inbox::AttemptTarget;
 use crate::upstream::{AttemptRequest, WriteStarted};
 
 /// A request without its final response.
 pub struct OpenRequest {
     message: Rc<UpstreamRequest>,
-    client: ClientConnection,
+    disconnect_probe: DisconnectProbe,
     /// None once the response was sent.
     response: Option<oneshot::Sender<FinalResponse>>,
     attempt_counter: AttemptCounter,
@@ -29,13 +29,13 @@
     /// A request that has no attempts yet.
     pub fn new(
         message: Rc<UpstreamRequest>,
-        client: ClientConnection,
+        disconnect_probe: DisconnectProbe,
         attempt_counter: AttemptCounter,
         response: oneshot::Sender<FinalResponse>,
     ) -> OpenRequest {
         OpenRequest {
             message,
-            client,
+            disconnect_probe,
             response: Some(response),
             attempt_counter,
             history: AttemptHistory::default(),
@@ -50,7 +50,7 @@
 
     /// Whether its client has closed the connection, also where that input has not arrived yet.
     pub fn is_client_disconnected(&self) -> bool {
-        self.client.is_disconnected()
+        self.disconnect_probe.is_disconnected()
     }
 
     /// The number of its attempts so far.
@@ -64,7 +64,7 @@
         AttemptRequest {
             endpoint,
             message: Rc::clone(&self.message),
-            client: self.client.clone(),
+            disconnect_probe: self.disconnect_probe.clone(),
             deadline,
             client_timeout: client_timeout.map(|timeout| timeout.0),
             write_started: WriteStarted::default(),
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -11,7 +11,7 @@
 use super::attempt_history::{AttemptHistory, RunningAttempt};
 use super::attempt_task::ResultGuard;
 use super::*;
-use crate::exchange::{AttemptCounter, ClientConnection};
+use crate::exchange::{AttemptCounter, DisconnectProbe};
 
 fn block_on_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -37,7 +37,7 @@
         let mut driver = driver();
         let (response, receiver) = oneshot::channel();
         let request =
-            OpenRequest::new(Rc::default(), ClientConnection::default(), AttemptCounter::default(), response);
+            OpenRequest::new(Rc::default(), DisconnectProbe::default(), AttemptCounter::default(), response);
         driver.open_requests.insert(RequestId(1), request);
         let old_seed = driver.balancer_seed;
         driver.replace_balancer(true);
@@ -48,14 +48,14 @@
             panic!("no list")
         };
         // The new balancer starts its own timers, and those of the old one are ignored.
-        driver.take(list);
+        driver.handle_input(list);
         let Some(DriverInput::Timer { balancer_seed, token }) = driver.inputs.recv().await else {
             panic!("no timer")
         };
         assert_ne!(balancer_seed, old_seed);
-        driver.take(DriverInput::Timer { balancer_seed: old_seed, token });
+        driver.handle_input(DriverInput::Timer { balancer_seed: old_seed, token });
         assert!(timeout(Duration::from_secs(1), driver.inputs.recv()).await.is_err());
-        driver.take(DriverInput::Timer { balancer_seed, token });
+        driver.handle_input(DriverInput::Timer { balancer_seed, token });
         assert!(matches!(driver.inputs.recv().await, Some(DriverInput::Timer { .. })));
     });
 }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn only_the_last_end_says_whether_time_ran_out() {
+fn last_timed_out_reflects_the_latest_ended_attempt() {
     let mut history = AttemptHistory::default();
     history.start(target(1));
     history.start(target(2));
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -14,7 +14,6 @@
 use hyper::{HeaderMap, Request};
 
 use crate::body::MessageBody;
-use crate::metrics::RequestOutcome;
 
 /// The largest body that is buffered, and so can be sent again by a retry; a larger one is streamed where the route
 /// allows it, and rejected elsewhere.
@@ -47,14 +46,14 @@
     pub received_over_http: bool,
 }
 
-/// The connection of the client that waits for a response, as far as the upstream side needs it.
+/// Tells whether the client that waits for a response has disconnected.
 #[derive(Clone, Default)]
-pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
+pub struct DisconnectProbe(Option<Rc<dyn Fn() -> bool>>);
 
-impl ClientConnection {
-    /// A connection whose state `is_disconnected` reads.
-    pub fn new(is_disconnected: impl Fn() -> bool + 'static) -> ClientConnection {
-        ClientConnection(Some(Rc::new(is_disconnected)))
+impl DisconnectProbe {
+    /// A probe that calls `is_disconnected`; the default one never reports a disconnect.
+    pub fn new(is_disconnected: impl Fn() -> bool + 'static) -> DisconnectProbe {
+        DisconnectProbe(Some(Rc::new(is_disconnected)))
     }
 
     /// Whether the client has closed the connection or its sending side. No attempt is started for it then.
@@ -107,17 +106,6 @@
     TimedOut,
 }
 
-impl FinalResponse {
-    /// The outcome that the request is counted under.
-    pub fn request_outcome(&self) -> RequestOutcome {
-        match self {
-            FinalResponse::Served(_) => RequestOutcome::Served,
-            FinalResponse::Rejected { .. } => RequestOutcome::Rejected,
-            FinalResponse::Failed | FinalResponse::TimedOut => RequestOutcome::Failed,
-        }
-    }
-}
-
 /// The result of an attempt or of a health check.
 pub struct AttemptResult {
     /// How it ended.
--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -25,7 +25,7 @@
 use crate::log::say;
 use crate::operators::{self, OperatorActions, OperatorEndpoint};
 use crate::process::{self, BoundListeners, Signals};
-use crate::route_lookup::RequestIdGenerator;
+use crate::request_ids::RequestIdGenerator;
 use crate::start_error::StartError;
 
 use router::TenantRouter;
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -10,8 +10,11 @@
 use super::limits::{priority_rank, ConnectionPermit, LimitedPools};
 use super::tenant::HostedTenant;
 use super::tenants::HostedTenants;
-use crate::route_lookup::{resolve, RequestIdGenerator, ResolvedRoute};
-use crate::router::{single_header_value, Connection, Rejection, RouteDecision, Router, TENANT_HEADER};
+use crate::request_ids::RequestIdGenerator;
+use crate::route_lookup::{resolve, ResolvedRoute};
+use crate::router::{
+    single_header_value, Rejection, RouteDecision, Router, RouterConnectionState, TENANT_HEADER,
+};
 use crate::rpc_mapping;
 
 /// Routes the requests of one listener to the pools of their tenants.
@@ -45,7 +48,11 @@
     }
 
     /// Counts a connection as this tenant's. One that belonged to another tenant is counted as that one's no more.
-    fn admit_connection(&self, tenant: &HostedTenant, connection: &Connection) -> Result<(), Rejection> {
+    fn admit_connection(
+        &self,
+        tenant: &HostedTenant,
+        connection: &RouterConnectionState,
+    ) -> Result<(), Rejection> {
         let mut state = connection.borrow_mut();
         let permit = state.as_ref().and_then(|state| state.downcast_ref::<ConnectionPermit>());
         if permit.is_some_and(|permit| permit.tenant == tenant.id) {
@@ -64,13 +71,13 @@
         head: &mut Parts,
         id: &str,
         body: u64,
-        connection: &Connection,
+        connection: &RouterConnectionState,
     ) -> Result<RouteDecision, Rejection> {
         let tenant = self.tenant_of_request(head)?;
         self.admit_connection(&tenant, connection)?;
         let snapshot = tenant.snapshot_for_request(&self.hosted.pool_context());
         let (selection, resolved) = resolve(Rc::clone(&snapshot), &self.listener, head, id, &tenant.keys)?;
-        let ResolvedRoute { class, semantics, deadline, method, key_scope } = resolved;
+        let ResolvedRoute { class, semantics, deadline, rpc_method, key_scope } = resolved;
         let counters = selection.counters();
         let rank = priority_rank(&snapshot.config, class);
         let pools = LimitedPools::admit(&self.hosted, tenant.id, rank, body, selection)?;
@@ -80,7 +87,7 @@
             semantics,
             deadline,
             tenant: None,
-            method,
+            rpc_method,
             key_scope,
             counters,
             pools: Box::new(pools),
@@ -100,7 +107,7 @@
         self.hosted.is_ready()
     }
 
-    fn retry_after_in_seconds(&self) -> bool {
+    fn retry_after_in_whole_seconds(&self) -> bool {
         true
     }
 }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -7,14 +7,14 @@
 use decide::{Endpoint, EndpointId, Micros, NewRequest, Outcome, RequestId, UpdateScope};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::exchange::{AttemptCounter, AttemptResult, ClientConnection, FinalResponse, UpstreamRequest};
+use crate::exchange::{AttemptCounter, AttemptResult, DisconnectProbe, FinalResponse, UpstreamRequest};
 
 /// Something that happened, as it waits for its turn.
 pub enum DriverInput {
     /// A watch event of the endpoint list.
     EndpointUpdate { scope: UpdateScope, endpoints: Vec<Endpoint> },
     /// A request arrived.
-    Request(AcceptedRequest),
+    Request(SubmittedRequest),
     /// The last byte of a request's body arrived.
     BodyReceived(RequestId),
     /// An attempt ended.
@@ -38,13 +38,13 @@
 }
 
 /// A request that is owed a final response.
-pub struct AcceptedRequest {
+pub struct SubmittedRequest {
     /// What the decisions need of it.
-    pub new: NewRequest,
+    pub decision_input: NewRequest,
     /// The request as it is sent upstream.
     pub message: Rc<UpstreamRequest>,
-    /// The connection that waits for the response.
-    pub client: ClientConnection,
+    /// Tells whether the client that waits for the response has disconnected.
+    pub disconnect_probe: DisconnectProbe,
     /// Counts its attempts.
     pub attempts: AttemptCounter,
     /// Takes the response.
@@ -85,18 +85,24 @@
     }
 
     /// Submits a request. A receiver that closes without a response means that the request failed.
-    pub fn request(
+    pub fn submit(
         &self,
-        mut new: NewRequest,
+        mut decision_input: NewRequest,
         message: Rc<UpstreamRequest>,
-        client: ClientConnection,
+        disconnect_probe: DisconnectProbe,
         attempts: AttemptCounter,
     ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
         let id = RequestId(self.last_id.get() + 1);
         self.last_id.set(id.0);
-        new.id = id;
+        decision_input.id = id;
         let (response, receiver) = oneshot::channel();
-        self.send(DriverInput::Request(AcceptedRequest { new, message, client, attempts, response }));
+        self.send(DriverInput::Request(SubmittedRequest {
+            decision_input,
+            message,
+            disconnect_probe,
+            attempts,
+            response,
+        }));
         (id, receiver)
     }
 
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -95,7 +95,7 @@
         endpoints.extend(unreadable.iter().filter_map(|name| self.drain_unreadable(name)));
         if scope != UpdateScope::Delta {
             let listed: BTreeSet<EndpointId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
-            self.upstreams.retain_listed(|id| listed.contains(&id));
+            self.upstreams.mark_unlisted_removed(|id| listed.contains(&id));
             self.endpoints.remove_all_but(&listed);
         }
         self.endpoints.forget_removed();
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -15,8 +15,8 @@
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{
-    single_header_value, Connection, PoolSequence, Rejection, RejectionOutcome, RouteDecision, Router,
-    CLASS_HEADER, TENANT_HEADER,
+    single_header_value, PoolSequence, Rejection, RejectionOutcome, RouteDecision, Router,
+    RouterConnectionState, CLASS_HEADER, TENANT_HEADER,
 };
 
 /// Routes every request to the platform's one pool.
@@ -66,7 +66,13 @@
 }
 
 impl Router for PlatformRouter {
-    fn route(&self, head: &mut Parts, _: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
+    fn route(
+        &self,
+        head: &mut Parts,
+        _: &str,
+        _: u64,
+        _: &RouterConnectionState,
+    ) -> Result<RouteDecision, Rejection> {
         let class = self.class(head)?;
         let class_settings = &self.settings.classes[class];
         if head.method != http_method(class_settings.semantics) {
@@ -79,7 +85,7 @@
             semantics: class_settings.semantics,
             deadline: class_settings.deadline,
             tenant,
-            method: None,
+            rpc_method: None,
             key_scope: None,
             counters: self.class_counters.get(class).cloned(),
             pools: Box::new(SinglePool { driver: self.driver.clone() }),
@@ -111,7 +117,7 @@
         MAX_STREAMED_BODY_BYTES
     }
 
-    fn retry_after_in_seconds(&self) -> bool {
+    fn retry_after_in_whole_seconds(&self) -> bool {
         false
     }
 }
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -62,7 +62,7 @@
 impl Pool {
     /// Applies another configuration that carries this pool over.
     pub fn reconfigure(&self, config: &Config, index: usize, max_connections: usize) {
-        self.upstreams.set_max_connections(max_connections);
+        self.upstreams.set_max_sockets(max_connections);
         if let (Some(registry), Source::List(nodes)) = (&self.static_registry, &config.pools[index].source) {
             registry.borrow_mut().apply(endpoint_list::from_config(nodes), UpdateScope::Full);
         }
--- a/crates/proxy/src/request_ids.rs
+++ b/crates/proxy/src/request_ids.rs
@@ -1,9 +1,12 @@
-//! The ids of open requests, each of which one request may have at a time.
+//! The ids of requests: those of open requests, each of which one request may have at a time, and generated ones.
 
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
+/// The distance between two generated ids. An odd step visits all 2^64 ids before one repeats.
+const REQUEST_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+
 /// The ids of open requests. Clones share them.
 #[derive(Clone, Default)]
 pub struct OpenRequestIds {
@@ -30,3 +33,22 @@
         self.open_ids.ids.borrow_mut().remove(&self.id);
     }
 }
+
+/// Generates ids for requests that come without one.
+pub struct RequestIdGenerator {
+    last: Cell<u64>,
+}
+
+impl RequestIdGenerator {
+    /// A generator whose ids differ from those of other seeds and of listeners with another index.
+    pub fn new(seed: u64, listener: usize) -> RequestIdGenerator {
+        RequestIdGenerator { last: Cell::new(seed.wrapping_add((listener as u64) << 48)) }
+    }
+
+    /// The next id: 16 hex digits.
+    pub fn next(&self) -> String {
+        let id = self.last.get().wrapping_add(REQUEST_ID_STEP);
+        self.last.set(id);
+        format!("{id:016x}")
+    }
+}
--- a/crates/proxy/src/route_lookup.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -1,6 +1,5 @@
 //! From the head of a request over HTTP to its route under a configuration snapshot.
 
-use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -18,8 +17,6 @@
 
 /// The port that a `Host` field need not name.
 const DEFAULT_PORT: u16 = 80;
-/// The distance between two request ids. Steps of an odd number pass through all 64 bits before one repeats.
-const REQUEST_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The headers of a request, as routes read them.
 struct RequestHeaders<'a>(&'a HeaderMap);
@@ -30,25 +27,6 @@
     }
 }
 
-/// Generates ids for requests that come without one.
-pub struct RequestIdGenerator {
-    last: Cell<u64>,
-}
-
-impl RequestIdGenerator {
-    /// A generator whose ids differ from those of other seeds and of listeners with another index.
-    pub fn new(seed: u64, listener: usize) -> RequestIdGenerator {
-        RequestIdGenerator { last: Cell::new(seed.wrapping_add((listener as u64) << 48)) }
-    }
-
-    /// The next id: 16 hex digits.
-    pub fn next(&self) -> String {
-        let id = self.last.get().wrapping_add(REQUEST_ID_STEP);
-        self.last.set(id);
-        format!("{id:016x}")
-    }
-}
-
 /// What follows from the route of a request.
 pub struct ResolvedRoute {
     /// The index of its class.
@@ -58,7 +36,7 @@
     /// The deadline of its class, from its arrival.
     pub deadline: Micros,
     /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
-    pub method: Option<Arc<str>>,
+    pub rpc_method: Option<Arc<str>>,
     /// Where its idempotency key is looked up, if its class has keys.
     pub key_scope: Option<KeyScope>,
 }
@@ -158,7 +136,7 @@
         class,
         semantics,
         deadline: class_config.parameters.deadline,
-        method: snapshot.methods[class].clone(),
+        rpc_method: snapshot.methods[class].clone(),
         key_scope,
     }
 }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -24,8 +24,9 @@
 
 /// Routes requests.
 pub trait Router {
-    /// Routes a request by its head, which it may normalize. `id` is the id of the request, `body` the most bytes that
-    /// its body may have, `connection` the state that the router keeps for the client's connection.
+    /// Routes a request by its head, which it may normalize. `id` is the id of the request,
+    /// `announced_body_bytes` the announced length of its body ([`MAX_BUFFERED_BODY_BYTES`] where none is announced, which
+    /// is then not an upper bound), `router_state` the state that the router keeps for the client's connection.
     ///
     /// # Errors
     /// The rejection to answer with.
@@ -33,8 +34,8 @@
         &self,
         head: &mut Parts,
         id: &str,
-        body: u64,
-        connection: &Connection,
+        announced_body_bytes: u64,
+        router_state: &RouterConnectionState,
     ) -> Result<RouteDecision, Rejection>;
 
     /// The HTTP head by which a JSON-RPC call is routed, and the index of its class where the method alone determines
@@ -73,18 +74,18 @@
     }
 
     /// Whether `Retry-After` is in whole seconds, as the HTTP standard has it.
-    fn retry_after_in_seconds(&self) -> bool;
+    fn retry_after_in_whole_seconds(&self) -> bool;
 }
 
 /// The state that a router keeps with a client's connection for as long as that is open.
-pub type Connection = RefCell<Option<Box<dyn Any>>>;
+pub type RouterConnectionState = RefCell<Option<Box<dyn Any>>>;
 
 /// Why a request is rejected before any attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The status to answer with.
     pub status: StatusCode,
-    /// The limit that it exceeds, if that is the reason.
+    /// The limit, or the state of the idempotency key, that rejects it; as in `x-refusal-cause`.
     pub cause: Option<&'static str>,
     /// When capacity is expected, from now; 0 states no time.
     pub retry_after: Micros,
@@ -120,7 +121,7 @@
     /// The index of its tenant.
     pub tenant: Option<usize>,
     /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
-    pub method: Option<Arc<str>>,
+    pub rpc_method: Option<Arc<str>>,
     /// Where its idempotency key is looked up, if its class has keys.
     pub key_scope: Option<KeyScope>,
     /// The counters of its route, if it has any.
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -62,6 +62,9 @@
     }
 }
 
+/// The number of bytes of the head to keep where heads are not validated byte by byte.
+pub const NO_HEAD_CAPTURE: usize = 0;
+
 /// Counts a descriptor for as long as it is open.
 pub struct DescriptorGuard(Rc<Cell<usize>>);
 
@@ -122,7 +125,7 @@
     pub fn take_head(&self) -> Vec<u8> {
         self.0.inbound.as_ref().map_or_else(Vec::new, |inbound| {
             let mut inbound = inbound.borrow_mut();
-            inbound.max_head_bytes = 0;
+            inbound.max_head_bytes = NO_HEAD_CAPTURE;
             std::mem::take(&mut inbound.head)
         })
     }
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -21,7 +21,7 @@
 use crate::operators::{self, OperatorEndpoint};
 use crate::pool::PoolContext;
 use crate::process::{self, BoundListeners, Signals};
-use crate::route_lookup::RequestIdGenerator;
+use crate::request_ids::RequestIdGenerator;
 use crate::snapshot::Snapshot;
 use crate::start_error::StartError;
 
--- a/crates/proxy/src/standalone/router.rs
+++ b/crates/proxy/src/standalone/router.rs
@@ -9,8 +9,11 @@
 
 use super::CurrentSnapshot;
 use crate::idempotency_keys::KeyTable;
-use crate::route_lookup::{resolve, RequestIdGenerator, ResolvedRoute};
-use crate::router::{single_header_value, Connection, Rejection, RouteDecision, Router, TENANT_HEADER};
+use crate::request_ids::RequestIdGenerator;
+use crate::route_lookup::{resolve, ResolvedRoute};
+use crate::router::{
+    single_header_value, Rejection, RouteDecision, Router, RouterConnectionState, TENANT_HEADER,
+};
 use crate::rpc_mapping;
 
 /// Routes the requests of one listener by the current snapshot.
@@ -22,18 +25,24 @@
 }
 
 impl Router for ListenerRouter {
-    fn route(&self, head: &mut Parts, id: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
+    fn route(
+        &self,
+        head: &mut Parts,
+        id: &str,
+        _: u64,
+        _: &RouterConnectionState,
+    ) -> Result<RouteDecision, Rejection> {
         let snapshot = Rc::clone(&self.current.borrow());
         check_tenant(&snapshot.config, head)?;
         let (pools, resolved) = resolve(snapshot, &self.listener, head, id, &self.keys)?;
-        let ResolvedRoute { class, semantics, deadline, method, key_scope } = resolved;
+        let ResolvedRoute { class, semantics, deadline, rpc_method, key_scope } = resolved;
         Ok(RouteDecision {
             open_request_ids: None,
             class,
             semantics,
             deadline,
             tenant: None,
-            method,
+            rpc_method,
             key_scope,
             counters: pools.counters(),
             pools: Box::new(pools),
@@ -57,7 +66,7 @@
         self.current.borrow().config.limits.body_bytes
     }
 
-    fn retry_after_in_seconds(&self) -> bool {
+    fn retry_after_in_whole_seconds(&self) -> bool {
         true
     }
 }
--- a/crates/proxy/src/upstream/attempt_error.rs
+++ b/crates/proxy/src/upstream/attempt_error.rs
@@ -13,7 +13,8 @@
     NotSent(NotSentReason),
     /// There is no connection.
     Connect(ConnectError),
-    /// A new connection closed before a byte of the request was written.
+    /// The connection closed before an HTTP request's first byte, or a JSON-RPC call's last byte, was written: nothing was
+    /// executed. On a reused connection the attempt is repeated on another one.
     ClosedBeforeWrite,
     /// The streamed body of the request was cut, so the endpoint has not got its last byte.
     IncompleteRequest,
--- a/crates/proxy/src/upstream/connect.rs
+++ b/crates/proxy/src/upstream/connect.rs
@@ -136,7 +136,7 @@
     let socket = connect(pool, endpoint).await?;
     let connection = Rc::new(RpcConnection::new(socket, settings.clone()));
     if !pool.is_retired.get() {
-        pool.endpoints.borrow_mut().keep_rpc(endpoint, Rc::clone(&connection));
+        pool.endpoints.borrow_mut().add_rpc(endpoint, Rc::clone(&connection));
     }
     Ok(connection)
 }
--- a/crates/proxy/src/upstream/connections.rs
+++ b/crates/proxy/src/upstream/connections.rs
@@ -47,7 +47,7 @@
     // ---- HTTP ----
 
     /// Keeps an idle connection.
-    pub fn keep_http(&mut self, connection: HttpConnection) {
+    pub fn add_idle_http(&mut self, connection: HttpConnection) {
         self.idle_http.push(IdleHttpConnection { connection, idle_since: Instant::now() });
     }
 
@@ -76,7 +76,7 @@
     // ---- JSON-RPC ----
 
     /// Keeps a connection for further calls.
-    pub fn keep_rpc(&mut self, connection: Rc<RpcConnection>) {
+    pub fn add_rpc(&mut self, connection: Rc<RpcConnection>) {
         self.rpc.push(connection);
     }
 
--- a/crates/proxy/src/upstream/endpoint_table.rs
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -63,7 +63,7 @@
         self.entry.state == EndpointState::Removed
     }
 
-    fn is_drained(&self, drain_grace: Duration) -> bool {
+    fn is_grace_over(&self, drain_grace: Duration) -> bool {
         self.draining_since.is_some_and(|since| since.elapsed() >= drain_grace)
     }
 }
@@ -76,7 +76,7 @@
     }
 
     /// Marks the endpoints as removed that are not listed.
-    pub fn retain_listed(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
+    pub fn mark_unlisted_removed(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         for (id, endpoint) in &mut self.endpoints {
             if !is_listed(*id) {
                 endpoint.remove();
@@ -87,7 +87,7 @@
     /// Forgets the removed endpoints whose drain grace is over. Those that replace them come under new ids, so the table
     /// would grow without bound.
     pub fn forget_removed(&mut self, drain_grace: Duration) {
-        self.endpoints.retain(|_, endpoint| !endpoint.is_removed() || !endpoint.is_drained(drain_grace));
+        self.endpoints.retain(|_, endpoint| !endpoint.is_removed() || !endpoint.is_grace_over(drain_grace));
     }
 
     /// The endpoint with this id.
@@ -114,20 +114,20 @@
     }
 
     /// Keeps an idle connection, unless the endpoint is draining.
-    pub fn keep_http(&mut self, id: EndpointId, connection: HttpConnection) {
-        if let Some(connections) = self.connections_to_extend(id) {
-            connections.keep_http(connection);
+    pub fn add_idle_http(&mut self, id: EndpointId, connection: HttpConnection) {
+        if let Some(connections) = self.connections_unless_draining(id) {
+            connections.add_idle_http(connection);
         }
     }
 
     /// Keeps a connection for many calls, unless the endpoint is draining.
-    pub fn keep_rpc(&mut self, id: EndpointId, connection: Rc<RpcConnection>) {
-        if let Some(connections) = self.connections_to_extend(id) {
-            connections.keep_rpc(connection);
+    pub fn add_rpc(&mut self, id: EndpointId, connection: Rc<RpcConnection>) {
+        if let Some(connections) = self.connections_unless_draining(id) {
+            connections.add_rpc(connection);
         }
     }
 
-    fn connections_to_extend(&mut self, id: EndpointId) -> Option<&mut EndpointConnections> {
+    fn connections_unless_draining(&mut self, id: EndpointId) -> Option<&mut EndpointConnections> {
         let endpoint = self.endpoints.get_mut(&id).filter(|endpoint| endpoint.draining_since.is_none())?;
         Some(&mut endpoint.connections)
     }
@@ -151,7 +151,8 @@
         self.close_idle_http() || self.close_idle_rpc()
     }
 
-    /// Closes, among the longest idle connection of each endpoint, the one that has been idle for the shortest time.
+    /// Of each endpoint's longest idle connection, closes the one that has been idle for the shortest time. Not the longest
+    /// idle connection of all.
     fn close_idle_http(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_http_idle_time()?, all)));
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -41,6 +41,8 @@
     load_report: Option<LoadReport>,
 }
 
+/// The rule for the statuses of health checks: a 503 alone is a rejection, whereas an attempt's response has to say that
+/// the request was not processed.
 impl From<Health> for AttemptResult {
     fn from(health: Health) -> Self {
         let outcome = match health.status {
--- a/crates/proxy/src/upstream/http_attempt.rs
+++ b/crates/proxy/src/upstream/http_attempt.rs
@@ -112,7 +112,8 @@
     message
 }
 
-/// Counts the attempt once its last byte is written.
+/// Counts the attempt at the first write of its last part: of all of a buffered request, or after the end of a streamed
+/// body.
 fn count_when_written(pool: &UpstreamPool, request: &AttemptRequest, connection: &HttpConnection) {
     match request.message.body().streaming() {
         None => connection.socket.write_counter().count_next_write(&pool.attempts_written),
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -4,10 +4,12 @@
 //! and over JSON-RPC in `rpc_attempt`:
 //!
 //! 1. take a connection: an idle one (`connections`) or a new one (`connect`);
-//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline (`send_checks`);
+//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline (`send_checks`); over HTTP, list
+//!    and client are checked before connecting as well;
 //! 3. send the request, and retry on another connection if a reused one had just closed;
 //! 4. read the response;
-//! 5. classify the outcome: `attempt_error` is the one place that says what a failure proves.
+//! 5. classify the outcome: `attempt_error` says what a failure of an attempt proves. The status of a health check's
+//!    response is classified in `health_check`.
 //!
 //! What bounds it: the number of sockets (`socket_limit`), the idle time of connections, and the drain grace, after
 //! which an endpoint that was removed is forgotten.
@@ -47,7 +49,7 @@
 use self::list_expiry::ListExpiryCheck;
 use self::load_report::LoadReportParser;
 use self::socket_limit::SocketLimit;
-use crate::exchange::{AttemptResult, ClientConnection, UpstreamRequest};
+use crate::exchange::{AttemptResult, DisconnectProbe, UpstreamRequest};
 
 /// The part of the endpoints' keep-alive time for which an idle connection is kept: short of the whole, so that no
 /// request crosses the endpoint's closing.
@@ -69,8 +71,8 @@
     pub endpoint: EndpointId,
     /// The request.
     pub message: Rc<UpstreamRequest>,
-    /// The connection of the client that it is for.
-    pub client: ClientConnection,
+    /// Tells whether the client that it is for has disconnected.
+    pub disconnect_probe: DisconnectProbe,
     /// When the attempt times out.
     pub deadline: Instant,
     /// How long the client waits from the last byte of its request, where its body is streamed.
@@ -119,7 +121,8 @@
     load_reports: LoadReportParser,
     /// No configuration has this pool any more.
     is_retired: Cell<bool>,
-    /// Counts the attempts that were written in full.
+    /// Counts HTTP attempts at the first write of the request's last part, and JSON-RPC calls that ended other than
+    /// `NotWritten`; calls that timed out or were abandoned are not counted.
     attempts_written: Counter,
 }
 
@@ -138,7 +141,8 @@
         }
     }
 
-    /// Counts the attempts that are written in full with this counter.
+    /// Counts the attempts that are written with this counter: HTTP ones at the first write of the request's last part,
+    /// JSON-RPC calls once they have ended.
     pub fn with_attempt_counter(mut self, attempts_written: Counter) -> UpstreamPool {
         self.attempts_written = attempts_written;
         self
@@ -158,8 +162,8 @@
     }
 
     /// Takes in a complete endpoint list: all endpoints that are not listed are removed.
-    pub fn retain_listed(&self, is_listed: impl Fn(EndpointId) -> bool) {
-        self.endpoints.borrow_mut().retain_listed(is_listed);
+    pub fn mark_unlisted_removed(&self, is_listed: impl Fn(EndpointId) -> bool) {
+        self.endpoints.borrow_mut().mark_unlisted_removed(is_listed);
     }
 
     /// Visits each endpoint that is known, also removed ones, with its address.
@@ -180,7 +184,7 @@
     // ---- Connections ----
 
     /// Changes the limit of sockets; idle connections over it are closed.
-    pub fn set_max_connections(&self, max_sockets: usize) {
+    pub fn set_max_sockets(&self, max_sockets: usize) {
         self.sockets.set_max(max_sockets);
         // A closed connection is counted until its task has been dropped, so the excess is counted once, before.
         for _ in 0..self.sockets.excess() {
@@ -200,7 +204,7 @@
     pub async fn reuse(&self, endpoint: EndpointId, connection: Option<HttpConnection>) {
         let Some(mut connection) = connection else { return };
         if connection.wait_until_ready().await && !self.is_retired.get() {
-            self.endpoints.borrow_mut().keep_http(endpoint, connection);
+            self.endpoints.borrow_mut().add_idle_http(endpoint, connection);
         }
     }
 
--- a/crates/proxy/src/upstream/rpc_attempt.rs
+++ b/crates/proxy/src/upstream/rpc_attempt.rs
@@ -8,7 +8,7 @@
 
 use super::attempt_error::{AttemptError, NotSentReason};
 use super::connect::acquire_rpc;
-use super::rpc_connection::{CallResult, InFlightCall, RpcConnection, RpcSettings, WriteProgress};
+use super::rpc_connection::{CallBytesWritten, CallResult, InFlightCall, RpcConnection, RpcSettings};
 use super::send_checks::check_before_write;
 use super::{AttemptEnd, AttemptRequest, UpstreamPool};
 use crate::exchange::{AttemptResult, UpstreamResponse};
@@ -16,7 +16,7 @@
 
 /// Makes an attempt, within its deadline.
 pub async fn run(pool: &UpstreamPool, settings: &RpcSettings, request: &AttemptRequest) -> AttemptEnd {
-    let progress = WriteProgress::default();
+    let progress = CallBytesWritten::default();
     let ended = timeout_at(request.deadline, exchange(pool, settings, request, &progress)).await;
     let response = ended.unwrap_or_else(|_| Err(timeout_error(&progress)));
     match response {
@@ -28,7 +28,7 @@
 }
 
 /// What running out of time proves.
-fn timeout_error(progress: &WriteProgress) -> AttemptError {
+fn timeout_error(progress: &CallBytesWritten) -> AttemptError {
     if progress.bytes() == 0 {
         NotSentReason::DeadlineExceeded.into()
     } else {
@@ -42,7 +42,7 @@
     pool: &UpstreamPool,
     settings: &RpcSettings,
     request: &AttemptRequest,
-    progress: &WriteProgress,
+    progress: &CallBytesWritten,
 ) -> Result<UpstreamResponse, AttemptError> {
     let body = rpc_mapping::buffered_body(&request.message);
     loop {
@@ -70,7 +70,7 @@
     request: &AttemptRequest,
     body: &Bytes,
     time_left: Duration,
-    progress: &WriteProgress,
+    progress: &CallBytesWritten,
 ) -> InFlightCall {
     let milliseconds = time_left.as_millis().max(1) as u64;
     connection.send(progress.clone(), |id| {
--- a/crates/proxy/src/upstream/rpc_connection/call.rs
+++ b/crates/proxy/src/upstream/rpc_connection/call.rs
@@ -30,9 +30,9 @@
 
 /// The bytes of a call that the kernel has taken for sending. Copies share the count.
 #[derive(Clone, Debug, Default)]
-pub struct WriteProgress(Rc<Cell<usize>>);
+pub struct CallBytesWritten(Rc<Cell<usize>>);
 
-impl WriteProgress {
+impl CallBytesWritten {
     /// The bytes so far.
     pub fn bytes(&self) -> usize {
         self.0.get()
@@ -52,7 +52,7 @@
 pub struct InFlightCall {
     connection: Rc<RpcConnection>,
     id: String,
-    progress: WriteProgress,
+    progress: CallBytesWritten,
     result: oneshot::Receiver<CallResult>,
     started_at: Instant,
 }
@@ -61,7 +61,7 @@
     /// Queues a call on a connection.
     pub(super) fn start(
         connection: Rc<RpcConnection>,
-        progress: WriteProgress,
+        progress: CallBytesWritten,
         message: impl FnOnce(&str) -> Vec<u8>,
     ) -> InFlightCall {
         let state = &connection.state;
--- a/crates/proxy/src/upstream/rpc_connection/mod.rs
+++ b/crates/proxy/src/upstream/rpc_connection/mod.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use self::call::{CallResult, InFlightCall, WriteProgress};
+pub use self::call::{CallBytesWritten, CallResult, InFlightCall};
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -70,7 +70,7 @@
     /// id, which is JSON.
     pub fn send(
         self: &Rc<Self>,
-        progress: WriteProgress,
+        progress: CallBytesWritten,
         message: impl FnOnce(&str) -> Vec<u8>,
     ) -> InFlightCall {
         InFlightCall::start(Rc::clone(self), progress, message)
--- a/crates/proxy/src/upstream/rpc_connection/state.rs
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-use super::call::{CallResult, WriteProgress};
+use super::call::{CallBytesWritten, CallResult};
 use super::RpcSettings;
 use crate::exchange::MAX_BUFFERED_BODY_BYTES;
 use crate::socket::Socket;
@@ -43,7 +43,7 @@
     /// Takes the result.
     pub result: oneshot::Sender<CallResult>,
     /// How much of it was written.
-    pub progress: WriteProgress,
+    pub progress: CallBytesWritten,
     /// The bytes after which an endpoint may execute it.
     pub message_len: usize,
 }
@@ -66,7 +66,7 @@
     /// Its bytes.
     pub frame: Bytes,
     /// How much of it was written.
-    pub progress: WriteProgress,
+    pub progress: CallBytesWritten,
 }
 
 /// Whether a connection can still be read after a message.
@@ -209,7 +209,7 @@
         let params = RawValue::from_string(format!("{{\"id\":\"{id}\"}}")).ok();
         let message = jsonrpc::encode_request(None, method, params.as_deref());
         let frame = self.frame(&message);
-        self.enqueue(OutgoingFrame { call_id: None, frame, progress: WriteProgress::default() });
+        self.enqueue(OutgoingFrame { call_id: None, frame, progress: CallBytesWritten::default() });
     }
 
     fn enqueue(&self, frame: OutgoingFrame) {
--- a/crates/proxy/src/upstream/rpc_connection/tests.rs
+++ b/crates/proxy/src/upstream/rpc_connection/tests.rs
@@ -31,8 +31,8 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-fn call(connection: &Rc<RpcConnection>, bytes: usize) -> (InFlightCall, WriteProgress) {
-    let progress = WriteProgress::default();
+fn call(connection: &Rc<RpcConnection>, bytes: usize) -> (InFlightCall, CallBytesWritten) {
+    let progress = CallBytesWritten::default();
     let pad = RawValue::from_string(format!("[\"{}\"]", "x".repeat(bytes))).expect("JSON");
     let sent = connection.send(progress.clone(), |id| jsonrpc::encode_request(Some(id), "m", Some(&pad)));
     (sent, progress)
--- a/crates/proxy/src/upstream/send_checks.rs
+++ b/crates/proxy/src/upstream/send_checks.rs
@@ -1,4 +1,5 @@
-//! Whether an attempt may go on: checked before connecting, and again before anything is written.
+//! Whether an attempt may go on: checked before anything is written, and over HTTP before connecting as well. JSON-RPC has
+//! no check before connecting.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
     if pool.list_expiry.is_expired() {
         return Err(NotSentReason::ListExpired);
     }
-    if request.client.is_disconnected() {
+    if request.disconnect_probe.is_disconnected() {
         return Err(NotSentReason::ClientDisconnected);
     }
     Ok(())
@@ -25,20 +26,20 @@
     if time_left.is_zero() {
         return Err(NotSentReason::DeadlineExceeded);
     }
-    if request.client.is_disconnected() {
+    if request.disconnect_probe.is_disconnected() {
         return Err(NotSentReason::ClientDisconnected);
     }
     if pool.list_expiry.is_expired() {
         return Err(NotSentReason::ListExpired);
     }
-    if is_drained(pool, request.endpoint) {
+    if is_past_send_cutoff(pool, request.endpoint) {
         return Err(NotSentReason::EndpointDrained);
     }
     Ok(time_left)
 }
 
 /// Whether the endpoint has been draining for so long that nothing may be sent to it, or has been forgotten.
-fn is_drained(pool: &UpstreamPool, endpoint: EndpointId) -> bool {
+fn is_past_send_cutoff(pool: &UpstreamPool, endpoint: EndpointId) -> bool {
     let endpoints = pool.endpoints.borrow();
     let Some(endpoint) = endpoints.get(endpoint) else { return true };
     let grace = pool.drain_grace();
