--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -10,7 +10,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post, put};
 use axum::{Json, Router};
-use config::{Role, TenantDoc, TenantLimits};
+use config::{Role, TenantDocument, TenantLimits};
 use limit::RejectReason;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -264,7 +264,7 @@
 
 /// A tenant: hosts, limits and configuration.
 #[utoipa::path(get, path = "/v1/tenants/{tenant}", params(("tenant" = String, Path)),
-    responses((status = 200, body = TenantDoc), (status = 404, body = Problem)), security(("token" = [])))]
+    responses((status = 200, body = TenantDocument), (status = 404, body = Problem)), security(("token" = [])))]
 async fn get_tenant(State(service): Shared, who: Who, path: P<String>) -> Answer<Response> {
     let Path(tenant) = path?;
     who.reads(Some(&tenant))?;
@@ -275,14 +275,14 @@
 
 /// Makes a tenant, or changes all of it. The operator's. What exists is changed with `If-Match` only.
 #[utoipa::path(put, path = "/v1/tenants/{tenant}", params(("tenant" = String, Path), ("dry_run" = Option<bool>, Query), ("why" = Option<String>, Query), ("If-Match" = Option<String>, Header)),
-    request_body = TenantDoc, responses((status = 200, body = Change), (status = 412, body = Problem), (status = 422, body = Problem)), security(("token" = [])))]
+    request_body = TenantDocument, responses((status = 200, body = Change), (status = 412, body = Problem), (status = 422, body = Problem)), security(("token" = [])))]
 async fn put_tenant(
     State(service): Shared,
     who: Who,
     path: P<String>,
     headers: HeaderMap,
     query: Q,
-    body: Body<TenantDoc>,
+    body: Body<TenantDocument>,
 ) -> Answer<Response> {
     let Path(tenant) = path?;
     who.writes(None)?;
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use config::{Document, Refused, Role, Shared, TenantDoc, Tenants, Token};
+use config::{Document, DocumentError, Role, SharedSettings, TenantDocument, Tenants, Token};
 use limit::Usage;
 use serde_json::Value;
 use store::{Record, StoreError, Versions};
@@ -42,7 +42,7 @@
 
 /// All that the API works on.
 pub struct Service {
-    shared: Shared,
+    shared: SharedSettings,
     plane: Box<dyn Plane>,
     /// Asked for each request, and held for no longer than that takes.
     pub(crate) doorman: std::sync::Mutex<Doorman>,
@@ -69,7 +69,7 @@
     /// It has to be said what is to be changed.
     NoMatch,
     Malformed(String),
-    Refused(Box<Refused>),
+    Refused(Box<DocumentError>),
     Store(StoreError),
 }
 
@@ -95,7 +95,7 @@
 }
 
 /// What tells one state of a tenant from another.
-pub(crate) fn tag(doc: &TenantDoc) -> String {
+pub(crate) fn tag(doc: &TenantDocument) -> String {
     let json = serde_json::to_string(doc).unwrap_or_default();
     format!("\"{}\"", hex(&hash(&json)[..8]))
 }
@@ -107,7 +107,7 @@
     /// # Errors
     /// Neither can serve, or nothing can be kept.
     pub fn open(
-        shared: Shared,
+        shared: SharedSettings,
         plane: Box<dyn Plane>,
         tokens: Vec<Token>,
         loopback: bool,
@@ -281,7 +281,10 @@
 }
 
 /// A tenant of a document.
-pub(crate) fn tenant_mut<'a>(document: &'a mut Document, name: &str) -> Result<&'a mut TenantDoc, Rejected> {
+pub(crate) fn tenant_mut<'a>(
+    document: &'a mut Document,
+    name: &str,
+) -> Result<&'a mut TenantDocument, Rejected> {
     let missing = || Rejected::NotFound(format!("there is no tenant `{name}`"));
     document.tenants.get_mut(name).ok_or_else(missing)
 }
--- a/crates/config/src/expect.rs
+++ b/crates/config/src/expect.rs
@@ -5,14 +5,16 @@
 
 use serde::Deserialize;
 
-use crate::fault::{one_of, Faults, Text};
-use crate::file::Word;
-use crate::fleet::{Fleet, Node, NodeState};
-use crate::model::{Config, Source};
+use crate::checker::Word;
+use crate::diagnostics::{suggest, Diagnostics, TextId};
+use crate::endpoint::{EndpointSpec, EndpointState};
+use crate::model::Config;
+use crate::pool_endpoints::PoolEndpoints;
+use crate::section::pool::Source;
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct File {
+#[serde(deny_unknown_fields, expecting = "struct File")]
+pub(crate) struct ExpectationsFile {
     #[serde(default)]
     expect: Vec<Raw>,
 }
@@ -90,8 +92,8 @@
     pub file: String,
     pub line: usize,
     /// The fleet in the given state, and as it is without.
-    pub given: Fleet,
-    pub plain: Fleet,
+    pub given: PoolEndpoints,
+    pub plain: PoolEndpoints,
     pub when: When,
     pub then: Then,
     /// It must hold in the given state only.
@@ -121,28 +123,27 @@
 }
 
 struct Check<'a> {
-    text: Text,
+    text: TextId,
     config: &'a Config,
-    faults: &'a mut Faults,
+    diagnostics: &'a mut Diagnostics,
     /// Zones that any node, listener or route names.
     zones: BTreeSet<String>,
 }
 
 pub(crate) fn check(
-    file: File,
-    text: Text,
+    file: ExpectationsFile,
+    text: TextId,
     config: &Config,
-    fleet: Option<&Fleet>,
-    faults: &mut Faults,
+    fleet: &PoolEndpoints,
+    diagnostics: &mut Diagnostics,
 ) -> Vec<Expectation> {
-    let Some(fleet) = fleet else { return Vec::new() };
     let mut zones: BTreeSet<String> = config.zones.iter().cloned().collect();
     zones.extend(fleet.pools.iter().flatten().map(|n| n.zone.clone()));
-    let mut check = Check { text, config, faults, zones };
+    let mut check = Check { text, config, diagnostics, zones };
     let mut names: BTreeMap<String, usize> = BTreeMap::new();
     let mut all = Vec::new();
     for raw in file.expect {
-        let line = check.faults.line(text, raw.name.span().start);
+        let line = check.diagnostics.line(text, raw.name.span().start);
         if let Some(first) = names.insert(raw.name.get_ref().clone(), line) {
             let help = format!("the first is in line {first}");
             let message = format!("two expectations are named {:?}", raw.name.get_ref());
@@ -156,7 +157,7 @@
             let message = "`only_then`: the given state is the ordinary one";
             check.fault(raw.name.span(), message, Some("say under `given` what is different".to_owned()));
         }
-        let file = check.faults.name(text).to_owned();
+        let file = check.diagnostics.name(text).to_owned();
         let (name, only_then) = (raw.name.get_ref().clone(), raw.only_then);
         all.push(Expectation { name, file, line, given, plain, when, then, only_then });
     }
@@ -164,21 +165,21 @@
 }
 
 /// What of a fleet decides where requests may go.
-pub(crate) fn states(fleet: &Fleet) -> Vec<(usize, &str, NodeState)> {
+pub(crate) fn states(fleet: &PoolEndpoints) -> Vec<(usize, &str, EndpointState)> {
     let pools = fleet.pools.iter().enumerate();
     pools.flat_map(|(p, nodes)| nodes.iter().map(move |n| (p, n.name.as_str(), n.state))).collect()
 }
 
 impl Check<'_> {
     fn fault(&mut self, span: Range<usize>, message: impl Into<String>, help: Option<String>) {
-        self.faults.at(self.text, span, message, help);
+        self.diagnostics.report(self.text, span, message, help);
     }
 
     fn refer(&mut self, sort: &str, word: &Word, known: &[&str]) -> Option<usize> {
         let found = known.iter().position(|k| k == word.get_ref());
         if found.is_none() {
             let message = format!("there is no {sort} `{}`", word.get_ref());
-            self.fault(word.span(), message, Some(one_of(word.get_ref(), known)));
+            self.fault(word.span(), message, Some(suggest(word.get_ref(), known)));
         }
         found
     }
@@ -196,7 +197,7 @@
     }
 
     /// A node by `name`, where that is in one pool only, or by `pool/name`.
-    fn node(&mut self, word: &Word, fleet: &Fleet) -> Option<NodeId> {
+    fn node(&mut self, word: &Word, fleet: &PoolEndpoints) -> Option<NodeId> {
         let text = word.get_ref();
         let (pool, name) = text.split_once('/').map_or((None, text.as_str()), |(p, n)| (Some(p), n));
         let mut found = Vec::new();
@@ -213,7 +214,7 @@
                 let help = if open && known.is_empty() {
                     "nodes that discovery tells are made up for an expectation under given.nodes".to_owned()
                 } else {
-                    one_of(name, &known)
+                    suggest(name, &known)
                 };
                 self.fault(word.span(), format!("there is no node `{text}`"), Some(help));
                 None
@@ -227,7 +228,7 @@
     }
 
     /// The fleet with the nodes that an expectation makes up.
-    fn added(&mut self, given: &RawGiven, fleet: &Fleet) -> Fleet {
+    fn added(&mut self, given: &RawGiven, fleet: &PoolEndpoints) -> PoolEndpoints {
         let mut fleet = fleet.clone();
         for raw in &given.nodes {
             self.zones.insert(raw.zone.clone());
@@ -237,32 +238,32 @@
                 self.fault(raw.name.span(), message, Some("give it another name".to_owned()));
                 continue;
             }
-            fleet.pools[pool].push(Node {
+            fleet.pools[pool].push(EndpointSpec {
                 name: raw.name.get_ref().clone(),
                 address: std::net::SocketAddr::from(([0, 0, 0, 0], 0)),
                 zone: raw.zone.clone(),
-                kind: raw.kind.clone(),
+                machine_kind: raw.kind.clone(),
                 cell: raw.cell,
                 weight: 1.0,
-                state: NodeState::Ready,
+                state: EndpointState::Ready,
                 started_unix_ms: 0.0,
             });
         }
         fleet
     }
 
-    fn given(&mut self, given: &RawGiven, plain: &Fleet) -> Fleet {
+    fn given(&mut self, given: &RawGiven, plain: &PoolEndpoints) -> PoolEndpoints {
         let mut fleet = plain.clone();
         for word in &given.lost_zones {
             let zone = self.zone(word);
             let lost = fleet.pools.iter_mut().flatten().filter(|n| n.zone == zone);
-            lost.for_each(|n| n.state = NodeState::Gone);
+            lost.for_each(|n| n.state = EndpointState::Gone);
         }
         let mut seen: BTreeMap<NodeId, Range<usize>> = BTreeMap::new();
         let named = [
-            (&given.draining, NodeState::Draining),
-            (&given.gone, NodeState::Gone),
-            (&given.ready, NodeState::Ready),
+            (&given.draining, EndpointState::Draining),
+            (&given.gone, EndpointState::Gone),
+            (&given.ready, EndpointState::Ready),
         ];
         for (words, state) in named {
             for word in words {
@@ -293,7 +294,7 @@
         }
     }
 
-    fn then(&mut self, then: &RawThen, span: Range<usize>, fleet: &Fleet) -> Then {
+    fn then(&mut self, then: &RawThen, span: Range<usize>, fleet: &PoolEndpoints) -> Then {
         let config = self.config;
         let routes: Vec<&str> = config.table.routes().iter().map(|r| r.name.as_str()).collect();
         let classes: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
--- /dev/null
+++ b/crates/config/src/pool_endpoints.rs
@@ -0,0 +1,42 @@
+//! The endpoints of all pools that are known without discovery.
+
+use crate::diagnostics::{Diagnostics, ReadFile, TextId};
+use crate::endpoint::EndpointSpec;
+use crate::endpoint_list::parse_full_list;
+use crate::model::Config;
+use crate::section::pool::{Pool, Source};
+
+/// The endpoints of each pool, by the pool's index; those of discovery are not known.
+#[derive(Clone, Debug, Default)]
+pub struct PoolEndpoints {
+    /// The endpoints.
+    pub pools: Vec<Vec<EndpointSpec>>,
+}
+
+impl PoolEndpoints {
+    /// Takes the lists from the configuration, and reads those that are files.
+    pub(crate) fn read(
+        config: &Config,
+        text: TextId,
+        read: ReadFile<'_>,
+        diagnostics: &mut Diagnostics,
+    ) -> PoolEndpoints {
+        let endpoints_of = |pool: &Pool| match &pool.source {
+            Source::List(endpoints) => endpoints.clone(),
+            Source::Discovery(_) => Vec::new(),
+            Source::File(path) => {
+                let endpoints = read(path).and_then(|json| parse_full_list(&json)?.into_endpoints());
+                endpoints.unwrap_or_else(|error| {
+                    let message = format!("pool `{}`: {}: {error}", pool.name, path.display());
+                    let quoted = format!("{:?}", path.file_name().unwrap_or_default().to_string_lossy());
+                    let start = diagnostics.text(text).find(quoted.trim_matches('"')).unwrap_or(0);
+                    let end = start + quoted.len() - 2;
+                    let help = "a list of nodes has the form of discovery's answers".to_owned();
+                    diagnostics.report(text, start..end, message, Some(help));
+                    Vec::new()
+                })
+            }
+        };
+        PoolEndpoints { pools: config.pools.iter().map(endpoints_of).collect() }
+    }
+}
--- a/crates/config/src/announce.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -1,71 +1,74 @@
-//! Which addresses are announced by BGP, to whom, and when: as it is written, and as it is used.
+//! Section `[bgp]`: which addresses are announced by BGP, to which peers, and when.
 
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+mod address;
+mod check;
+
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::time::Duration;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::file::Word;
+use crate::checker::Word;
 
-/// What is announced, and to whom.
+/// Settings of the BGP speaker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bgp {
-    /// Where peers connect, if they may.
+    /// Where peers connect, if they may connect.
     pub listen: Option<SocketAddr>,
-    /// Where operators ask, on loopback, if they may.
+    /// The loopback address of the operators' API, if there is one.
     pub api: Option<SocketAddr>,
-    /// Speaks to nobody, and says what it would announce.
+    /// Connects to no peer, and only shows what it would announce.
     pub dry_run: bool,
-    /// At the end, addresses are announced as leaving for so long.
+    /// How long addresses are announced for graceful shutdown before the process ends.
     pub leave: Duration,
-    /// What peers are told at the end.
+    /// The shutdown communication (RFC 9003) to peers.
     pub text: String,
-    /// A list of nodes that nothing was heard of for so long is old.
+    /// An endpoint list without any update for so long is stale.
     pub list_old: Duration,
-    /// The data plane does not move on when it was silent for so long.
+    /// The data plane is stuck when it has shown no progress for so long.
     pub stuck: Duration,
-    /// With more resident memory than that, nothing is announced.
+    /// With more resident memory than this, nothing is announced.
     pub memory_bytes: Option<u64>,
-    /// How nodes are asked whether they answer.
+    /// Health checks of endpoints.
     pub probe: bgp::ProbeSettings,
-    /// By a GET of this path; else by a connection alone.
+    /// Health checks get this path; without one they only connect.
     pub probe_path: Option<String>,
-    /// The routers.
+    /// The peers.
     pub peers: Vec<BgpPeer>,
-    /// The addresses.
+    /// The announced addresses.
     pub addresses: Vec<bgp::Address>,
 }
 
-/// Connections of operators to the API at once.
+/// The most connections to the operators' API at once.
 pub const MOST_OPERATORS: usize = 4;
 
 impl Bgp {
-    /// The most sockets that all this takes.
+    /// The most sockets that the speaker takes.
     #[must_use]
     pub fn sockets(&self) -> usize {
-        // Each peer's two connections, and one more that is being turned away or comes in its place.
+        // Each peer's two connections, and one more that is being rejected or replaces one.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
         3 * self.peers.len() + self.probe.at_once + listeners + MOST_OPERATORS
     }
 }
 
-/// A router.
+/// A BGP peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BgpPeer {
     /// Its name.
     pub name: String,
-    /// Where it listens, and whence it connects.
+    /// The address where it listens, and from which it connects.
     pub address: SocketAddr,
-    /// Our own end, where that is not for the system to choose.
+    /// The local address of the connection, where the system does not choose it.
     pub source: Option<IpAddr>,
-    /// What is said there.
+    /// Settings of the session.
     pub settings: bgp::PeerSettings,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct File {
+#[serde(deny_unknown_fields, expecting = "struct File")]
+pub(crate) struct BgpFile {
     #[serde(rename = "as")]
     pub asn: Spanned<u32>,
     pub router_id: Spanned<Ipv4Addr>,
@@ -82,16 +85,16 @@
     pub stuck_ms: Option<Spanned<usize>>,
     pub memory_mb: Option<Spanned<usize>>,
     #[serde(default)]
-    pub probe: Probe,
+    pub probe: HealthCheckFile,
     #[serde(default, rename = "peer")]
-    pub peers: Vec<Peer>,
+    pub peers: Vec<PeerFile>,
     #[serde(default, rename = "address")]
-    pub addresses: Vec<Address>,
+    pub addresses: Vec<AddressFile>,
 }
 
 #[derive(Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub(crate) struct Probe {
+#[serde(deny_unknown_fields, default, expecting = "struct Probe")]
+pub(crate) struct HealthCheckFile {
     pub every_ms: Option<Spanned<usize>>,
     pub timeout_ms: Option<Spanned<usize>>,
     pub failures: Option<Spanned<usize>>,
@@ -100,8 +103,8 @@
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Peer {
+#[serde(deny_unknown_fields, expecting = "struct Peer")]
+pub(crate) struct PeerFile {
     pub name: Word,
     pub address: Word,
     #[serde(rename = "as")]
@@ -110,12 +113,12 @@
     pub passive: bool,
     pub source: Option<IpAddr>,
     pub next_hop_v4: Option<Ipv4Addr>,
-    pub next_hop_v6: Option<std::net::Ipv6Addr>,
+    pub next_hop_v6: Option<Ipv6Addr>,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Address {
+#[serde(deny_unknown_fields, expecting = "struct Address")]
+pub(crate) struct AddressFile {
     pub prefix: Word,
     pub pools: Spanned<Vec<Word>>,
     pub announce_share: Option<Spanned<f64>>,
@@ -130,12 +133,12 @@
     pub communities: Vec<Word>,
     #[serde(default)]
     pub large_communities: Vec<Word>,
-    pub degraded: Option<Degraded>,
+    pub degraded: Option<DegradedFile>,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Degraded {
+#[serde(deny_unknown_fields, expecting = "struct Degraded")]
+pub(crate) struct DegradedFile {
     pub med: Option<u32>,
     pub prepend: Option<Spanned<usize>>,
 }
--- /dev/null
+++ b/crates/config/src/section/learned_state.rs
@@ -0,0 +1,53 @@
+//! Section `[knowledge]`: where learned state outlives the process.
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use serde::Deserialize;
+use toml::Spanned;
+
+use crate::checker::{Checker, Word};
+
+const DEFAULT_WRITE_INTERVAL_S: usize = 10;
+const MAX_WRITE_INTERVAL_S: usize = 3600;
+const DEFAULT_FILES: usize = 4;
+const MAX_FILES: usize = 100;
+
+/// Where and how often learned state is written.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LearnedStateSettings {
+    /// The folder, which one process writes at a time.
+    pub folder: PathBuf,
+    /// The interval between writes; it is written at the end as well.
+    pub every: Duration,
+    /// The number of files that are retained, with the newest.
+    pub files: usize,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Knowledge")]
+pub(crate) struct LearnedStateFile {
+    pub folder: Word,
+    pub every_s: Option<Spanned<usize>>,
+    pub files: Option<Spanned<usize>>,
+}
+
+impl Checker<'_> {
+    /// `resolve_path` makes paths relative to the configuration file.
+    pub(crate) fn learned_state(
+        &mut self,
+        section: &LearnedStateFile,
+        resolve_path: &dyn Fn(&str) -> PathBuf,
+    ) -> LearnedStateSettings {
+        if section.folder.get_ref().is_empty() {
+            self.report(section.folder.span(), "`folder`: names none", None);
+        }
+        let interval_s =
+            self.bounded("every_s", &section.every_s, DEFAULT_WRITE_INTERVAL_S, MAX_WRITE_INTERVAL_S);
+        LearnedStateSettings {
+            folder: resolve_path(section.folder.get_ref()),
+            every: Duration::from_secs(interval_s as u64),
+            files: self.bounded("files", &section.files, DEFAULT_FILES, MAX_FILES),
+        }
+    }
+}
--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::{Setup, Tenants};
+use config::{HostedSettings, Tenants};
 use limit::Usage;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot};
@@ -58,7 +58,7 @@
 /// What a process in the hosted mode is started with.
 pub struct Options<'a> {
     /// Listeners and what the tenants share.
-    pub setup: &'a Setup,
+    pub setup: &'a HostedSettings,
     /// The version of the tenants that are served first.
     pub version: u64,
     /// The tenants that are served first.
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::{Shared, Tenants};
+use config::{SharedSettings, Tenants};
 use limit::Limiter;
 use membership::MaintenanceRejection;
 
@@ -23,7 +23,7 @@
 
 /// The tenants of a hosted service.
 pub(super) struct HostedTenants {
-    shared: Shared,
+    shared: SharedSettings,
     pub clock: Clock,
     seed: u64,
     pub limiter: Rc<RefCell<Limiter>>,
@@ -35,7 +35,7 @@
 }
 
 impl HostedTenants {
-    pub fn new(shared: Shared, seed: u64, operators: Option<OperatorContext>) -> HostedTenants {
+    pub fn new(shared: SharedSettings, seed: u64, operators: Option<OperatorContext>) -> HostedTenants {
         let limiter = Rc::new(RefCell::new(Limiter::new(shared.capacity)));
         HostedTenants {
             shared,
@@ -81,7 +81,7 @@
         let now = self.clock.now();
         let limits = tenants.limits(&self.shared, tenant);
         let max_connections = tenants.sockets(&self.shared, tenant);
-        let key_bounds = tenants.keys(&self.shared, tenant);
+        let key_bounds = tenants.idempotency_limits(&self.shared, tenant);
         let mut limiter = self.limiter.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
         let hosted = by_name.entry(name.to_owned()).or_insert_with(|| {
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -125,7 +125,7 @@
         let text = fs::read_to_string(&self.path)?;
         let list = parse_full_list(&text).map_err(ListFileError::Invalid)?;
         // Checked as a whole, and applied in the form in which it came.
-        let endpoint_count = list.clone().nodes().map_err(ListFileError::Invalid)?.len();
+        let endpoint_count = list.clone().into_endpoints().map_err(ListFileError::Invalid)?.len();
         self.registry.apply(list, UpdateScope::Full);
         say(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
         Ok(())
--- a/crates/proxy/src/pool/endpoint_list.rs
+++ b/crates/proxy/src/pool/endpoint_list.rs
@@ -1,23 +1,23 @@
 //! Endpoints listed in the configuration, in the form in which discovery lists them.
 
-use config::{EndpointList, ListedEndpoint, ListedState, Node, NodeState};
+use config::{EndpointList, EndpointSpec, EndpointState, ListedEndpoint, ListedState};
 
 /// The endpoint list of a pool whose configuration lists its endpoints.
-pub(super) fn from_config(nodes: &[Node]) -> EndpointList {
+pub(super) fn from_config(nodes: &[EndpointSpec]) -> EndpointList {
     EndpointList { version: 0, is_full: true, endpoints: nodes.iter().map(listed_endpoint).collect() }
 }
 
-fn listed_endpoint(node: &Node) -> ListedEndpoint {
+fn listed_endpoint(node: &EndpointSpec) -> ListedEndpoint {
     ListedEndpoint {
         name: node.name.clone(),
         address: node.address,
         zone: node.zone.clone(),
-        machine_kind: node.kind.clone(),
+        machine_kind: node.machine_kind.clone(),
         cell: node.cell,
         state: match node.state {
-            NodeState::Ready => ListedState::Serving,
-            NodeState::Draining => ListedState::Draining,
-            NodeState::Gone => ListedState::Deleted,
+            EndpointState::Ready => ListedState::Serving,
+            EndpointState::Draining => ListedState::Draining,
+            EndpointState::Gone => ListedState::Deleted,
         },
         weight: node.weight,
         started_unix_ms: node.started_unix_ms,
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -80,7 +80,7 @@
 
 fn name_table(config: &Config) -> NameTable {
     let classes = config.classes.iter().map(|class| class.name.clone()).collect();
-    NameTable::new(classes, config.zones.clone(), config.kinds.clone())
+    NameTable::new(classes, config.zones.clone(), config.machine_kinds.clone())
 }
 
 fn new_upstreams(
--- a/crates/proxy/src/rpc_mapping/call_to_http.rs
+++ b/crates/proxy/src/rpc_mapping/call_to_http.rs
@@ -5,7 +5,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use bytes::Bytes;
-use config::{escape, Member, Method, Methods, Verb};
+use config::{escape, HttpMethod, Member, Method, Methods};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request, StatusCode};
@@ -33,12 +33,12 @@
     let method = methods.named(&call.method).ok_or(StatusCode::NOT_FOUND)?;
     let params = Params::parse(call.params).ok_or(StatusCode::BAD_REQUEST)?;
     let request = Request::builder()
-        .method(http_method(method.verb))
+        .method(http_method(method.http_method))
         .uri(path_and_query(method, &params, call.params)?)
         .header(header::HOST, host);
     let (mut head, ()) = request.body(()).map_err(|_| StatusCode::BAD_REQUEST)?.into_parts();
     let has_class = insert_headers(methods, &params, &mut head.headers)?;
-    if method.verb == Verb::Post && call.params.is_some() {
+    if method.http_method == HttpMethod::Post && call.params.is_some() {
         head.headers.insert(header::CONTENT_TYPE, JSON_CONTENT_TYPE);
     }
     Ok((head, (!has_class).then_some(method.class)))
@@ -69,10 +69,10 @@
     })
 }
 
-fn http_method(verb: Verb) -> hyper::Method {
+fn http_method(verb: HttpMethod) -> hyper::Method {
     match verb {
-        Verb::Get => hyper::Method::GET,
-        Verb::Post => hyper::Method::POST,
+        HttpMethod::Get => hyper::Method::GET,
+        HttpMethod::Post => hyper::Method::POST,
     }
 }
 
@@ -83,7 +83,7 @@
     raw_params: Option<&RawValue>,
 ) -> Result<String, StatusCode> {
     let mut path = method.path.fill(|member| params.get(member).and_then(scalar_text));
-    if let (Verb::Get, Some(raw)) = (method.verb, raw_params) {
+    if let (HttpMethod::Get, Some(raw)) = (method.http_method, raw_params) {
         path.push_str("?params=");
         escape(raw.get(), &mut path);
         if path.len() > MAX_QUERY_BYTES {
--- a/src/bin/amberlever/check.rs
+++ b/src/bin/amberlever/check.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use config::{Document, Faults, Loaded, Refused, Report, Setup, Tenants};
+use config::{Diagnostics, Document, DocumentError, HostedSettings, Loaded, Report, Tenants};
 
 use crate::cli::Format;
 use crate::{read, BAD_CONFIGURATION, FAILED_EXPECTATION};
 
 pub fn run(path: &Path, format: Format) -> ExitCode {
     let single = || config::load(path, &read);
-    let loaded = match Setup::load(path, &read) {
+    let loaded = match HostedSettings::load(path, &read) {
         Ok(Some((setup, document))) => return hosted(path, &setup, &document, format),
         Ok(None) => single(),
         Err(faults) => Err(faults),
@@ -29,7 +29,7 @@
 }
 
 /// The file of a hosted service, and the tenants that it would start with.
-fn hosted(path: &Path, setup: &Setup, document: &Document, format: Format) -> ExitCode {
+fn hosted(path: &Path, setup: &HostedSettings, document: &Document, format: Format) -> ExitCode {
     let (said, code) = match Tenants::compile(&setup.shared, document, &Tenants::default()) {
         Ok(tenants) if format == Format::Json => {
             (json(&serde_json::json!({ "status": "good", "tenants": tenants.all.len() })), 0)
@@ -37,8 +37,8 @@
         Ok(tenants) => (format!("{}: a hosted service, {} tenants\n", path.display(), tenants.all.len()), 0),
         Err(refused) => {
             let (status, code) = match refused {
-                Refused::Configuration { .. } => ("configuration", BAD_CONFIGURATION),
-                Refused::Expectations { .. } => ("expectation", FAILED_EXPECTATION),
+                DocumentError::Configuration { .. } => ("configuration", BAD_CONFIGURATION),
+                DocumentError::Expectations { .. } => ("expectation", FAILED_EXPECTATION),
             };
             let text = format!("{}: {refused}\n", path.display());
             let object = serde_json::json!({ "status": status, "refused": refused });
@@ -49,10 +49,10 @@
     ExitCode::from(code)
 }
 
-fn faulty(faults: &Faults, format: Format) -> String {
+fn faulty(faults: &Diagnostics, format: Format) -> String {
     match format {
         Format::Json => json(&serde_json::json!({ "status": "configuration", "faults": faults.all() })),
-        Format::Text => faults.all().iter().map(config::Fault::shown).collect::<Vec<_>>().join("\n"),
+        Format::Text => faults.all().iter().map(config::Diagnostic::rendered).collect::<Vec<_>>().join("\n"),
     }
 }
 
@@ -74,7 +74,7 @@
         said.push_str(&format!("failed: {failure}\n"));
     }
     let config = &loaded.config;
-    let nodes: usize = loaded.fleet.pools.iter().map(Vec::len).sum();
+    let nodes: usize = loaded.endpoints.pools.iter().map(Vec::len).sum();
     let routes = config.table.routes().len();
     let bad = report.contradictions.len() + report.failures.len();
     said.push_str(&format!(
--- a/src/bin/amberlever/demo.rs
+++ b/src/bin/amberlever/demo.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use config::{toml_value, Document, Setup, TenantDoc};
+use config::{toml_value, Document, HostedSettings, TenantDocument};
 use proxy::log::say;
 use serde_json::{json, Value};
 use testkit::FixedLatencyEndpoint;
@@ -53,7 +53,7 @@
     admin: SocketAddr,
     jsonrpc: SocketAddr,
     state: &Path,
-) -> Result<(Setup, Document, Vec<String>), String> {
+) -> Result<(HostedSettings, Document, Vec<String>), String> {
     let mut config = toml_value(CONFIG)?;
     let server = config.as_object_mut().and_then(|c| c.remove("server")).unwrap_or_default();
     config["expect"] = toml_value(EXPECTATIONS)?["expect"].take();
@@ -62,8 +62,9 @@
         server["zone"], state.display().to_string()
     );
     let embedded = |_: &Path| Ok(file.clone());
-    let (setup, mut document) =
-        Setup::load(Path::new("demo"), &embedded).map_err(|f| f.to_string())?.ok_or("no hosted service")?;
+    let (setup, mut document) = HostedSettings::load(Path::new("demo"), &embedded)
+        .map_err(|f| f.to_string())?
+        .ok_or("no hosted service")?;
     let mut lines = Vec::new();
     for (tenant, hosts) in TENANTS {
         let mut config = config.clone();
@@ -74,7 +75,9 @@
         if tenant == "kpks" && !hosts.contains(&own) {
             hosts.push(own);
         }
-        document.tenants.insert(tenant.to_owned(), TenantDoc { hosts, limits: Default::default(), config });
+        document
+            .tenants
+            .insert(tenant.to_owned(), TenantDocument { hosts, limits: Default::default(), config });
     }
     Ok((setup, document, lines))
 }
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use admin::{Plane, Service, TenantStatus};
-use config::{Document, Setup, Tenants};
+use config::{Document, HostedSettings, Tenants};
 use proxy::hosting::{self, Command};
 use proxy::log::say;
 use store::Disk;
@@ -46,7 +46,7 @@
 /// # Errors
 /// Why it could not start, in a line.
 pub fn run(
-    setup: &Setup,
+    setup: &HostedSettings,
     first: Document,
     started: impl FnOnce(&[SocketAddr], SocketAddr),
 ) -> Result<(), String> {
@@ -87,7 +87,7 @@
 
 /// Serves a file if it is that of a hosted service. None where it is that of a single one.
 pub fn serve(path: &Path) -> Option<std::process::ExitCode> {
-    let (setup, first) = match Setup::load(path, &read) {
+    let (setup, first) = match HostedSettings::load(path, &read) {
         Ok(loaded) => loaded?,
         // What is wrong with it is said by whoever reads it for a single one.
         Err(faults) => return Some(failed(&faults.to_string(), BAD_CONFIGURATION)),
