--- a/crates/admin/src/edit.rs
+++ b/crates/admin/src/edit/mod.rs
@@ -1,5 +1,8 @@
 //! Changes of a tenant's configuration, as a JSON document: its parts by name, and what differs between two.
 
+#[cfg(test)]
+mod tests;
+
 use serde_json::{json, Map, Value};
 
 /// The parts of a configuration whose entries have names: as the API calls them, and as the document does.
@@ -99,35 +102,3 @@
     of(after, &mut change, "after");
     found.push(Value::Object(change));
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn entries_are_put_and_taken_by_name() {
-        let mut config = json!({ "pool": [{ "name": "a", "share": 1 }] });
-        assert_eq!(put(&mut config, "pool", "b", json!({ "share": 2 })), Ok(()));
-        assert_eq!(put(&mut config, "pool", "a", json!({ "name": "a", "share": 3 })), Ok(()));
-        assert!(put(&mut config, "pool", "a", json!({ "name": "c" })).is_err());
-        assert!(put(&mut config, "pool", "a", json!([])).is_err());
-        assert_eq!(config, json!({ "pool": [{ "name": "a", "share": 3 }, { "share": 2, "name": "b" }] }));
-        assert!(remove(&mut config, "pool", "a") && !remove(&mut config, "pool", "a"));
-        assert!(!remove(&mut config, "route", "a"));
-    }
-
-    #[test]
-    fn what_differs_is_told_by_name() {
-        let before = json!({ "pool": [{ "name": "a", "x": 1 }, { "name": "b" }], "y": [1] });
-        let after = json!({ "pool": [{ "name": "b" }, { "name": "a", "x": 2 }], "y": [2], "z": true });
-        assert_eq!(
-            diff(&before, &after),
-            [
-                json!({ "path": "/pool/a/x", "before": 1, "after": 2 }),
-                json!({ "path": "/y", "before": [1], "after": [2] }),
-                json!({ "path": "/z", "after": true }),
-            ]
-        );
-        assert!(diff(&before, &before).is_empty());
-    }
-}
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,7 @@
 //! The administration API of a hosted service: tenants, their configuration and limits, status, versions, tokens.
 //!
-//! It decides who may do what ([`auth`]), and turns each change into a whole document that is checked, kept on disk
-//! and only then applied ([`Service`]). What serves is behind [`Plane`]: this package knows nothing of it.
+//! It authenticates and authorizes ([`auth`]), and turns each change into a complete document that is checked, stored on
+//! disk and then applied ([`Service`]). What serves is behind the trait [`DataPlane`].
 #![warn(missing_docs)]
 
 pub mod announce;
@@ -12,4 +12,4 @@
 mod state;
 
 pub use api::openapi;
-pub use state::{Plane, Service, TenantStatus};
+pub use state::{DataPlane, Service, TenantStatus};
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -17,17 +17,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-use crate::api::{router, From};
+use crate::api::{router, ClientAddress};
 use crate::state::Service;
 
 /// Connections at once; further ones wait to be accepted.
-const MOST_CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 /// The head of a request comes whole within this time.
-const HEAD: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// And is answered within this one, its body included.
-const WHOLE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// The largest head, in bytes.
-const MOST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Opens the listener.
 ///
@@ -45,7 +45,7 @@
 /// # Errors
 /// There is no thread or runtime to be had, in a line.
 pub fn start(listener: std::net::TcpListener, service: Arc<Service>) -> Result<(), String> {
-    serve(listener, router(service), MOST_CONNECTIONS)
+    serve(listener, router(service), MAX_CONNECTIONS)
 }
 
 /// Serves these paths on a thread of their own, until the process ends, with so many connections at most.
@@ -72,34 +72,34 @@
 }
 
 async fn accept(listener: TcpListener, router: Router, connections: usize) {
-    let room = Arc::new(Semaphore::new(connections));
+    let permits = Arc::new(Semaphore::new(connections));
     loop {
-        let Ok(place) = Arc::clone(&room).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((stream, peer)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
         let router = router.clone();
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let service = service_fn(move |mut request: hyper::Request<Incoming>| {
-                request.extensions_mut().insert(From(peer.ip()));
+                request.extensions_mut().insert(ClientAddress(peer.ip()));
                 let answer = hyper::service::Service::call(
                     &TowerToHyperService::new(router.clone()),
                     request.map(axum::body::Body::new) as Request,
                 );
                 async move {
-                    match tokio::time::timeout(WHOLE, answer).await {
+                    match tokio::time::timeout(REQUEST_TIMEOUT, answer).await {
                         Ok(answer) => answer,
                         Err(_) => Ok(StatusCode::REQUEST_TIMEOUT.into_response()),
                     }
                 }
             });
             let mut server = http1::Builder::new();
-            server.timer(TokioTimer::new()).header_read_timeout(HEAD).max_buf_size(MOST_HEAD);
+            server.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
             let connection = server.serve_connection(TokioIo::new(stream), service);
             // A connection that stays open holds one of few places, so it may not stay for ever.
-            let _ = tokio::time::timeout(WHOLE * 4, connection).await;
+            let _ = tokio::time::timeout(REQUEST_TIMEOUT * 4, connection).await;
         });
     }
 }
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that administrators change: one change at a time, checked whole, kept on disk, applied, and only then
-//! answered.
+//! The state that administrators change: one change at a time, which is checked completely, stored on disk and applied
+//! before the response.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -10,14 +10,14 @@
 use config::{Document, DocumentError, Role, SharedSettings, TenantDocument, Tenants, Token};
 use limit::Usage;
 use serde_json::Value;
-use store::{Record, StoreError, Versions};
+use store::{Record, StoreError, VersionStore};
 use tokio::sync::Mutex;
 
-use crate::auth::{hash, hex, new_token, Denied, Doorman, Who};
+use crate::auth::{hash, hex, new_token, AccessDenied, Authenticator, Principal};
 
-/// What serves: it takes versions over, and tells what tenants use.
-pub trait Plane: Send + Sync {
-    /// Serve this from now on; done when it does.
+/// The data plane: it serves versions, and reports what tenants use.
+pub trait DataPlane: Send + Sync {
+    /// Serves a version; completes when it does.
     fn apply(&self, number: u64, tenants: Arc<Tenants>) -> Pin<Box<dyn Future<Output = ()> + Send>>;
 
     /// What each tenant uses.
@@ -27,32 +27,35 @@
 /// What a tenant uses.
 #[derive(Clone, Debug, Default)]
 pub struct TenantStatus {
-    /// The version under which its requests are taken.
+    /// The version that serves its requests.
     pub version: u64,
-    /// Its pools run.
+    /// Whether its pools run.
     pub started: bool,
     /// What it has used.
     pub usage: Usage,
 }
 
-/// The name under which tokens are kept.
+/// The name under which tokens are stored.
 const TOKENS: &str = "tokens";
-/// So many tokens at most.
-const MOST_TOKENS: usize = 10_000;
+const MAX_TOKENS: usize = 10_000;
+const FIRST_VERSION: u64 = 1;
+const MAX_TOKEN_NAME_BYTES: usize = 64;
+/// The bytes of the hash that an ETag shows.
+const ETAG_BYTES: usize = 8;
 
-/// All that the API works on.
+/// The state behind the API.
 pub struct Service {
     shared: SharedSettings,
-    plane: Box<dyn Plane>,
-    /// Asked for each request, and held for no longer than that takes.
-    pub(crate) doorman: std::sync::Mutex<Doorman>,
+    plane: Box<dyn DataPlane>,
+    /// Locked for each request, no longer than the authentication takes.
+    authenticator: std::sync::Mutex<Authenticator>,
     /// Tokens of the file, which only the file changes.
     fixed: Vec<Token>,
     state: Mutex<State>,
 }
 
 struct State {
-    store: Box<dyn Versions>,
+    store: Box<dyn VersionStore>,
     number: u64,
     document: Document,
     tenants: Arc<Tenants>,
@@ -61,94 +64,67 @@
 
 /// Why a change was not made.
 #[derive(Debug)]
-pub(crate) enum Rejected {
-    Denied(Denied),
+pub(crate) enum ChangeError {
+    Denied(AccessDenied),
     NotFound(String),
-    /// It is not what it was when it was read.
+    /// It was changed since it was read.
     Stale,
-    /// It has to be said what is to be changed.
-    NoMatch,
+    /// An existing tenant is changed with `If-Match` only.
+    IfMatchRequired,
     Malformed(String),
-    Refused(Box<DocumentError>),
+    Document(Box<DocumentError>),
     Store(StoreError),
 }
 
-impl From<Denied> for Rejected {
-    fn from(denied: Denied) -> Self {
-        Rejected::Denied(denied)
+impl From<AccessDenied> for ChangeError {
+    fn from(denied: AccessDenied) -> Self {
+        ChangeError::Denied(denied)
     }
 }
 
-/// How a change is to be made.
+/// Options of a change.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Manner {
+pub(crate) struct ChangeOptions {
     pub dry_run: bool,
-    pub why: String,
-    /// What `If-Match` says.
-    pub matches: Option<String>,
+    pub reason: String,
+    /// The value of `If-Match`.
+    pub if_match: Option<String>,
+    /// The version to which a rollback leads.
+    pub rollback_to: Option<u64>,
 }
 
 /// A change that was made, or would have been.
-pub(crate) struct Made {
-    pub number: u64,
-    pub tag: Option<String>,
+pub(crate) struct ChangeResult {
+    pub version: u64,
+    pub etag: Option<String>,
 }
 
-/// What tells one state of a tenant from another.
-pub(crate) fn tag(doc: &TenantDocument) -> String {
+/// The ETag of a tenant: a part of the hash of its JSON.
+pub(crate) fn etag(doc: &TenantDocument) -> String {
     let json = serde_json::to_string(doc).unwrap_or_default();
-    format!("\"{}\"", hex(&hash(&json)[..8]))
+    format!("\"{}\"", hex(&hash(&json)[..ETAG_BYTES]))
 }
 
 impl Service {
-    /// Takes a store over. The newest version serves; where there is none, `first` becomes the first. A newest version
-    /// that can no longer serve leaves the one before in its place, with a line in the second part.
+    /// Opens the service on a store. The newest version serves; where there is none, `first` becomes the first. Where
+    /// the newest can no longer serve an older one does, with a warning in the second part.
     ///
     /// # Errors
-    /// Neither can serve, or nothing can be kept.
+    /// No version can serve, or the first cannot be stored.
     pub fn open(
         shared: SharedSettings,
-        plane: Box<dyn Plane>,
+        plane: Box<dyn DataPlane>,
         tokens: Vec<Token>,
         loopback: bool,
-        store: Box<dyn Versions>,
+        store: Box<dyn VersionStore>,
         newest: Option<Record>,
         first: Document,
     ) -> Result<(Service, Vec<String>), String> {
         let mut warnings = Vec::new();
         let mut store = store;
-        let mut candidate = newest;
-        let (number, document, tenants) = loop {
-            let Some(record) = candidate else {
-                let tenants =
-                    Tenants::compile(&shared, &first, &Tenants::default()).map_err(|e| e.to_string())?;
-                let record = Record {
-                    number: 1,
-                    at_ms: now_ms(),
-                    who: "file".to_owned(),
-                    why: "the first start".to_owned(),
-                    body: serde_json::to_string(&first).map_err(|e| e.to_string())?,
-                };
-                store.append(&record).map_err(|e| format!("the first version cannot be kept: {e}"))?;
-                break (1, first, tenants);
-            };
-            let document = serde_json::from_str::<Document>(&record.body).map_err(|e| e.to_string());
-            let compiled = document.and_then(|d| {
-                let tenants =
-                    Tenants::compile(&shared, &d, &Tenants::default()).map_err(|e| e.to_string())?;
-                Ok((d, tenants))
-            });
-            match compiled {
-                Ok((document, tenants)) => break (record.number, document, tenants),
-                Err(e) => {
-                    warnings.push(format!("version {} cannot serve: {e}", record.number));
-                    let before = (1..record.number).rev().take(store::KEPT as usize);
-                    candidate = before.filter_map(|n| store.get(n)).next();
-                    if candidate.is_none() {
-                        return Err(warnings.join("; "));
-                    }
-                }
-            }
+        let serving = match newest {
+            Some(record) => newest_that_serves(&shared, store.as_ref(), record, &mut warnings)?,
+            None => append_first(&shared, store.as_mut(), first)?,
         };
         let issued: Vec<Token> =
             store.value(TOKENS).and_then(|json| serde_json::from_str(&json).ok()).unwrap_or_default();
@@ -159,11 +135,13 @@
                     .to_owned(),
             );
         }
-        // A version that was passed over keeps its number, so that none is given twice.
-        let newest = store.list(1).first().map_or(number, |r| r.number.max(number));
-        let state = State { store, number: newest, document, tenants: Arc::new(tenants), issued };
-        let doorman = std::sync::Mutex::new(Doorman::new(all, loopback));
-        Ok((Service { shared, plane, doorman, fixed: tokens, state: Mutex::new(state) }, warnings))
+        // A version that cannot serve keeps its number, so that none is given twice.
+        let number = store.list(1).first().map_or(serving.number, |record| record.number.max(serving.number));
+        let tenants = Arc::new(serving.tenants);
+        let state = State { store, number, document: serving.document, tenants, issued };
+        let authenticator = std::sync::Mutex::new(Authenticator::new(all, loopback));
+        let service = Service { shared, plane, authenticator, fixed: tokens, state: Mutex::new(state) };
+        Ok((service, warnings))
     }
 
     /// The version that serves.
@@ -172,6 +150,10 @@
         (state.number, Arc::clone(&state.tenants))
     }
 
+    pub(crate) fn authenticator(&self) -> std::sync::MutexGuard<'_, Authenticator> {
+        self.authenticator.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    }
+
     pub(crate) async fn document(&self) -> Document {
         self.state.lock().await.document.clone()
     }
@@ -186,96 +168,150 @@
         self.state.lock().await.store.list(most)
     }
 
-    pub(crate) async fn version(&self, number: u64) -> Result<(Record, Document), Rejected> {
-        let missing = || Rejected::NotFound(format!("there is no version {number}"));
+    pub(crate) async fn version(&self, number: u64) -> Result<(Record, Document), ChangeError> {
+        let missing = || ChangeError::NotFound(format!("there is no version {number}"));
         let record = self.state.lock().await.store.get(number).ok_or_else(missing)?;
         let document = serde_json::from_str(&record.body).map_err(|_| missing())?;
         Ok((record, document))
     }
 
-    /// Changes the document. `tenant` is the one whose state `If-Match` speaks of.
+    /// Changes the document. `tenant` is the one that `If-Match` refers to.
     pub(crate) async fn change(
         &self,
-        who: &Who,
-        manner: &Manner,
+        principal: &Principal,
+        options: &ChangeOptions,
         tenant: Option<&str>,
-        edit: impl FnOnce(&mut Document) -> Result<(), Rejected>,
-    ) -> Result<Made, Rejected> {
+        edit: impl FnOnce(&mut Document) -> Result<(), ChangeError>,
+    ) -> Result<ChangeResult, ChangeError> {
         let mut state = self.state.lock().await;
-        if let Some(doc) = tenant.and_then(|t| state.document.tenants.get(t)) {
-            match &manner.matches {
-                None => return Err(Rejected::NoMatch),
-                Some(tags) if tags.split(',').any(|t| t.trim() == tag(doc)) => {}
-                Some(_) => return Err(Rejected::Stale),
-            }
-        } else if manner.matches.is_some() && tenant.is_some() {
-            return Err(Rejected::Stale);
+        if let Some(tenant) = tenant {
+            check_if_match(state.document.tenants.get(tenant), options.if_match.as_deref())?;
         }
         let mut document = state.document.clone();
         edit(&mut document)?;
         let tenants = Tenants::compile(&self.shared, &document, &state.tenants)
-            .map_err(|refused| Rejected::Refused(Box::new(refused)))?;
-        let tag = tenant.and_then(|t| document.tenants.get(t)).map(tag);
-        if manner.dry_run || document == state.document {
-            return Ok(Made { number: state.number, tag });
+            .map_err(|error| ChangeError::Document(Box::new(error)))?;
+        let etag = tenant.and_then(|name| document.tenants.get(name)).map(etag);
+        if options.dry_run || document == state.document {
+            return Ok(ChangeResult { version: state.number, etag });
         }
         let number = state.number + 1;
-        let body = serde_json::to_string(&document).map_err(|e| Rejected::Malformed(e.to_string()))?;
-        let (who, why) = (who.name.clone(), manner.why.clone());
-        let record = Record { number, at_ms: now_ms(), who, why, body };
-        // On disk before it serves, and it serves before it is answered.
-        state.store.append(&record).map_err(Rejected::Store)?;
+        let body = serde_json::to_string(&document).map_err(|e| ChangeError::Malformed(e.to_string()))?;
+        let record = Record {
+            number,
+            at_ms: now_ms(),
+            who: principal.name.clone(),
+            why: options.reason.clone(),
+            body,
+        };
+        // It is on disk before it serves, and serves before the response.
+        state.store.append(&record).map_err(ChangeError::Store)?;
         let tenants = Arc::new(tenants);
-        (state.number, state.document, state.tenants) = (number, document, Arc::clone(&tenants));
+        state.number = number;
+        state.document = document;
+        state.tenants = Arc::clone(&tenants);
         self.plane.apply(number, tenants).await;
-        Ok(Made { number, tag })
+        Ok(ChangeResult { version: number, etag })
     }
 
     // ---- Tokens ----
 
     pub(crate) fn tokens(&self) -> Vec<(String, Role)> {
-        let doorman = self.doorman.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        doorman.tokens().iter().map(|t| (t.name.clone(), t.role.clone())).collect()
+        self.authenticator().tokens().iter().map(|t| (t.name.clone(), t.role.clone())).collect()
     }
 
-    /// Issues a token: its text, which is told once and kept nowhere.
-    pub(crate) async fn issue(&self, name: &str, role: Role) -> Result<String, Rejected> {
+    /// Issues a token: its text, which is returned once and stored nowhere.
+    pub(crate) async fn issue(&self, name: &str, role: Role) -> Result<String, ChangeError> {
         let mut state = self.state.lock().await;
-        let is_name = (1..=64).contains(&name.len())
+        let is_name = (1..=MAX_TOKEN_NAME_BYTES).contains(&name.len())
             && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
         if !is_name || self.tokens().iter().any(|(n, _)| n == name) {
-            return Err(Rejected::Malformed(format!("{name:?} does not name a new token")));
+            return Err(ChangeError::Malformed(format!("{name:?} does not name a new token")));
         }
-        if state.issued.len() >= MOST_TOKENS {
-            return Err(Rejected::Malformed(format!("there are {MOST_TOKENS} tokens")));
+        if state.issued.len() >= MAX_TOKENS {
+            return Err(ChangeError::Malformed(format!("there are {MAX_TOKENS} tokens")));
         }
-        let text = new_token().map_err(Rejected::Malformed)?;
+        let text = new_token().map_err(ChangeError::Malformed)?;
         let mut issued = state.issued.clone();
         issued.push(Token { name: name.to_owned(), role, sha256: hash(&text) });
-        self.keep(&mut state, issued)?;
+        self.store_tokens(&mut state, issued)?;
         Ok(text)
     }
 
     /// Revokes a token, at once.
-    pub(crate) async fn revoke(&self, name: &str) -> Result<(), Rejected> {
+    pub(crate) async fn revoke(&self, name: &str) -> Result<(), ChangeError> {
         let mut state = self.state.lock().await;
         let issued: Vec<Token> = state.issued.iter().filter(|t| t.name != name).cloned().collect();
         if issued.len() == state.issued.len() {
-            return Err(Rejected::NotFound(format!("no token {name:?} was issued here")));
+            return Err(ChangeError::NotFound(format!("no token {name:?} was issued here")));
         }
-        self.keep(&mut state, issued)
+        self.store_tokens(&mut state, issued)
     }
 
-    fn keep(&self, state: &mut State, issued: Vec<Token>) -> Result<(), Rejected> {
-        let json = serde_json::to_string(&issued).map_err(|e| Rejected::Malformed(e.to_string()))?;
-        state.store.put(TOKENS, &json).map_err(Rejected::Store)?;
+    fn store_tokens(&self, state: &mut State, issued: Vec<Token>) -> Result<(), ChangeError> {
+        let json = serde_json::to_string(&issued).map_err(|e| ChangeError::Malformed(e.to_string()))?;
+        state.store.put(TOKENS, &json).map_err(ChangeError::Store)?;
         let all = self.fixed.iter().chain(&issued).cloned().collect();
-        self.doorman.lock().unwrap_or_else(std::sync::PoisonError::into_inner).replace(all);
+        self.authenticator().replace(all);
         state.issued = issued;
         Ok(())
     }
 }
 
+/// A version that has been compiled.
+struct CompiledVersion {
+    number: u64,
+    document: Document,
+    tenants: Tenants,
+}
+
+/// Compiles and stores the first version.
+fn append_first(
+    shared: &SharedSettings,
+    store: &mut dyn VersionStore,
+    document: Document,
+) -> Result<CompiledVersion, String> {
+    let tenants = compile(shared, &document)?;
+    let record = Record {
+        number: FIRST_VERSION,
+        at_ms: now_ms(),
+        who: "file".to_owned(),
+        why: "the first start".to_owned(),
+        body: serde_json::to_string(&document).map_err(|error| error.to_string())?,
+    };
+    store.append(&record).map_err(|error| format!("the first version cannot be kept: {error}"))?;
+    Ok(CompiledVersion { number: FIRST_VERSION, document, tenants })
+}
+
+/// The newest stored version that can serve. Each newer one adds a warning.
+fn newest_that_serves(
+    shared: &SharedSettings,
+    store: &dyn VersionStore,
+    newest: Record,
+    warnings: &mut Vec<String>,
+) -> Result<CompiledVersion, String> {
+    let mut record = newest;
+    loop {
+        let error = match compile_record(shared, &record) {
+            Ok(compiled) => return Ok(compiled),
+            Err(error) => error,
+        };
+        warnings.push(format!("version {} cannot serve: {error}", record.number));
+        let mut older = (FIRST_VERSION..record.number).rev().take(store::RETAINED_VERSIONS as usize);
+        record = older.find_map(|number| store.get(number)).ok_or_else(|| warnings.join("; "))?;
+    }
+}
+
+fn compile_record(shared: &SharedSettings, record: &Record) -> Result<CompiledVersion, String> {
+    let document: Document = serde_json::from_str(&record.body).map_err(|error| error.to_string())?;
+    let tenants = compile(shared, &document)?;
+    Ok(CompiledVersion { number: record.number, document, tenants })
+}
+
+fn compile(shared: &SharedSettings, document: &Document) -> Result<Tenants, String> {
+    Tenants::compile(shared, document, &Tenants::default()).map_err(|error| error.to_string())
+}
+
 fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
@@ -284,9 +320,26 @@
 pub(crate) fn tenant_mut<'a>(
     document: &'a mut Document,
     name: &str,
-) -> Result<&'a mut TenantDocument, Rejected> {
-    let missing = || Rejected::NotFound(format!("there is no tenant `{name}`"));
-    document.tenants.get_mut(name).ok_or_else(missing)
+) -> Result<&'a mut TenantDocument, ChangeError> {
+    document.tenants.get_mut(name).ok_or_else(|| unknown_tenant(name))
+}
+
+pub(crate) fn unknown_tenant(name: &str) -> ChangeError {
+    ChangeError::NotFound(format!("there is no tenant `{name}`"))
+}
+
+/// Checks `If-Match` against a tenant, or against there being none.
+fn check_if_match(tenant: Option<&TenantDocument>, if_match: Option<&str>) -> Result<(), ChangeError> {
+    match (tenant, if_match) {
+        (None, None) => Ok(()),
+        (None, Some(_)) => Err(ChangeError::Stale),
+        (Some(_), None) => Err(ChangeError::IfMatchRequired),
+        (Some(tenant), Some(etags)) => {
+            let current = etag(tenant);
+            let is_current = etags.split(',').any(|candidate| candidate.trim() == current);
+            is_current.then_some(()).ok_or(ChangeError::Stale)
+        }
+    }
 }
 
 /// A document as JSON.
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! Versions in a folder.
+//! A version store in a folder.
 
 use std::fs;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -7,174 +7,199 @@
 use atomic_file::{FileStorage, Folder};
 use redb::{Database, ReadableTable, TableDefinition};
 
-use crate::{Record, StoreError, Versions, KEPT};
+use crate::{Record, StoreError, VersionStore, RETAINED_VERSIONS};
 
 const VERSIONS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("versions");
 const VALUES: TableDefinition<'_, &str, &str> = TableDefinition::new("values");
-/// The newest versions stand in these files in turn.
+const DATABASE: &str = "state.redb";
+/// The newest versions are copied to these files in turn.
 const RECENT: [&str; 2] = ["recent-0", "recent-1"];
 
-/// A folder with versions.
-pub struct Disk {
+/// A version store in a folder.
+pub struct DiskStore {
     folder: PathBuf,
-    db: Database,
+    database: Database,
 }
 
-/// A folder that has been opened.
-pub struct Opened {
-    /// The folder.
-    pub disk: Disk,
-    /// The newest version that is whole, if there is any.
+/// A store that has been opened.
+pub struct OpenedStore {
+    /// The store.
+    pub disk: DiskStore,
+    /// The newest intact version, if there is any.
     pub newest: Option<Record>,
-    /// What was found damaged, in a line each.
+    /// What was found damaged, a line for each.
     pub warnings: Vec<String>,
 }
 
-fn fault(e: impl std::fmt::Display) -> StoreError {
-    StoreError(e.to_string())
+fn store_error(source: impl std::fmt::Display) -> StoreError {
+    StoreError(source.to_string())
 }
 
-/// A damaged store may panic where it should fail.
-fn guarded<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+/// Turns a panic over a damaged database into an error.
+fn catch_damage<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|_| Err(StoreError("the store is damaged".to_owned())))
 }
 
-impl Disk {
-    /// Opens a folder, or makes it. Damage is told and got round, never a reason not to start.
+impl DiskStore {
+    /// Opens a folder, or creates it. Damage leads to warnings and never to an error.
     ///
     /// # Errors
     /// The folder cannot be used at all.
-    pub fn open(folder: &Path) -> Result<Opened, StoreError> {
-        fs::create_dir_all(folder).map_err(|e| fault(format!("{}: {e}", folder.display())))?;
+    pub fn open(folder: &Path) -> Result<OpenedStore, StoreError> {
+        fs::create_dir_all(folder).map_err(|error| store_error(format!("{}: {error}", folder.display())))?;
         let mut warnings = Vec::new();
-        let path = folder.join("state.redb");
-        // What panics over damage is told of in a line below, and not as it panics.
-        let hook = std::panic::take_hook();
-        std::panic::set_hook(Box::new(|_| {}));
-        let read = guarded(|| {
-            let mut db = Database::create(&path).map_err(fault)?;
-            if !db.check_integrity().map_err(fault)? {
-                return Err(StoreError("its checksums do not hold".to_owned()));
-            }
-            let stored = stored(&db)?;
-            Ok((db, stored))
-        });
-        std::panic::set_hook(hook);
-        let (db, stored) = match read {
-            Ok(read) => read,
-            Err(e) => {
-                let aside = set_aside(&path)?;
-                warnings.push(format!("{}: {e}; set aside as {}", path.display(), aside.display()));
-                (Database::create(&path).map_err(fault)?, Vec::new())
-            }
-        };
-        let mut disk = Disk { folder: folder.to_owned(), db };
-        let damaged = stored.iter().filter(|(_, record)| record.is_none()).map(|(number, _)| *number);
-        warnings.extend(damaged.map(|number| format!("version {number} is damaged and passed over")));
-        let mut newest = stored.into_iter().rev().find_map(|(_, record)| record);
-        for name in RECENT {
-            let path = folder.join(name);
-            let Ok(bytes) = fs::read(&path) else { continue };
-            match Record::decode(&bytes) {
-                Some(record) if newest.as_ref().is_none_or(|n| n.number < record.number) => {
-                    newest = Some(record);
-                }
-                Some(_) => {}
-                None => warnings.push(format!("{} is damaged and passed over", path.display())),
-            }
-        }
-        // What was found beside the store goes into it again.
-        if let Some(record) = newest.as_ref().filter(|n| disk.get(n.number).is_none()) {
+        let (database, versions) = open_or_replace(&folder.join(DATABASE), &mut warnings)?;
+        let mut disk = DiskStore { folder: folder.to_owned(), database };
+        let damaged = versions.iter().filter(|version| version.record.is_none());
+        warnings
+            .extend(damaged.map(|version| format!("version {} is damaged and passed over", version.number)));
+        let stored = versions.into_iter().rev().find_map(|version| version.record);
+        let newest = newest_of_copies(folder, stored, &mut warnings);
+        // A copy that is newer than the database goes into it again.
+        if let Some(record) = newest.as_ref().filter(|newest| disk.get(newest.number).is_none()) {
             warnings.push(format!("version {} was found beside the store", record.number));
             disk.append(record)?;
         }
-        Ok(Opened { disk, newest, warnings })
+        Ok(OpenedStore { disk, newest, warnings })
     }
 
-    /// Writes a file whole or not at all.
+    /// Replaces a file atomically.
     fn write(&self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        // The store's own lock holds the folder.
+        // The lock of the database protects the folder.
         let files = Folder::without_lock(&self.folder);
         files.replace(&format!("{name}.next"), name, bytes)?;
         files.sync_folder()
     }
 }
 
-/// All versions of a store in order, None for those that are damaged.
-fn stored(db: &Database) -> Result<Vec<(u64, Option<Record>)>, StoreError> {
-    let read = db.begin_read().map_err(fault)?;
-    let Ok(table) = read.open_table(VERSIONS) else { return Ok(Vec::new()) };
-    let mut all = Vec::new();
-    for entry in table.iter().map_err(fault)? {
-        let (number, bytes) = entry.map_err(fault)?;
-        let record = Record::decode(bytes.value()).filter(|r| r.number == number.value());
-        all.push((number.value(), record));
+/// A version in the database.
+struct StoredVersion {
+    number: u64,
+    /// None where it is damaged.
+    record: Option<Record>,
+}
+
+/// Opens the database with all its versions. A damaged one is renamed, and replaced by an empty one.
+fn open_or_replace(
+    path: &Path,
+    warnings: &mut Vec<String>,
+) -> Result<(Database, Vec<StoredVersion>), StoreError> {
+    // Panics over damage become warnings below, and are not printed.
+    let panic_hook = std::panic::take_hook();
+    std::panic::set_hook(Box::new(|_| {}));
+    let opened = catch_damage(|| open_checked(path));
+    std::panic::set_hook(panic_hook);
+    opened.or_else(|error| {
+        let aside = set_aside(path)?;
+        warnings.push(format!("{}: {error}; set aside as {}", path.display(), aside.display()));
+        let database = Database::create(path).map_err(store_error)?;
+        Ok((database, Vec::new()))
+    })
+}
+
+fn open_checked(path: &Path) -> Result<(Database, Vec<StoredVersion>), StoreError> {
+    let mut database = Database::create(path).map_err(store_error)?;
+    if !database.check_integrity().map_err(store_error)? {
+        return Err(StoreError("its checksums do not hold".to_owned()));
+    }
+    let versions = stored_versions(&database)?;
+    Ok((database, versions))
+}
+
+/// All versions of a database in order.
+fn stored_versions(database: &Database) -> Result<Vec<StoredVersion>, StoreError> {
+    let transaction = database.begin_read().map_err(store_error)?;
+    let Ok(table) = transaction.open_table(VERSIONS) else { return Ok(Vec::new()) };
+    let mut versions = Vec::new();
+    for entry in table.iter().map_err(store_error)? {
+        let (number, bytes) = entry.map_err(store_error)?;
+        let number = number.value();
+        let record = Record::decode(bytes.value()).filter(|record| record.number == number);
+        versions.push(StoredVersion { number, record });
+    }
+    Ok(versions)
+}
+
+/// The newest of the stored version and the copies beside the database.
+fn newest_of_copies(folder: &Path, stored: Option<Record>, warnings: &mut Vec<String>) -> Option<Record> {
+    let mut newest = stored;
+    for name in RECENT {
+        let path = folder.join(name);
+        let Ok(bytes) = fs::read(&path) else { continue };
+        match Record::decode(&bytes) {
+            Some(record) if newest.as_ref().is_none_or(|newest| newest.number < record.number) => {
+                newest = Some(record);
+            }
+            Some(_) => {}
+            None => warnings.push(format!("{} is damaged and passed over", path.display())),
+        }
     }
-    Ok(all)
+    newest
 }
 
 fn set_aside(path: &Path) -> Result<PathBuf, StoreError> {
-    let aside = (1..).map(|n| path.with_extension(format!("damaged-{n}"))).find(|p| !p.exists());
+    let mut names = (1..).map(|number| path.with_extension(format!("damaged-{number}")));
+    let aside = names.find(|name| !name.exists());
     let aside = aside.unwrap_or_else(|| path.with_extension("damaged"));
-    fs::rename(path, &aside).map_err(fault)?;
+    fs::rename(path, &aside).map_err(store_error)?;
     Ok(aside)
 }
 
-impl Versions for Disk {
+impl VersionStore for DiskStore {
     fn append(&mut self, record: &Record) -> Result<(), StoreError> {
         let bytes = record.encode();
-        guarded(|| {
-            let write = self.db.begin_write().map_err(fault)?;
+        catch_damage(|| {
+            let transaction = self.database.begin_write().map_err(store_error)?;
             {
-                let mut table = write.open_table(VERSIONS).map_err(fault)?;
-                table.insert(record.number, bytes.as_slice()).map_err(fault)?;
-                if let Some(old) = record.number.checked_sub(KEPT) {
-                    table.remove(old).map_err(fault)?;
+                let mut table = transaction.open_table(VERSIONS).map_err(store_error)?;
+                table.insert(record.number, bytes.as_slice()).map_err(store_error)?;
+                if let Some(old) = record.number.checked_sub(RETAINED_VERSIONS) {
+                    table.remove(old).map_err(store_error)?;
                 }
             }
-            write.commit().map_err(fault)
+            transaction.commit().map_err(store_error)
         })?;
-        // The version is kept; its copy only shortens the way back after damage.
+        // The version is stored already; its copy only serves recovery.
         let _ = self.write(RECENT[(record.number % 2) as usize], &bytes);
         Ok(())
     }
 
     fn get(&self, number: u64) -> Option<Record> {
         let read = || {
-            let read = self.db.begin_read().map_err(fault)?;
-            let table = read.open_table(VERSIONS).map_err(fault)?;
-            let bytes = table.get(number).map_err(fault)?;
+            let transaction = self.database.begin_read().map_err(store_error)?;
+            let table = transaction.open_table(VERSIONS).map_err(store_error)?;
+            let bytes = table.get(number).map_err(store_error)?;
             Ok(bytes.and_then(|bytes| Record::decode(bytes.value())))
         };
-        guarded(read).ok().flatten()
+        catch_damage(read).ok().flatten()
     }
 
-    fn list(&self, most: usize) -> Vec<Record> {
+    fn list(&self, max: usize) -> Vec<Record> {
         let read = || {
-            let read = self.db.begin_read().map_err(fault)?;
-            let table = read.open_table(VERSIONS).map_err(fault)?;
-            let newest = table.iter().map_err(fault)?.rev().take(most).flatten();
-            let whole = newest.filter_map(|(_, bytes)| Record::decode(bytes.value()));
-            Ok(whole.map(|record| Record { body: String::new(), ..record }).collect())
+            let transaction = self.database.begin_read().map_err(store_error)?;
+            let table = transaction.open_table(VERSIONS).map_err(store_error)?;
+            let newest = table.iter().map_err(store_error)?.rev().take(max).flatten();
+            let intact = newest.filter_map(|(_, bytes)| Record::decode(bytes.value()));
+            Ok(intact.map(|record| Record { body: String::new(), ..record }).collect())
         };
-        guarded(read).unwrap_or_default()
+        catch_damage(read).unwrap_or_default()
     }
 
     fn put(&mut self, name: &str, value: &str) -> Result<(), StoreError> {
-        guarded(|| {
-            let write = self.db.begin_write().map_err(fault)?;
-            write.open_table(VALUES).map_err(fault)?.insert(name, value).map_err(fault)?;
-            write.commit().map_err(fault)
+        catch_damage(|| {
+            let transaction = self.database.begin_write().map_err(store_error)?;
+            transaction.open_table(VALUES).map_err(store_error)?.insert(name, value).map_err(store_error)?;
+            transaction.commit().map_err(store_error)
         })
     }
 
     fn value(&self, name: &str) -> Option<String> {
         let read = || {
-            let read = self.db.begin_read().map_err(fault)?;
-            let table = read.open_table(VALUES).map_err(fault)?;
-            Ok(table.get(name).map_err(fault)?.map(|v| v.value().to_owned()))
+            let transaction = self.database.begin_read().map_err(store_error)?;
+            let table = transaction.open_table(VALUES).map_err(store_error)?;
+            Ok(table.get(name).map_err(store_error)?.map(|value| value.value().to_owned()))
         };
-        guarded(read).ok().flatten()
+        catch_damage(read).ok().flatten()
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,18 +1,17 @@
-//! Numbered versions on disk.
+//! A store of numbered versions on disk.
 //!
-//! [`Versions`] is what others see of it; [`Disk`] keeps them in an embedded transactional store (redb: pure Rust, one
-//! file, copy on write, a commit is whole or not there). The newest two stand in files of their own beside it as well,
-//! so that damage to the store costs no more than history: at the start the newest version whose checksum holds
-//! serves, wherever it is found.
+//! [`VersionStore`] is the interface; [`DiskStore`] implements it with an embedded transactional database (redb: one file,
+//! copy on write, atomic commits). The two newest versions are also copied to files of their own, so that damage to the
+//! database loses history alone: at the start the newest version with a valid checksum serves, wherever it is found.
 #![warn(missing_docs)]
 
 mod disk;
 mod record;
 
-pub use disk::{Disk, Opened};
+pub use disk::{DiskStore, OpenedStore};
 pub use record::Record;
 
-/// Why something could not be kept or read, in a line.
+/// Why something could not be stored or read, in a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
@@ -24,29 +23,29 @@
 
 impl std::error::Error for StoreError {}
 
-/// Versions, numbered from 1 on, and a few small values by name.
-pub trait Versions: Send {
-    /// Keeps a version; it is on disk when this returns.
+/// Versions, numbered from 1, and a few small values by name.
+pub trait VersionStore: Send {
+    /// Stores a version, durably when this returns.
     ///
     /// # Errors
-    /// It was not kept: the newest version is the one before.
+    /// It was not stored; the newest version is the previous one.
     fn append(&mut self, record: &Record) -> Result<(), StoreError>;
 
-    /// The version of a number, if it is kept and whole.
+    /// The version of a number, if it is stored and intact.
     fn get(&self, number: u64) -> Option<Record>;
 
-    /// The newest versions, newest first, at most so many, without their bodies.
-    fn list(&self, most: usize) -> Vec<Record>;
+    /// At most `max` of the newest versions, newest first, without their bodies.
+    fn list(&self, max: usize) -> Vec<Record>;
 
-    /// Keeps a value under a name.
+    /// Stores a value under a name.
     ///
     /// # Errors
-    /// It was not kept.
+    /// It was not stored.
     fn put(&mut self, name: &str, value: &str) -> Result<(), StoreError>;
 
     /// The value of a name.
     fn value(&self, name: &str) -> Option<String>;
 }
 
-/// So many versions are kept; older ones are dropped.
-pub const KEPT: u64 = 1_000;
+/// The number of versions that are retained; older ones are removed.
+pub const RETAINED_VERSIONS: u64 = 1_000;
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use store::{Disk, Record, Versions, KEPT};
+use store::{DiskStore, Record, VersionStore, RETAINED_VERSIONS};
 
 fn folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("store-{name}-{}", std::process::id()));
@@ -23,14 +23,14 @@
 
 fn filled(name: &str, versions: u64) -> PathBuf {
     let folder = folder(name);
-    let mut opened = Disk::open(&folder).expect("opens");
+    let mut opened = DiskStore::open(&folder).expect("opens");
     assert!(opened.newest.is_none() && opened.warnings.is_empty());
     (1..=versions).for_each(|n| opened.disk.append(&record(n)).expect("kept"));
     folder
 }
 
 fn newest(folder: &Path) -> (u64, Vec<String>) {
-    let opened = Disk::open(folder).expect("opens");
+    let opened = DiskStore::open(folder).expect("opens");
     let newest = opened.newest.expect("a version");
     assert_eq!(newest, record(newest.number), "whole");
     assert_eq!(opened.disk.get(newest.number), Some(newest.clone()), "in the store");
@@ -41,19 +41,19 @@
 fn versions_are_found_again() {
     let folder = filled("again", 5);
     assert_eq!(newest(&folder), (5, Vec::new()));
-    let mut opened = Disk::open(&folder).expect("opens");
+    let mut opened = DiskStore::open(&folder).expect("opens");
     assert_eq!(opened.disk.get(3), Some(record(3)));
     assert_eq!(opened.disk.list(2).iter().map(|r| r.number).collect::<Vec<_>>(), [5, 4]);
     opened.disk.put("a", "1").expect("kept");
     drop(opened);
-    assert_eq!(Disk::open(&folder).expect("opens").disk.value("a").as_deref(), Some("1"));
+    assert_eq!(DiskStore::open(&folder).expect("opens").disk.value("a").as_deref(), Some("1"));
 }
 
 #[test]
 fn old_versions_are_dropped() {
     let folder = folder("old");
-    let mut disk = Disk::open(&folder).expect("opens").disk;
-    for n in [1, 2, KEPT + 1] {
+    let mut disk = DiskStore::open(&folder).expect("opens").disk;
+    for n in [1, 2, RETAINED_VERSIONS + 1] {
         disk.append(&record(n)).expect("kept");
     }
     assert_eq!((disk.get(1), disk.get(2)), (None, Some(record(2))));
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -7,11 +7,11 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-use admin::{Plane, Service, TenantStatus};
+use admin::{DataPlane, Service, TenantStatus};
 use config::{Document, HostedSettings, Tenants};
 use proxy::hosting::{self, Command};
 use proxy::log::say;
-use store::Disk;
+use store::DiskStore;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::{failed, read, BAD_CONFIGURATION};
@@ -19,7 +19,7 @@
 /// What serves, as the API sees it.
 struct Serving(mpsc::UnboundedSender<Command>);
 
-impl Plane for Serving {
+impl DataPlane for Serving {
     fn apply(&self, number: u64, tenants: Arc<Tenants>) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let (done, applied) = oneshot::channel();
         let _ = self.0.send(Command::Apply { version: number, tenants, done });
@@ -50,7 +50,7 @@
     first: Document,
     started: impl FnOnce(&[SocketAddr], SocketAddr),
 ) -> Result<(), String> {
-    let opened = Disk::open(&setup.state).map_err(|e| format!("the state cannot be used: {e}"))?;
+    let opened = DiskStore::open(&setup.state).map_err(|e| format!("the state cannot be used: {e}"))?;
     let (commands, obeyed) = mpsc::unbounded_channel();
     let (service, warnings) = Service::open(
         setup.shared.clone(),
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -14,7 +14,7 @@
 use api::*;
 use learned_state::{SkippedSections, Snapshot};
 use serde_json::json;
-use store::{Disk, Opened, Record, Versions};
+use store::{DiskStore, OpenedStore, Record, VersionStore};
 use stubs::*;
 
 const EVERY_FIELD: &str = "every-field.known";
@@ -245,8 +245,8 @@
 
 #[test]
 fn versions_and_values_are_read_field_by_field() {
-    let Opened { disk, newest, warnings } =
-        Disk::open(&state_with(&VERSION_FILES).join("state")).expect("opens");
+    let OpenedStore { disk, newest, warnings } =
+        DiskStore::open(&state_with(&VERSION_FILES).join("state")).expect("opens");
     let all = versions();
     assert_eq!(warnings, Vec::<String>::new());
     assert_eq!(newest.as_ref(), all.last());
@@ -280,7 +280,8 @@
         assert_eq!(Record::decode(&bytes).as_ref(), Some(version), "{name}");
         assert!(version.encode() == bytes, "{name} is written as other bytes");
         // It serves where the store is lost.
-        let Opened { newest, warnings, .. } = Disk::open(&state_with(&[name]).join("state")).expect("opens");
+        let OpenedStore { newest, warnings, .. } =
+            DiskStore::open(&state_with(&[name]).join("state")).expect("opens");
         assert_eq!(newest.as_ref(), Some(version));
         assert_eq!(warnings, [format!("version {} was found beside the store", version.number)]);
     }
