--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -1,4 +1,7 @@
-//! One connection to a router: messages in, octets out, and an end that lets the last words be read.
+//! One TCP connection to a BGP peer: frames incoming messages, writes outgoing ones, and closes so that the last
+//! message (usually a NOTIFICATION) can still be read.
+//!
+//! Memory is bounded by [`MAX_QUEUED_MESSAGES`] outgoing messages and one incoming message of the largest size.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -10,85 +13,96 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Messages that wait to be written: a peer that reads none of so many is gone.
-pub const MOST_WAITING: usize = 256;
+/// Outgoing messages that may wait to be written; a peer that falls further behind counts as failed.
+pub const MAX_QUEUED_MESSAGES: usize = 256;
 /// A write that takes longer has failed.
-const WRITE: Duration = Duration::from_secs(30);
-/// What the peer still sends is read for so long after the last word: closed unread, it would take that word back.
-const LINGER: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Input is drained for this long after the last write: closing with unread input would reset the connection and
+/// discard that write.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size in bytes of the buffer for drained input.
+const DRAIN_BUFFER_SIZE: usize = 1024;
 
-/// What comes of a connection.
-pub enum Heard {
+/// What a connection reports.
+pub enum ConnectionEvent {
     /// A message, without its header.
     Message(Kind, Vec<u8>),
-    /// Something that is none.
+    /// A header that is not valid, with the NOTIFICATION that answers it.
     Malformed(Notification),
-    /// The end.
-    Over,
+    /// The connection has ended.
+    Closed,
 }
 
-/// Dials a router, from this address if one is given.
+/// Connects to a peer, from `source` if one is given.
+///
+/// # Errors
+/// The system's error, or `TimedOut` after `connect_timeout`.
 pub async fn dial(
     address: SocketAddr,
     source: Option<IpAddr>,
-    within: Duration,
+    connect_timeout: Duration,
 ) -> std::io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     if let Some(source) = source {
         socket.bind(SocketAddr::new(source, 0))?;
     }
-    timeout(within, socket.connect(address)).await.map_err(|_| std::io::ErrorKind::TimedOut)?
+    timeout(connect_timeout, socket.connect(address)).await.map_err(|_| std::io::ErrorKind::TimedOut)?
 }
 
-/// Serves a connection until `words` ends and all of them are written, or the peer ends it. `tell` is given what comes
-/// of it, and may take its time: the peer is read no faster.
-pub async fn serve(stream: TcpStream, words: mpsc::Receiver<Vec<u8>>, tell: impl AsyncFn(Heard)) {
+/// Serves a connection until `outgoing` is closed and fully written, or the peer closes it. `report` receives what
+/// happens; while it waits, nothing more is read from the peer.
+pub async fn serve(
+    stream: TcpStream,
+    outgoing: mpsc::Receiver<Vec<u8>>,
+    report: impl AsyncFn(ConnectionEvent),
+) {
     let _ = stream.set_nodelay(true);
-    let (mut from, to) = stream.into_split();
+    let (mut reader, writer) = stream.into_split();
     {
-        let reading = read(&mut from, &tell);
-        let writing = write(to, words);
+        let reading = read_messages(&mut reader, &report);
+        let writing = write_messages(writer, outgoing);
         tokio::pin!(reading, writing);
         tokio::select! {
-            // What is said to a peer that has spoken badly is still written.
+            // The NOTIFICATION that answers a malformed message is still written.
             () = &mut reading => writing.await,
             () = &mut writing => {}
         }
     }
-    let mut scratch = [0; 1024];
-    let drain = async { while from.read(&mut scratch).await.is_ok_and(|n| n > 0) {} };
-    let _ = timeout(LINGER, drain).await;
-    // Where it was not the peer who ended it: a write has failed.
-    tell(Heard::Over).await;
+    let _ = timeout(LINGER_TIMEOUT, drain(&mut reader)).await;
+    // Reported here as well, as a failed write ends the connection without the reader noticing.
+    report(ConnectionEvent::Closed).await;
 }
 
-async fn read(from: &mut OwnedReadHalf, tell: &impl AsyncFn(Heard)) {
+async fn drain(reader: &mut OwnedReadHalf) {
+    let mut scratch = [0; DRAIN_BUFFER_SIZE];
+    while reader.read(&mut scratch).await.is_ok_and(|length| length > 0) {}
+}
+
+async fn read_messages(reader: &mut OwnedReadHalf, report: &impl AsyncFn(ConnectionEvent)) {
     let mut header = [0; HEADER];
-    // As large as the largest message, which is also all that a peer can make us hold.
     let mut body = vec![0; MOST_MESSAGE - HEADER];
     loop {
-        if from.read_exact(&mut header).await.is_err() {
-            return tell(Heard::Over).await;
+        if reader.read_exact(&mut header).await.is_err() {
+            return report(ConnectionEvent::Closed).await;
         }
         let (length, kind) = match frame(&header) {
             Ok(framed) => framed,
-            Err(why) => return tell(Heard::Malformed(why)).await,
+            Err(notification) => return report(ConnectionEvent::Malformed(notification)).await,
         };
         let body = &mut body[..length - HEADER];
-        if from.read_exact(body).await.is_err() {
-            return tell(Heard::Over).await;
+        if reader.read_exact(body).await.is_err() {
+            return report(ConnectionEvent::Closed).await;
         }
-        tell(Heard::Message(kind, body.to_vec())).await;
+        report(ConnectionEvent::Message(kind, body.to_vec())).await;
     }
 }
 
-async fn write(mut to: OwnedWriteHalf, mut words: mpsc::Receiver<Vec<u8>>) {
-    while let Some(octets) = words.recv().await {
-        match timeout(WRITE, to.write_all(&octets)).await {
-            Ok(Ok(())) => {}
-            // The reader hears of it.
-            _ => break,
+async fn write_messages(mut writer: OwnedWriteHalf, mut outgoing: mpsc::Receiver<Vec<u8>>) {
+    while let Some(message) = outgoing.recv().await {
+        let written = timeout(WRITE_TIMEOUT, writer.write_all(&message)).await;
+        if !matches!(written, Ok(Ok(()))) {
+            break;
         }
     }
-    let _ = to.shutdown().await;
+    let _ = writer.shutdown().await;
 }
--- /dev/null
+++ b/crates/bgp-speaker/src/manager.rs
@@ -0,0 +1,279 @@
+//! The event loop of the speaker: passes commands, reports of tasks and time to the sessions, the health checks and the
+//! announcer, and makes the announcer's decisions the announcements of all sessions.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bgp::{Announcer, Micros, Notification, Prober};
+use config::Bgp;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{sleep_until, Instant};
+
+use crate::clock::{duration, Clock};
+use crate::data_plane::DataPlane;
+use crate::event::Event;
+use crate::health_check;
+use crate::sessions::Sessions;
+use crate::{status, Command, Status};
+
+/// Reports of tasks that may wait; beyond that, connections are not read.
+const MAX_QUEUED_EVENTS: usize = 256;
+/// Everything is evaluated again after this time, whether or not something has changed.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
+/// The wait after a failed accept, such as for want of file descriptors.
+const ACCEPT_BACKOFF: Duration = EVALUATION_INTERVAL;
+/// How long the last messages to peers may take to be written at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Subcode of the Cease NOTIFICATION: administrative shutdown (RFC 4486).
+const CEASE_ADMINISTRATIVE_SHUTDOWN: u8 = 2;
+
+/// Runs the speaker until it has shut down, or all senders of commands are gone.
+pub async fn run(
+    config: Bgp,
+    seed: u64,
+    listener: Option<std::net::TcpListener>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
+    log: fn(&str),
+) {
+    let (event_sender, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let listener = listener.and_then(|listener| TcpListener::from_std(listener).ok());
+    let mut manager = SessionManager::new(config.clone(), seed, event_sender, log);
+    manager.configure(config);
+    loop {
+        // Queued messages count before any timer expires: the hold timer of a peer whose KEEPALIVE has arrived in time
+        // must not end its session because the loop was busy.
+        yield_now().await;
+        manager.handle_queued_events(&mut events);
+        manager.run_due_work();
+        if manager.is_shut_down() {
+            return manager.notify_shutdown_waiters();
+        }
+        let wake_up_at = manager.next_wake_up();
+        tokio::select! {
+            command = commands.recv() => match command {
+                Some(command) => manager.handle_command(command),
+                None => return,
+            },
+            Some(event) = events.recv() => manager.handle_event(event),
+            (stream, remote) = accept(listener.as_ref()) => manager.sessions.on_accepted(stream, remote),
+            () = sleep_until(wake_up_at) => {}
+        }
+    }
+}
+
+async fn accept(listener: Option<&TcpListener>) -> (TcpStream, SocketAddr) {
+    let Some(listener) = listener else { return std::future::pending().await };
+    loop {
+        match listener.accept().await {
+            Ok(accepted) => return accepted,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+struct SessionManager {
+    config: Bgp,
+    clock: Clock,
+    log: fn(&str),
+    sessions: Sessions,
+    announcer: Announcer,
+    prober: Prober,
+    data_plane: DataPlane,
+    events: mpsc::Sender<Event>,
+    /// None where the evaluation is due at once.
+    evaluated_at: Option<Instant>,
+    /// An input of the decisions has changed.
+    decision_due: bool,
+    /// Those who wait for the shutdown; there are some if and only if it has begun.
+    shutdown_waiters: Vec<oneshot::Sender<()>>,
+    /// When the sessions were ended for the shutdown.
+    sessions_stopped_at: Option<Instant>,
+}
+
+impl SessionManager {
+    fn new(config: Bgp, seed: u64, events: mpsc::Sender<Event>, log: fn(&str)) -> SessionManager {
+        let clock = Clock::start();
+        SessionManager {
+            sessions: Sessions::new(clock, seed, events.clone(), log),
+            prober: Prober::new(config.probe),
+            config,
+            clock,
+            log,
+            announcer: Announcer::default(),
+            data_plane: DataPlane::new(),
+            events,
+            evaluated_at: None,
+            decision_due: true,
+            shutdown_waiters: Vec::new(),
+            sessions_stopped_at: None,
+        }
+    }
+
+    fn is_shutting_down(&self) -> bool {
+        !self.shutdown_waiters.is_empty()
+    }
+
+    /// Applies a configuration. Sessions and addresses that it does not change stay as they are.
+    fn configure(&mut self, config: Bgp) {
+        let now = self.clock.now();
+        self.sessions.stop_changed(&config);
+        self.announcer.set(now, &config.addresses);
+        self.prober.adjust(config.probe);
+        self.config = config;
+        let wanted = self.announcer.wanted();
+        self.sessions.announce(&wanted);
+        if !self.config.dry_run {
+            let start = !self.is_shutting_down();
+            for peer in &self.config.peers {
+                self.sessions.add(peer, &wanted, start);
+            }
+        }
+        self.update_health_checks();
+        self.evaluated_at = None;
+        self.decision_due = true;
+    }
+
+    fn handle_command(&mut self, command: Command) {
+        let now = self.clock.now();
+        match command {
+            Command::UpdateDataPlane(status) => {
+                let lists_changed = status.pools.is_some();
+                self.decision_due |= self.data_plane.update(status);
+                if lists_changed {
+                    self.update_health_checks();
+                }
+            }
+            Command::Reload(config) => self.configure(*config),
+            Command::Hold { prefix, held, found } => {
+                let _ = found.send(self.announcer.hold(prefix, held));
+                let action = if held { "held" } else { "released" };
+                (self.log)(&format!("bgp: {prefix} is {action} by an operator"));
+                self.decision_due = true;
+            }
+            Command::Status(reply) => drop(reply.send(self.status())),
+            Command::ShutDown(finished) => {
+                self.announcer.leave(now, self.config.leave.as_micros() as Micros);
+                self.shutdown_waiters.push(finished);
+                self.decision_due = true;
+            }
+            Command::SkipShutdownDelay => {
+                self.announcer.hurry(now);
+                self.decision_due = true;
+            }
+        }
+    }
+
+    fn handle_queued_events(&mut self, events: &mut mpsc::Receiver<Event>) {
+        for _ in 0..MAX_QUEUED_EVENTS {
+            match events.try_recv() {
+                Ok(event) => self.handle_event(event),
+                Err(_) => return,
+            }
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::HealthChecked { endpoint, healthy } => {
+                let now = self.clock.now();
+                self.decision_due |= self.prober.done(now, &endpoint, healthy);
+            }
+            Event::Dialed { peer, id, result } => self.sessions.on_dialed(&peer, id, result),
+            Event::Connection { peer, direction, id, event } => {
+                self.sessions.on_connection_event(&peer, direction, id, event);
+            }
+        }
+    }
+
+    /// Health checks cover the endpoints that announced addresses depend on.
+    fn update_health_checks(&mut self) {
+        let now = self.clock.now();
+        self.prober.set(now, self.data_plane.endpoints(&self.config));
+    }
+
+    fn status(&self) -> Status {
+        let now = self.clock.now();
+        Status {
+            dry_run: self.config.dry_run,
+            shutting_down: self.is_shutting_down(),
+            unknown_peer_connections: self.sessions.unknown_peer_connections(),
+            peers: self.sessions.status(now),
+            addresses: self.announcer.views(now).map(|view| status::address(now, &view)).collect(),
+        }
+    }
+
+    fn next_wake_up(&self) -> Instant {
+        let now = self.clock.now();
+        let timers = [self.sessions.next_timer(), self.prober.next(), self.announcer.next(now)];
+        let next_timer = timers.into_iter().flatten().min();
+        let next_evaluation = self.evaluated_at.map_or_else(Instant::now, |at| at + EVALUATION_INTERVAL);
+        next_timer.map_or(next_evaluation, |at| self.clock.instant_at(at).min(next_evaluation))
+    }
+
+    fn run_due_work(&mut self) {
+        let now = self.clock.now();
+        self.sessions.tick(now);
+        self.start_health_checks(now);
+        if self.evaluated_at.is_none_or(|at| at.elapsed() >= EVALUATION_INTERVAL) {
+            self.evaluated_at = Some(Instant::now());
+            self.data_plane.check_memory(self.config.memory_bytes);
+            self.decision_due = true;
+        }
+        if self.decision_due || self.announcer.next(now).is_some_and(|at| at <= now) {
+            self.decide();
+        }
+        if self.is_shutting_down() {
+            self.stop_sessions_once_withdrawn();
+        }
+    }
+
+    fn start_health_checks(&mut self, now: Micros) {
+        let check_timeout = duration(self.config.probe.timeout);
+        for endpoint in self.prober.begin(now) {
+            let events = self.events.clone();
+            let path = self.config.probe_path.clone();
+            spawn_local(async move {
+                let healthy = health_check::check(endpoint, path.as_deref(), check_timeout).await;
+                let _ = events.send(Event::HealthChecked { endpoint, healthy }).await;
+            });
+        }
+    }
+
+    /// Decides what is announced, and announces what has changed.
+    fn decide(&mut self) {
+        self.decision_due = false;
+        let now = self.clock.now();
+        let process = self.data_plane.process_health(&self.config);
+        let pools = self.data_plane.pool_health(&self.config, &self.prober);
+        if !self.announcer.decide(now, process, &pools) {
+            return;
+        }
+        for view in self.announcer.views(now).filter(|view| view.since == now) {
+            (self.log)(&format!("bgp: {} {}: {}", view.prefix, view.level.name(), view.why));
+        }
+        self.sessions.announce(&self.announcer.wanted());
+    }
+
+    fn stop_sessions_once_withdrawn(&mut self) {
+        if self.sessions_stopped_at.is_some() || !self.announcer.wanted().is_empty() {
+            return;
+        }
+        self.sessions_stopped_at = Some(Instant::now());
+        let notification = Notification::cease(CEASE_ADMINISTRATIVE_SHUTDOWN, &self.config.text);
+        self.sessions.stop_all(&notification);
+    }
+
+    /// Whether the shutdown is finished, or has taken as long as it may.
+    fn is_shut_down(&self) -> bool {
+        let finished = |at: Instant| self.sessions.all_closed() || at.elapsed() >= SHUTDOWN_TIMEOUT;
+        self.sessions_stopped_at.is_some_and(finished)
+    }
+
+    fn notify_shutdown_waiters(&mut self) {
+        for waiter in self.shutdown_waiters.drain(..) {
+            let _ = waiter.send(());
+        }
+    }
+}
--- a/crates/bgp-speaker/src/status.rs
+++ b/crates/bgp-speaker/src/status.rs
@@ -1,57 +1,61 @@
-//! What operators are told. Times are in seconds before now.
+//! The status of the speaker as operators read it (JSON). Times are in seconds before now.
 
-use bgp::{Counts, Micros, PeerView, View, SECOND};
+use bgp::{AddressView, Counts, Micros, PeerView, SECOND};
 use serde::Serialize;
 
-/// All of it.
+/// The status of the speaker.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Status {
-    /// Nothing is said to anybody.
+    /// Only decides: there is no session to any peer.
     pub dry_run: bool,
-    /// The process ends.
-    pub ending: bool,
-    /// Connections that came from nobody who is configured, and were closed.
-    pub strangers: u64,
-    /// The routers.
+    /// The speaker is shutting down.
+    #[serde(rename = "ending")]
+    pub shutting_down: bool,
+    /// Connections from addresses that belong to no peer; they were closed.
+    #[serde(rename = "strangers")]
+    pub unknown_peer_connections: u64,
+    /// The peers.
     pub peers: Vec<PeerStatus>,
     /// The addresses.
     pub addresses: Vec<AddressStatus>,
 }
 
-/// A router.
+/// A peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
     /// Its name.
     pub name: String,
     /// Its address.
     pub address: String,
-    /// Its AS.
+    /// Its AS number.
     #[serde(rename = "as")]
     pub asn: u32,
-    /// A state of RFC 4271.
+    /// Its state, by its name in RFC 4271.
     pub state: &'static str,
-    /// For how long.
+    /// How long it has been in this state.
     pub for_s: f64,
-    /// How often a session came to stand.
+    /// Sessions established since the start.
     pub established: u64,
-    /// The hold time agreed on; none without a session.
-    pub hold_s: Option<f64>,
-    /// IPv6 unicast is spoken.
+    /// The negotiated hold time; none without a session.
+    #[serde(rename = "hold_s")]
+    pub hold_time_s: Option<f64>,
+    /// IPv6 unicast was negotiated.
     pub ipv6: bool,
-    /// Messages that came.
+    /// Messages received.
     pub received: Messages,
-    /// Messages that were sent.
+    /// Messages sent.
     pub sent: Messages,
-    /// Prefixes that it announced, all dropped.
+    /// Prefixes that it announced; they are discarded.
     pub prefixes_announced: u64,
     /// Prefixes that it withdrew.
     pub prefixes_withdrawn: u64,
-    /// UPDATEs that were malformed and passed over.
+    /// Malformed UPDATEs that did not end the session.
     pub malformed: u64,
     /// The last NOTIFICATION.
     pub last_notification: Option<LastNotification>,
-    /// The prefixes that it has been told.
-    pub told: Vec<String>,
+    /// The prefixes announced to it.
+    #[serde(rename = "told")]
+    pub advertised_prefixes: Vec<String>,
 }
 
 /// Messages by kind.
@@ -72,7 +76,8 @@
     /// `sent` or `received`.
     pub direction: &'static str,
     /// Its meaning, codes, and text.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// An address.
@@ -82,21 +87,23 @@
     pub prefix: String,
     /// `announced`, `degraded`, `leaving` or `withdrawn`.
     pub state: &'static str,
-    /// Why.
-    pub why: String,
-    /// For how long it is in this state.
+    /// Why it is in this state.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// How long it has been in this state.
     pub for_s: f64,
-    /// How often it was withdrawn for want of service.
+    /// Withdrawals because it could not serve, since the start.
     pub flaps: u64,
-    /// The hold-up that it would have to wait out now.
+    /// The hold-up time that would apply now.
     pub hold_up_s: f64,
-    /// For how long it has been ready, while it waits out its hold-up.
+    /// How long it has been ready, while its hold-up time runs.
     pub ready_for_s: Option<f64>,
 }
 
+/// Seconds, rounded to milliseconds.
 fn seconds(time: Micros) -> f64 {
-    // Milliseconds are enough for a reader.
-    (time as f64 / 1e3).round() / 1e3
+    let rounded_ms = (time as f64 / 1e3).round();
+    rounded_ms / 1e3
 }
 
 fn messages(counts: Counts) -> Messages {
@@ -104,6 +111,7 @@
     Messages { updates, keepalives, notifications, refreshes }
 }
 
+/// The status of a peer.
 pub(crate) fn peer(now: Micros, peer: &config::BgpPeer, view: PeerView) -> PeerStatus {
     PeerStatus {
         name: peer.name.clone(),
@@ -112,7 +120,7 @@
         state: view.state.name(),
         for_s: seconds(now - view.since),
         established: view.established,
-        hold_s: (view.hold > 0).then(|| view.hold as f64 / SECOND as f64),
+        hold_time_s: (view.hold > 0).then(|| view.hold as f64 / SECOND as f64),
         ipv6: view.ipv6,
         received: messages(view.received),
         sent: messages(view.sent),
@@ -122,17 +130,18 @@
         last_notification: view.last.map(|(at, ours, what)| LastNotification {
             ago_s: seconds(now - at),
             direction: if ours { "sent" } else { "received" },
-            what: what.to_string(),
+            description: what.to_string(),
         }),
-        told: view.told.iter().map(ToString::to_string).collect(),
+        advertised_prefixes: view.told.iter().map(ToString::to_string).collect(),
     }
 }
 
-pub(crate) fn address(now: Micros, view: &View) -> AddressStatus {
+/// The status of an address.
+pub(crate) fn address(now: Micros, view: &AddressView) -> AddressStatus {
     AddressStatus {
         prefix: view.prefix.to_string(),
         state: view.level.name(),
-        why: view.why.to_string(),
+        reason: view.why.to_string(),
         for_s: seconds(now - view.since),
         flaps: view.flaps,
         hold_up_s: seconds(view.hold_up),
--- a/crates/bgp-speaker/tests/stuck.rs
+++ b/crates/bgp-speaker/tests/stuck.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use bgp::{Facts, Listed, ListedNode};
+use bgp::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
 use bgp_speaker::Speaker;
 use testkit::bgp_router::{BgpMessage, Router, RouterBehavior};
 
@@ -27,10 +27,10 @@
     let since = Instant::now();
     while !enough() {
         assert!(since.elapsed() < testkit::TEST_TIMEOUT);
-        let node = ListedNode { address: node, weight: 1.0, ready: true, warm: true };
-        let pool = Listed { told: true, silent: None, nodes: vec![node] };
+        let node = ListedEndpoint { address: node, weight: 1.0, ready: true, warm: true };
+        let pool = PoolEndpointList { received: true, source_silent_for: None, endpoints: vec![node] };
         let pools = Some(BTreeMap::from([("p".to_owned(), pool)]));
-        speaker.tell(Facts { accepting, pools });
+        speaker.update_data_plane(DataPlaneStatus { accepting, pools });
         thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/bgp/src/announce.rs
+++ b/crates/bgp/src/announce.rs
@@ -23,7 +23,7 @@
 
 /// A node, as it is listed and as it answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Node {
+pub struct EndpointHealth {
     /// Its part of its pool's capacity, against the other nodes'.
     pub weight: f64,
     /// It is listed as ready, not as draining.
@@ -38,14 +38,14 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolHealth {
     /// The nodes of the last list; none before there was one.
-    pub nodes: Option<Vec<Node>>,
+    pub endpoints: Option<Vec<EndpointHealth>>,
     /// The list is older than it may be.
-    pub old: bool,
+    pub stale: bool,
 }
 
 /// What is known of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Process {
+pub struct ProcessHealth {
     /// Its listeners accept.
     pub accepting: bool,
     /// Its data plane moves on.
@@ -97,58 +97,60 @@
 
 /// Why an address is in its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StateReason {
     /// All is well.
     Ready,
     /// It is ready, and not yet for long enough.
     HoldUp,
     /// An operator holds it down.
-    Held,
+    HeldByOperator,
     /// The process ends.
-    Ending,
+    ShuttingDown,
     /// No listener accepts.
     NotAccepting,
     /// The data plane does not move on.
-    Stuck,
+    DataPlaneStalled,
     /// The process is short of memory.
-    Memory,
+    MemoryLimitExceeded,
     /// There is no pool of this name.
-    NoPool(String),
+    UnknownPool(String),
     /// Its nodes have not been told.
-    NotTold(String),
+    NoEndpointList(String),
     /// Its list of nodes is old.
-    OldList(String),
+    StaleEndpointList(String),
     /// None of its nodes can be had.
-    NoNode(String),
+    NoEndpointAvailable(String),
     /// Too few of them can: so many in a hundred of its capacity.
-    TooFew(String, u8),
+    InsufficientCapacity(String, u8),
     /// Enough can, but are not warm or have not answered yet.
-    NotWarm(String),
+    WarmingUp(String),
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for StateReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Ready => write!(f, "ready"),
-            Why::HoldUp => write!(f, "ready, waiting out its hold-up"),
-            Why::Held => write!(f, "held by an operator"),
-            Why::Ending => write!(f, "the process ends"),
-            Why::NotAccepting => write!(f, "no listener accepts"),
-            Why::Stuck => write!(f, "the data plane does not move on"),
-            Why::Memory => write!(f, "short of memory"),
-            Why::NoPool(pool) => write!(f, "there is no pool `{pool}`"),
-            Why::NotTold(pool) => write!(f, "pool `{pool}` has had no list of nodes"),
-            Why::OldList(pool) => write!(f, "pool `{pool}` has an old list of nodes"),
-            Why::NoNode(pool) => write!(f, "pool `{pool}` has no node that answers"),
-            Why::TooFew(pool, part) => write!(f, "pool `{pool}` has {part} % of its capacity"),
-            Why::NotWarm(pool) => write!(f, "pool `{pool}` is not warm, or has not answered yet"),
+            StateReason::Ready => write!(f, "ready"),
+            StateReason::HoldUp => write!(f, "ready, waiting out its hold-up"),
+            StateReason::HeldByOperator => write!(f, "held by an operator"),
+            StateReason::ShuttingDown => write!(f, "the process ends"),
+            StateReason::NotAccepting => write!(f, "no listener accepts"),
+            StateReason::DataPlaneStalled => write!(f, "the data plane does not move on"),
+            StateReason::MemoryLimitExceeded => write!(f, "short of memory"),
+            StateReason::UnknownPool(pool) => write!(f, "there is no pool `{pool}`"),
+            StateReason::NoEndpointList(pool) => write!(f, "pool `{pool}` has had no list of nodes"),
+            StateReason::StaleEndpointList(pool) => write!(f, "pool `{pool}` has an old list of nodes"),
+            StateReason::NoEndpointAvailable(pool) => write!(f, "pool `{pool}` has no node that answers"),
+            StateReason::InsufficientCapacity(pool, part) => {
+                write!(f, "pool `{pool}` has {part} % of its capacity")
+            }
+            StateReason::WarmingUp(pool) => write!(f, "pool `{pool}` is not warm, or has not answered yet"),
         }
     }
 }
 
 /// How an address is announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
+pub enum AnnouncementLevel {
     /// Not at all.
     Withdrawn,
     /// With the attributes of one that is worse.
@@ -156,31 +158,31 @@
     /// As usual.
     Normal,
     /// With GRACEFUL_SHUTDOWN: it is about to go.
-    Leaving,
+    GracefulShutdown,
 }
 
-impl Level {
+impl AnnouncementLevel {
     /// Its name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Level::Withdrawn => "withdrawn",
-            Level::Degraded => "degraded",
-            Level::Normal => "announced",
-            Level::Leaving => "leaving",
+            AnnouncementLevel::Withdrawn => "withdrawn",
+            AnnouncementLevel::Degraded => "degraded",
+            AnnouncementLevel::Normal => "announced",
+            AnnouncementLevel::GracefulShutdown => "leaving",
         }
     }
 }
 
 /// What an operator is told of an address.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct AddressView {
     /// The prefix.
     pub prefix: IpNet,
     /// How it is announced.
-    pub level: Level,
+    pub level: AnnouncementLevel,
     /// Why.
-    pub why: Why,
+    pub why: StateReason,
     /// Since when it is announced so.
     pub since: Micros,
     /// Withdrawals for want of service, since the start.
@@ -194,9 +196,9 @@
 #[derive(Clone, Debug)]
 struct Entry {
     address: Address,
-    level: Level,
+    level: AnnouncementLevel,
     since: Micros,
-    why: Why,
+    why: StateReason,
     /// Ready, or better than degraded, without a break since then.
     better_since: Option<Micros>,
     held: bool,
@@ -208,9 +210,9 @@
 /// What a pool gives.
 enum Verdict {
     /// It cannot serve.
-    Must(Why),
+    Must(StateReason),
     /// It can go on as it is, and not more.
-    May(Why),
+    May(StateReason),
     /// It is truly ready, by this part.
     Ready(f64),
 }
@@ -231,9 +233,9 @@
         for address in addresses.iter().take(MOST_ADDRESSES) {
             let entry = self.entries.entry(address.prefix).or_insert_with(|| Entry {
                 address: address.clone(),
-                level: Level::Withdrawn,
+                level: AnnouncementLevel::Withdrawn,
                 since: now,
-                why: Why::HoldUp,
+                why: StateReason::HoldUp,
                 better_since: None,
                 held: false,
                 flaps: 0,
@@ -265,14 +267,23 @@
     #[must_use]
     pub fn next(&self, now: Micros) -> Option<Micros> {
         if self.ending {
-            return self.entries.values().any(|e| e.level != Level::Withdrawn).then_some(self.leave_until);
+            return self
+                .entries
+                .values()
+                .any(|e| e.level != AnnouncementLevel::Withdrawn)
+                .then_some(self.leave_until);
         }
         let waiting = self.entries.values().filter_map(|e| Some(e.better_since? + e.hold_up(now)));
         waiting.min()
     }
 
     /// Decides anew, by all that is known. True where something is to be told.
-    pub fn decide(&mut self, now: Micros, process: Process, pools: &BTreeMap<String, PoolHealth>) -> bool {
+    pub fn decide(
+        &mut self,
+        now: Micros,
+        process: ProcessHealth,
+        pools: &BTreeMap<String, PoolHealth>,
+    ) -> bool {
         let (ending, until) = (self.ending, self.leave_until);
         let mut changed = false;
         for entry in self.entries.values_mut() {
@@ -297,10 +308,10 @@
         let attributes = |entry: &Entry| {
             let usual = |a: &Attributes| Attributes { local_pref: LOCAL_PREF, ..a.clone() };
             match entry.level {
-                Level::Withdrawn => None,
-                Level::Normal => Some(usual(&entry.address.attributes)),
-                Level::Degraded => Some(usual(&entry.address.degraded)),
-                Level::Leaving => {
+                AnnouncementLevel::Withdrawn => None,
+                AnnouncementLevel::Normal => Some(usual(&entry.address.attributes)),
+                AnnouncementLevel::Degraded => Some(usual(&entry.address.degraded)),
+                AnnouncementLevel::GracefulShutdown => {
                     let mut leaving = Attributes { local_pref: 0, ..entry.address.attributes.clone() };
                     leaving.communities.push(GRACEFUL_SHUTDOWN);
                     Some(leaving)
@@ -311,15 +322,15 @@
     }
 
     /// What an operator is told.
-    pub fn views(&self, now: Micros) -> impl Iterator<Item = View> + '_ {
-        self.entries.iter().map(move |(prefix, entry)| View {
+    pub fn views(&self, now: Micros) -> impl Iterator<Item = AddressView> + '_ {
+        self.entries.iter().map(move |(prefix, entry)| AddressView {
             prefix: *prefix,
             level: entry.level,
             why: entry.why.clone(),
             since: entry.since,
             flaps: entry.flaps,
             hold_up: entry.hold_up(now),
-            ready_since: entry.better_since.filter(|_| entry.level == Level::Withdrawn),
+            ready_since: entry.better_since.filter(|_| entry.level == AnnouncementLevel::Withdrawn),
         })
     }
 }
@@ -344,12 +355,12 @@
     }
 
     /// The worst of what its process and its pools say.
-    fn verdict(&self, process: Process, pools: &BTreeMap<String, PoolHealth>) -> Verdict {
+    fn verdict(&self, process: ProcessHealth, pools: &BTreeMap<String, PoolHealth>) -> Verdict {
         let fault = match process {
-            _ if self.held => Some(Why::Held),
-            Process { alive: false, .. } => Some(Why::Stuck),
-            Process { accepting: false, .. } => Some(Why::NotAccepting),
-            Process { memory_full: true, .. } => Some(Why::Memory),
+            _ if self.held => Some(StateReason::HeldByOperator),
+            ProcessHealth { alive: false, .. } => Some(StateReason::DataPlaneStalled),
+            ProcessHealth { accepting: false, .. } => Some(StateReason::NotAccepting),
+            ProcessHealth { memory_full: true, .. } => Some(StateReason::MemoryLimitExceeded),
             _ => None,
         };
         if let Some(why) = fault {
@@ -358,7 +369,7 @@
         let mut worst = Verdict::Ready(1.0);
         for name in &self.address.pools {
             let verdict = match pools.get(name) {
-                None => Verdict::Must(Why::NoPool(name.clone())),
+                None => Verdict::Must(StateReason::UnknownPool(name.clone())),
                 Some(health) => assess(name, health, &self.address.thresholds),
             };
             worst = match (worst, verdict) {
@@ -373,48 +384,49 @@
     fn end(&mut self, now: Micros, until: Micros, verdict: &Verdict) {
         let serves = !matches!(verdict, Verdict::Must(_));
         self.better_since = None;
-        if self.level != Level::Withdrawn && serves && now < until {
-            self.level = Level::Leaving;
+        if self.level != AnnouncementLevel::Withdrawn && serves && now < until {
+            self.level = AnnouncementLevel::GracefulShutdown;
         } else {
-            self.level = Level::Withdrawn;
+            self.level = AnnouncementLevel::Withdrawn;
         }
-        self.why = Why::Ending;
+        self.why = StateReason::ShuttingDown;
     }
 
     fn step(&mut self, now: Micros, verdict: Verdict) {
         let degrade = self.address.thresholds.degrade;
         match (self.level, verdict) {
             (level, Verdict::Must(why)) => {
-                if level != Level::Withdrawn && why != Why::Held {
+                if level != AnnouncementLevel::Withdrawn && why != StateReason::HeldByOperator {
                     self.flaps += 1;
                     self.flap(now);
                 }
-                (self.level, self.why, self.better_since) = (Level::Withdrawn, why, None);
+                (self.level, self.why, self.better_since) = (AnnouncementLevel::Withdrawn, why, None);
             }
             // Not ready breaks the hold-up, and leaves what is announced as it is.
-            (Level::Withdrawn, Verdict::May(why)) => (self.why, self.better_since) = (why, None),
+            (AnnouncementLevel::Withdrawn, Verdict::May(why)) => (self.why, self.better_since) = (why, None),
             (_, Verdict::May(why)) => (self.why, self.better_since) = (why, None),
-            (Level::Normal | Level::Leaving, Verdict::Ready(part)) => {
-                self.why = Why::Ready;
-                self.level = Level::Normal;
+            (AnnouncementLevel::Normal | AnnouncementLevel::GracefulShutdown, Verdict::Ready(part)) => {
+                self.why = StateReason::Ready;
+                self.level = AnnouncementLevel::Normal;
                 if part < degrade {
                     self.flap(now);
-                    (self.level, self.better_since) = (Level::Degraded, None);
+                    (self.level, self.better_since) = (AnnouncementLevel::Degraded, None);
                 }
             }
-            (Level::Degraded, Verdict::Ready(part)) => {
-                self.why = Why::Ready;
+            (AnnouncementLevel::Degraded, Verdict::Ready(part)) => {
+                self.why = StateReason::Ready;
                 if part < degrade {
                     self.better_since = None;
                 } else if self.waited(now) {
-                    (self.level, self.better_since) = (Level::Normal, None);
+                    (self.level, self.better_since) = (AnnouncementLevel::Normal, None);
                 }
             }
-            (Level::Withdrawn, Verdict::Ready(part)) => {
-                self.why = Why::HoldUp;
+            (AnnouncementLevel::Withdrawn, Verdict::Ready(part)) => {
+                self.why = StateReason::HoldUp;
                 if self.waited(now) {
-                    self.level = if part < degrade { Level::Degraded } else { Level::Normal };
-                    (self.why, self.better_since) = (Why::Ready, None);
+                    self.level =
+                        if part < degrade { AnnouncementLevel::Degraded } else { AnnouncementLevel::Normal };
+                    (self.why, self.better_since) = (StateReason::Ready, None);
                 }
             }
         }
@@ -429,36 +441,36 @@
 
 /// What a pool gives an address with these thresholds.
 fn assess(name: &str, health: &PoolHealth, thresholds: &Thresholds) -> Verdict {
-    let Some(nodes) = &health.nodes else {
+    let Some(nodes) = &health.endpoints else {
         // Nothing is known. What was announced before a reload, say, is not given up for that.
-        return Verdict::May(Why::NotTold(name.to_owned()));
+        return Verdict::May(StateReason::NoEndpointList(name.to_owned()));
     };
-    let weight = |which: &dyn Fn(&Node) -> bool| {
+    let weight = |which: &dyn Fn(&EndpointHealth) -> bool| {
         let chosen = nodes.iter().filter(|n| which(n));
         chosen.fold((0.0, 0usize), |(sum, count), n| (sum + n.weight.max(0.0), count + 1))
     };
     let (all, _) = weight(&|_| true);
     let part = |sum: f64| if all > 0.0 { sum / all } else { 0.0 };
     // An old list does not tell any more who is ready; who answers can be seen.
-    let (had, count) = weight(&|n| (n.ready || health.old) && n.answers != Some(false));
+    let (had, count) = weight(&|n| (n.ready || health.stale) && n.answers != Some(false));
     let enough =
         |part: f64, count: usize, least: f64| part >= least && count >= thresholds.least_nodes.max(1);
     if count == 0 {
-        return Verdict::Must(Why::NoNode(name.to_owned()));
+        return Verdict::Must(StateReason::NoEndpointAvailable(name.to_owned()));
     }
     if !enough(part(had), count, thresholds.withdraw) {
-        return Verdict::Must(Why::TooFew(name.to_owned(), (part(had) * 100.0) as u8));
+        return Verdict::Must(StateReason::InsufficientCapacity(name.to_owned(), (part(had) * 100.0) as u8));
     }
-    if health.old {
-        return Verdict::May(Why::OldList(name.to_owned()));
+    if health.stale {
+        return Verdict::May(StateReason::StaleEndpointList(name.to_owned()));
     }
     let (sure, sure_count) = weight(&|n| n.ready && n.warm && n.answers == Some(true));
     if enough(part(sure), sure_count, thresholds.announce) {
         // By what can be had, not by what is sure: a node that is cold is not a reason to call the rest worse.
         Verdict::Ready(part(had))
     } else if enough(part(had), count, thresholds.announce) {
-        Verdict::May(Why::NotWarm(name.to_owned()))
+        Verdict::May(StateReason::WarmingUp(name.to_owned()))
     } else {
-        Verdict::May(Why::TooFew(name.to_owned(), (part(had) * 100.0) as u8))
+        Verdict::May(StateReason::InsufficientCapacity(name.to_owned(), (part(had) * 100.0) as u8))
     }
 }
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -7,7 +7,7 @@
 #![warn(missing_docs)]
 
 mod announce;
-mod facts;
+mod data_plane;
 mod machine;
 mod message;
 mod open;
@@ -18,16 +18,17 @@
 mod write;
 
 pub use announce::{
-    Address, Announcer, Damping, Level, Node, PoolHealth, Process, Thresholds, View, Why, MOST_ADDRESSES,
+    Address, AddressView, AnnouncementLevel, Announcer, Damping, EndpointHealth, PoolHealth, ProcessHealth,
+    StateReason, Thresholds, MOST_ADDRESSES,
 };
-pub use facts::{Facts, Listed, ListedNode};
+pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
 pub use machine::{Action, Event, Machine, Settings, State, Timer};
 pub use message::{frame, Kind, Notification, HEADER, MOST_MESSAGE};
 pub use open::Open;
-pub use peer::{Counts, Deed, Input, Peer, PeerSettings, PeerView, Side};
+pub use peer::{Counts, Direction, Input, Peer, PeerAction, PeerSettings, PeerView};
 pub use probe::{ProbeSettings, Prober};
 pub use table::{Attributes, Speaker, Table};
-pub use update::{scan, Peering, Seen};
+pub use update::{scan, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
 
 /// Microseconds.
--- a/crates/bgp/src/peer.rs
+++ b/crates/bgp/src/peer.rs
@@ -9,25 +9,25 @@
 use crate::message::{Kind, Notification};
 use crate::open::Open;
 use crate::table::{Attributes, Speaker, Table};
-use crate::update::{scan, Peering};
+use crate::update::{scan, SessionParameters};
 use crate::{write, Micros};
 
 /// Who has opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Direction {
     /// We have.
-    Out,
+    Outbound,
     /// The peer has.
-    In,
+    Inbound,
 }
 
-const SIDES: [Side; 2] = [Side::Out, Side::In];
+const DIRECTIONS: [Direction; 2] = [Direction::Outbound, Direction::Inbound];
 
-impl Side {
-    fn other(self) -> Side {
+impl Direction {
+    fn other(self) -> Direction {
         match self {
-            Side::Out => Side::In,
-            Side::In => Side::Out,
+            Direction::Outbound => Direction::Inbound,
+            Direction::Inbound => Direction::Outbound,
         }
     }
 }
@@ -40,24 +40,24 @@
     /// It is not, and is told why.
     Stop(Notification),
     /// A connection stands, of which this is our end.
-    Connected(Side, IpAddr),
+    Connected(Direction, IpAddr),
     /// There is none, or no longer.
-    Failed(Side),
+    Failed(Direction),
     /// A message, without its header.
-    Message(Side, Kind, &'a [u8]),
+    Message(Direction, Kind, &'a [u8]),
     /// Something that is none.
-    HeaderError(Side, Notification),
+    HeaderError(Direction, Notification),
 }
 
 /// What is to be done for it, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum PeerAction {
     /// Dial it.
     Connect,
     /// Write these octets.
-    Write(Side, Vec<u8>),
+    Write(Direction, Vec<u8>),
     /// Close a connection, once all is written.
-    Close(Side),
+    Close(Direction),
     /// A line for the log.
     Log(String),
 }
@@ -180,25 +180,29 @@
     }
 
     /// The connection whose session stands.
-    fn standing(&self) -> Option<Side> {
-        SIDES.into_iter().find(|side| self.state(*side) == State::Established)
+    fn standing(&self) -> Option<Direction> {
+        DIRECTIONS.into_iter().find(|direction| self.state(*direction) == State::Established)
     }
 
-    fn state(&self, side: Side) -> State {
-        self.connections[side as usize].machine.state()
+    fn state(&self, direction: Direction) -> State {
+        self.connections[direction as usize].machine.state()
     }
 
     /// Is a connection that it opens now to be taken? One that has said nothing yet makes room.
     #[must_use]
     pub fn takes(&self, now: Micros) -> bool {
-        !self.stopped && now >= self.refuse_until && self.state(Side::In) <= State::OpenSent
+        !self.stopped && now >= self.refuse_until && self.state(Direction::Inbound) <= State::OpenSent
     }
 
     /// What an operator is told.
     #[must_use]
     pub fn view(&self) -> PeerView {
-        let side = if self.state(Side::In) > self.state(Side::Out) { Side::In } else { Side::Out };
-        let connection = &self.connections[side as usize];
+        let direction = if self.state(Direction::Inbound) > self.state(Direction::Outbound) {
+            Direction::Inbound
+        } else {
+            Direction::Outbound
+        };
+        let connection = &self.connections[direction as usize];
         PeerView {
             state: connection.machine.state(),
             since: connection.machine.since(),
@@ -222,26 +226,26 @@
     }
 
     /// Lets its timers expire that are due.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Deed>) {
-        for side in SIDES {
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
+        for direction in DIRECTIONS {
             let mut actions = std::mem::take(&mut self.actions);
-            self.connections[side as usize].machine.tick(now, &mut actions);
-            self.carry_out(now, side, actions, out);
+            self.connections[direction as usize].machine.tick(now, &mut actions);
+            self.carry_out(now, direction, actions, out);
         }
     }
 
     /// These are to be announced from now on.
-    pub fn announce(&mut self, wanted: &BTreeMap<IpNet, Attributes>, out: &mut Vec<Deed>) {
+    pub fn announce(&mut self, wanted: &BTreeMap<IpNet, Attributes>, out: &mut Vec<PeerAction>) {
         self.wanted.clone_from(wanted);
-        if let Some(side) = self.standing() {
-            let speaker = self.speaker(side);
+        if let Some(direction) = self.standing() {
+            let speaker = self.speaker(direction);
             let messages = self.table.change(&self.wanted, &speaker);
-            self.write_updates(side, messages, out);
+            self.write_updates(direction, messages, out);
         }
     }
 
     /// Takes in what happens.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Deed>) {
+    pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<PeerAction>) {
         match input {
             Input::Start => {
                 self.stopped = false;
@@ -251,73 +255,80 @@
             }
             Input::Stop(why) => {
                 self.stopped = true;
-                for side in SIDES {
-                    self.event(now, side, Event::Stop(why.clone()), out);
+                for direction in DIRECTIONS {
+                    self.event(now, direction, Event::Stop(why.clone()), out);
                 }
             }
-            Input::Connected(side, local) => self.connected(now, side, local, out),
-            Input::Failed(side) => self.event(now, side, Event::Failed, out),
-            Input::HeaderError(side, why) => self.event(now, side, Event::HeaderError(why), out),
-            Input::Message(side, kind, body) => self.message(now, side, kind, body, out),
+            Input::Connected(direction, local) => self.connected(now, direction, local, out),
+            Input::Failed(direction) => self.event(now, direction, Event::Failed, out),
+            Input::HeaderError(direction, why) => self.event(now, direction, Event::HeaderError(why), out),
+            Input::Message(direction, kind, body) => self.message(now, direction, kind, body, out),
         }
     }
 
-    fn connected(&mut self, now: Micros, side: Side, local: IpAddr, out: &mut Vec<Deed>) {
-        if side == Side::In {
+    fn connected(&mut self, now: Micros, direction: Direction, local: IpAddr, out: &mut Vec<PeerAction>) {
+        if direction == Direction::Inbound {
             if !self.takes(now) {
                 return;
             }
             // The one before has said nothing; its machine begins anew.
             self.connections[1].machine = self.waiting(now);
-            self.event(now, side, Event::Start, out);
+            self.event(now, direction, Event::Start, out);
         }
-        self.connections[side as usize].local = Some(local);
-        self.connections[side as usize].open = None;
-        self.event(now, side, Event::Connected, out);
+        self.connections[direction as usize].local = Some(local);
+        self.connections[direction as usize].open = None;
+        self.event(now, direction, Event::Connected, out);
     }
 
-    fn message(&mut self, now: Micros, side: Side, kind: Kind, body: &[u8], out: &mut Vec<Deed>) {
+    fn message(
+        &mut self,
+        now: Micros,
+        direction: Direction,
+        kind: Kind,
+        body: &[u8],
+        out: &mut Vec<PeerAction>,
+    ) {
         match kind {
             Kind::Open => match Open::read(body).and_then(|open| self.accept(open)) {
-                Ok(open) => self.opened(now, side, open, out),
-                Err(why) => self.event(now, side, Event::OpenError(why), out),
+                Ok(open) => self.opened(now, direction, open, out),
+                Err(why) => self.event(now, direction, Event::OpenError(why), out),
             },
             Kind::Keepalive => {
                 self.received.keepalives += 1;
-                self.event(now, side, Event::Keepalive, out);
+                self.event(now, direction, Event::Keepalive, out);
             }
             Kind::Notification => {
                 self.received.notifications += 1;
                 let why = Notification::read(body);
                 let event = if why.is_version_error() { Event::VersionError } else { Event::Notification };
-                out.push(Deed::Log(format!("peer `{}` ends: {why}", self.name)));
+                out.push(PeerAction::Log(format!("peer `{}` ends: {why}", self.name)));
                 self.last = Some((now, false, why));
-                self.event(now, side, event, out);
+                self.event(now, direction, event, out);
             }
             Kind::Update => {
                 self.received.updates += 1;
-                let peering = self.peering(side);
-                match scan(body, &peering) {
+                let session = self.session(direction);
+                match scan(body, &session) {
                     Ok(seen) => {
                         self.prefixes.0 += u64::from(seen.announced);
                         self.prefixes.1 += u64::from(seen.withdrawn);
                         self.malformed += u64::from(seen.treated_as_withdraw || seen.discarded > 0);
-                        self.event(now, side, Event::Update, out);
+                        self.event(now, direction, Event::Update, out);
                     }
                     // Only where UPDATEs may come does it matter what is wrong with one.
-                    Err(_) if self.state(side) != State::Established => {
-                        self.event(now, side, Event::Update, out);
+                    Err(_) if self.state(direction) != State::Established => {
+                        self.event(now, direction, Event::Update, out);
                     }
-                    Err(why) => self.event(now, side, Event::UpdateError(why), out),
+                    Err(why) => self.event(now, direction, Event::UpdateError(why), out),
                 }
             }
             Kind::RouteRefresh => {
                 self.received.refreshes += 1;
-                self.event(now, side, Event::Update, out);
+                self.event(now, direction, Event::Update, out);
                 // A family that is not spoken is passed over (RFC 2918), and so are RFC 7313's marks.
-                if let (State::Established, &[0, family @ (1 | 2), 0, 1]) = (self.state(side), body) {
-                    let messages = self.table.again(&self.speaker(side), family == 2);
-                    self.write_updates(side, messages, out);
+                if let (State::Established, &[0, family @ (1 | 2), 0, 1]) = (self.state(direction), body) {
+                    let messages = self.table.again(&self.speaker(direction), family == 2);
+                    self.write_updates(direction, messages, out);
                 }
             }
         }
@@ -334,107 +345,113 @@
         Ok(open)
     }
 
-    fn opened(&mut self, now: Micros, side: Side, open: Open, out: &mut Vec<Deed>) {
-        let other = side.other();
+    fn opened(&mut self, now: Micros, direction: Direction, open: Open, out: &mut Vec<PeerAction>) {
+        let other = direction.other();
         // RFC 4271 section 6.8, with RFC 6286 for equal identifiers: the one that the higher side opened stays.
         let ours = (self.settings.id, self.settings.asn) > (open.id, open.asn);
-        let kept = if ours { Side::Out } else { Side::In };
+        let kept = if ours { Direction::Outbound } else { Direction::Inbound };
         let hold_s = open.hold_s.min(self.settings.hold_s);
-        if self.state(side) == State::OpenSent {
+        if self.state(direction) == State::OpenSent {
             let loses = match self.state(other) {
                 State::Established => true,
                 State::OpenConfirm => kept == other,
                 _ => false,
             };
             if loses {
-                return self.event(now, side, Event::Collision, out);
+                return self.event(now, direction, Event::Collision, out);
             }
             if self.state(other) == State::OpenConfirm {
                 self.event(now, other, Event::Collision, out);
             }
-            self.connections[side as usize].open = Some(open);
+            self.connections[direction as usize].open = Some(open);
         }
-        self.event(now, side, Event::Open(hold_s), out);
+        self.event(now, direction, Event::Open(hold_s), out);
     }
 
-    fn event(&mut self, now: Micros, side: Side, event: Event, out: &mut Vec<Deed>) {
+    fn event(&mut self, now: Micros, direction: Direction, event: Event, out: &mut Vec<PeerAction>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.connections[side as usize].machine.handle(now, event, &mut actions);
-        self.carry_out(now, side, actions, out);
+        self.connections[direction as usize].machine.handle(now, event, &mut actions);
+        self.carry_out(now, direction, actions, out);
     }
 
-    fn carry_out(&mut self, now: Micros, side: Side, mut actions: Vec<Action>, out: &mut Vec<Deed>) {
+    fn carry_out(
+        &mut self,
+        now: Micros,
+        direction: Direction,
+        mut actions: Vec<Action>,
+        out: &mut Vec<PeerAction>,
+    ) {
         let closes = actions.contains(&Action::Close);
         let mut stands = false;
         for action in actions.drain(..) {
             match action {
-                Action::Connect => out.push(Deed::Connect),
+                Action::Connect => out.push(PeerAction::Connect),
                 Action::SendOpen => {
                     let s = &self.settings;
-                    out.push(Deed::Write(side, write::open_message(s.asn, s.hold_s, s.id)));
+                    out.push(PeerAction::Write(direction, write::open_message(s.asn, s.hold_s, s.id)));
                 }
                 Action::SendKeepalive => {
                     self.sent.keepalives += 1;
-                    out.push(Deed::Write(side, write::keepalive()));
+                    out.push(PeerAction::Write(direction, write::keepalive()));
                 }
                 Action::Send(why) => {
                     self.sent.notifications += 1;
-                    out.push(Deed::Write(side, write::notification(&why)));
+                    out.push(PeerAction::Write(direction, write::notification(&why)));
                     if (why.code, why.subcode) != (6, 7) {
-                        out.push(Deed::Log(format!("peer `{}`: ended by us: {why}", self.name)));
+                        out.push(PeerAction::Log(format!("peer `{}`: ended by us: {why}", self.name)));
                         self.last = Some((now, true, why));
                     }
                 }
-                Action::Close => out.push(Deed::Close(side)),
+                Action::Close => out.push(PeerAction::Close(direction)),
                 Action::Up => stands = true,
                 Action::Down => {
                     self.table = Table::default();
-                    out.push(Deed::Log(format!("peer `{}`: down", self.name)));
+                    out.push(PeerAction::Log(format!("peer `{}`: down", self.name)));
                 }
             }
         }
         self.actions = actions;
         if stands {
-            self.stands(now, side, out);
+            self.stands(now, direction, out);
         }
-        let over = if side == Side::In { State::Active } else { State::Idle };
-        if closes && self.state(side) <= over {
-            self.ended(now, side);
+        let over = if direction == Direction::Inbound { State::Active } else { State::Idle };
+        if closes && self.state(direction) <= over {
+            self.ended(now, direction);
         }
     }
 
-    fn stands(&mut self, now: Micros, side: Side, out: &mut Vec<Deed>) {
+    fn stands(&mut self, now: Micros, direction: Direction, out: &mut Vec<PeerAction>) {
         self.established += 1;
         self.table = Table::default();
         let words = if self.established == 1 { "up" } else { "up again" };
-        out.push(Deed::Log(format!("peer `{}`: {words}", self.name)));
-        self.event(now, side.other(), Event::Collision, out);
-        let messages = self.table.change(&self.wanted, &self.speaker(side));
-        self.write_updates(side, messages, out);
+        out.push(PeerAction::Log(format!("peer `{}`: {words}", self.name)));
+        self.event(now, direction.other(), Event::Collision, out);
+        let messages = self.table.change(&self.wanted, &self.speaker(direction));
+        self.write_updates(direction, messages, out);
     }
 
     /// A connection has ended. What the peer opens is turned away for as long as we would wait ourselves.
-    fn ended(&mut self, now: Micros, side: Side) {
-        let until = self.connections[side as usize].machine.next();
-        let was_there = self.connections[side as usize].local.take().is_some();
-        if side == Side::In {
+    fn ended(&mut self, now: Micros, direction: Direction) {
+        let until = self.connections[direction as usize].machine.next();
+        let was_there = self.connections[direction as usize].local.take().is_some();
+        if direction == Direction::Inbound {
             self.connections[1].machine = self.waiting(now);
         }
         if self.stopped || self.standing().is_some() {
             return;
         }
         let own = &mut self.connections[0].machine;
-        match (side, until) {
+        match (direction, until) {
             // Two that turned each other away after each dial that failed would never meet.
-            (Side::Out, Some(until)) if was_there => self.refuse_until = until,
+            (Direction::Outbound, Some(until)) if was_there => self.refuse_until = until,
             // Ours is what begins again, where it does not go on anyway.
-            (Side::In, Some(until)) => {
+            (Direction::Inbound, Some(until)) => {
                 own.count_failure();
                 let wait = own.wait().max(until - now);
                 self.refuse_until = now + wait;
                 own.begin_after(now, wait);
             }
-            (Side::In, None) if own.timer(Timer::IdleHold).is_none() => {
+            (Direction::Inbound, None) if own.timer(Timer::IdleHold).is_none() => {
                 let wait = own.wait();
                 own.begin_after(now, wait);
             }
@@ -448,14 +465,14 @@
         Machine::new(Settings { passive: true, ..self.settings.machine }, now as u64)
     }
 
-    fn write_updates(&mut self, side: Side, messages: Vec<Vec<u8>>, out: &mut Vec<Deed>) {
+    fn write_updates(&mut self, direction: Direction, messages: Vec<Vec<u8>>, out: &mut Vec<PeerAction>) {
         self.sent.updates += messages.len() as u64;
-        out.extend(messages.into_iter().map(|octets| Deed::Write(side, octets)));
+        out.extend(messages.into_iter().map(|octets| PeerAction::Write(direction, octets)));
     }
 
-    fn peering(&self, side: Side) -> Peering {
-        let open = self.connections[side as usize].open.as_ref();
-        Peering {
+    fn session(&self, direction: Direction) -> SessionParameters {
+        let open = self.connections[direction as usize].open.as_ref();
+        SessionParameters {
             asn: self.settings.asn,
             internal: self.settings.asn == self.settings.peer_asn,
             four_octet: open.is_some_and(|o| o.four_octet),
@@ -463,11 +480,11 @@
         }
     }
 
-    fn speaker(&self, side: Side) -> Speaker {
-        let connection = &self.connections[side as usize];
+    fn speaker(&self, direction: Direction) -> Speaker {
+        let connection = &self.connections[direction as usize];
         let (v4, v6) = connection.local.map_or((None, None), write::next_hops);
         let open = connection.open.as_ref();
-        let Peering { asn, internal, four_octet, .. } = self.peering(side);
+        let SessionParameters { asn, internal, four_octet, .. } = self.session(direction);
         Speaker {
             asn,
             internal,
--- a/crates/bgp/src/update.rs
+++ b/crates/bgp/src/update.rs
@@ -5,7 +5,7 @@
 
 /// What both sides have agreed on.
 #[derive(Clone, Copy, Debug)]
-pub struct Peering {
+pub struct SessionParameters {
     /// Our own AS.
     pub asn: u32,
     /// The peer is of the same AS.
@@ -18,7 +18,7 @@
 
 /// What an UPDATE held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct UpdateSummary {
     /// Prefixes announced.
     pub announced: u32,
     /// Prefixes withdrawn.
@@ -53,12 +53,12 @@
 ///
 /// # Errors
 /// What is to be told the peer, where RFC 7606 leaves nothing but to end the session.
-pub fn scan(body: &[u8], peering: &Peering) -> Result<Seen, Notification> {
+pub fn scan(body: &[u8], session: &SessionParameters) -> Result<UpdateSummary, Notification> {
     let malformed = || Notification::new(3, 1, &[]);
     let mut octets = Octets(body);
     let mut part = || octets.u16().and_then(|n| octets.take(usize::from(n))).ok_or_else(malformed);
     let (withdrawn, attributes) = (part()?, part()?);
-    let mut seen = Seen { withdrawn: prefixes(withdrawn, 32)?, ..Seen::default() };
+    let mut seen = UpdateSummary { withdrawn: prefixes(withdrawn, 32)?, ..UpdateSummary::default() };
     let announced = prefixes(octets.0, 32)?;
     seen.announced = announced;
     let mut there = [0u64; 4];
@@ -78,7 +78,7 @@
             continue;
         }
         there[word] |= bit;
-        match check(flags, code, value, peering, &mut seen) {
+        match check(flags, code, value, session, &mut seen) {
             Ok(()) => {}
             Err(Fault::Discard) => seen.discarded += 1,
             Err(Fault::Withdraw) => seen.treated_as_withdraw = true,
@@ -87,7 +87,7 @@
     }
     let has = |code: u8| there[0] & (1 << code) != 0;
     let reached = has(MP_REACH);
-    let lacks = !has(ORIGIN) || !has(AS_PATH) || (peering.internal && !has(LOCAL_PREF));
+    let lacks = !has(ORIGIN) || !has(AS_PATH) || (session.internal && !has(LOCAL_PREF));
     seen.treated_as_withdraw |= (announced > 0 && (lacks || !has(NEXT_HOP))) || (reached && lacks);
     Ok(seen)
 }
@@ -111,7 +111,13 @@
     Ok(count)
 }
 
-fn check(flags: u8, code: u8, value: &[u8], peering: &Peering, seen: &mut Seen) -> Result<(), Fault> {
+fn check(
+    flags: u8,
+    code: u8,
+    value: &[u8],
+    session: &SessionParameters,
+    seen: &mut UpdateSummary,
+) -> Result<(), Fault> {
     // Optional and transitive as each is specified; the partial bit is nobody's fault here.
     let wanted = match code {
         1..=3 | 5 | 6 => Some(TRANSITIVE),
@@ -120,7 +126,7 @@
         _ => None,
     };
     // By RFC 7606 these are dropped alone.
-    let harmless = matches!(code, 6 | 7 | 17 | 18) || (!peering.internal && matches!(code, 5 | 9 | 10));
+    let harmless = matches!(code, 6 | 7 | 17 | 18) || (!session.internal && matches!(code, 5 | 9 | 10));
     let lesser = || if harmless { Fault::Discard } else { Fault::Withdraw };
     let length = value.len();
     match wanted {
@@ -140,18 +146,18 @@
     if harmless && matches!(code, 5 | 9 | 10) {
         return Err(Fault::Discard);
     }
-    let wide = if peering.four_octet { 4 } else { 2 };
+    let wide = if session.four_octet { 4 } else { 2 };
     let good = match code {
         ORIGIN => length == 1 && value[0] <= 2,
-        AS_PATH => path(value, wide, peering.asn, &mut seen.looped),
+        AS_PATH => path(value, wide, session.asn, &mut seen.looped),
         NEXT_HOP | 4 | 5 | 9 => length == 4,
         6 => length == 0,
         7 => length == 4 + wide,
         8 | 10 => length > 0 && length.is_multiple_of(4),
-        MP_REACH => return reach(value, peering, seen),
-        MP_UNREACH => return unreach(value, peering, seen),
+        MP_REACH => return reach(value, session, seen),
+        MP_UNREACH => return unreach(value, session, seen),
         16 => length > 0 && length.is_multiple_of(8),
-        17 => path(value, 4, peering.asn, &mut seen.looped),
+        17 => path(value, 4, session.asn, &mut seen.looped),
         18 => length == 8,
         32 => length > 0 && length.is_multiple_of(12),
         _ => true,
@@ -180,14 +186,14 @@
 }
 
 /// Family and what follows of MP_REACH_NLRI or MP_UNREACH_NLRI; true for one that is spoken.
-fn family<'a>(value: &'a [u8], peering: &Peering) -> Result<(bool, Octets<'a>), Fault> {
+fn family<'a>(value: &'a [u8], session: &SessionParameters) -> Result<(bool, Octets<'a>), Fault> {
     let mut octets = Octets(value);
     let family = octets.u16().zip(octets.u8()).ok_or_else(broken)?;
-    Ok((peering.ipv6 && family == (2, 1), octets))
+    Ok((session.ipv6 && family == (2, 1), octets))
 }
 
-fn reach(value: &[u8], peering: &Peering, seen: &mut Seen) -> Result<(), Fault> {
-    let (spoken, mut octets) = family(value, peering)?;
+fn reach(value: &[u8], session: &SessionParameters, seen: &mut UpdateSummary) -> Result<(), Fault> {
+    let (spoken, mut octets) = family(value, session)?;
     let hop = octets.u8().and_then(|n| octets.take(usize::from(n))).ok_or_else(broken)?;
     octets.u8().ok_or_else(broken)?;
     if spoken {
@@ -199,8 +205,8 @@
     Ok(())
 }
 
-fn unreach(value: &[u8], peering: &Peering, seen: &mut Seen) -> Result<(), Fault> {
-    let (spoken, octets) = family(value, peering)?;
+fn unreach(value: &[u8], session: &SessionParameters, seen: &mut UpdateSummary) -> Result<(), Fault> {
+    let (spoken, octets) = family(value, session)?;
     if spoken {
         seen.withdrawn += prefixes(octets.0, 128).map_err(|_| broken())?;
     }
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use bgp::{
-    Address, Announcer, Attributes, Damping, Level, Micros, Node, PoolHealth, Process, Thresholds, Why,
-    SECOND,
+    Address, AnnouncementLevel, Announcer, Attributes, Damping, EndpointHealth, Micros, PoolHealth,
+    ProcessHealth, StateReason, Thresholds, SECOND,
 };
 
 const MS: Micros = 1000;
-const WELL: Process = Process { accepting: true, alive: true, memory_full: false };
+const WELL: ProcessHealth = ProcessHealth { accepting: true, alive: true, memory_full: false };
 const DAMPING: Damping = Damping { hold_up: 5 * SECOND, most: 60 * SECOND, half_life: 60 * SECOND };
 
 fn address(pools: &[&str]) -> Address {
@@ -22,12 +22,12 @@
     }
 }
 
-fn node(answers: Option<bool>) -> Node {
-    Node { weight: 1.0, ready: true, warm: true, answers }
+fn node(answers: Option<bool>) -> EndpointHealth {
+    EndpointHealth { weight: 1.0, ready: true, warm: true, answers }
 }
 
 fn pool(answers: &[Option<bool>]) -> PoolHealth {
-    PoolHealth { nodes: Some(answers.iter().map(|a| node(*a)).collect()), old: false }
+    PoolHealth { endpoints: Some(answers.iter().map(|a| node(*a)).collect()), stale: false }
 }
 
 /// Ten nodes, of which so many answer.
@@ -39,7 +39,7 @@
     announcer: Announcer,
     now: Micros,
     pools: BTreeMap<String, PoolHealth>,
-    process: Process,
+    process: ProcessHealth,
 }
 
 impl Site {
@@ -71,18 +71,18 @@
         self.until(self.now)
     }
 
-    fn level(&self) -> Level {
+    fn level(&self) -> AnnouncementLevel {
         self.announcer.views(self.now).next().expect("an address").level
     }
 
-    fn why(&self) -> Why {
+    fn why(&self) -> StateReason {
         self.announcer.views(self.now).next().expect("an address").why
     }
 
     fn up() -> Site {
         let mut site = Site::new(&[address(&["p"])]);
         site.health("p", of_ten(10)).until(5 * SECOND);
-        assert_eq!(site.level(), Level::Normal);
+        assert_eq!(site.level(), AnnouncementLevel::Normal);
         site
     }
 }
@@ -91,9 +91,9 @@
 fn announced_after_the_hold_up_and_not_a_microsecond_before() {
     let mut site = Site::new(&[address(&["p"])]);
     site.health("p", of_ten(10)).until(5 * SECOND - 1);
-    assert_eq!((site.level(), site.why()), (Level::Withdrawn, Why::HoldUp));
+    assert_eq!((site.level(), site.why()), (AnnouncementLevel::Withdrawn, StateReason::HoldUp));
     site.until(5 * SECOND);
-    assert_eq!((site.level(), site.why()), (Level::Normal, Why::Ready));
+    assert_eq!((site.level(), site.why()), (AnnouncementLevel::Normal, StateReason::Ready));
     assert_eq!(site.announcer.wanted().values().next().expect("one").med, Some(10));
 }
 
@@ -101,34 +101,34 @@
 fn only_what_is_truly_ready_counts_before_it_is_announced() {
     let p = || "p".to_owned();
     let mut unready = vec![
-        (PoolHealth::default(), Why::NotTold(p())),
-        (pool(&[]), Why::NoNode(p())),
-        (of_ten(0), Why::NoNode(p())),
-        (of_ten(2), Why::TooFew(p(), 20)),
-        (of_ten(4), Why::TooFew(p(), 40)),
-        (pool(&[None, None]), Why::NotWarm(p())),
-        (PoolHealth { old: true, ..of_ten(10) }, Why::OldList(p())),
+        (PoolHealth::default(), StateReason::NoEndpointList(p())),
+        (pool(&[]), StateReason::NoEndpointAvailable(p())),
+        (of_ten(0), StateReason::NoEndpointAvailable(p())),
+        (of_ten(2), StateReason::InsufficientCapacity(p(), 20)),
+        (of_ten(4), StateReason::InsufficientCapacity(p(), 40)),
+        (pool(&[None, None]), StateReason::WarmingUp(p())),
+        (PoolHealth { stale: true, ..of_ten(10) }, StateReason::StaleEndpointList(p())),
     ];
     let mut cold = of_ten(10);
-    cold.nodes.iter_mut().flatten().for_each(|n| n.warm = false);
-    unready.push((cold, Why::NotWarm(p())));
+    cold.endpoints.iter_mut().flatten().for_each(|n| n.warm = false);
+    unready.push((cold, StateReason::WarmingUp(p())));
     let mut draining = of_ten(10);
-    draining.nodes.iter_mut().flatten().skip(2).for_each(|n| n.ready = false);
-    unready.push((draining, Why::TooFew(p(), 20)));
+    draining.endpoints.iter_mut().flatten().skip(2).for_each(|n| n.ready = false);
+    unready.push((draining, StateReason::InsufficientCapacity(p(), 20)));
     for (health, why) in unready {
         let mut site = Site::new(&[address(&["p"])]);
         site.health("p", health.clone()).until(1000 * SECOND);
-        assert_eq!((site.level(), site.why()), (Level::Withdrawn, why), "{health:?}");
+        assert_eq!((site.level(), site.why()), (AnnouncementLevel::Withdrawn, why), "{health:?}");
     }
     for process in [
-        Process { accepting: false, ..WELL },
-        Process { alive: false, ..WELL },
-        Process { memory_full: true, ..WELL },
+        ProcessHealth { accepting: false, ..WELL },
+        ProcessHealth { alive: false, ..WELL },
+        ProcessHealth { memory_full: true, ..WELL },
     ] {
         let mut site = Site::new(&[address(&["p"])]);
         site.process = process;
         site.health("p", of_ten(10)).until(1000 * SECOND);
-        assert_eq!(site.level(), Level::Withdrawn, "{process:?}");
+        assert_eq!(site.level(), AnnouncementLevel::Withdrawn, "{process:?}");
     }
 }
 
@@ -136,12 +136,15 @@
 fn every_pool_behind_an_address_has_to_serve() {
     let mut site = Site::new(&[address(&["p", "q"])]);
     site.health("p", of_ten(10)).health("q", of_ten(10)).until(10 * SECOND);
-    assert_eq!(site.level(), Level::Normal);
+    assert_eq!(site.level(), AnnouncementLevel::Normal);
     site.health("q", of_ten(0)).until(10 * SECOND);
-    assert_eq!((site.level(), site.why()), (Level::Withdrawn, Why::NoNode("q".to_owned())));
+    assert_eq!(
+        (site.level(), site.why()),
+        (AnnouncementLevel::Withdrawn, StateReason::NoEndpointAvailable("q".to_owned()))
+    );
     site.pools.remove("q");
     site.until(11 * SECOND);
-    assert_eq!(site.why(), Why::NoPool("q".to_owned()));
+    assert_eq!(site.why(), StateReason::UnknownPool("q".to_owned()));
 }
 
 #[test]
@@ -153,48 +156,51 @@
             let then = site.now + 100 * SECOND;
             site.health("p", of_ten(10)).until(then);
         }
-        assert_eq!(site.level(), Level::Normal);
+        assert_eq!(site.level(), AnnouncementLevel::Normal);
         site.health("p", of_ten(0));
         assert!(site.announcer.decide(site.now, WELL, &site.pools));
-        assert_eq!(site.level(), Level::Withdrawn, "after {flaps} flaps");
+        assert_eq!(site.level(), AnnouncementLevel::Withdrawn, "after {flaps} flaps");
     }
 }
 
 #[test]
 fn an_old_list_withdraws_nothing_and_announces_nothing() {
     let mut site = Site::up();
-    site.health("p", PoolHealth { old: true, ..of_ten(10) }).until(10_000 * SECOND);
-    assert_eq!((site.level(), site.why()), (Level::Normal, Why::OldList("p".to_owned())));
+    site.health("p", PoolHealth { stale: true, ..of_ten(10) }).until(10_000 * SECOND);
+    assert_eq!(
+        (site.level(), site.why()),
+        (AnnouncementLevel::Normal, StateReason::StaleEndpointList("p".to_owned()))
+    );
     // It says that they drain: that may be long over.
-    let mut draining = PoolHealth { old: true, ..of_ten(10) };
-    draining.nodes.iter_mut().flatten().for_each(|n| n.ready = false);
+    let mut draining = PoolHealth { stale: true, ..of_ten(10) };
+    draining.endpoints.iter_mut().flatten().for_each(|n| n.ready = false);
     site.health("p", draining).until(20_000 * SECOND);
-    assert_eq!(site.level(), Level::Normal);
+    assert_eq!(site.level(), AnnouncementLevel::Normal);
     // But that nobody answers is seen, however old the list.
-    site.health("p", PoolHealth { old: true, ..of_ten(0) }).until(20_000 * SECOND);
-    assert_eq!(site.level(), Level::Withdrawn);
-    site.health("p", PoolHealth { old: true, ..of_ten(10) }).until(30_000 * SECOND);
-    assert_eq!(site.level(), Level::Withdrawn);
+    site.health("p", PoolHealth { stale: true, ..of_ten(0) }).until(20_000 * SECOND);
+    assert_eq!(site.level(), AnnouncementLevel::Withdrawn);
+    site.health("p", PoolHealth { stale: true, ..of_ten(10) }).until(30_000 * SECOND);
+    assert_eq!(site.level(), AnnouncementLevel::Withdrawn);
     site.health("p", of_ten(10)).until(30_100 * SECOND);
-    assert_eq!(site.level(), Level::Normal);
+    assert_eq!(site.level(), AnnouncementLevel::Normal);
 }
 
 #[test]
 fn worse_at_once_and_better_after_a_hold_up() {
     let mut site = Site::up();
     site.health("p", of_ten(7)).now_on();
-    assert_eq!(site.level(), Level::Degraded);
+    assert_eq!(site.level(), AnnouncementLevel::Degraded);
     let told = site.announcer.wanted().into_values().next().expect("one");
     assert_eq!((told.med, told.prepend), (Some(100), 2));
     let then = site.now + 100 * SECOND;
     site.until(then).health("p", of_ten(9)).until(then + 4 * SECOND);
-    assert_eq!(site.level(), Level::Degraded);
+    assert_eq!(site.level(), AnnouncementLevel::Degraded);
     site.until(then + 20 * SECOND);
-    assert_eq!(site.level(), Level::Normal);
+    assert_eq!(site.level(), AnnouncementLevel::Normal);
     // Announced again while there is less than usual, it is announced as that.
     site.health("p", of_ten(0)).until(then + 20 * SECOND);
     site.health("p", of_ten(6)).until(then + 200 * SECOND);
-    assert_eq!(site.level(), Level::Degraded);
+    assert_eq!(site.level(), AnnouncementLevel::Degraded);
 }
 
 #[test]
@@ -204,14 +210,14 @@
     assert!(site.announcer.hold(prefix, true));
     assert!(!site.announcer.hold("192.0.2.2/32".parse().expect("a prefix"), true));
     site.until(site.now);
-    assert_eq!((site.level(), site.why()), (Level::Withdrawn, Why::Held));
+    assert_eq!((site.level(), site.why()), (AnnouncementLevel::Withdrawn, StateReason::HeldByOperator));
     site.announcer.hold(prefix, false);
     let then = site.now;
     site.until(then + 5 * SECOND - 1);
-    assert_eq!(site.level(), Level::Withdrawn, "also then it has to be ready for a while");
+    assert_eq!(site.level(), AnnouncementLevel::Withdrawn, "also then it has to be ready for a while");
     site.until(then + 5 * SECOND);
     let view = site.announcer.views(site.now).next().expect("one");
-    assert_eq!((view.level, view.flaps, view.hold_up), (Level::Normal, 0, 5 * SECOND));
+    assert_eq!((view.level, view.flaps, view.hold_up), (AnnouncementLevel::Normal, 0, 5 * SECOND));
 }
 
 #[test]
@@ -221,19 +227,22 @@
     site.announcer.leave(start, 3 * SECOND);
     site.until(start);
     let told = site.announcer.wanted().into_values().next().expect("one");
-    assert_eq!((site.level(), told.communities, told.local_pref), (Level::Leaving, vec![0xffff_0000], 0));
+    assert_eq!(
+        (site.level(), told.communities, told.local_pref),
+        (AnnouncementLevel::GracefulShutdown, vec![0xffff_0000], 0)
+    );
     site.until(start + 3 * SECOND - 1);
-    assert_eq!(site.level(), Level::Leaving);
+    assert_eq!(site.level(), AnnouncementLevel::GracefulShutdown);
     site.until(start + 3 * SECOND);
     assert!(site.announcer.wanted().is_empty());
     // One whose nodes go in the meantime does not wait, and one that was down does not come up.
     let mut site = Site::up();
     site.announcer.leave(site.now, 3 * SECOND);
     site.health("p", of_ten(0)).now_on();
-    assert_eq!(site.level(), Level::Withdrawn);
+    assert_eq!(site.level(), AnnouncementLevel::Withdrawn);
     let then = site.now + SECOND;
     site.health("p", of_ten(10)).until(then);
-    assert_eq!(site.level(), Level::Withdrawn);
+    assert_eq!(site.level(), AnnouncementLevel::Withdrawn);
 }
 
 #[test]
@@ -245,8 +254,8 @@
     site.announcer.set(site.now, &[address(&["p"]), other.clone()]);
     site.until(site.now);
     let levels: Vec<_> = site.announcer.views(site.now).map(|v| (v.level, v.since)).collect();
-    assert_eq!(levels[0], (Level::Normal, since));
-    assert_eq!(levels[1].0, Level::Withdrawn);
+    assert_eq!(levels[0], (AnnouncementLevel::Normal, since));
+    assert_eq!(levels[1].0, AnnouncementLevel::Withdrawn);
     site.until(site.now + 5 * SECOND);
     assert_eq!(site.announcer.wanted().len(), 2);
     site.announcer.set(site.now, &[other]);
@@ -263,7 +272,7 @@
         while site.now < then {
             let before = site.level();
             site.until((site.now + 20 * MS).min(then));
-            if before == Level::Withdrawn && site.level() != Level::Withdrawn {
+            if before == AnnouncementLevel::Withdrawn && site.level() != AnnouncementLevel::Withdrawn {
                 announced.push(site.now);
             }
         }
@@ -281,12 +290,12 @@
         let (last, announced, mut site) = flapping(seed, 100 * MS, 500 * MS);
         assert_eq!(announced.len(), 0, "seed {seed}");
         site.until(last + DAMPING.most);
-        assert_eq!(site.level(), Level::Normal, "seed {seed}");
+        assert_eq!(site.level(), AnnouncementLevel::Normal, "seed {seed}");
         // Just slower than the hold-up, the worst there is: each flap makes the next hold-up longer.
         let (last, announced, mut site) = flapping(seed, 5 * SECOND, 12 * SECOND);
         assert!(announced.len() <= 3, "seed {seed}: {announced:?}");
         site.until(last + DAMPING.most);
-        assert_eq!(site.level(), Level::Normal, "seed {seed}");
+        assert_eq!(site.level(), AnnouncementLevel::Normal, "seed {seed}");
     }
 }
 
@@ -300,7 +309,7 @@
         longest = longest.max(hold_up);
         let then = site.now + hold_up;
         site.health("p", of_ten(10)).until(then);
-        assert_eq!(site.level(), Level::Normal, "never longer than it was said to be");
+        assert_eq!(site.level(), AnnouncementLevel::Normal, "never longer than it was said to be");
     }
     assert!(longest > 25 * SECOND && longest <= 60 * SECOND, "{longest}");
     site.until(site.now + 600 * SECOND);
@@ -319,7 +328,7 @@
             site.until(then);
             let health = match rng.u8(0..6) {
                 0 => PoolHealth::default(),
-                1 => PoolHealth { old: true, ..of_ten(rng.usize(0..=10)) },
+                1 => PoolHealth { stale: true, ..of_ten(rng.usize(0..=10)) },
                 _ => of_ten(rng.usize(0..=10)),
             };
             let name = if rng.bool() { "p" } else { "q" };
@@ -329,21 +338,25 @@
             site.until(site.now);
             let can = site.process.alive
                 && ["p", "q"].iter().all(|p| {
-                    site.pools.get(*p).is_some_and(|pool| match &pool.nodes {
+                    site.pools.get(*p).is_some_and(|pool| match &pool.endpoints {
                         None => true,
                         Some(nodes) => nodes.iter().filter(|n| n.answers == Some(true)).count() >= 3,
                     })
                 });
-            assert!(can || site.level() == Level::Withdrawn, "seed {seed}");
-            assert!(before != Level::Withdrawn || site.level() == Level::Withdrawn, "seed {seed}: at once");
-            let sure =
-                can && site.pools.len() == 2 && site.pools.values().all(|p| !p.old && p.nodes.is_some());
+            assert!(can || site.level() == AnnouncementLevel::Withdrawn, "seed {seed}");
+            assert!(
+                before != AnnouncementLevel::Withdrawn || site.level() == AnnouncementLevel::Withdrawn,
+                "seed {seed}: at once"
+            );
+            let sure = can
+                && site.pools.len() == 2
+                && site.pools.values().all(|p| !p.stale && p.endpoints.is_some());
             if !sure {
                 broken_at = site.now;
             }
             let view = site.announcer.views(site.now).next().expect("one");
             assert!(view.hold_up >= DAMPING.hold_up && view.hold_up <= DAMPING.most);
-            if view.level == Level::Normal && before == Level::Withdrawn {
+            if view.level == AnnouncementLevel::Normal && before == AnnouncementLevel::Withdrawn {
                 assert!(site.now - broken_at >= DAMPING.hold_up, "seed {seed}");
             }
         }
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 
 use bgp::{
-    Address, Announcer, Attributes, Damping, Level, Micros, Node, PoolHealth, Process, Thresholds, SECOND,
+    Address, AnnouncementLevel, Announcer, Attributes, Damping, EndpointHealth, Micros, PoolHealth,
+    ProcessHealth, Thresholds, SECOND,
 };
 
 pub const SITES: usize = 50;
@@ -17,7 +18,7 @@
 /// Steps after which a site knows of its nodes, and a router of a site.
 const SEEN: usize = 7;
 const TOLD: usize = 2;
-const WELL: Process = Process { accepting: true, alive: true, memory_full: false };
+const WELL: ProcessHealth = ProcessHealth { accepting: true, alive: true, memory_full: false };
 
 /// How sites announce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +91,7 @@
     announcer: Announcer,
     /// The nodes that answer, as they were at the last steps.
     answering: Vec<usize>,
-    level: Level,
+    level: AnnouncementLevel,
     announced_at: Vec<Micros>,
     /// As the routers know it, the newest last.
     known: Vec<bool>,
@@ -112,9 +113,9 @@
     }
 }
 
-fn health(answering: usize, old: bool) -> PoolHealth {
-    let node = |i| Node { weight: 1.0, ready: true, warm: true, answers: Some(i < answering) };
-    PoolHealth { nodes: Some((0..NODES).map(node).collect()), old }
+fn health(answering: usize, stale: bool) -> PoolHealth {
+    let node = |i| EndpointHealth { weight: 1.0, ready: true, warm: true, answers: Some(i < answering) };
+    PoolHealth { endpoints: Some((0..NODES).map(node).collect()), stale }
 }
 
 /// Plays so much time. `load` is what is asked for, as a part of what all sites can do together.
@@ -126,7 +127,7 @@
             Site {
                 announcer,
                 answering: vec![NODES; SEEN],
-                level: Level::Withdrawn,
+                level: AnnouncementLevel::Withdrawn,
                 announced_at: Vec::new(),
                 known: vec![false; TOLD],
                 health: BTreeMap::new(),
@@ -163,16 +164,20 @@
                 this.health.insert("p".to_owned(), known);
             }
             if policy == Policy::Never {
-                this.level = Level::Normal;
+                this.level = AnnouncementLevel::Normal;
             } else if changed || this.announcer.next(now).is_some_and(|at| at <= now) {
                 this.announcer.decide(now, WELL, &this.health);
-                let level = this.announcer.views(now).next().map_or(Level::Withdrawn, |v| v.level);
-                if this.level == Level::Withdrawn && level != Level::Withdrawn && now > start {
+                let level =
+                    this.announcer.views(now).next().map_or(AnnouncementLevel::Withdrawn, |v| v.level);
+                if this.level == AnnouncementLevel::Withdrawn
+                    && level != AnnouncementLevel::Withdrawn
+                    && now > start
+                {
                     this.announced_at.push(now);
                 }
                 this.level = level;
             }
-            this.known.push(this.level != Level::Withdrawn);
+            this.known.push(this.level != AnnouncementLevel::Withdrawn);
         }
         let announces = |site: &Site| site.known[site.known.len() - 1 - TOLD];
         pressure = [0.0; SITES];
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bgp::{
-    frame, Attributes, Deed, Input, Micros, Notification, Peer, PeerSettings, Settings, Side, State, HEADER,
-    SECOND,
+    frame, Attributes, Direction, Input, Micros, Notification, Peer, PeerAction, PeerSettings, Settings,
+    State, HEADER, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -65,22 +65,22 @@
         world
     }
 
-    fn side(&self, who: usize, wire: usize) -> Side {
+    fn direction(&self, who: usize, wire: usize) -> Direction {
         if self.wires[wire].opener == who {
-            Side::Out
+            Direction::Outbound
         } else {
-            Side::In
+            Direction::Inbound
         }
     }
 
-    fn wire(&self, who: usize, side: Side) -> Option<usize> {
-        (0..self.wires.len()).rev().find(|w| self.wires[*w].open[who] && self.side(who, *w) == side)
+    fn wire(&self, who: usize, direction: Direction) -> Option<usize> {
+        (0..self.wires.len()).rev().find(|w| self.wires[*w].open[who] && self.direction(who, *w) == direction)
     }
 
     fn give(&mut self, who: usize, input: Input<'_>) {
-        let mut deeds = Vec::new();
-        self.peers[who].handle(self.now, input, &mut deeds);
-        self.carry_out(who, deeds);
+        let mut actions = Vec::new();
+        self.peers[who].handle(self.now, input, &mut actions);
+        self.carry_out(who, actions);
     }
 
     fn post(&mut self, wire: usize, to: usize, what: Option<Vec<u8>>) {
@@ -90,28 +90,28 @@
         queue.push_back((at, what));
     }
 
-    fn carry_out(&mut self, who: usize, deeds: Vec<Deed>) {
-        for deed in deeds {
-            match deed {
-                Deed::Connect => self.dials.push((self.now + self.rng.i64(0..20 * MS), who)),
-                Deed::Write(side, octets) => {
+    fn carry_out(&mut self, who: usize, actions: Vec<PeerAction>) {
+        for action in actions {
+            match action {
+                PeerAction::Connect => self.dials.push((self.now + self.rng.i64(0..20 * MS), who)),
+                PeerAction::Write(direction, octets) => {
                     if octets[18] != 4 {
                         self.written[who].push(bgp_router::decode(&octets, 4));
                     }
-                    if let Some(wire) = self.wire(who, side) {
+                    if let Some(wire) = self.wire(who, direction) {
                         self.post(wire, 1 - who, Some(octets));
                     }
                 }
-                Deed::Close(side) => {
-                    if side == Side::Out {
+                PeerAction::Close(direction) => {
+                    if direction == Direction::Outbound {
                         self.dials.retain(|(_, dialer)| *dialer != who);
                     }
-                    if let Some(wire) = self.wire(who, side) {
+                    if let Some(wire) = self.wire(who, direction) {
                         self.wires[wire].open[who] = false;
                         self.post(wire, 1 - who, None);
                     }
                 }
-                Deed::Log(_) => {}
+                PeerAction::Log(_) => {}
             }
         }
     }
@@ -133,44 +133,46 @@
         match sort {
             0 => {
                 let Some((_, what)) = self.wires[which].to[who].pop_front() else { return true };
-                let side = self.side(who, which);
-                if !self.wires[which].open[who] || self.wire(who, side) != Some(which) {
+                let direction = self.direction(who, which);
+                if !self.wires[which].open[who] || self.wire(who, direction) != Some(which) {
                     return true;
                 }
                 match what {
                     Some(octets) => {
                         let header: &[u8; HEADER] = octets.first_chunk().expect("a header");
                         match frame(header) {
-                            Ok((_, kind)) => self.give(who, Input::Message(side, kind, &octets[HEADER..])),
-                            Err(why) => self.give(who, Input::HeaderError(side, why)),
+                            Ok((_, kind)) => {
+                                self.give(who, Input::Message(direction, kind, &octets[HEADER..]))
+                            }
+                            Err(why) => self.give(who, Input::HeaderError(direction, why)),
                         }
                     }
                     None => {
                         self.wires[which].open[who] = false;
-                        self.give(who, Input::Failed(side));
+                        self.give(who, Input::Failed(direction));
                     }
                 }
             }
             1 => {
                 self.dials.remove(which);
                 if self.cut || !self.peers[1 - who].takes(self.now) {
-                    self.give(who, Input::Failed(Side::Out));
+                    self.give(who, Input::Failed(Direction::Outbound));
                 } else {
-                    if let Some(before) = self.wire(1 - who, Side::In) {
+                    if let Some(before) = self.wire(1 - who, Direction::Inbound) {
                         self.wires[before].open[1 - who] = false;
                         self.post(before, who, None);
                     }
                     let wire = Wire { open: [true; 2], opener: who, to: [VecDeque::new(), VecDeque::new()] };
                     self.wires.push(wire);
                     let local = "192.0.2.1".parse().expect("an address");
-                    self.give(1 - who, Input::Connected(Side::In, local));
-                    self.give(who, Input::Connected(Side::Out, local));
+                    self.give(1 - who, Input::Connected(Direction::Inbound, local));
+                    self.give(who, Input::Connected(Direction::Outbound, local));
                 }
             }
             _ => {
-                let mut deeds = Vec::new();
-                self.peers[who].tick(self.now, &mut deeds);
-                self.carry_out(who, deeds);
+                let mut actions = Vec::new();
+                self.peers[who].tick(self.now, &mut actions);
+                self.carry_out(who, actions);
             }
         }
         true
@@ -201,9 +203,9 @@
     }
 
     fn announce(&mut self, who: usize, prefixes: &[&str]) {
-        let mut deeds = Vec::new();
-        self.peers[who].announce(&wanted(prefixes), &mut deeds);
-        self.carry_out(who, deeds);
+        let mut actions = Vec::new();
+        self.peers[who].announce(&wanted(prefixes), &mut actions);
+        self.carry_out(who, actions);
     }
 }
 
@@ -213,19 +215,19 @@
 
 #[test]
 fn of_two_connections_at_once_the_one_that_the_higher_identifier_opened_stays() {
-    for (id, kept) in [([10, 0, 0, 1], Side::In), ([10, 0, 0, 9], Side::Out)] {
-        for first in [Side::Out, Side::In] {
+    for (id, kept) in [([10, 0, 0, 1], Direction::Inbound), ([10, 0, 0, 9], Direction::Outbound)] {
+        for first in [Direction::Outbound, Direction::Inbound] {
             let mut alone = Alone::connected(settings(64512, 64513, id));
-            alone.give(0, Input::Connected(Side::In, "192.0.2.1".parse().expect("an address")));
-            let second = if first == Side::Out { Side::In } else { Side::Out };
+            alone.give(0, Input::Connected(Direction::Inbound, "192.0.2.1".parse().expect("an address")));
+            let second = if first == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             let octets = open(64513, [10, 0, 0, 2]);
-            for side in [first, second] {
-                alone.give(0, Input::Message(side, bgp::Kind::Open, &octets[HEADER..]));
+            for direction in [first, second] {
+                alone.give(0, Input::Message(direction, bgp::Kind::Open, &octets[HEADER..]));
             }
             assert_eq!(alone.notified(), Some((6, 7)));
-            let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, Deed::Close(_))).collect();
-            let lost = if kept == Side::Out { Side::In } else { Side::Out };
-            assert_eq!(closed, [&Deed::Close(lost)], "{id:?}, first {first:?}");
+            let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, PeerAction::Close(_))).collect();
+            let lost = if kept == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
+            assert_eq!(closed, [&PeerAction::Close(lost)], "{id:?}, first {first:?}");
             alone.give(0, Input::Message(kept, bgp::Kind::Keepalive, &[]));
             assert_eq!(alone.peer.view().state, State::Established);
         }
@@ -300,7 +302,7 @@
 /// A peer on its own, with a connection that was opened by us.
 struct Alone {
     peer: Peer,
-    out: Vec<Deed>,
+    out: Vec<PeerAction>,
 }
 
 impl Alone {
@@ -308,7 +310,7 @@
         let mut alone = Alone { peer: Peer::new("p".to_owned(), settings, 1), out: Vec::new() };
         alone.give(0, Input::Start);
         alone.peer.tick(SECOND / 4, &mut alone.out);
-        alone.give(0, Input::Connected(Side::Out, "192.0.2.1".parse().expect("an address")));
+        alone.give(0, Input::Connected(Direction::Outbound, "192.0.2.1".parse().expect("an address")));
         alone
     }
 
@@ -326,12 +328,12 @@
 
     fn message(&mut self, now: Micros, whole: &[u8]) {
         let (_, kind) = frame(whole.first_chunk().expect("a header")).expect("sound");
-        self.give(now, Input::Message(Side::Out, kind, &whole[HEADER..]));
+        self.give(now, Input::Message(Direction::Outbound, kind, &whole[HEADER..]));
     }
 
     fn notified(&self) -> Option<(u8, u8)> {
-        self.out.iter().rev().find_map(|deed| match deed {
-            Deed::Write(_, octets) => match bgp_router::decode(octets, 4) {
+        self.out.iter().rev().find_map(|action| match action {
+            PeerAction::Write(_, octets) => match bgp_router::decode(octets, 4) {
                 BgpMessage::Notification { code, subcode, .. } => Some((code, subcode)),
                 _ => None,
             },
@@ -382,11 +384,11 @@
     let local = "192.0.2.1".parse().expect("an address");
     for _ in 0..5 {
         assert!(alone.peer.takes(0));
-        alone.give(0, Input::Connected(Side::In, local));
+        alone.give(0, Input::Connected(Direction::Inbound, local));
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
         let (_, kind) = frame(octets.first_chunk().expect("a header")).expect("sound");
-        alone.give(0, Input::Message(Side::In, kind, &octets[HEADER..]));
+        alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER..]));
     }
     assert_eq!(alone.peer.view().state, State::Established);
     assert!(!alone.peer.takes(0));
@@ -415,7 +417,7 @@
     }
     assert_eq!(alone.peer.view().prefixes, (1_000_000, 0));
     assert_eq!(alone.peer.view().state, State::Established);
-    assert!(alone.out.iter().all(|deed| !matches!(deed, Deed::Write(_, o) if o[18] == 3)));
+    assert!(alone.out.iter().all(|action| !matches!(action, PeerAction::Write(_, o) if o[18] == 3)));
     assert!(size < 4096, "{size}");
     assert!(alone.peer.next().is_some_and(|at| at <= 4 * SECOND), "keepalives go on");
 }
@@ -424,9 +426,9 @@
 fn a_peer_that_asks_is_told_all_of_that_family_once_more() {
     let mut alone = Alone::standing();
     alone.peer.announce(&wanted(&["192.0.2.1/32", "198.51.100.0/24", "2001:db8:1::/48"]), &mut alone.out);
-    let announced = |deeds: &[Deed]| {
-        let routes = deeds.iter().filter_map(|deed| match deed {
-            Deed::Write(_, octets) => Some(bgp_router::decode(octets, 4)),
+    let announced = |actions: &[PeerAction]| {
+        let routes = actions.iter().filter_map(|action| match action {
+            PeerAction::Write(_, octets) => Some(bgp_router::decode(octets, 4)),
             _ => None,
         });
         routes
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -97,12 +97,12 @@
     }
 
     /// The endpoints as the announcer of addresses needs them. `slow_start_duration` in microseconds.
-    pub fn announced_endpoints(&self, slow_start_duration: Micros) -> bgp::Listed {
+    pub fn announced_endpoints(&self, slow_start_duration: Micros) -> bgp::PoolEndpointList {
         let now = self.clock.now();
-        let mut nodes = Vec::new();
+        let mut endpoints = Vec::new();
         self.upstreams.for_each_endpoint(|endpoint, address| {
             if endpoint.state != EndpointState::Removed {
-                nodes.push(bgp::ListedNode {
+                endpoints.push(bgp::ListedEndpoint {
                     address,
                     weight: endpoint.weight,
                     ready: endpoint.state == EndpointState::Ready,
@@ -110,8 +110,8 @@
                 });
             }
         });
-        let silent = self.static_registry.is_none().then(|| self.last_update.get().elapsed());
-        bgp::Listed { told: self.ready.get(), silent, nodes }
+        let source_silent_for = self.static_registry.is_none().then(|| self.last_update.get().elapsed());
+        bgp::PoolEndpointList { received: self.ready.get(), source_silent_for, endpoints }
     }
 
     /// No configuration has this pool any more: closes idle connections, requests in flight complete.
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// The endpoints of the pools behind announced addresses, by pool name.
-    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::Listed> {
+    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::PoolEndpointList> {
         let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
         let announced: BTreeSet<&String> = addresses.flat_map(|address| &address.pools).collect();
         let slow_start_duration = self.config.limits.slow_start_duration;
--- a/crates/proxy/src/standalone/announcer.rs
+++ b/crates/proxy/src/standalone/announcer.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bgp::Facts;
+use bgp::DataPlaneStatus;
 use config::Bgp;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
@@ -16,7 +16,7 @@
 /// Announces the addresses at which this process serves.
 pub trait AddressAnnouncer {
     /// Publishes the state of the data plane. Called at a fixed interval, which doubles as a liveness signal.
-    fn update(&self, facts: Facts);
+    fn update(&self, status: DataPlaneStatus);
 
     /// Another configuration is being served.
     fn reconfigure(&self, bgp: &Bgp);
@@ -69,7 +69,7 @@
         let with_endpoints = published_version != version || update % UPDATES_PER_FULL_UPDATE == 0;
         published_version = version;
         let pools = with_endpoints.then(|| snapshot.announced_endpoints());
-        announcer.update(Facts { accepting: true, pools });
+        announcer.update(DataPlaneStatus { accepting: true, pools });
         drop(snapshot);
         sleep(UPDATE_INTERVAL).await;
     }
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use admin::announce::Announcing;
-use bgp::Facts;
+use bgp::DataPlaneStatus;
 use bgp_speaker::Speaker;
 use config::{Bgp, Config};
 use proxy::log::say;
@@ -19,13 +19,13 @@
 use crate::cli::{BgpCommand, Format};
 use crate::{failed, seed};
 
-/// The speaker, as the data plane and as operators see it.
+/// The speaker, for the data plane and for the admin API.
 #[derive(Clone)]
-struct Beside(Speaker);
+struct SpeakerHandle(Speaker);
 
-impl AddressAnnouncer for Beside {
-    fn update(&self, facts: Facts) {
-        self.0.tell(facts);
+impl AddressAnnouncer for SpeakerHandle {
+    fn update(&self, status: DataPlaneStatus) {
+        self.0.update_data_plane(status);
     }
 
     fn reconfigure(&self, bgp: &Bgp) {
@@ -34,15 +34,15 @@
 
     fn withdraw(&self) -> Pin<Box<dyn Future<Output = ()>>> {
         let speaker = self.0.clone();
-        Box::pin(async move { speaker.end().await })
+        Box::pin(async move { speaker.shut_down().await })
     }
 
     fn withdraw_now(&self) {
-        self.0.hurry();
+        self.0.skip_shutdown_delay();
     }
 }
 
-impl Announcing for Beside {
+impl Announcing for SpeakerHandle {
     fn status(&self) -> Pin<Box<dyn Future<Output = Value> + Send>> {
         let speaker = self.0.clone();
         Box::pin(async move { serde_json::to_value(speaker.status().await).unwrap_or_default() })
@@ -65,27 +65,28 @@
 pub fn start(config: &Config) -> Result<Option<Rc<dyn AddressAnnouncer>>, String> {
     let Some(bgp) = &config.bgp else { return Ok(None) };
     let listener = bgp.api.map(admin::serve::bind).transpose()?;
-    let speaker = Speaker::start(bgp.clone(), seed(), |line| say(format_args!("{line}")))?;
-    let beside = Beside(speaker);
+    let speaker = Speaker::start(bgp.clone(), seed(), |line| say(format_args!("{line}")))
+        .map_err(|error| error.to_string())?;
+    let handle = SpeakerHandle(speaker);
     if let Some(listener) = listener {
         let address = listener.local_addr().map_err(|e| e.to_string())?;
-        let router = admin::announce::router(Arc::new(beside.clone()));
+        let router = admin::announce::router(Arc::new(handle.clone()));
         admin::serve::serve(listener, router, config::MOST_OPERATORS)?;
         say(format_args!("bgp: operators on {address}"));
     }
-    Ok(Some(Rc::new(beside)))
+    Ok(Some(Rc::new(handle)))
 }
 
-/// Asks a running process.
-pub fn ask(api: SocketAddr, format: Format, command: &BgpCommand) -> ExitCode {
+/// Runs a `bgp` command against the admin API of a running process.
+pub fn run_command(api: SocketAddr, format: Format, command: &BgpCommand) -> ExitCode {
     let result = match command {
-        BgpCommand::Show => call(api, "/v1/bgp", None).map(|status| match format {
+        BgpCommand::Show => request(api, "/v1/bgp", None).map(|status| match format {
             Format::Json => status.to_string() + "\n",
-            Format::Text => written(&status),
+            Format::Text => format_status(&status),
         }),
-        BgpCommand::Hold { prefix } => call(api, "/v1/bgp/hold", Some(json!({ "prefix": prefix })))
+        BgpCommand::Hold { prefix } => request(api, "/v1/bgp/hold", Some(json!({ "prefix": prefix })))
             .map(|_| format!("{prefix} is held: withdrawn until it is released\n")),
-        BgpCommand::Release { prefix } => call(api, "/v1/bgp/release", Some(json!({ "prefix": prefix })))
+        BgpCommand::Release { prefix } => request(api, "/v1/bgp/release", Some(json!({ "prefix": prefix })))
             .map(|_| format!("{prefix} is released: announced once it has been ready for its hold-up\n")),
     };
     match result {
@@ -93,32 +94,32 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => failed(&fault, 1),
+        Err(error) => failed(&error, 1),
     }
 }
 
-fn call(api: SocketAddr, path: &str, body: Option<Value>) -> Result<Value, String> {
+fn request(api: SocketAddr, path: &str, body: Option<Value>) -> Result<Value, String> {
     let agent: ureq::Agent = ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let url = format!("http://{api}{path}");
-    let answer = match body {
+    let response = match body {
         None => agent.get(&url).call(),
         Some(body) => {
             agent.post(&url).header("content-type", "application/json").send(body.to_string().as_bytes())
         }
     };
-    let mut answer = answer.map_err(|e| format!("{api}: {e}"))?;
-    let text = answer.body_mut().read_to_string().map_err(|e| format!("{api}: {e}"))?;
+    let mut response = response.map_err(|e| format!("{api}: {e}"))?;
+    let text = response.body_mut().read_to_string().map_err(|e| format!("{api}: {e}"))?;
     let value: Value =
         serde_json::from_str(&text).map_err(|_| format!("{api}: not an answer of this API"))?;
     match value.get("error").and_then(Value::as_str) {
         Some(error) => Err(error.to_owned()),
-        None if answer.status() == 200 => Ok(value),
-        None => Err(format!("{api}: {}", answer.status())),
+        None if response.status() == 200 => Ok(value),
+        None => Err(format!("{api}: {}", response.status())),
     }
 }
 
-/// The status as people read it.
-fn written(status: &Value) -> String {
+/// The status as a table for a terminal.
+fn format_status(status: &Value) -> String {
     let mut text = String::new();
     let list = |key: &str| status[key].as_array().cloned().unwrap_or_default();
     if status["dry_run"] == true {
@@ -130,12 +131,12 @@
         let _ = writeln!(
             text,
             "{:<20} {:<10} {:>9} {:>6} {:>9}  {}",
-            word(&a["prefix"]),
-            word(&a["state"]),
-            seconds(&a["for_s"]),
+            text_or_dash(&a["prefix"]),
+            text_or_dash(&a["state"]),
+            format_seconds(&a["for_s"]),
             a["flaps"],
-            seconds(&a["hold_up_s"]),
-            word(&a["why"])
+            format_seconds(&a["hold_up_s"]),
+            text_or_dash(&a["why"])
         );
     }
     let _ = writeln!(
@@ -148,30 +149,30 @@
         let _ = writeln!(
             text,
             "{:<16} {:<22} {:>10} {:<12} {:>9} {told:>6}",
-            word(&p["name"]),
-            word(&p["address"]),
+            text_or_dash(&p["name"]),
+            text_or_dash(&p["address"]),
             p["as"],
-            word(&p["state"]),
-            seconds(&p["for_s"])
+            text_or_dash(&p["state"]),
+            format_seconds(&p["for_s"])
         );
         if let Some(last) = p["last_notification"].as_object() {
             let _ = writeln!(
                 text,
                 "    last NOTIFICATION, {} {} ago: {}",
-                word(&last["direction"]),
-                seconds(&last["ago_s"]),
-                word(&last["what"])
+                text_or_dash(&last["direction"]),
+                format_seconds(&last["ago_s"]),
+                text_or_dash(&last["what"])
             );
         }
     }
     text
 }
 
-fn word(value: &Value) -> &str {
+fn text_or_dash(value: &Value) -> &str {
     value.as_str().unwrap_or("-")
 }
 
-fn seconds(value: &Value) -> String {
+fn format_seconds(value: &Value) -> String {
     value
         .as_f64()
         .map_or("-".to_owned(), |s| if s < 100.0 { format!("{s:.1} s") } else { format!("{s:.0} s") })
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -33,7 +33,7 @@
         Command::Demo { listen, admin, jsonrpc } => ended(demo::run(listen, admin, jsonrpc)),
         Command::Tenant { api, command } => remote::tenant(&api, &command),
         Command::Config { api, command } => remote::config(&api, &command),
-        Command::Bgp { api, format, command } => announce::ask(api, format, &command),
+        Command::Bgp { api, format, command } => announce::run_command(api, format, &command),
         Command::State { command, format } => state::run(&command, format),
         Command::Token { api, command } => remote::token(&api, &command),
     }
