--- a/crates/bgp-speaker/src/sessions.rs
+++ b/crates/bgp-speaker/src/sessions.rs
@@ -140,12 +140,12 @@
 
     /// When the next timer of a peer expires.
     pub fn next_timer(&self) -> Option<Micros> {
-        self.sessions.values().filter_map(|session| session.peer.next()).min()
+        self.sessions.values().filter_map(|session| session.peer.next_timer()).min()
     }
 
     /// Expires the timers that are due at `now`.
     pub fn tick(&mut self, now: Micros) {
-        let is_due = |session: &Session| session.peer.next().is_some_and(|at| at <= now);
+        let is_due = |session: &Session| session.peer.next_timer().is_some_and(|at| at <= now);
         let sessions = self.sessions.iter();
         let due: Vec<String> =
             sessions.filter(|(_, session)| is_due(session)).map(|(name, _)| name.clone()).collect();
@@ -215,7 +215,8 @@
         let address = remote.ip().to_canonical();
         let has_address = |session: &Session| session.config.address.ip().to_canonical() == address;
         let mut candidates = self.sessions.iter().filter(|(_, session)| has_address(session));
-        let accepting = candidates.find(|(_, session)| session.peer.takes(now)).map(|(name, _)| name.clone());
+        let accepting =
+            candidates.find(|(_, session)| session.peer.accepts_inbound(now)).map(|(name, _)| name.clone());
         if let Some(name) = accepting {
             return self.connected(&name, Direction::Inbound, stream);
         }
@@ -302,7 +303,7 @@
         let peer = name.to_owned();
         let address = session.config.address;
         let source = session.config.source;
-        let connect_timeout = duration(session.config.settings.machine.retry);
+        let connect_timeout = duration(session.config.settings.machine.connect_retry_time);
         let task = spawn_local(async move {
             let result = connection::dial(address, source, connect_timeout).await;
             let _ = events.send(Event::Dialed { peer, id, result }).await;
--- a/crates/bgp-speaker/src/status.rs
+++ b/crates/bgp-speaker/src/status.rs
@@ -1,6 +1,6 @@
 //! The status of the speaker as operators read it (JSON). Times are in seconds before now.
 
-use bgp::{AddressView, Counts, Micros, PeerView, SECOND};
+use bgp::{AddressView, Counts, Micros, NotificationOrigin, NotificationRecord, PeerView, SECOND};
 use serde::Serialize;
 
 /// The status of the speaker.
@@ -111,6 +111,17 @@
     Messages { updates, keepalives, notifications, refreshes }
 }
 
+fn last_notification(now: Micros, record: &NotificationRecord) -> LastNotification {
+    LastNotification {
+        ago_s: seconds(now - record.at),
+        direction: match record.origin {
+            NotificationOrigin::Sent => "sent",
+            NotificationOrigin::Received => "received",
+        },
+        description: record.notification.to_string(),
+    }
+}
+
 /// The status of a peer.
 pub(crate) fn peer(now: Micros, peer: &config::BgpPeer, view: PeerView) -> PeerStatus {
     PeerStatus {
@@ -119,20 +130,16 @@
         asn: peer.settings.peer_asn,
         state: view.state.name(),
         for_s: seconds(now - view.since),
-        established: view.established,
-        hold_time_s: (view.hold > 0).then(|| view.hold as f64 / SECOND as f64),
+        established: view.sessions_established,
+        hold_time_s: (view.hold_time > 0).then(|| view.hold_time as f64 / SECOND as f64),
         ipv6: view.ipv6,
         received: messages(view.received),
         sent: messages(view.sent),
-        prefixes_announced: view.prefixes.0,
-        prefixes_withdrawn: view.prefixes.1,
-        malformed: view.malformed,
-        last_notification: view.last.map(|(at, ours, what)| LastNotification {
-            ago_s: seconds(now - at),
-            direction: if ours { "sent" } else { "received" },
-            description: what.to_string(),
-        }),
-        advertised_prefixes: view.told.iter().map(ToString::to_string).collect(),
+        prefixes_announced: view.prefixes.announced,
+        prefixes_withdrawn: view.prefixes.withdrawn,
+        malformed: view.malformed_updates,
+        last_notification: view.last_notification.map(|record| last_notification(now, &record)),
+        advertised_prefixes: view.advertised.iter().map(ToString::to_string).collect(),
     }
 }
 
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -22,10 +22,13 @@
     StateReason, Thresholds, MOST_ADDRESSES,
 };
 pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
-pub use machine::{Action, Event, Machine, Settings, State, Timer};
+pub use machine::{Action, Event, Machine, MachineSettings, State, Timer};
 pub use message::{frame, Kind, Notification, HEADER, MOST_MESSAGE};
 pub use open::Open;
-pub use peer::{Counts, Direction, Input, Peer, PeerAction, PeerSettings, PeerView};
+pub use peer::{
+    Counts, Direction, Input, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
+    PeerView, PrefixCounts,
+};
 pub use probe::{ProbeSettings, Prober};
 pub use table::{Attributes, Speaker, Table};
 pub use update::{scan, SessionParameters, UpdateSummary};
--- a/crates/bgp/src/machine.rs
+++ b/crates/bgp/src/machine.rs
@@ -1,10 +1,13 @@
-//! The state machine of one connection, after RFC 4271 section 8.
+//! The finite state machine of one connection (RFC 4271 section 8).
 //!
-//! Of the optional attributes these are chosen: AllowAutomaticStart, DampPeerOscillations (an idle hold that grows with
-//! each failure in a row), PassiveTcpEstablishment (never dials). Not chosen: DelayOpen, TrackTcpState,
-//! SendNOTIFICATIONwithoutOPEN, CollisionDetectEstablishedState. Departures, each with its reason: a NOTIFICATION is
-//! never answered with one, as the peer has closed; an error in a header or an OPEN is told as what it is in every
-//! state, as section 6 has it, not as an error of the machine's.
+//! Optional session attributes in use: AllowAutomaticStart, DampPeerOscillations (the idle hold time doubles with each
+//! consecutive failure, up to a maximum), PassiveTcpEstablishment (never dials). Not in use: DelayOpen, TrackTcpState,
+//! SendNOTIFICATIONwithoutOPEN, CollisionDetectEstablishedState.
+//!
+//! Deviations: a NOTIFICATION is never answered with one, as the peer has closed the connection; an error in a header or
+//! an OPEN is reported as such in every state (section 6), not as a finite state machine error.
+//!
+//! Inputs are events and the time in microseconds; the state is of constant size.
 
 use crate::message::Notification;
 use crate::{Micros, SECOND};
@@ -22,7 +25,7 @@
 }
 
 impl State {
-    /// Its name, as operators know it.
+    /// Its name in RFC 4271.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -36,7 +39,7 @@
     }
 }
 
-/// The timers of RFC 4271 that are used.
+/// The timers of RFC 4271 that are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Timer {
@@ -46,94 +49,120 @@
     IdleHold,
 }
 
+/// All timers, in the order in which those due at the same time expire.
 const TIMERS: [Timer; 4] = [Timer::Hold, Timer::Keepalive, Timer::ConnectRetry, Timer::IdleHold];
 
-/// What happens to a machine; in brackets the event numbers of RFC 4271.
+/// An event, with its numbers in RFC 4271 section 8.1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It may connect (1, 3; 4 and 5 where it is passive).
+    /// Start (1, 3; 4 and 5 where it is passive).
     Start,
-    /// It must end, and the peer be told why (2, 8).
+    /// Stop, with the NOTIFICATION to send (2, 8).
     Stop(Notification),
     /// A timer has expired (9, 10, 11, 13).
-    Expired(Timer),
-    /// There is a connection (16, 17).
-    Connected,
-    /// There is none, or it has ended (18).
-    Failed,
-    /// A good OPEN, with the hold time agreed on (19).
-    Open(u16),
-    /// A header that is none (21).
+    TimerExpired(Timer),
+    /// The TCP connection is established (16, 17).
+    ConnectionEstablished,
+    /// The TCP connection could not be established, or has ended (18).
+    ConnectionFailed,
+    /// A valid OPEN (19).
+    OpenReceived {
+        /// The negotiated hold time in seconds.
+        hold_time_s: u16,
+    },
+    /// An invalid message header (21).
     HeaderError(Notification),
-    /// An OPEN that is none, or another's (22).
+    /// An invalid OPEN, or one of an unexpected peer (22).
     OpenError(Notification),
-    /// The peer's other connection stays (23).
-    Collision,
-    /// The peer does not speak this version (24).
-    VersionError,
-    /// The peer says why it ends (25).
-    Notification,
+    /// Collision detection keeps the other connection to this peer (23).
+    CollisionLost,
+    /// A NOTIFICATION that the peer does not support this version (24).
+    VersionErrorReceived,
+    /// Any other NOTIFICATION (25).
+    NotificationReceived,
     /// A KEEPALIVE (26).
-    Keepalive,
-    /// An UPDATE, or a ROUTE-REFRESH, which comes where UPDATEs may (27).
-    Update,
-    /// An UPDATE after which the session cannot go on (28).
+    KeepaliveReceived,
+    /// An UPDATE, or a ROUTE-REFRESH, which is valid in the same states (27).
+    UpdateReceived,
+    /// An UPDATE with an error that ends the session (28).
     UpdateError(Notification),
 }
 
-/// What a machine wants done, in this order.
+/// An action for the caller; a list is carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Dial.
+    /// Open a TCP connection.
     Connect,
     /// Send an OPEN.
     SendOpen,
     /// Send a KEEPALIVE.
     SendKeepalive,
     /// Send a NOTIFICATION.
-    Send(Notification),
-    /// Close the connection, once what was sent before is written.
+    SendNotification(Notification),
+    /// Close the connection once everything queued is written.
     Close,
-    /// The session stands.
-    Up,
-    /// The session that stood has ended.
-    Down,
+    /// The session is established.
+    SessionUp,
+    /// The established session has ended.
+    SessionDown,
 }
 
-/// How a machine is set.
+/// Settings of a state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
-    /// Wait for the peer to connect.
+pub struct MachineSettings {
+    /// Never dial: wait for the peer to connect.
     pub passive: bool,
-    /// The time between tries to connect, and the first wait after a failure.
-    pub retry: Micros,
-    /// The longest wait after failures in a row.
-    pub retry_most: Micros,
+    /// The connect retry time, and the first idle hold time, in microseconds.
+    pub connect_retry_time: Micros,
+    /// The longest idle hold time, in microseconds.
+    pub max_idle_hold_time: Micros,
 }
 
-/// Until the peer's OPEN is there, by RFC 4271's suggestion.
-const LARGE_HOLD: Micros = 240 * SECOND;
-/// A session that stood for so long forgets the failures before it.
-const CALM: Micros = 60 * SECOND;
-
-/// The machine of one connection.
+/// The hold time until the peer's OPEN arrives, as RFC 4271 suggests.
+const OPEN_SENT_HOLD_TIME: Micros = 240 * SECOND;
+/// A session established for this long resets the count of consecutive failures.
+const STABLE_SESSION_TIME: Micros = 60 * SECOND;
+/// The largest exponent of the growth of the idle hold time.
+const MAX_BACKOFF_EXPONENT: u32 = 20;
+/// Error code of a finite state machine error (RFC 4271 section 6.6).
+const FSM_ERROR: u8 = 5;
+/// Subcode of the Cease NOTIFICATION: connection collision resolution (RFC 4486).
+const CEASE_COLLISION_RESOLUTION: u8 = 7;
+/// The first start is spread over the connect retry time divided by this.
+const START_SPREAD_DIVISOR: Micros = 4;
+/// KEEPALIVEs a hold time (RFC 4271 section 10).
+const KEEPALIVES_PER_HOLD_TIME: Micros = 3;
+/// The part of a time that jitter may subtract (RFC 4271 section 10).
+const MAX_JITTER: f64 = 0.25;
+
+/// The state machine of one connection.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    settings: Settings,
+    settings: MachineSettings,
     state: State,
     since: Micros,
-    timers: [Option<Micros>; 4],
-    hold: Micros,
+    /// When each timer expires, indexed by [`Timer`].
+    timers: [Option<Micros>; TIMERS.len()],
+    hold_time: Micros,
+    /// Consecutive failures.
     failures: u32,
     rng: fastrand::Rng,
 }
 
 impl Machine {
-    /// One that is idle.
+    /// A machine in state Idle; `seed` is that of its jitter.
     #[must_use]
-    pub fn new(settings: Settings, seed: u64) -> Machine {
+    pub fn new(settings: MachineSettings, seed: u64) -> Machine {
         let rng = fastrand::Rng::with_seed(seed);
-        Machine { settings, state: State::Idle, since: 0, timers: [None; 4], hold: 0, failures: 0, rng }
+        Machine {
+            settings,
+            state: State::Idle,
+            since: 0,
+            timers: [None; TIMERS.len()],
+            hold_time: 0,
+            failures: 0,
+            rng,
+        }
     }
 
     /// Its state.
@@ -142,151 +171,171 @@
         self.state
     }
 
-    /// When it came into its state.
+    /// When it entered its state.
     #[must_use]
     pub fn since(&self) -> Micros {
         self.since
     }
 
-    /// The hold time agreed on, in microseconds; 0 before that.
+    /// The negotiated hold time in microseconds; 0 before the peer's OPEN.
     #[must_use]
-    pub fn hold(&self) -> Micros {
-        self.hold
+    pub fn hold_time(&self) -> Micros {
+        self.hold_time
     }
 
-    /// When a timer runs out.
+    /// When a timer expires.
     #[must_use]
     pub fn timer(&self, timer: Timer) -> Option<Micros> {
         self.timers[timer as usize]
     }
 
-    /// When the next timer runs out.
+    /// When the next timer expires.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<Micros> {
         self.timers.iter().flatten().min().copied()
     }
 
-    /// Lets all timers expire that are due.
+    /// Expires all timers that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         for timer in TIMERS {
             if self.timer(timer).is_some_and(|at| at <= now) {
                 self.timers[timer as usize] = None;
-                self.handle(now, Event::Expired(timer), out);
+                self.handle(now, Event::TimerExpired(timer), out);
             }
         }
     }
 
-    /// Takes in an event.
+    /// Takes in an event and appends the actions that follow.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        use State::*;
-        match (self.state, event) {
-            (Idle, Event::Start) => {
+        match self.state {
+            State::Idle => self.on_idle(now, &event, out),
+            State::Connect | State::Active => self.on_connecting(now, &event, out),
+            State::OpenSent | State::OpenConfirm | State::Established => self.on_connected(now, event, out),
+        }
+    }
+
+    fn on_idle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Start => {
                 self.failures = 0;
-                self.begin(now, out);
-            }
-            (Idle, Event::Expired(Timer::IdleHold)) => self.begin(now, out),
-            // All else is refused there.
-            (Idle, Event::Connected) => out.push(Action::Close),
-            (Idle, _) => {}
-
-            (_, Event::Start) => {}
-            (Connect | Active, Event::Stop(_) | Event::Collision) => self.rest(now, out),
-            (_, Event::Stop(why)) => {
-                out.push(Action::Send(why));
-                self.rest(now, out);
-            }
-            (_, Event::Collision) => {
-                out.push(Action::Send(Notification::cease(7, "")));
-                self.rest(now, out);
+                self.start(now, out);
             }
+            Event::TimerExpired(Timer::IdleHold) => self.start(now, out),
+            Event::ConnectionEstablished => out.push(Action::Close),
+            _ => {}
+        }
+    }
 
-            (Connect, Event::Expired(Timer::ConnectRetry)) => {
-                out.push(Action::Close);
+    fn on_connecting(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Start => {}
+            Event::Stop(_) | Event::CollisionLost => self.enter_idle(now, out),
+            Event::TimerExpired(Timer::ConnectRetry) => {
+                if self.state == State::Connect {
+                    out.push(Action::Close);
+                }
                 self.dial(now, out);
             }
-            (Active, Event::Expired(Timer::ConnectRetry)) => self.dial(now, out),
-            (Connect | Active, Event::Connected) => {
-                self.timers = [None; 4];
+            Event::ConnectionEstablished => {
+                self.timers = [None; TIMERS.len()];
                 out.push(Action::SendOpen);
-                self.set(now, Timer::Hold, LARGE_HOLD);
-                self.enter(now, OpenSent);
+                self.set_timer(now, Timer::Hold, OPEN_SENT_HOLD_TIME);
+                self.enter(now, State::OpenSent);
             }
-            (Connect | Active, _) => self.fail(now, out),
+            _ => self.fail(now, out),
+        }
+    }
 
-            (OpenSent, Event::Failed) => {
+    /// Handles what has the same effect in OpenSent, OpenConfirm and Established.
+    fn on_connected(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Start => {}
+            Event::Stop(notification) => self.stop(now, notification, out),
+            Event::CollisionLost => {
+                self.stop(now, Notification::cease(CEASE_COLLISION_RESOLUTION, ""), out);
+            }
+            Event::ConnectionFailed if self.state == State::OpenSent => {
                 out.push(Action::Close);
-                self.timers = [None; 4];
+                self.timers = [None; TIMERS.len()];
                 self.wait_for_connection(now);
-                self.enter(now, Active);
+                self.enter(now, State::Active);
             }
-            (_, Event::Failed | Event::Notification) => self.fail(now, out),
-            (_, Event::VersionError) => {
-                // Not counted as one more failure in a row (RFC 4271, event 24), but waited after.
+            Event::ConnectionFailed | Event::NotificationReceived => self.fail(now, out),
+            Event::VersionErrorReceived => {
+                // Does not count as a further failure (RFC 4271, event 24), but the idle hold applies.
                 self.failures = self.failures.saturating_sub(1);
                 self.fail(now, out);
             }
-            (_, Event::Expired(Timer::Hold)) => {
-                self.fail_telling(now, Notification::hold_timer(), out);
+            Event::TimerExpired(Timer::Hold) => self.fail_with(now, Notification::hold_timer(), out),
+            Event::HeaderError(notification) | Event::OpenError(notification) => {
+                self.fail_with(now, notification, out);
             }
-            (_, Event::HeaderError(why) | Event::OpenError(why)) => self.fail_telling(now, why, out),
+            event => self.on_session_message(now, event, out),
+        }
+    }
 
-            (OpenSent, Event::Open(hold_s)) => {
-                self.hold = Micros::from(hold_s) * SECOND;
+    /// Handles what is valid only in some of OpenSent, OpenConfirm and Established.
+    fn on_session_message(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        match (self.state, event) {
+            (State::OpenSent, Event::OpenReceived { hold_time_s }) => {
+                self.hold_time = Micros::from(hold_time_s) * SECOND;
                 out.push(Action::SendKeepalive);
-                self.set(now, Timer::Hold, self.hold);
-                self.set_keepalive(now);
-                self.enter(now, OpenConfirm);
+                self.set_timer(now, Timer::Hold, self.hold_time);
+                self.set_keepalive_timer(now);
+                self.enter(now, State::OpenConfirm);
             }
-            (OpenConfirm, Event::Keepalive) => {
-                self.set(now, Timer::Hold, self.hold);
-                self.enter(now, Established);
-                out.push(Action::Up);
+            (State::OpenConfirm, Event::KeepaliveReceived) => {
+                self.set_timer(now, Timer::Hold, self.hold_time);
+                self.enter(now, State::Established);
+                out.push(Action::SessionUp);
             }
-            (OpenConfirm | Established, Event::Expired(Timer::Keepalive)) => {
+            (State::OpenConfirm | State::Established, Event::TimerExpired(Timer::Keepalive)) => {
                 out.push(Action::SendKeepalive);
-                self.set_keepalive(now);
+                self.set_keepalive_timer(now);
+            }
+            (State::Established, Event::KeepaliveReceived | Event::UpdateReceived) => {
+                self.set_timer(now, Timer::Hold, self.hold_time);
+            }
+            (State::Established, Event::UpdateError(notification)) => {
+                self.fail_with(now, notification, out);
             }
-            (Established, Event::Keepalive | Event::Update) => self.set(now, Timer::Hold, self.hold),
-            (Established, Event::UpdateError(why)) => self.fail_telling(now, why, out),
-            // RFC 6608 has a subcode for each state.
             (state, _) => {
-                let subcode = match state {
-                    OpenSent => 1,
-                    OpenConfirm => 2,
-                    _ => 3,
-                };
-                self.fail_telling(now, Notification::new(5, subcode, &[]), out);
+                let notification = Notification::new(FSM_ERROR, unexpected_message_subcode(state), &[]);
+                self.fail_with(now, notification, out);
             }
         }
     }
 
-    /// The wait after the failures so far.
-    pub fn wait(&mut self) -> Micros {
-        let longest = self.settings.retry << self.failures.saturating_sub(1).min(20);
-        self.jittered(longest.clamp(self.settings.retry, self.settings.retry_most))
+    /// The idle hold time after the failures so far, with jitter.
+    pub fn idle_hold_time(&mut self) -> Micros {
+        let MachineSettings { connect_retry_time, max_idle_hold_time, .. } = self.settings;
+        let exponent = self.failures.saturating_sub(1).min(MAX_BACKOFF_EXPONENT);
+        let backoff = connect_retry_time << exponent;
+        self.jittered(backoff.clamp(connect_retry_time, max_idle_hold_time))
     }
 
-    /// One more failure, of a connection that was not this machine's.
+    /// Counts the failure of a connection of another machine.
     pub fn count_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// An idle machine begins again after this wait.
-    pub fn begin_after(&mut self, now: Micros, wait: Micros) {
+    /// Starts an idle machine after this time.
+    pub fn start_after(&mut self, now: Micros, wait: Micros) {
         if self.state == State::Idle {
-            self.set(now, Timer::IdleHold, wait);
+            self.set_timer(now, Timer::IdleHold, wait);
         }
     }
 
-    /// An idle machine begins for the first time, after a short time by chance.
-    pub fn begin_soon(&mut self, now: Micros) {
+    /// Starts an idle machine for the first time, after a short random time.
+    pub fn start_with_jitter(&mut self, now: Micros) {
         self.failures = 0;
-        let wait = if self.settings.passive { 0 } else { self.rng.i64(0..=self.settings.retry.max(0) / 4) };
-        self.begin_after(now, wait);
+        let max_wait = self.settings.connect_retry_time.max(0) / START_SPREAD_DIVISOR;
+        let wait = if self.settings.passive { 0 } else { self.rng.i64(0..=max_wait) };
+        self.start_after(now, wait);
     }
 
-    fn begin(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.timers = [None; 4];
+    fn start(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.timers = [None; TIMERS.len()];
         if self.settings.passive {
             self.enter(now, State::Active);
         } else {
@@ -302,56 +351,73 @@
 
     fn wait_for_connection(&mut self, now: Micros) {
         if !self.settings.passive {
-            let wait = self.jittered(self.settings.retry);
-            self.set(now, Timer::ConnectRetry, wait);
+            let wait = self.jittered(self.settings.connect_retry_time);
+            self.set_timer(now, Timer::ConnectRetry, wait);
         }
     }
 
-    fn fail_telling(&mut self, now: Micros, why: Notification, out: &mut Vec<Action>) {
-        out.push(Action::Send(why));
+    /// Sends a NOTIFICATION and stays idle until started.
+    fn stop(&mut self, now: Micros, notification: Notification, out: &mut Vec<Action>) {
+        out.push(Action::SendNotification(notification));
+        self.enter_idle(now, out);
+    }
+
+    /// Sends a NOTIFICATION and starts again after the idle hold time.
+    fn fail_with(&mut self, now: Micros, notification: Notification, out: &mut Vec<Action>) {
+        out.push(Action::SendNotification(notification));
         self.fail(now, out);
     }
 
-    /// Ends, and begins again by itself after a wait.
+    /// Closes the connection and starts again after the idle hold time.
     fn fail(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if self.state == State::Established && now - self.since >= CALM {
+        if self.state == State::Established && now - self.since >= STABLE_SESSION_TIME {
             self.failures = 0;
         }
         self.count_failure();
-        self.rest(now, out);
-        let wait = self.wait();
-        self.set(now, Timer::IdleHold, wait);
+        self.enter_idle(now, out);
+        let wait = self.idle_hold_time();
+        self.set_timer(now, Timer::IdleHold, wait);
     }
 
-    /// Ends, and stays idle until it is started.
-    fn rest(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let stood = self.state == State::Established;
+    /// Closes the connection and stays idle until started.
+    fn enter_idle(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let was_established = self.state == State::Established;
         out.push(Action::Close);
-        self.timers = [None; 4];
-        self.hold = 0;
+        self.timers = [None; TIMERS.len()];
+        self.hold_time = 0;
         self.enter(now, State::Idle);
-        if stood {
-            out.push(Action::Down);
+        if was_established {
+            out.push(Action::SessionDown);
         }
     }
 
     fn enter(&mut self, now: Micros, state: State) {
         if self.state != state {
-            (self.state, self.since) = (state, now);
+            self.state = state;
+            self.since = now;
         }
     }
 
-    fn set(&mut self, now: Micros, timer: Timer, after: Micros) {
+    fn set_timer(&mut self, now: Micros, timer: Timer, after: Micros) {
         self.timers[timer as usize] = Some(now + after);
     }
 
-    fn set_keepalive(&mut self, now: Micros) {
-        let third = self.jittered(self.hold / 3);
-        self.set(now, Timer::Keepalive, third);
+    fn set_keepalive_timer(&mut self, now: Micros) {
+        let interval = self.jittered(self.hold_time / KEEPALIVES_PER_HOLD_TIME);
+        self.set_timer(now, Timer::Keepalive, interval);
     }
 
-    /// Between three quarters of it and all of it, as RFC 4271 section 10 has it.
+    /// This time less a random part of at most [`MAX_JITTER`].
     fn jittered(&mut self, time: Micros) -> Micros {
-        time - (time as f64 * 0.25 * self.rng.f64()) as Micros
+        time - (time as f64 * MAX_JITTER * self.rng.f64()) as Micros
+    }
+}
+
+/// The subcode for a message that is not valid in this state (RFC 6608).
+fn unexpected_message_subcode(state: State) -> u8 {
+    match state {
+        State::OpenSent => 1,
+        State::OpenConfirm => 2,
+        _ => 3,
     }
 }
--- a/crates/bgp/src/table.rs
+++ b/crates/bgp/src/table.rs
@@ -1,4 +1,6 @@
-//! What a peer has been told, and what it has to be told for that to be what is wanted.
+//! The prefixes advertised to a peer (its Adj-RIB-Out), and the UPDATEs that make them those that are wanted.
+//!
+//! Bounded by the number of announced addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -7,40 +9,40 @@
 
 use crate::write;
 
-/// What goes with a prefix.
+/// The path attributes of a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attributes {
-    /// The multi-exit discriminator.
+    /// MULTI_EXIT_DISC.
     pub med: Option<u32>,
-    /// How often our AS stands in the path beside its one time; nothing within an AS.
+    /// How often the local AS number is prepended to AS_PATH beyond once; ignored in internal sessions.
     pub prepend: u8,
     /// Communities (RFC 1997).
     pub communities: Vec<u32>,
     /// Large communities (RFC 8092).
     pub large: Vec<[u32; 3]>,
-    /// Preference within the AS; not told to others.
+    /// LOCAL_PREF; sent only in internal sessions.
     pub local_pref: u32,
 }
 
-/// How messages to a peer are written.
+/// What the encoding of UPDATEs to a peer depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Speaker {
-    /// Our AS.
+    /// The local AS number.
     pub asn: u32,
-    /// The peer is of the same AS.
+    /// The session is internal: the peer has the same AS number.
     pub internal: bool,
-    /// AS numbers have four octets.
+    /// AS numbers have four octets (RFC 6793).
     pub four_octet: bool,
-    /// The next hop of IPv4 prefixes: where there is none, they are not announced to this peer.
+    /// The next hop of IPv4 prefixes; without one they are not advertised to this peer.
     pub next_hop_v4: Option<std::net::Ipv4Addr>,
-    /// The same for IPv6.
+    /// The next hop of IPv6 prefixes; without one they are not advertised to this peer.
     pub next_hop_v6: Option<std::net::Ipv6Addr>,
 }
 
 impl Speaker {
-    /// Can this prefix be told?
+    /// Whether prefixes of this family can be advertised.
     #[must_use]
-    pub fn carries(&self, prefix: &IpNet) -> bool {
+    pub fn can_advertise(&self, prefix: &IpNet) -> bool {
         match prefix.addr() {
             IpAddr::V4(_) => self.next_hop_v4.is_some(),
             IpAddr::V6(_) => self.next_hop_v6.is_some(),
@@ -48,49 +50,53 @@
     }
 }
 
-/// What one peer has been told.
+/// The prefixes advertised to one peer.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    told: BTreeMap<IpNet, Attributes>,
+    advertised: BTreeMap<IpNet, Attributes>,
 }
 
 impl Table {
-    /// Prefixes that the peer has been told.
-    pub fn told(&self) -> impl Iterator<Item = &IpNet> {
-        self.told.keys()
+    /// The advertised prefixes.
+    pub fn advertised(&self) -> impl Iterator<Item = &IpNet> {
+        self.advertised.keys()
     }
 
-    /// The messages that make what was told what is wanted, withdrawals first.
-    pub fn change(&mut self, wanted: &BTreeMap<IpNet, Attributes>, speaker: &Speaker) -> Vec<Vec<u8>> {
-        let carried = |prefix: &IpNet| wanted.get(prefix).filter(|_| speaker.carries(prefix));
-        let gone: Vec<IpNet> = self.told.keys().copied().filter(|p| carried(p).is_none()).collect();
-        let new: BTreeSet<IpNet> = wanted
+    /// Makes `wanted` what is advertised. Returns the UPDATEs for the difference, withdrawals first.
+    pub fn update(&mut self, wanted: &BTreeMap<IpNet, Attributes>, speaker: &Speaker) -> Vec<Vec<u8>> {
+        let still_wanted = |prefix: &IpNet| wanted.get(prefix).filter(|_| speaker.can_advertise(prefix));
+        let withdrawn: Vec<IpNet> =
+            self.advertised.keys().copied().filter(|prefix| still_wanted(prefix).is_none()).collect();
+        let announced: BTreeSet<IpNet> = wanted
             .iter()
             .filter(|(prefix, attributes)| {
-                speaker.carries(prefix) && self.told.get(prefix) != Some(attributes)
+                speaker.can_advertise(prefix) && self.advertised.get(prefix) != Some(attributes)
             })
             .map(|(prefix, _)| *prefix)
             .collect();
-        self.told.retain(|prefix, _| carried(prefix).is_some());
-        for prefix in &new {
-            self.told.insert(*prefix, wanted[prefix].clone());
+        self.advertised.retain(|prefix, _| still_wanted(prefix).is_some());
+        for prefix in &announced {
+            self.advertised.insert(*prefix, wanted[prefix].clone());
         }
-        let mut messages = write::withdrawals(&gone);
-        messages.extend(self.announcements(speaker, |prefix| new.contains(prefix)));
+        let mut messages = write::withdrawals(&withdrawn);
+        messages.extend(self.announcements(speaker, |prefix| announced.contains(prefix)));
         messages
     }
 
-    /// All that was told of a family once more, for a peer that asks (RFC 2918).
+    /// The UPDATEs that advertise a family again, for a ROUTE-REFRESH (RFC 2918).
     #[must_use]
-    pub fn again(&self, speaker: &Speaker, ipv6: bool) -> Vec<Vec<u8>> {
+    pub fn refresh(&self, speaker: &Speaker, ipv6: bool) -> Vec<Vec<u8>> {
         self.announcements(speaker, |prefix| prefix.addr().is_ipv6() == ipv6)
     }
 
     fn announcements(&self, speaker: &Speaker, which: impl Fn(&IpNet) -> bool) -> Vec<Vec<u8>> {
-        let mut alike: BTreeMap<&Attributes, Vec<IpNet>> = BTreeMap::new();
-        for (prefix, attributes) in self.told.iter().filter(|(prefix, _)| which(prefix)) {
-            alike.entry(attributes).or_default().push(*prefix);
+        let mut prefixes_by_attributes: BTreeMap<&Attributes, Vec<IpNet>> = BTreeMap::new();
+        for (prefix, attributes) in self.advertised.iter().filter(|(prefix, _)| which(prefix)) {
+            prefixes_by_attributes.entry(attributes).or_default().push(*prefix);
         }
-        alike.into_iter().flat_map(|(a, prefixes)| write::updates(speaker, a, &prefixes)).collect()
+        prefixes_by_attributes
+            .into_iter()
+            .flat_map(|(attributes, prefixes)| write::updates(speaker, attributes, &prefixes))
+            .collect()
     }
 }
--- a/crates/bgp/tests/machine.rs
+++ b/crates/bgp/tests/machine.rs
@@ -1,6 +1,6 @@
 //! Every pair of state and event, against a table that was written from RFC 4271 section 8.2.2, and what the timers do.
 
-use bgp::{Action, Event, Machine, Micros, Notification, Settings, State, Timer, SECOND};
+use bgp::{Action, Event, Machine, MachineSettings, Micros, Notification, State, Timer, SECOND};
 
 /// A state's letter, then actions: d dial, o OPEN, k KEEPALIVE, nC.S a NOTIFICATION, c close, u up, D down.
 const TABLE: &str = "
@@ -32,27 +32,27 @@
     match name {
         "Start" => Event::Start,
         "Stop" => Event::Stop(Notification::cease(2, "")),
-        "ConnectRetry" => Event::Expired(Timer::ConnectRetry),
-        "Hold" => Event::Expired(Timer::Hold),
-        "KeepaliveTime" => Event::Expired(Timer::Keepalive),
-        "IdleHold" => Event::Expired(Timer::IdleHold),
-        "Connected" => Event::Connected,
-        "Failed" => Event::Failed,
-        "Open" => Event::Open(9),
+        "ConnectRetry" => Event::TimerExpired(Timer::ConnectRetry),
+        "Hold" => Event::TimerExpired(Timer::Hold),
+        "KeepaliveTime" => Event::TimerExpired(Timer::Keepalive),
+        "IdleHold" => Event::TimerExpired(Timer::IdleHold),
+        "Connected" => Event::ConnectionEstablished,
+        "Failed" => Event::ConnectionFailed,
+        "Open" => Event::OpenReceived { hold_time_s: 9 },
         "HeaderError" => Event::HeaderError(notification(1, 1)),
         "OpenError" => Event::OpenError(notification(2, 2)),
-        "Collision" => Event::Collision,
-        "VersionError" => Event::VersionError,
-        "Notification" => Event::Notification,
-        "Keepalive" => Event::Keepalive,
-        "Update" => Event::Update,
+        "Collision" => Event::CollisionLost,
+        "VersionError" => Event::VersionErrorReceived,
+        "Notification" => Event::NotificationReceived,
+        "Keepalive" => Event::KeepaliveReceived,
+        "Update" => Event::UpdateReceived,
         "UpdateError" => Event::UpdateError(notification(3, 1)),
         other => panic!("no event {other}"),
     }
 }
 
-fn settings() -> Settings {
-    Settings { passive: false, retry: SECOND, retry_most: 60 * SECOND }
+fn settings() -> MachineSettings {
+    MachineSettings { passive: false, connect_retry_time: SECOND, max_idle_hold_time: 60 * SECOND }
 }
 
 /// A machine that has been brought into this state.
@@ -61,10 +61,17 @@
     let way: &[Event] = match state {
         State::Idle => &[],
         State::Connect => &[Event::Start],
-        State::Active => &[Event::Start, Event::Connected, Event::Failed],
-        State::OpenSent => &[Event::Start, Event::Connected],
-        State::OpenConfirm => &[Event::Start, Event::Connected, Event::Open(9)],
-        State::Established => &[Event::Start, Event::Connected, Event::Open(9), Event::Keepalive],
+        State::Active => &[Event::Start, Event::ConnectionEstablished, Event::ConnectionFailed],
+        State::OpenSent => &[Event::Start, Event::ConnectionEstablished],
+        State::OpenConfirm => {
+            &[Event::Start, Event::ConnectionEstablished, Event::OpenReceived { hold_time_s: 9 }]
+        }
+        State::Established => &[
+            Event::Start,
+            Event::ConnectionEstablished,
+            Event::OpenReceived { hold_time_s: 9 },
+            Event::KeepaliveReceived,
+        ],
     };
     for event in way {
         machine.handle(0, event.clone(), &mut Vec::new());
@@ -86,10 +93,10 @@
         Action::Connect => "d".to_owned(),
         Action::SendOpen => "o".to_owned(),
         Action::SendKeepalive => "k".to_owned(),
-        Action::Send(n) => format!("n{}.{}", n.code, n.subcode),
+        Action::SendNotification(n) => format!("n{}.{}", n.code, n.subcode),
         Action::Close => "c".to_owned(),
-        Action::Up => "u".to_owned(),
-        Action::Down => "D".to_owned(),
+        Action::SessionUp => "u".to_owned(),
+        Action::SessionDown => "D".to_owned(),
     };
     format!("{letter}:{}", actions.iter().map(word).collect::<Vec<_>>().join(","))
 }
@@ -136,13 +143,17 @@
         machine.tick(hold - 1, &mut out);
         assert_eq!((machine.state(), &out[..]), (State::Established, &[Action::SendKeepalive][..]));
         // What is heard just then is in time.
-        machine.handle(hold, Event::Keepalive, &mut out);
+        machine.handle(hold, Event::KeepaliveReceived, &mut out);
         machine.tick(hold, &mut out);
         assert_eq!(machine.state(), State::Established);
         out.clear();
         machine.tick(18 * SECOND, &mut out);
         assert_eq!(machine.state(), State::Idle);
-        assert_eq!(out[0], Action::Send(Notification::hold_timer()), "before anything else is due");
+        assert_eq!(
+            out[0],
+            Action::SendNotification(Notification::hold_timer()),
+            "before anything else is due"
+        );
     }
 }
 
@@ -153,7 +164,7 @@
     let mut waits = Vec::new();
     machine.handle(now, Event::Start, &mut Vec::new());
     for _ in 0..12 {
-        machine.handle(now, Event::Failed, &mut Vec::new());
+        machine.handle(now, Event::ConnectionFailed, &mut Vec::new());
         let at = machine.timer(Timer::IdleHold).expect("waits");
         waits.push(at - now);
         now = at;
@@ -164,23 +175,25 @@
         let longest = (SECOND << nth).min(60 * SECOND);
         assert!((longest * 3 / 4..=longest).contains(wait), "{waits:?}");
     }
-    for event in [Event::Connected, Event::Open(90), Event::Keepalive] {
+    for event in
+        [Event::ConnectionEstablished, Event::OpenReceived { hold_time_s: 90 }, Event::KeepaliveReceived]
+    {
         machine.handle(now, event, &mut Vec::new());
     }
     now += 61 * SECOND;
-    machine.handle(now, Event::Failed, &mut Vec::new());
+    machine.handle(now, Event::ConnectionFailed, &mut Vec::new());
     assert!(machine.timer(Timer::IdleHold).expect("waits") - now <= SECOND);
 }
 
 #[test]
 fn a_passive_machine_never_dials() {
-    let mut machine = Machine::new(Settings { passive: true, ..settings() }, 1);
+    let mut machine = Machine::new(MachineSettings { passive: true, ..settings() }, 1);
     let mut out = Vec::new();
     machine.handle(0, Event::Start, &mut out);
     machine.tick(1_000_000 * SECOND, &mut out);
     assert_eq!((machine.state(), out.len()), (State::Active, 0));
-    machine.handle(0, Event::Connected, &mut out);
-    machine.handle(0, Event::Failed, &mut out);
+    machine.handle(0, Event::ConnectionEstablished, &mut out);
+    machine.handle(0, Event::ConnectionFailed, &mut out);
     machine.tick(1_000_000 * SECOND, &mut out);
     assert!(!out.contains(&Action::Connect));
 }
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -302,7 +302,7 @@
             let BgpMessage::Routes(routes) = bgp_router::decode(message, wide) else { panic!("an UPDATE") };
             routes
         };
-        let messages = table.change(&wanted, &speaker);
+        let messages = table.update(&wanted, &speaker);
         for message in &messages {
             let routes = read(message);
             let shown = if four_octet || !big { asn } else { 23456 };
@@ -316,11 +316,11 @@
         }
         announced.sort();
         prop_assert_eq!(announced.iter().map(net).collect::<Vec<_>>(), wanted.keys().copied().collect::<Vec<_>>());
-        prop_assert!(table.change(&wanted, &speaker).is_empty(), "what was told is not told again");
-        let again = table.again(&speaker, false).len() + table.again(&speaker, true).len();
+        prop_assert!(table.update(&wanted, &speaker).is_empty(), "what was told is not told again");
+        let again = table.refresh(&speaker, false).len() + table.refresh(&speaker, true).len();
         prop_assert_eq!(again, messages.len());
         let mut gone: Vec<_> =
-            table.change(&BTreeMap::new(), &speaker).iter().flat_map(|m| read(m).withdrawn).collect();
+            table.update(&BTreeMap::new(), &speaker).iter().flat_map(|m| read(m).withdrawn).collect();
         gone.sort();
         prop_assert_eq!(gone, announced);
     }
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bgp::{
-    frame, Attributes, Direction, Input, Micros, Notification, Peer, PeerAction, PeerSettings, Settings,
-    State, HEADER, SECOND,
+    frame, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin, Peer,
+    PeerAction, PeerSettings, PrefixCounts, State, HEADER, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -19,7 +19,11 @@
         hold_s: 9,
         next_hop_v4: None,
         next_hop_v6: Some("2001:db8::1".parse().expect("an address")),
-        machine: Settings { passive: false, retry: SECOND, retry_most: 30 * SECOND },
+        machine: MachineSettings {
+            passive: false,
+            connect_retry_time: SECOND,
+            max_idle_hold_time: 30 * SECOND,
+        },
     }
 }
 
@@ -122,7 +126,7 @@
         let arrivals =
             (0..self.wires.len()).flat_map(|w| [(w, 0), (w, 1)]).filter_map(|(w, to)| arrival(w, to));
         let dials = self.dials.iter().enumerate().map(|(i, (at, who))| (*at, 1, i, *who));
-        let ticks = (0..2).filter_map(|who| Some((self.peers[who].next()?, 2, 0, who)));
+        let ticks = (0..2).filter_map(|who| Some((self.peers[who].next_timer()?, 2, 0, who)));
         let Some((at, sort, which, who)) =
             arrivals.chain(dials).chain(ticks).min().filter(|next| next.0 <= then)
         else {
@@ -155,7 +159,7 @@
             }
             1 => {
                 self.dials.remove(which);
-                if self.cut || !self.peers[1 - who].takes(self.now) {
+                if self.cut || !self.peers[1 - who].accepts_inbound(self.now) {
                     self.give(who, Input::Failed(Direction::Outbound));
                 } else {
                     if let Some(before) = self.wire(1 - who, Direction::Inbound) {
@@ -249,7 +253,7 @@
         assert_eq!(open.len(), 1, "seed {seed}");
         // One side may count a connection as established that the other gives up at that moment: RFC 4271 section 6.8
         // leaves this open where the established state is not looked at.
-        lost += usize::from(world.peers.iter().any(|p| p.view().established > 1));
+        lost += usize::from(world.peers.iter().any(|p| p.view().sessions_established > 1));
     }
     assert!(collided > 20 && lost < 15, "{collided} collided, {lost} lost");
 }
@@ -274,7 +278,7 @@
         // The longest wait is 30 s, of which a dial may fall into the other's.
         world.until(world.now + 120 * SECOND);
         assert!(world.stand(), "seed {seed}: {:?} {:?}", world.state(0), world.state(1));
-        let told = world.peers[0].view().told;
+        let told = world.peers[0].view().advertised;
         assert_eq!(told, wanted(&["192.0.2.1/32", "2001:db8:1::/48"]).into_keys().collect::<Vec<_>>());
         let open = world.wires.iter().filter(|w| w.open[0] || w.open[1]).count();
         assert_eq!(open, 1, "seed {seed}: nothing else is left open");
@@ -291,9 +295,12 @@
     world.give(0, Input::Stop(Notification::cease(2, "back at noon")));
     world.until(100 * SECOND);
     assert_eq!(world.state(0), State::Idle);
-    let last = world.peers[1].view().last.expect("told");
-    assert_eq!((last.1, last.2.text().as_deref()), (false, Some("back at noon")));
-    assert!(!world.peers[0].takes(world.now));
+    let last = world.peers[1].view().last_notification.expect("told");
+    assert_eq!(
+        (last.origin, last.notification.text().as_deref()),
+        (NotificationOrigin::Received, Some("back at noon"))
+    );
+    assert!(!world.peers[0].accepts_inbound(world.now));
     world.give(0, Input::Start);
     world.until(200 * SECOND);
     assert!(world.stand());
@@ -359,7 +366,7 @@
         let mut alone = Alone::connected(settings);
         alone.message(0, &octets);
         assert_eq!((alone.notified(), alone.peer.view().state), (Some(told), State::Idle));
-        assert!(!alone.peer.takes(0), "and not heard again at once");
+        assert!(!alone.peer.accepts_inbound(0), "and not heard again at once");
     }
     // The same identifier in another AS is one that RFC 6286 allows.
     let mut alone = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
@@ -383,7 +390,7 @@
     let mut alone = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     let local = "192.0.2.1".parse().expect("an address");
     for _ in 0..5 {
-        assert!(alone.peer.takes(0));
+        assert!(alone.peer.accepts_inbound(0));
         alone.give(0, Input::Connected(Direction::Inbound, local));
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
@@ -391,7 +398,7 @@
         alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER..]));
     }
     assert_eq!(alone.peer.view().state, State::Established);
-    assert!(!alone.peer.takes(0));
+    assert!(!alone.peer.accepts_inbound(0));
     // And one that never speaks is told after four minutes.
     let mut mute = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     let mut out = Vec::new();
@@ -415,11 +422,11 @@
     for _ in 0..4000 {
         alone.message(SECOND, &update);
     }
-    assert_eq!(alone.peer.view().prefixes, (1_000_000, 0));
+    assert_eq!(alone.peer.view().prefixes, PrefixCounts { announced: 1_000_000, withdrawn: 0 });
     assert_eq!(alone.peer.view().state, State::Established);
     assert!(alone.out.iter().all(|action| !matches!(action, PeerAction::Write(_, o) if o[18] == 3)));
     assert!(size < 4096, "{size}");
-    assert!(alone.peer.next().is_some_and(|at| at <= 4 * SECOND), "keepalives go on");
+    assert!(alone.peer.next_timer().is_some_and(|at| at <= 4 * SECOND), "keepalives go on");
 }
 
 #[test]
@@ -450,10 +457,10 @@
     // Without NEXT_HOP.
     let body = [0, 0, 0, 13, 0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xfc, 1, 24, 100, 64, 1];
     alone.message(1, &bgp_router::encode(2, &body));
-    assert_eq!((alone.peer.view().malformed, alone.peer.view().state), (1, State::Established));
+    assert_eq!((alone.peer.view().malformed_updates, alone.peer.view().state), (1, State::Established));
     alone.message(1, &bgp_router::encode(2, &[0, 9, 0, 0]));
     assert_eq!((alone.notified(), alone.peer.view().state), (Some((3, 1)), State::Idle));
-    assert!(alone.peer.view().told.is_empty());
+    assert!(alone.peer.view().advertised.is_empty());
     // Before the session stands, none is awaited.
     let mut early = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     early.message(0, &bgp_router::encode(2, &[0, 9, 0, 0]));
--- a/crates/config/src/check/announce.rs
+++ b/crates/config/src/check/announce.rs
@@ -54,7 +54,11 @@
             hold_s: hold_s as u16,
             next_hop_v4: peer.next_hop_v4,
             next_hop_v6: peer.next_hop_v6,
-            machine: bgp::Settings { passive: peer.passive, retry, retry_most: retry_most.max(retry) },
+            machine: bgp::MachineSettings {
+                passive: peer.passive,
+                connect_retry_time: retry,
+                max_idle_hold_time: retry_most.max(retry),
+            },
         };
         let peers: Vec<BgpPeer> = written
             .peers
