--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -154,12 +154,12 @@
             }
             Command::Status(reply) => drop(reply.send(self.status())),
             Command::ShutDown(finished) => {
-                self.announcer.leave(now, self.config.leave.as_micros() as Micros);
+                self.announcer.begin_shutdown(now, self.config.leave.as_micros() as Micros);
                 self.shutdown_waiters.push(finished);
                 self.decision_due = true;
             }
             Command::SkipShutdownDelay => {
-                self.announcer.hurry(now);
+                self.announcer.skip_shutdown_delay(now);
                 self.decision_due = true;
             }
         }
--- /dev/null
+++ b/crates/bgp/src/announce/mod.rs
@@ -0,0 +1,102 @@
+//! Decides which addresses are announced, and with which path attributes, by the health of the pools behind them.
+//!
+//! An address is withdrawn at once when a pool behind it cannot serve, and announced only when all of them have been
+//! ready for the hold-up time without a break. Each withdrawal doubles the next hold-up time up to a bound, and this
+//! penalty decays with a half-life (route flap damping). A withdrawal is never delayed.
+//!
+//! Inputs are the health of the process and of the pools, and the time in microseconds. Unknown health, such as a stale
+//! endpoint list, neither withdraws an address nor announces one. Bounded by [`MOST_ADDRESSES`].
+
+mod address;
+mod entry;
+mod health;
+mod reason;
+
+use std::collections::BTreeMap;
+
+use ipnet::IpNet;
+
+use crate::table::Attributes;
+use crate::Micros;
+
+pub use address::{Address, AddressView, AnnouncementLevel, Damping, Thresholds};
+use entry::Entry;
+pub use health::{EndpointHealth, PoolHealth, ProcessHealth};
+pub use reason::StateReason;
+
+/// Addresses that one process announces at most.
+pub const MOST_ADDRESSES: usize = 1024;
+
+/// All addresses and their states.
+#[derive(Clone, Debug, Default)]
+pub struct Announcer {
+    entries: BTreeMap<IpNet, Entry>,
+    /// When addresses are withdrawn for a shutdown, if one has begun.
+    shutdown_at: Option<Micros>,
+}
+
+impl Announcer {
+    /// Sets the addresses. Those that were there before keep their state.
+    pub fn set(&mut self, now: Micros, addresses: &[Address]) {
+        self.entries.retain(|prefix, _| addresses.iter().any(|address| address.prefix == *prefix));
+        for address in addresses.iter().take(MOST_ADDRESSES) {
+            let entry =
+                self.entries.entry(address.prefix).or_insert_with(|| Entry::new(now, address.clone()));
+            entry.address = address.clone();
+        }
+    }
+
+    /// Holds an address down on behalf of an operator, or releases it. False where there is no such address.
+    pub fn hold(&mut self, prefix: IpNet, held: bool) -> bool {
+        self.entries.get_mut(&prefix).map(|entry| entry.held = held).is_some()
+    }
+
+    /// Begins a graceful shutdown: what is announced carries GRACEFUL_SHUTDOWN for `delay`, and is then withdrawn.
+    pub fn begin_shutdown(&mut self, now: Micros, delay: Micros) {
+        self.shutdown_at.get_or_insert(now + delay);
+    }
+
+    /// Ends the delay of a shutdown that has begun.
+    pub fn skip_shutdown_delay(&mut self, now: Micros) {
+        self.shutdown_at = self.shutdown_at.map(|shutdown_at| shutdown_at.min(now));
+    }
+
+    /// When a decision may change without a change of health.
+    #[must_use]
+    pub fn next(&self, now: Micros) -> Option<Micros> {
+        let mut entries = self.entries.values();
+        match self.shutdown_at {
+            Some(shutdown_at) => {
+                let is_announced = |entry: &Entry| entry.level != AnnouncementLevel::Withdrawn;
+                entries.any(is_announced).then_some(shutdown_at)
+            }
+            None => entries.filter_map(|entry| entry.hold_up_ends_at(now)).min(),
+        }
+    }
+
+    /// Decides the level of each address. True if what is to be announced has changed.
+    pub fn decide(
+        &mut self,
+        now: Micros,
+        process: ProcessHealth,
+        pools: &BTreeMap<String, PoolHealth>,
+    ) -> bool {
+        let mut changed = false;
+        for entry in self.entries.values_mut() {
+            changed |= entry.decide(now, self.shutdown_at, process, pools);
+        }
+        changed
+    }
+
+    /// The prefixes to announce, with their path attributes.
+    #[must_use]
+    pub fn wanted(&self) -> BTreeMap<IpNet, Attributes> {
+        let announced = |(prefix, entry): (&IpNet, &Entry)| Some((*prefix, entry.announced_attributes()?));
+        self.entries.iter().filter_map(announced).collect()
+    }
+
+    /// The state of each address.
+    pub fn views(&self, now: Micros) -> impl Iterator<Item = AddressView> + '_ {
+        self.entries.values().map(move |entry| entry.view(now))
+    }
+}
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -224,7 +224,7 @@
 fn the_end_is_announced_before_it_comes() {
     let mut site = Site::up();
     let start = site.now;
-    site.announcer.leave(start, 3 * SECOND);
+    site.announcer.begin_shutdown(start, 3 * SECOND);
     site.until(start);
     let told = site.announcer.wanted().into_values().next().expect("one");
     assert_eq!(
@@ -237,7 +237,7 @@
     assert!(site.announcer.wanted().is_empty());
     // One whose nodes go in the meantime does not wait, and one that was down does not come up.
     let mut site = Site::up();
-    site.announcer.leave(site.now, 3 * SECOND);
+    site.announcer.begin_shutdown(site.now, 3 * SECOND);
     site.health("p", of_ten(0)).now_on();
     assert_eq!(site.level(), AnnouncementLevel::Withdrawn);
     let then = site.now + SECOND;
