--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -5,7 +5,8 @@
 use std::net::SocketAddr;
 
 use bgp::{
-    DataPlaneStatus, EndpointHealth, ListedEndpoint, PoolEndpointList, PoolHealth, Prober, ProcessHealth,
+    DataPlaneStatus, EndpointHealth, HealthChecker, ListedEndpoint, PoolEndpointList, PoolHealth,
+    ProcessHealth,
 };
 use config::Bgp;
 use tokio::time::Instant;
@@ -62,9 +63,9 @@
     }
 
     /// The health of the pools that announced addresses depend on.
-    pub fn pool_health(&self, config: &Bgp, prober: &Prober) -> BTreeMap<String, PoolHealth> {
+    pub fn pool_health(&self, config: &Bgp, health_checker: &HealthChecker) -> BTreeMap<String, PoolHealth> {
         let pools = self.required_pools(config);
-        pools.map(|(name, pool)| (name.clone(), pool.health(config, prober))).collect()
+        pools.map(|(name, pool)| (name.clone(), pool.health(config, health_checker))).collect()
     }
 
     /// The endpoints of those pools.
@@ -83,12 +84,12 @@
 }
 
 impl ReceivedList {
-    fn health(&self, config: &Bgp, prober: &Prober) -> PoolHealth {
+    fn health(&self, config: &Bgp, health_checker: &HealthChecker) -> PoolHealth {
         let endpoint_health = |endpoint: &ListedEndpoint| EndpointHealth {
             weight: endpoint.weight,
             ready: endpoint.ready,
             warm: endpoint.warm,
-            answers: prober.answers(&endpoint.address),
+            healthy: health_checker.is_healthy(&endpoint.address),
         };
         let endpoints = self.list.received.then(|| self.list.endpoints.iter().map(endpoint_health).collect());
         PoolHealth { endpoints, stale: self.is_stale(config) }
--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bgp::{Announcer, Micros, Notification, Prober};
+use bgp::{Announcer, HealthChecker, Micros, Notification};
 use config::Bgp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
@@ -79,7 +79,7 @@
     log: fn(&str),
     sessions: Sessions,
     announcer: Announcer,
-    prober: Prober,
+    health_checker: HealthChecker,
     data_plane: DataPlane,
     events: mpsc::Sender<Event>,
     /// None where the evaluation is due at once.
@@ -97,7 +97,7 @@
         let clock = Clock::start();
         SessionManager {
             sessions: Sessions::new(clock, seed, events.clone(), log),
-            prober: Prober::new(config.probe),
+            health_checker: HealthChecker::new(config.probe),
             config,
             clock,
             log,
@@ -120,7 +120,7 @@
         let now = self.clock.now();
         self.sessions.stop_changed(&config);
         self.announcer.set(now, &config.addresses);
-        self.prober.adjust(config.probe);
+        self.health_checker.update_settings(config.probe);
         self.config = config;
         let wanted = self.announcer.wanted();
         self.sessions.announce(&wanted);
@@ -178,7 +178,7 @@
         match event {
             Event::HealthChecked { endpoint, healthy } => {
                 let now = self.clock.now();
-                self.decision_due |= self.prober.done(now, &endpoint, healthy);
+                self.decision_due |= self.health_checker.on_result(now, &endpoint, healthy);
             }
             Event::Dialed { peer, id, result } => self.sessions.on_dialed(&peer, id, result),
             Event::Connection { peer, direction, id, event } => {
@@ -190,7 +190,7 @@
     /// Health checks cover the endpoints that announced addresses depend on.
     fn update_health_checks(&mut self) {
         let now = self.clock.now();
-        self.prober.set(now, self.data_plane.endpoints(&self.config));
+        self.health_checker.set_endpoints(now, self.data_plane.endpoints(&self.config));
     }
 
     fn status(&self) -> Status {
@@ -206,7 +206,7 @@
 
     fn next_wake_up(&self) -> Instant {
         let now = self.clock.now();
-        let timers = [self.sessions.next_timer(), self.prober.next(), self.announcer.next(now)];
+        let timers = [self.sessions.next_timer(), self.health_checker.next_check(), self.announcer.next(now)];
         let next_timer = timers.into_iter().flatten().min();
         let next_evaluation = self.evaluated_at.map_or_else(Instant::now, |at| at + EVALUATION_INTERVAL);
         next_timer.map_or(next_evaluation, |at| self.clock.instant_at(at).min(next_evaluation))
@@ -231,7 +231,7 @@
 
     fn start_health_checks(&mut self, now: Micros) {
         let check_timeout = duration(self.config.probe.timeout);
-        for endpoint in self.prober.begin(now) {
+        for endpoint in self.health_checker.start_due(now) {
             let events = self.events.clone();
             let path = self.config.probe_path.clone();
             spawn_local(async move {
@@ -246,7 +246,7 @@
         self.decision_due = false;
         let now = self.clock.now();
         let process = self.data_plane.process_health(&self.config);
-        let pools = self.data_plane.pool_health(&self.config, &self.prober);
+        let pools = self.data_plane.pool_health(&self.config, &self.health_checker);
         if !self.announcer.decide(now, process, &pools) {
             return;
         }
--- a/crates/bgp/src/announce/health.rs
+++ b/crates/bgp/src/announce/health.rs
@@ -15,7 +15,7 @@
     /// It has completed slow start.
     pub warm: bool,
     /// Whether it passes its health checks; none before the first result.
-    pub answers: Option<bool>,
+    pub healthy: Option<bool>,
 }
 
 /// What is known of a pool.
@@ -105,8 +105,8 @@
         return Assessment::Unconfirmed(StateReason::NoEndpointList(pool.to_owned()));
     };
     // A stale list does not say which endpoints are ready; the health checks still say which answer.
-    let is_available = |e: &&EndpointHealth| (e.ready || health.stale) && e.answers != Some(false);
-    let is_confirmed = |e: &&EndpointHealth| e.ready && e.warm && e.answers == Some(true);
+    let is_available = |e: &&EndpointHealth| (e.ready || health.stale) && e.healthy != Some(false);
+    let is_confirmed = |e: &&EndpointHealth| e.ready && e.warm && e.healthy == Some(true);
     let total = Capacity::of(endpoints.iter());
     let available = Capacity::of(endpoints.iter().filter(is_available));
     let confirmed = Capacity::of(endpoints.iter().filter(is_confirmed));
--- /dev/null
+++ b/crates/bgp/src/health_check.rs
@@ -0,0 +1,151 @@
+//! Schedules the active health checks of endpoints, and decides from their results which endpoints are healthy.
+//!
+//! Each endpoint is checked at an interval, sooner after a failure, and is unhealthy after a number of consecutive
+//! failures. When an endpoint becomes unhealthy, some others are checked at once, and again some for each of those that
+//! is unhealthy: a fault that affects many endpoints is found in little more time than that of one.
+//!
+//! Times are in microseconds. Bounded by the number of endpoints and by the checks in flight.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use crate::Micros;
+
+/// Settings of health checks.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HealthCheckSettings {
+    /// The time between two checks of a healthy endpoint.
+    pub interval: Micros,
+    /// A check that takes longer has failed.
+    pub timeout: Micros,
+    /// Consecutive failures after which an endpoint is unhealthy; at least 1.
+    pub unhealthy_threshold: u32,
+    /// Checks in flight at most; at least 1.
+    pub max_in_flight: usize,
+}
+
+impl HealthCheckSettings {
+    fn in_flight_limit(&self) -> usize {
+        self.max_in_flight.max(1)
+    }
+}
+
+/// After a failure that is not yet conclusive, the next check is due after the interval divided by this.
+const RECHECK_DIVISOR: Micros = 4;
+
+#[derive(Clone, Copy, Debug)]
+struct EndpointState {
+    /// When the next check is due.
+    due: Micros,
+    in_flight: bool,
+    consecutive_failures: u32,
+    healthy: Option<bool>,
+}
+
+impl EndpointState {
+    fn new(now: Micros) -> EndpointState {
+        EndpointState { due: now, in_flight: false, consecutive_failures: 0, healthy: None }
+    }
+}
+
+/// The health checks of all endpoints that announced addresses depend on.
+#[derive(Clone, Debug)]
+pub struct HealthChecker {
+    settings: HealthCheckSettings,
+    endpoints: BTreeMap<SocketAddr, EndpointState>,
+    in_flight: usize,
+}
+
+impl HealthChecker {
+    /// A health checker without endpoints.
+    #[must_use]
+    pub fn new(settings: HealthCheckSettings) -> HealthChecker {
+        HealthChecker { settings, endpoints: BTreeMap::new(), in_flight: 0 }
+    }
+
+    /// Replaces the settings.
+    pub fn update_settings(&mut self, settings: HealthCheckSettings) {
+        self.settings = settings;
+    }
+
+    /// Sets the endpoints. Those that were there before keep their state; new ones are due at once.
+    pub fn set_endpoints(&mut self, now: Micros, addresses: impl Iterator<Item = SocketAddr>) {
+        let mut previous = std::mem::take(&mut self.endpoints);
+        for address in addresses {
+            // An address may be listed by more than one pool.
+            let known = previous.remove(&address).or_else(|| self.endpoints.get(&address).copied());
+            self.endpoints.insert(address, known.unwrap_or_else(|| EndpointState::new(now)));
+        }
+        self.in_flight = self.endpoints.values().filter(|endpoint| endpoint.in_flight).count();
+    }
+
+    /// Whether an endpoint is healthy; none before that is known.
+    #[must_use]
+    pub fn is_healthy(&self, address: &SocketAddr) -> Option<bool> {
+        self.endpoints.get(address).and_then(|endpoint| endpoint.healthy)
+    }
+
+    /// When the next check is due; none while the limit of checks in flight is reached.
+    #[must_use]
+    pub fn next_check(&self) -> Option<Micros> {
+        if self.in_flight >= self.settings.in_flight_limit() {
+            return None;
+        }
+        let idle = self.endpoints.values().filter(|endpoint| !endpoint.in_flight);
+        idle.map(|endpoint| endpoint.due).min()
+    }
+
+    /// Starts the checks that are due, those that have waited longest first. Returns the endpoints to check.
+    pub fn start_due(&mut self, now: Micros) -> Vec<SocketAddr> {
+        let capacity = self.settings.in_flight_limit().saturating_sub(self.in_flight);
+        let is_due = |endpoint: &EndpointState| !endpoint.in_flight && endpoint.due <= now;
+        let endpoints = self.endpoints.iter();
+        let mut due: Vec<(Micros, SocketAddr)> = endpoints
+            .filter(|(_, endpoint)| is_due(endpoint))
+            .map(|(address, endpoint)| (endpoint.due, *address))
+            .collect();
+        due.sort_unstable();
+        due.truncate(capacity);
+        for (_, address) in &due {
+            if let Some(endpoint) = self.endpoints.get_mut(address) {
+                endpoint.in_flight = true;
+            }
+        }
+        self.in_flight += due.len();
+        due.into_iter().map(|(_, address)| address).collect()
+    }
+
+    /// A check has completed. True if that changes whether the endpoint is healthy.
+    pub fn on_result(&mut self, now: Micros, address: &SocketAddr, passed: bool) -> bool {
+        let HealthCheckSettings { interval, unhealthy_threshold, .. } = self.settings;
+        // The check of an endpoint that was removed since is no longer counted as in flight.
+        let checked = self.endpoints.get_mut(address).filter(|endpoint| endpoint.in_flight);
+        let Some(endpoint) = checked else { return false };
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let previous = endpoint.healthy;
+        endpoint.in_flight = false;
+        endpoint.consecutive_failures =
+            if passed { 0 } else { endpoint.consecutive_failures.saturating_add(1) };
+        let is_conclusive = passed || endpoint.consecutive_failures >= unhealthy_threshold.max(1);
+        if is_conclusive {
+            endpoint.healthy = Some(passed);
+        }
+        endpoint.due = now + if is_conclusive { interval } else { interval / RECHECK_DIVISOR };
+        let changed = endpoint.healthy != previous;
+        if changed && !passed {
+            self.check_others(now);
+        }
+        changed
+    }
+
+    /// Makes some endpoints without failures due at once.
+    fn check_others(&mut self, now: Micros) {
+        let is_eligible = |endpoint: &&mut EndpointState| {
+            !endpoint.in_flight && endpoint.consecutive_failures == 0 && endpoint.due > now
+        };
+        let eligible = self.endpoints.values_mut().filter(is_eligible);
+        for endpoint in eligible.take(self.settings.max_in_flight) {
+            endpoint.due = now;
+        }
+    }
+}
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -8,11 +8,12 @@
 
 mod announce;
 mod data_plane;
+mod health_check;
 mod machine;
 mod message;
 mod open;
 mod peer;
-mod probe;
+
 mod table;
 mod update;
 mod write;
@@ -22,6 +23,7 @@
     StateReason, Thresholds, MOST_ADDRESSES,
 };
 pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
+pub use health_check::{HealthCheckSettings, HealthChecker};
 pub use machine::{Action, Event, Machine, MachineSettings, State, Timer};
 pub use message::{frame, Kind, Notification, HEADER, MOST_MESSAGE};
 pub use open::Open;
@@ -29,7 +31,7 @@
     Counts, Direction, Input, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
     PeerView, PrefixCounts,
 };
-pub use probe::{ProbeSettings, Prober};
+
 pub use table::{Attributes, Speaker, Table};
 pub use update::{scan, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -23,7 +23,7 @@
 }
 
 fn node(answers: Option<bool>) -> EndpointHealth {
-    EndpointHealth { weight: 1.0, ready: true, warm: true, answers }
+    EndpointHealth { weight: 1.0, ready: true, warm: true, healthy: answers }
 }
 
 fn pool(answers: &[Option<bool>]) -> PoolHealth {
@@ -340,7 +340,7 @@
                 && ["p", "q"].iter().all(|p| {
                     site.pools.get(*p).is_some_and(|pool| match &pool.endpoints {
                         None => true,
-                        Some(nodes) => nodes.iter().filter(|n| n.answers == Some(true)).count() >= 3,
+                        Some(nodes) => nodes.iter().filter(|n| n.healthy == Some(true)).count() >= 3,
                     })
                 });
             assert!(can || site.level() == AnnouncementLevel::Withdrawn, "seed {seed}");
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -114,7 +114,7 @@
 }
 
 fn health(answering: usize, stale: bool) -> PoolHealth {
-    let node = |i| EndpointHealth { weight: 1.0, ready: true, warm: true, answers: Some(i < answering) };
+    let node = |i| EndpointHealth { weight: 1.0, ready: true, warm: true, healthy: Some(i < answering) };
     PoolHealth { endpoints: Some((0..NODES).map(node).collect()), stale }
 }
 
--- a/crates/bgp/tests/probes.rs
+++ b/crates/bgp/tests/health_checks.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use bgp::{Micros, ProbeSettings, Prober, SECOND};
+use bgp::{HealthCheckSettings, HealthChecker, Micros, SECOND};
 
 const MS: Micros = 1000;
-const SETTINGS: ProbeSettings =
-    ProbeSettings { every: 250 * MS, timeout: 250 * MS, failures: 2, at_once: 16 };
+const SETTINGS: HealthCheckSettings =
+    HealthCheckSettings { interval: 250 * MS, timeout: 250 * MS, unhealthy_threshold: 2, max_in_flight: 16 };
 
 fn node(i: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80))
@@ -15,7 +15,7 @@
 
 /// Nodes that answer, refuse, or keep silent, in simulated time.
 struct Fleet {
-    prober: Prober,
+    checker: HealthChecker,
     now: Micros,
     refuse: BTreeSet<SocketAddr>,
     silent: BTreeSet<SocketAddr>,
@@ -25,17 +25,18 @@
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
-        let mut prober = Prober::new(SETTINGS);
-        prober.set(0, (0..count).map(node));
+        let mut checker = HealthChecker::new(SETTINGS);
+        checker.set_endpoints(0, (0..count).map(node));
         let (refuse, silent) = Default::default();
-        Fleet { prober, now: 0, refuse, silent, ends: BTreeMap::new(), asked: 0 }
+        Fleet { checker, now: 0, refuse, silent, ends: BTreeMap::new(), asked: 0 }
     }
 
     /// Goes on until `done` or this time; when it stopped.
-    fn until(&mut self, then: Micros, done: impl Fn(&Prober) -> bool) -> Micros {
-        while !done(&self.prober) {
+    fn until(&mut self, then: Micros, done: impl Fn(&HealthChecker) -> bool) -> Micros {
+        while !done(&self.checker) {
             let end = self.ends.keys().next().map(|(at, _)| *at);
-            let Some(at) = [end, self.prober.next()].into_iter().flatten().min().filter(|at| *at <= then)
+            let Some(at) =
+                [end, self.checker.next_check()].into_iter().flatten().min().filter(|at| *at <= then)
             else {
                 self.now = then;
                 return then;
@@ -46,16 +47,16 @@
                     self.ends.insert((at, node), good);
                     break;
                 }
-                self.prober.done(at, &node, good);
+                self.checker.on_result(at, &node, good);
             }
-            let begun = self.prober.begin(self.now);
-            self.asked += begun.len();
-            for node in begun {
+            let started = self.checker.start_due(self.now);
+            self.asked += started.len();
+            for node in started {
                 let silent = self.silent.contains(&node);
                 let takes = if silent { SETTINGS.timeout } else { MS };
                 self.ends.insert((self.now + takes, node), !silent && !self.refuse.contains(&node));
             }
-            assert!(self.ends.len() <= SETTINGS.at_once);
+            assert!(self.ends.len() <= SETTINGS.max_in_flight);
         }
         self.now
     }
@@ -67,11 +68,11 @@
         for silent in [false, true] {
             let mut fleet = Fleet::new(10);
             fleet.until(SECOND + begin * 5 * MS, |_| false);
-            assert!((0..10).all(|i| fleet.prober.answers(&node(i)) == Some(true)));
+            assert!((0..10).all(|i| fleet.checker.is_healthy(&node(i)) == Some(true)));
             let failed = fleet.now;
             let which = if silent { &mut fleet.silent } else { &mut fleet.refuse };
             which.extend((0..10).map(node));
-            let known = fleet.until(10 * SECOND, |p| (0..10).all(|i| p.answers(&node(i)) == Some(false)));
+            let known = fleet.until(10 * SECOND, |p| (0..10).all(|i| p.is_healthy(&node(i)) == Some(false)));
             let most = if silent { 900 * MS } else { 330 * MS };
             assert!(known - failed <= most, "{} ms, silent: {silent}", (known - failed) / MS);
         }
@@ -84,7 +85,7 @@
     fleet.until(30 * SECOND, |_| false);
     let failed = fleet.now;
     fleet.refuse.extend((0..1000).map(node));
-    let bad = |p: &Prober| (0..1000).filter(|i| p.answers(&node(*i)) == Some(false)).count();
+    let bad = |p: &HealthChecker| (0..1000).filter(|i| p.is_healthy(&node(*i)) == Some(false)).count();
     let known = fleet.until(60 * SECOND, |p| bad(p) >= 750);
     assert!(known - failed <= 600 * MS, "{} ms", (known - failed) / MS);
 }
@@ -111,19 +112,19 @@
 
 #[test]
 fn a_single_lost_answer_proves_nothing_and_a_node_that_leaves_is_forgotten() {
-    let mut prober = Prober::new(SETTINGS);
-    prober.set(0, [node(1), node(2), node(1)].into_iter());
-    assert_eq!(prober.begin(0), [node(1), node(2)]);
-    assert!(prober.done(0, &node(1), true));
-    assert!(prober.done(0, &node(2), true));
-    assert_eq!(prober.begin(250 * MS), [node(1), node(2)]);
-    assert!(!prober.done(250 * MS, &node(1), false));
-    assert_eq!(prober.answers(&node(1)), Some(true));
+    let mut checker = HealthChecker::new(SETTINGS);
+    checker.set_endpoints(0, [node(1), node(2), node(1)].into_iter());
+    assert_eq!(checker.start_due(0), [node(1), node(2)]);
+    assert!(checker.on_result(0, &node(1), true));
+    assert!(checker.on_result(0, &node(2), true));
+    assert_eq!(checker.start_due(250 * MS), [node(1), node(2)]);
+    assert!(!checker.on_result(250 * MS, &node(1), false));
+    assert_eq!(checker.is_healthy(&node(1)), Some(true));
     // While one is out its node leaves; another takes its place at once.
-    prober.set(300 * MS, [node(1), node(3)].into_iter());
-    assert!(!prober.done(400 * MS, &node(2), false));
-    assert_eq!(prober.answers(&node(2)), None);
-    assert_eq!(prober.begin(400 * MS), [node(3), node(1)]);
-    assert!(prober.done(401 * MS, &node(1), false), "twice in a row");
-    assert_eq!(prober.answers(&node(1)), Some(false));
+    checker.set_endpoints(300 * MS, [node(1), node(3)].into_iter());
+    assert!(!checker.on_result(400 * MS, &node(2), false));
+    assert_eq!(checker.is_healthy(&node(2)), None);
+    assert_eq!(checker.start_due(400 * MS), [node(3), node(1)]);
+    assert!(checker.on_result(401 * MS, &node(1), false), "twice in a row");
+    assert_eq!(checker.is_healthy(&node(1)), Some(false));
 }
--- a/crates/config/src/announce.rs
+++ b/crates/config/src/announce.rs
@@ -28,7 +28,7 @@
     /// With more resident memory than that, nothing is announced.
     pub memory_bytes: Option<u64>,
     /// How nodes are asked whether they answer.
-    pub probe: bgp::ProbeSettings,
+    pub probe: bgp::HealthCheckSettings,
     /// By a GET of this path; else by a connection alone.
     pub probe_path: Option<String>,
     /// The routers.
@@ -46,7 +46,7 @@
     pub fn sockets(&self) -> usize {
         // Each peer's two connections, and one more that is being turned away or comes in its place.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
-        3 * self.peers.len() + self.probe.at_once + listeners + MOST_OPERATORS
+        3 * self.peers.len() + self.probe.max_in_flight + listeners + MOST_OPERATORS
     }
 }
 
--- a/crates/config/src/check/announce.rs
+++ b/crates/config/src/check/announce.rs
@@ -101,12 +101,12 @@
         }
     }
 
-    fn probe(&mut self, written: &Probe) -> (bgp::ProbeSettings, Option<String>) {
-        let settings = bgp::ProbeSettings {
-            every: self.bounded("every_ms", &written.every_ms, 250, 3_600_000) as i64 * MS,
+    fn probe(&mut self, written: &Probe) -> (bgp::HealthCheckSettings, Option<String>) {
+        let settings = bgp::HealthCheckSettings {
+            interval: self.bounded("every_ms", &written.every_ms, 250, 3_600_000) as i64 * MS,
             timeout: self.bounded("timeout_ms", &written.timeout_ms, 250, 60_000) as i64 * MS,
-            failures: self.bounded("failures", &written.failures, 2, 100) as u32,
-            at_once: self.bounded("at_once", &written.at_once, 16, 64),
+            unhealthy_threshold: self.bounded("failures", &written.failures, 2, 100) as u32,
+            max_in_flight: self.bounded("at_once", &written.at_once, 16, 64),
         };
         let path = written.path.as_ref().map(|word| {
             let path = word.get_ref();
