--- a/crates/bgp-speaker/tests/stuck.rs
+++ b/crates/bgp-speaker/tests/stuck.rs
@@ -1,4 +1,4 @@
-//! A data plane that says nothing any more, and one that was never ready.
+//! Addresses are withdrawn when the data plane stalls, and not announced before it accepts or above the memory limit.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -22,10 +22,15 @@
     config::load(Path::new("lb.toml"), &|_| Ok(text.clone())).expect("good").config.bgp.expect("there")
 }
 
-/// Beats until this says that it is enough.
-fn beat(speaker: &Speaker, accepting: bool, node: std::net::SocketAddr, enough: impl Fn() -> bool) {
+/// Reports the data plane's status until `done`.
+fn report_status_until(
+    speaker: &Speaker,
+    accepting: bool,
+    node: std::net::SocketAddr,
+    done: impl Fn() -> bool,
+) {
     let since = Instant::now();
-    while !enough() {
+    while !done() {
         assert!(since.elapsed() < testkit::TEST_TIMEOUT);
         let node = ListedEndpoint { address: node, weight: 1.0, ready: true, warm: true };
         let pool = PoolEndpointList { received: true, source_silent_for: None, endpoints: vec![node] };
@@ -43,23 +48,23 @@
 }
 
 #[test]
-fn an_address_goes_when_its_data_plane_stands_still() {
+fn address_is_withdrawn_when_the_data_plane_stalls() {
     let router = Router::start("127.0.4.1", 65001, 9, RouterBehavior::default());
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("bound");
     thread::spawn(move || node.incoming().for_each(drop));
     let speaker = Speaker::start(config(&router, ""), 1, |_| {}).expect("starts");
     // While nothing accepts, it is not announced, whatever the nodes say.
-    let begun = Instant::now();
-    beat(&speaker, false, address, || begun.elapsed() > Duration::from_millis(600));
+    let started = Instant::now();
+    report_status_until(&speaker, false, address, || started.elapsed() > Duration::from_millis(600));
     assert!(!announced(&router));
-    beat(&speaker, true, address, || announced(&router));
+    report_status_until(&speaker, true, address, || announced(&router));
     let (place, ..) = router.wait_for_announcement(0, PREFIX);
-    let still = Instant::now();
+    let stalled = Instant::now();
     let (place, gone) = router.wait_for_withdrawal(place, PREFIX);
-    let took = gone.saturating_duration_since(still);
+    let took = gone.saturating_duration_since(stalled);
     assert!(took >= Duration::from_millis(100) && took < Duration::from_secs(5), "{took:?}");
-    beat(&speaker, true, address, || {
+    report_status_until(&speaker, true, address, || {
         router.received()[place..]
             .iter()
             .any(|(_, h)| matches!(h, BgpMessage::Routes(r) if !r.announced.is_empty()))
@@ -67,16 +72,16 @@
 }
 
 #[test]
-fn short_of_memory_nothing_is_announced() {
+fn nothing_is_announced_above_the_memory_limit() {
     let router = Router::start("127.0.4.2", 65001, 9, RouterBehavior::default());
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("bound");
     thread::spawn(move || node.incoming().for_each(drop));
     let speaker = Speaker::start(config(&router, "memory_mb = 1"), 1, |_| {}).expect("starts");
-    let begun = Instant::now();
-    beat(&speaker, true, address, || begun.elapsed() > Duration::from_secs(1));
+    let started = Instant::now();
+    report_status_until(&speaker, true, address, || started.elapsed() > Duration::from_secs(1));
     assert!(!announced(&router));
     // Given as much as it needs, it is.
     speaker.reload(config(&router, "memory_mb = 100000"));
-    beat(&speaker, true, address, || announced(&router));
+    report_status_until(&speaker, true, address, || announced(&router));
 }
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,9 +1,9 @@
-//! BGP-4 as a speaker that announces addresses and never forwards: messages, sessions, what is announced and when.
+//! BGP-4 for a speaker that announces addresses and never forwards: messages, sessions, and the decisions which addresses
+//! are announced.
 //!
-//! Pure: no sockets, no clock, no randomness but from a seed. Times are microseconds of one monotonic clock. What the
-//! wire brings goes into [`Peer`], what is known of pools into [`Announcer`]; both append what is to be done.
-//!
-//! What a session is may not know what an address is, and the other way round: [`Table`] stands between them.
+//! Without I/O: no sockets, no clock, and randomness only from a seed. Times are microseconds of one monotonic clock.
+//! [`Peer`] takes what connections report and returns actions, [`Announcer`] takes the health of pools and decides what is
+//! announced. Neither depends on the other; [`Table`] holds what is advertised.
 #![warn(missing_docs)]
 
 mod announce;
@@ -36,8 +36,8 @@
 pub use update::{scan, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
 
-/// Microseconds.
+/// A time or a span in microseconds.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -1,15 +1,15 @@
-//! Headers and NOTIFICATIONs, after RFC 4271 sections 4.1, 4.5 and 6.
+//! Message headers and NOTIFICATIONs (RFC 4271 sections 4.1, 4.5 and 6).
 
 use std::fmt;
 
-/// The octets of a header.
+/// The length of a header in octets.
 pub const HEADER: usize = 19;
-/// The largest message (RFC 8654's larger ones are not offered): a longer one is an error of its sender's.
+/// The largest message in octets. The extended messages of RFC 8654 are not negotiated.
 pub const MOST_MESSAGE: usize = 4096;
-/// A shutdown text is cut to this many octets (RFC 9003).
-const MOST_TEXT: usize = 255;
+/// The longest shutdown text in octets (RFC 9003); longer ones are truncated.
+const MAX_SHUTDOWN_TEXT: usize = 255;
 
-/// What a message is.
+/// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Kind {
@@ -20,16 +20,16 @@
     RouteRefresh,
 }
 
-/// Length and kind of the message that a header begins.
+/// The length and type of the message with this header.
 ///
 /// # Errors
-/// What is to be told the peer before the connection ends.
+/// The NOTIFICATION to send before the connection is closed.
 pub fn frame(header: &[u8; HEADER]) -> Result<(usize, Kind), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
         return Err(Notification::new(1, 1, &[]));
     }
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
-    let (kind, least, most) = match header[18] {
+    let (kind, min_length, max_length) = match header[18] {
         1 => (Kind::Open, 29, MOST_MESSAGE),
         2 => (Kind::Update, 23, MOST_MESSAGE),
         3 => (Kind::Notification, 21, MOST_MESSAGE),
@@ -40,25 +40,25 @@
         }
         _ => (Kind::Open, HEADER, MOST_MESSAGE),
     };
-    if !(least..=most).contains(&length) {
+    if !(min_length..=max_length).contains(&length) {
         return Err(Notification::new(1, 2, &header[16..18]));
     }
     Ok((length, kind))
 }
 
-/// Why a session ends, as one side tells the other.
+/// A NOTIFICATION: why one side ends the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
     /// The error code.
     pub code: u8,
     /// The subcode.
     pub subcode: u8,
-    /// What was wrong, or a text.
+    /// The faulty field, or a shutdown text.
     pub data: Vec<u8>,
 }
 
 impl Notification {
-    /// One with these codes.
+    /// A NOTIFICATION with these codes.
     #[must_use]
     pub fn new(code: u8, subcode: u8, data: &[u8]) -> Notification {
         Notification { code, subcode, data: data.to_vec() }
@@ -70,10 +70,10 @@
         Notification::new(4, 0, &[])
     }
 
-    /// A Cease of this subcode (RFC 4486); those that say why carry a text (RFC 9003).
+    /// A Cease with this subcode (RFC 4486) and shutdown text (RFC 9003); an empty text is left out.
     #[must_use]
     pub fn cease(subcode: u8, text: &str) -> Notification {
-        let mut end = text.len().min(MOST_TEXT);
+        let mut end = text.len().min(MAX_SHUTDOWN_TEXT);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -85,20 +85,20 @@
         Notification { code: 6, subcode, data }
     }
 
-    /// Reads the body of a NOTIFICATION, of which the header has seen to two octets at least.
+    /// Reads the body of a NOTIFICATION. [`frame`] ensures that it has at least two octets.
     #[must_use]
     pub fn read(body: &[u8]) -> Notification {
         let at = |i: usize| body.get(i).copied().unwrap_or(0);
         Notification { code: at(0), subcode: at(1), data: body.get(2..).unwrap_or_default().to_vec() }
     }
 
-    /// The version is one that the other side does not speak.
+    /// Whether it reports an unsupported version.
     #[must_use]
     pub fn is_version_error(&self) -> bool {
         (self.code, self.subcode) == (2, 1)
     }
 
-    /// The text of a shutdown, in characters that harm no terminal. Another's may be anything.
+    /// The shutdown text, if there is one. Control characters, which the peer may send, are replaced by spaces.
     #[must_use]
     pub fn text(&self) -> Option<String> {
         if self.code != 6 || !matches!(self.subcode, 2 | 4) {
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,32 +1,42 @@
-//! What a peer says of itself in its OPEN, after RFC 4271 section 4.2, RFC 5492 and RFC 9072.
+//! Received OPENs and their capabilities (RFC 4271 section 4.2, RFC 5492, RFC 9072).
 
 use std::net::Ipv4Addr;
 
 use crate::message::Notification;
 
-/// The AS number that stands for one of four octets (RFC 6793).
+/// The two-octet AS number that stands in for one of four octets (RFC 6793).
 const AS_TRANS: u32 = 23456;
+/// The least hold time in seconds that is accepted.
+const MIN_HOLD_TIME_S: u16 = 3;
+/// The version of BGP.
+const VERSION: u8 = 4;
+/// Type of the optional parameter that holds capabilities (RFC 5492).
+const CAPABILITIES_PARAMETER: u8 = 2;
+/// Capability codes.
+const MULTIPROTOCOL: u8 = 1;
+const ROUTE_REFRESH: u8 = 2;
+const FOUR_OCTET_AS: u8 = 65;
 
-/// What an OPEN says, as far as it matters here. Capabilities that are not known are passed over.
+/// The contents of an OPEN. Unknown capabilities are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// The AS, of four octets if the peer has such numbers.
+    /// The AS number; that of the four-octet capability if there is one.
     pub asn: u32,
-    /// Proposed hold time, in seconds.
+    /// The proposed hold time in seconds.
     pub hold_s: u16,
     /// The BGP identifier.
     pub id: Ipv4Addr,
-    /// AS numbers of four octets.
+    /// Capability: four-octet AS numbers.
     pub four_octet: bool,
-    /// IPv4 unicast.
+    /// Capability: IPv4 unicast.
     pub ipv4: bool,
-    /// IPv6 unicast.
+    /// Capability: IPv6 unicast.
     pub ipv6: bool,
-    /// ROUTE-REFRESH.
+    /// Capability: ROUTE-REFRESH.
     pub refresh: bool,
 }
 
-/// A reader that goes no further than its slice.
+/// A bounds-checked reader of octets.
 pub(crate) struct Octets<'a>(pub &'a [u8]);
 
 impl<'a> Octets<'a> {
@@ -53,12 +63,12 @@
     /// Reads the body of an OPEN.
     ///
     /// # Errors
-    /// What is to be told the peer. Whether its AS and its identifier are the expected ones is not looked at.
+    /// The NOTIFICATION to send. Whether AS number and identifier are those of the configured peer is not checked.
     pub fn read(body: &[u8]) -> Result<Open, Notification> {
         let unspecific = || Notification::new(2, 0, &[]);
         let mut octets = Octets(body);
         let version = octets.u8().ok_or_else(unspecific)?;
-        if version != 4 {
+        if version != VERSION {
             return Err(Notification::new(2, 1, &[0, 4]));
         }
         let short = octets.u16().ok_or_else(unspecific)?;
@@ -73,15 +83,15 @@
             ipv6: false,
             refresh: false,
         };
-        // A session without hold time would outlive a peer that vanished; RFC 4271 leaves it to us to refuse.
-        if hold_s < 3 {
+        // RFC 4271 permits to reject a hold time of zero: such a session would outlive a peer that is gone.
+        if hold_s < MIN_HOLD_TIME_S {
             return Err(Notification::new(2, 6, &[]));
         }
         if open.id.is_unspecified() || open.id.is_broadcast() || open.id.is_multicast() {
             return Err(Notification::new(2, 3, &[]));
         }
         let families = open.parameters(&mut octets)?;
-        // Who says nothing of families speaks IPv4 unicast.
+        // Without multiprotocol capabilities the session is for IPv4 unicast.
         open.ipv4 |= !families;
         if open.asn == 0 || (open.asn == AS_TRANS && !open.four_octet) {
             return Err(Notification::new(2, 2, &[]));
@@ -89,7 +99,7 @@
         Ok(open)
     }
 
-    /// Were there capabilities that name families?
+    /// Reads the optional parameters. True if there are multiprotocol capabilities.
     fn parameters(&mut self, octets: &mut Octets<'_>) -> Result<bool, Notification> {
         let unspecific = || Notification::new(2, 0, &[]);
         let mut length = usize::from(octets.u8().ok_or_else(unspecific)?);
@@ -102,25 +112,25 @@
             return Err(unspecific());
         }
         let mut families = false;
-        while let Some(sort) = octets.u8() {
+        while let Some(parameter_type) = octets.u8() {
             let length = if extended { octets.u16() } else { octets.u8().map(u16::from) };
             let value = length.and_then(|n| octets.take(usize::from(n))).ok_or_else(unspecific)?;
-            if sort != 2 {
+            if parameter_type != CAPABILITIES_PARAMETER {
                 return Err(Notification::new(2, 4, &[]));
             }
             let mut capabilities = Octets(value);
             while let Some(code) = capabilities.u8() {
                 let value = capabilities.u8().and_then(|n| capabilities.take(usize::from(n)));
                 match (code, value.ok_or_else(unspecific)?) {
-                    (1, &[0, family, _, 1]) => {
+                    (MULTIPROTOCOL, &[0, family, _, 1]) => {
                         families = true;
                         self.ipv4 |= family == 1;
                         self.ipv6 |= family == 2;
                     }
-                    (1, value) if value.len() != 4 => return Err(unspecific()),
-                    (1, _) => families = true,
-                    (2, _) => self.refresh = true,
-                    (65, value) => {
+                    (MULTIPROTOCOL, value) if value.len() != 4 => return Err(unspecific()),
+                    (MULTIPROTOCOL, _) => families = true,
+                    (ROUTE_REFRESH, _) => self.refresh = true,
+                    (FOUR_OCTET_AS, value) => {
                         self.asn = u32::from_be_bytes(four(value).ok_or_else(unspecific)?);
                         self.four_octet = true;
                     }
