--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bgp::{
-    frame, Attributes, Deed, Input, Micros, Notification, Peer, PeerSettings, Settings, Side, State, HEADER,
-    SECOND,
+    frame, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin, Peer,
+    PeerAction, PeerSettings, PrefixCounts, State, HEADER, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -19,7 +19,11 @@
         hold_s: 9,
         next_hop_v4: None,
         next_hop_v6: Some("2001:db8::1".parse().expect("an address")),
-        machine: Settings { passive: false, retry: SECOND, retry_most: 30 * SECOND },
+        machine: MachineSettings {
+            passive: false,
+            connect_retry_time: SECOND,
+            max_idle_hold_time: 30 * SECOND,
+        },
     }
 }
 
@@ -65,22 +69,22 @@
         world
     }
 
-    fn side(&self, who: usize, wire: usize) -> Side {
+    fn direction(&self, who: usize, wire: usize) -> Direction {
         if self.wires[wire].opener == who {
-            Side::Out
+            Direction::Outbound
         } else {
-            Side::In
+            Direction::Inbound
         }
     }
 
-    fn wire(&self, who: usize, side: Side) -> Option<usize> {
-        (0..self.wires.len()).rev().find(|w| self.wires[*w].open[who] && self.side(who, *w) == side)
+    fn wire(&self, who: usize, direction: Direction) -> Option<usize> {
+        (0..self.wires.len()).rev().find(|w| self.wires[*w].open[who] && self.direction(who, *w) == direction)
     }
 
     fn give(&mut self, who: usize, input: Input<'_>) {
-        let mut deeds = Vec::new();
-        self.peers[who].handle(self.now, input, &mut deeds);
-        self.carry_out(who, deeds);
+        let mut actions = Vec::new();
+        self.peers[who].handle(self.now, input, &mut actions);
+        self.carry_out(who, actions);
     }
 
     fn post(&mut self, wire: usize, to: usize, what: Option<Vec<u8>>) {
@@ -90,28 +94,28 @@
         queue.push_back((at, what));
     }
 
-    fn carry_out(&mut self, who: usize, deeds: Vec<Deed>) {
-        for deed in deeds {
-            match deed {
-                Deed::Connect => self.dials.push((self.now + self.rng.i64(0..20 * MS), who)),
-                Deed::Write(side, octets) => {
+    fn carry_out(&mut self, who: usize, actions: Vec<PeerAction>) {
+        for action in actions {
+            match action {
+                PeerAction::Connect => self.dials.push((self.now + self.rng.i64(0..20 * MS), who)),
+                PeerAction::Write(direction, octets) => {
                     if octets[18] != 4 {
                         self.written[who].push(bgp_router::decode(&octets, 4));
                     }
-                    if let Some(wire) = self.wire(who, side) {
+                    if let Some(wire) = self.wire(who, direction) {
                         self.post(wire, 1 - who, Some(octets));
                     }
                 }
-                Deed::Close(side) => {
-                    if side == Side::Out {
+                PeerAction::Close(direction) => {
+                    if direction == Direction::Outbound {
                         self.dials.retain(|(_, dialer)| *dialer != who);
                     }
-                    if let Some(wire) = self.wire(who, side) {
+                    if let Some(wire) = self.wire(who, direction) {
                         self.wires[wire].open[who] = false;
                         self.post(wire, 1 - who, None);
                     }
                 }
-                Deed::Log(_) => {}
+                PeerAction::Log(_) => {}
             }
         }
     }
@@ -122,7 +126,7 @@
         let arrivals =
             (0..self.wires.len()).flat_map(|w| [(w, 0), (w, 1)]).filter_map(|(w, to)| arrival(w, to));
         let dials = self.dials.iter().enumerate().map(|(i, (at, who))| (*at, 1, i, *who));
-        let ticks = (0..2).filter_map(|who| Some((self.peers[who].next()?, 2, 0, who)));
+        let ticks = (0..2).filter_map(|who| Some((self.peers[who].next_timer()?, 2, 0, who)));
         let Some((at, sort, which, who)) =
             arrivals.chain(dials).chain(ticks).min().filter(|next| next.0 <= then)
         else {
@@ -133,44 +137,46 @@
         match sort {
             0 => {
                 let Some((_, what)) = self.wires[which].to[who].pop_front() else { return true };
-                let side = self.side(who, which);
-                if !self.wires[which].open[who] || self.wire(who, side) != Some(which) {
+                let direction = self.direction(who, which);
+                if !self.wires[which].open[who] || self.wire(who, direction) != Some(which) {
                     return true;
                 }
                 match what {
                     Some(octets) => {
                         let header: &[u8; HEADER] = octets.first_chunk().expect("a header");
                         match frame(header) {
-                            Ok((_, kind)) => self.give(who, Input::Message(side, kind, &octets[HEADER..])),
-                            Err(why) => self.give(who, Input::HeaderError(side, why)),
+                            Ok((_, kind)) => {
+                                self.give(who, Input::Message(direction, kind, &octets[HEADER..]))
+                            }
+                            Err(why) => self.give(who, Input::HeaderError(direction, why)),
                         }
                     }
                     None => {
                         self.wires[which].open[who] = false;
-                        self.give(who, Input::Failed(side));
+                        self.give(who, Input::Failed(direction));
                     }
                 }
             }
             1 => {
                 self.dials.remove(which);
-                if self.cut || !self.peers[1 - who].takes(self.now) {
-                    self.give(who, Input::Failed(Side::Out));
+                if self.cut || !self.peers[1 - who].accepts_inbound(self.now) {
+                    self.give(who, Input::Failed(Direction::Outbound));
                 } else {
-                    if let Some(before) = self.wire(1 - who, Side::In) {
+                    if let Some(before) = self.wire(1 - who, Direction::Inbound) {
                         self.wires[before].open[1 - who] = false;
                         self.post(before, who, None);
                     }
                     let wire = Wire { open: [true; 2], opener: who, to: [VecDeque::new(), VecDeque::new()] };
                     self.wires.push(wire);
                     let local = "192.0.2.1".parse().expect("an address");
-                    self.give(1 - who, Input::Connected(Side::In, local));
-                    self.give(who, Input::Connected(Side::Out, local));
+                    self.give(1 - who, Input::Connected(Direction::Inbound, local));
+                    self.give(who, Input::Connected(Direction::Outbound, local));
                 }
             }
             _ => {
-                let mut deeds = Vec::new();
-                self.peers[who].tick(self.now, &mut deeds);
-                self.carry_out(who, deeds);
+                let mut actions = Vec::new();
+                self.peers[who].tick(self.now, &mut actions);
+                self.carry_out(who, actions);
             }
         }
         true
@@ -201,9 +207,9 @@
     }
 
     fn announce(&mut self, who: usize, prefixes: &[&str]) {
-        let mut deeds = Vec::new();
-        self.peers[who].announce(&wanted(prefixes), &mut deeds);
-        self.carry_out(who, deeds);
+        let mut actions = Vec::new();
+        self.peers[who].announce(&wanted(prefixes), &mut actions);
+        self.carry_out(who, actions);
     }
 }
 
@@ -213,19 +219,19 @@
 
 #[test]
 fn of_two_connections_at_once_the_one_that_the_higher_identifier_opened_stays() {
-    for (id, kept) in [([10, 0, 0, 1], Side::In), ([10, 0, 0, 9], Side::Out)] {
-        for first in [Side::Out, Side::In] {
+    for (id, kept) in [([10, 0, 0, 1], Direction::Inbound), ([10, 0, 0, 9], Direction::Outbound)] {
+        for first in [Direction::Outbound, Direction::Inbound] {
             let mut alone = Alone::connected(settings(64512, 64513, id));
-            alone.give(0, Input::Connected(Side::In, "192.0.2.1".parse().expect("an address")));
-            let second = if first == Side::Out { Side::In } else { Side::Out };
+            alone.give(0, Input::Connected(Direction::Inbound, "192.0.2.1".parse().expect("an address")));
+            let second = if first == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             let octets = open(64513, [10, 0, 0, 2]);
-            for side in [first, second] {
-                alone.give(0, Input::Message(side, bgp::Kind::Open, &octets[HEADER..]));
+            for direction in [first, second] {
+                alone.give(0, Input::Message(direction, bgp::Kind::Open, &octets[HEADER..]));
             }
             assert_eq!(alone.notified(), Some((6, 7)));
-            let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, Deed::Close(_))).collect();
-            let lost = if kept == Side::Out { Side::In } else { Side::Out };
-            assert_eq!(closed, [&Deed::Close(lost)], "{id:?}, first {first:?}");
+            let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, PeerAction::Close(_))).collect();
+            let lost = if kept == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
+            assert_eq!(closed, [&PeerAction::Close(lost)], "{id:?}, first {first:?}");
             alone.give(0, Input::Message(kept, bgp::Kind::Keepalive, &[]));
             assert_eq!(alone.peer.view().state, State::Established);
         }
@@ -247,7 +253,7 @@
         assert_eq!(open.len(), 1, "seed {seed}");
         // One side may count a connection as established that the other gives up at that moment: RFC 4271 section 6.8
         // leaves this open where the established state is not looked at.
-        lost += usize::from(world.peers.iter().any(|p| p.view().established > 1));
+        lost += usize::from(world.peers.iter().any(|p| p.view().sessions_established > 1));
     }
     assert!(collided > 20 && lost < 15, "{collided} collided, {lost} lost");
 }
@@ -272,7 +278,7 @@
         // The longest wait is 30 s, of which a dial may fall into the other's.
         world.until(world.now + 120 * SECOND);
         assert!(world.stand(), "seed {seed}: {:?} {:?}", world.state(0), world.state(1));
-        let told = world.peers[0].view().told;
+        let told = world.peers[0].view().advertised;
         assert_eq!(told, wanted(&["192.0.2.1/32", "2001:db8:1::/48"]).into_keys().collect::<Vec<_>>());
         let open = world.wires.iter().filter(|w| w.open[0] || w.open[1]).count();
         assert_eq!(open, 1, "seed {seed}: nothing else is left open");
@@ -289,9 +295,12 @@
     world.give(0, Input::Stop(Notification::cease(2, "back at noon")));
     world.until(100 * SECOND);
     assert_eq!(world.state(0), State::Idle);
-    let last = world.peers[1].view().last.expect("told");
-    assert_eq!((last.1, last.2.text().as_deref()), (false, Some("back at noon")));
-    assert!(!world.peers[0].takes(world.now));
+    let last = world.peers[1].view().last_notification.expect("told");
+    assert_eq!(
+        (last.origin, last.notification.text().as_deref()),
+        (NotificationOrigin::Received, Some("back at noon"))
+    );
+    assert!(!world.peers[0].accepts_inbound(world.now));
     world.give(0, Input::Start);
     world.until(200 * SECOND);
     assert!(world.stand());
@@ -300,7 +309,7 @@
 /// A peer on its own, with a connection that was opened by us.
 struct Alone {
     peer: Peer,
-    out: Vec<Deed>,
+    out: Vec<PeerAction>,
 }
 
 impl Alone {
@@ -308,7 +317,7 @@
         let mut alone = Alone { peer: Peer::new("p".to_owned(), settings, 1), out: Vec::new() };
         alone.give(0, Input::Start);
         alone.peer.tick(SECOND / 4, &mut alone.out);
-        alone.give(0, Input::Connected(Side::Out, "192.0.2.1".parse().expect("an address")));
+        alone.give(0, Input::Connected(Direction::Outbound, "192.0.2.1".parse().expect("an address")));
         alone
     }
 
@@ -326,12 +335,12 @@
 
     fn message(&mut self, now: Micros, whole: &[u8]) {
         let (_, kind) = frame(whole.first_chunk().expect("a header")).expect("sound");
-        self.give(now, Input::Message(Side::Out, kind, &whole[HEADER..]));
+        self.give(now, Input::Message(Direction::Outbound, kind, &whole[HEADER..]));
     }
 
     fn notified(&self) -> Option<(u8, u8)> {
-        self.out.iter().rev().find_map(|deed| match deed {
-            Deed::Write(_, octets) => match bgp_router::decode(octets, 4) {
+        self.out.iter().rev().find_map(|action| match action {
+            PeerAction::Write(_, octets) => match bgp_router::decode(octets, 4) {
                 BgpMessage::Notification { code, subcode, .. } => Some((code, subcode)),
                 _ => None,
             },
@@ -357,7 +366,7 @@
         let mut alone = Alone::connected(settings);
         alone.message(0, &octets);
         assert_eq!((alone.notified(), alone.peer.view().state), (Some(told), State::Idle));
-        assert!(!alone.peer.takes(0), "and not heard again at once");
+        assert!(!alone.peer.accepts_inbound(0), "and not heard again at once");
     }
     // The same identifier in another AS is one that RFC 6286 allows.
     let mut alone = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
@@ -381,15 +390,15 @@
     let mut alone = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     let local = "192.0.2.1".parse().expect("an address");
     for _ in 0..5 {
-        assert!(alone.peer.takes(0));
-        alone.give(0, Input::Connected(Side::In, local));
+        assert!(alone.peer.accepts_inbound(0));
+        alone.give(0, Input::Connected(Direction::Inbound, local));
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
         let (_, kind) = frame(octets.first_chunk().expect("a header")).expect("sound");
-        alone.give(0, Input::Message(Side::In, kind, &octets[HEADER..]));
+        alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER..]));
     }
     assert_eq!(alone.peer.view().state, State::Established);
-    assert!(!alone.peer.takes(0));
+    assert!(!alone.peer.accepts_inbound(0));
     // And one that never speaks is told after four minutes.
     let mut mute = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     let mut out = Vec::new();
@@ -413,20 +422,20 @@
     for _ in 0..4000 {
         alone.message(SECOND, &update);
     }
-    assert_eq!(alone.peer.view().prefixes, (1_000_000, 0));
+    assert_eq!(alone.peer.view().prefixes, PrefixCounts { announced: 1_000_000, withdrawn: 0 });
     assert_eq!(alone.peer.view().state, State::Established);
-    assert!(alone.out.iter().all(|deed| !matches!(deed, Deed::Write(_, o) if o[18] == 3)));
+    assert!(alone.out.iter().all(|action| !matches!(action, PeerAction::Write(_, o) if o[18] == 3)));
     assert!(size < 4096, "{size}");
-    assert!(alone.peer.next().is_some_and(|at| at <= 4 * SECOND), "keepalives go on");
+    assert!(alone.peer.next_timer().is_some_and(|at| at <= 4 * SECOND), "keepalives go on");
 }
 
 #[test]
 fn a_peer_that_asks_is_told_all_of_that_family_once_more() {
     let mut alone = Alone::standing();
     alone.peer.announce(&wanted(&["192.0.2.1/32", "198.51.100.0/24", "2001:db8:1::/48"]), &mut alone.out);
-    let announced = |deeds: &[Deed]| {
-        let routes = deeds.iter().filter_map(|deed| match deed {
-            Deed::Write(_, octets) => Some(bgp_router::decode(octets, 4)),
+    let announced = |actions: &[PeerAction]| {
+        let routes = actions.iter().filter_map(|action| match action {
+            PeerAction::Write(_, octets) => Some(bgp_router::decode(octets, 4)),
             _ => None,
         });
         routes
@@ -448,10 +457,10 @@
     // Without NEXT_HOP.
     let body = [0, 0, 0, 13, 0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xfc, 1, 24, 100, 64, 1];
     alone.message(1, &bgp_router::encode(2, &body));
-    assert_eq!((alone.peer.view().malformed, alone.peer.view().state), (1, State::Established));
+    assert_eq!((alone.peer.view().malformed_updates, alone.peer.view().state), (1, State::Established));
     alone.message(1, &bgp_router::encode(2, &[0, 9, 0, 0]));
     assert_eq!((alone.notified(), alone.peer.view().state), (Some((3, 1)), State::Idle));
-    assert!(alone.peer.view().told.is_empty());
+    assert!(alone.peer.view().advertised.is_empty());
     // Before the session stands, none is awaited.
     let mut early = Alone::connected(settings(64512, 64513, [10, 0, 0, 1]));
     early.message(0, &bgp_router::encode(2, &[0, 9, 0, 0]));
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -129,7 +129,7 @@
     }
 
     /// The settings of health checks, and the path that they get.
-    fn health_check(&mut self, section: &HealthCheckFile) -> (bgp::ProbeSettings, Option<String>) {
+    fn health_check(&mut self, section: &HealthCheckFile) -> (bgp::HealthCheckSettings, Option<String>) {
         let every_ms = self.bounded("every_ms", &section.every_ms, DEFAULT_HEALTH_CHECK_MS, MAX_HOUR_MS);
         let timeout_ms = self.bounded(
             "timeout_ms",
@@ -149,11 +149,11 @@
             DEFAULT_CONCURRENT_HEALTH_CHECKS,
             MAX_CONCURRENT_HEALTH_CHECKS,
         );
-        let settings = bgp::ProbeSettings {
-            every: every_ms as i64 * MICROS_PER_MS,
+        let settings = bgp::HealthCheckSettings {
+            interval: every_ms as i64 * MICROS_PER_MS,
             timeout: timeout_ms as i64 * MICROS_PER_MS,
-            failures: failures as u32,
-            at_once,
+            unhealthy_threshold: failures as u32,
+            max_in_flight: at_once,
         };
         let Some(word) = &section.path else { return (settings, None) };
         let path = word.get_ref();
@@ -182,7 +182,11 @@
             hold_s: self.hold_time_s,
             next_hop_v4: peer.next_hop_v4,
             next_hop_v6: peer.next_hop_v6,
-            machine: bgp::Settings { passive: peer.passive, retry: self.retry, retry_most: self.max_retry },
+            machine: bgp::MachineSettings {
+                passive: peer.passive,
+                connect_retry_time: self.retry,
+                max_idle_hold_time: self.max_retry,
+            },
         }
     }
 }
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -31,7 +31,7 @@
     /// With more resident memory than this, nothing is announced.
     pub memory_bytes: Option<u64>,
     /// Health checks of endpoints.
-    pub probe: bgp::ProbeSettings,
+    pub probe: bgp::HealthCheckSettings,
     /// Health checks get this path; without one they only connect.
     pub probe_path: Option<String>,
     /// The peers.
@@ -49,7 +49,7 @@
     pub fn sockets(&self) -> usize {
         // Each peer's two connections, and one more that is being rejected or replaces one.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
-        3 * self.peers.len() + self.probe.at_once + listeners + MOST_OPERATORS
+        3 * self.peers.len() + self.probe.max_in_flight + listeners + MOST_OPERATORS
     }
 }
 
