--- a/crates/decide/src/admission/cursor_table.rs
+++ b/crates/decide/src/admission/cursor_table.rs
@@ -1,13 +1,15 @@
 //! The cursor table: for each priority level, the part of the base threshold that holds at each slot.
 //!
-//! Rule: the first slots hold the whole threshold. Further right the levels fall one after another, the lowest
-//! first, each within a number of steps to nothing; the highest keeps a rest, so that some answers still show
-//! when the overload ends. A cursor moves over the slots, one a period.
+//! Rule: in the first slots each level has its starting part of the threshold, lower levels less. Further
+//! right the levels fall one after another, the lowest first, each within a number of steps to nothing; the
+//! highest keeps a small part, so that some answers still show when the overload ends. A cursor moves over the
+//! slots, one a period.
 
 use super::PriorityLevel;
 
-/// Slots that hold the whole base threshold.
-const FULL_SLOTS: usize = 3;
+/// Slots at rest: each level has its starting part of the base threshold (1.0 for the highest, 0.8 for the
+/// lowest), so low priority can be shed here without [`CursorTable::is_shedding`].
+const REST_SLOTS: usize = 3;
 /// Steps in which one level falls to its end.
 const STEPS_PER_LEVEL: usize = 6;
 /// What the highest level keeps at the right end.
@@ -33,9 +35,9 @@
         self.levels[level.0][self.cursor]
     }
 
-    /// Has the cursor left the slots of full thresholds?
+    /// Has the cursor left the slots at rest?
     pub fn is_shedding(&self) -> bool {
-        self.cursor >= FULL_SLOTS
+        self.cursor >= REST_SLOTS
     }
 
     /// Does the cursor stand at the left?
@@ -74,14 +76,14 @@
     let levels_above = levels - 1 - level;
     let start = 1.0 - LEVEL_LEAD * levels_above as f64 / (levels - 1).max(1) as f64;
     let end = if levels_above == 0 { TOP_LEVEL_END } else { 0.0 };
-    let slots = FULL_SLOTS + levels * STEPS_PER_LEVEL;
+    let slots = REST_SLOTS + levels * STEPS_PER_LEVEL;
     (0..slots).map(|slot| start * (1.0 - fallen_part(slot, level) * (1.0 - end))).collect()
 }
 
 /// How far a level has fallen at a slot, from 0 to 1.
 fn fallen_part(slot: usize, level: usize) -> f64 {
-    let last_full_slot = FULL_SLOTS - 1 + level * STEPS_PER_LEVEL;
-    let steps = slot.saturating_sub(last_full_slot).min(STEPS_PER_LEVEL);
+    let last_rest_slot = REST_SLOTS - 1 + level * STEPS_PER_LEVEL;
+    let steps = slot.saturating_sub(last_rest_slot).min(STEPS_PER_LEVEL);
     steps as f64 / STEPS_PER_LEVEL as f64
 }
 
--- a/crates/decide/src/admission/cursor_table/tests.rs
+++ b/crates/decide/src/admission/cursor_table/tests.rs
@@ -1,11 +1,11 @@
-use super::{CursorTable, PriorityLevel, FULL_SLOTS, STEPS_PER_LEVEL, TOP_LEVEL_END};
+use super::{CursorTable, PriorityLevel, REST_SLOTS, STEPS_PER_LEVEL, TOP_LEVEL_END};
 
 #[test]
 fn lower_levels_fall_first_and_the_highest_keeps_a_rest() {
     let mut table = CursorTable::new(2);
     let (low, high) = (PriorityLevel(0), PriorityLevel(1));
     assert!(table.part(low) < table.part(high));
-    for _ in 0..FULL_SLOTS + STEPS_PER_LEVEL {
+    for _ in 0..REST_SLOTS + STEPS_PER_LEVEL {
         table.step_right();
     }
     assert!(table.part(low).abs() < 1e-9);
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -83,7 +83,7 @@
 /// Shedding began or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SheddingChange {
-    /// The cursor has left the slots of full thresholds.
+    /// The cursor has left the slots at rest.
     Begins,
     /// It is back there.
     Ends,
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -1,4 +1,4 @@
-//! The base threshold: requests in flight that the whole slots of the cursor table admit.
+//! The base threshold: requests in flight that the highest priority level is admitted up to at rest.
 //!
 //! Rule: by Little's law, a part of the requests in flight at which an answer takes its whole latency
 //! objective at the rate now served. It rises at once and falls slowly. Before there are samples it is a
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -2,11 +2,13 @@
 //!
 //! Rules:
 //! - the retry budget earns a fixed part of a retry with each request, so retries cannot feed an overload;
-//!   an attempt that never connected cost no endpoint anything and is free;
+//!   a retry after an attempt that never connected does not spend the budget, as that cost no endpoint
+//!   anything, but needs a token in it;
 //! - no retry after a timeout, nor with less time left than half of what the class typically takes;
 //! - what has run, or may have, is repeated only as far as the class's [`Semantics`] allow.
 //!
-//! Bounds: `max_attempts` of the settings and of the request; two attempts at a time only with hedging.
+//! Bounds: `max_attempts` of the settings and of the request; one attempt at a time, as nothing starts a second one
+//! (`hedging_allowed` only lets it pass).
 
 use crate::attempts::{Attempt, PendingRequest};
 use crate::endpoint_table::EndpointTable;
@@ -37,12 +39,12 @@
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// May an attempt that ended so be retried? `time_left` and `typical_latency` are in microseconds.
+    /// May an attempt that ended so be retried? Needs a token whatever the outcome. `time_left` and `typical_latency` are in microseconds.
     pub fn allows(&self, outcome: Outcome, time_left: f64, typical_latency: f64) -> bool {
         time_left > typical_latency / 2.0 && outcome != Outcome::Timeout && self.tokens >= 1.0
     }
 
-    /// Pays for a retry after an attempt that ended so.
+    /// Pays for a retry after an attempt that ended so; one after a failed connection costs nothing.
     pub fn spend(&mut self, outcome: Outcome) {
         if outcome != Outcome::ConnectFailed {
             self.tokens -= 1.0;
--- a/crates/decide/src/selection/outlier.rs
+++ b/crates/decide/src/selection/outlier.rs
@@ -1,9 +1,9 @@
 //! Outlier detection: endpoints that fail are ejected for a while.
 //!
 //! Rules:
-//! - consecutive failures eject an endpoint: one failed connection, two resets (a response that cannot be
-//!   read may come from a sound endpoint) or three timeouts; each further one doubles the time, three times at
-//!   most, from one observation window;
+//! - a failure ejects once failures in a row, of any kind, reach the limit of its own kind: 1 connect failure,
+//!   2 resets (a response that cannot be read may come from a sound endpoint), 3 timeouts; each further one
+//!   doubles the time, three times at most, from one observation window;
 //! - an endpoint that rejects a request as full is ejected until one of its requests may have ended: it answers
 //!   at once and so has nothing of ours in flight, and would rank first;
 //! - where most of a pool is ejected, ejection is ignored.
@@ -17,11 +17,11 @@
 use crate::time::{jittered, Micros, ObservationWindow};
 use crate::Outcome;
 
-/// Consecutive timeouts that eject an endpoint.
+/// Failures in a row of any kind from which a timeout ejects.
 const TIMEOUTS_TO_EJECT: u32 = 3;
-/// Consecutive broken connections that eject an endpoint.
+/// Failures in a row of any kind from which a broken connection ejects.
 const RESETS_TO_EJECT: u32 = 2;
-/// Consecutive failed connections that eject an endpoint.
+/// Failures in a row of any kind from which a failed connection ejects.
 const CONNECT_FAILURES_TO_EJECT: u32 = 1;
 /// The time of ejection is doubled at most so many times.
 const MAX_DOUBLINGS: u32 = 3;
--- a/crates/decide/src/selection/ranking.rs
+++ b/crates/decide/src/selection/ranking.rs
@@ -112,7 +112,7 @@
             ready: &self.ready.all,
             throughput: self.throughput,
         };
-        self.slow_start.try_acquire(endpoint, &mut pool, self.rng)
+        self.slow_start.draw_permission(endpoint, &mut pool, self.rng)
     }
 
     fn score(&mut self, endpoint: EndpointIndex, most_ejected: bool) -> f64 {
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -83,7 +83,8 @@
     pub max_poll_interval: Micros,
     /// Attempts may be cancelled.
     pub can_cancel: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Two attempts of one request may be in flight together. Accepted from the platform's settings; this
+    /// version never hedges.
     pub hedging_allowed: bool,
     /// Health checks may be sent to endpoints.
     pub health_checks_allowed: bool,
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -61,10 +61,11 @@
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Refills at `rate` up to `max_tokens`, and takes a token if there is one. Less than one token is a chance
-    /// of one, lost when not drawn: many balancers that each saved up a whole token would send at the same
-    /// time when their warm endpoints fail.
-    fn try_acquire(
+    /// Refills at `rate` (tokens a microsecond) up to `max_tokens`, and draws whether a request may be sent:
+    /// less than one token is the chance of one. A failed draw empties the bucket, as many balancers that each
+    /// saved up a whole token would send at the same time when their warm endpoints fail; a successful one
+    /// spends nothing until [`SlowStartBudget::spend`].
+    fn draw_permission(
         &mut self,
         now: Micros,
         up_since: Option<Micros>,
@@ -76,11 +77,11 @@
         let since_refill = (now - refilled_at).max(0) as f64;
         self.tokens = (self.tokens + since_refill * rate).min(max_tokens);
         self.refilled_at = now;
-        let is_acquired = rng.f64() < self.tokens;
-        if !is_acquired {
+        let is_permitted = rng.f64() < self.tokens;
+        if !is_permitted {
             self.tokens = 0.0;
         }
-        is_acquired
+        is_permitted
     }
 }
 
@@ -154,14 +155,14 @@
         self.warm_capacity = Some(known + step * (measured - known));
     }
 
-    /// May this endpoint get a request now? Warm ones always may.
-    pub fn try_acquire(&self, index: EndpointIndex, pool: &mut SlowStartPool<'_>, rng: &mut Rng) -> bool {
+    /// Draws whether this endpoint may get a request now. Warm ones always may.
+    pub fn draw_permission(&self, index: EndpointIndex, pool: &mut SlowStartPool<'_>, rng: &mut Rng) -> bool {
         let now = pool.now;
         let Some(fraction) = self.capacity_fraction(now, &pool.endpoints[index].entry) else { return true };
         let rate = self.safe_rate(fraction, self.warm_capacity_now(pool));
         let max_tokens = rate * self.overload_window / 2.0;
         let record = &mut pool.endpoints[index];
-        record.slow_start.try_acquire(now, record.entry.up_since, rate, max_tokens, rng)
+        record.slow_start.draw_permission(now, record.entry.up_since, rate, max_tokens, rng)
     }
 
     /// What a warm endpoint carries: as last measured, or by what is served now if that is more. What is
--- a/crates/decide/src/slow_start/tests.rs
+++ b/crates/decide/src/slow_start/tests.rs
@@ -28,11 +28,11 @@
 fn budget_is_refilled_at_its_rate_and_lost_when_not_drawn() {
     let mut rng = Rng::with_seed(1);
     let mut budget = SlowStartBudget::default();
-    assert!(!budget.try_acquire(0, Some(0), 0.01, 5.0, &mut rng), "nothing has come in yet");
-    assert!(budget.try_acquire(200, Some(0), 0.01, 5.0, &mut rng));
+    assert!(!budget.draw_permission(0, Some(0), 0.01, 5.0, &mut rng), "nothing has come in yet");
+    assert!(budget.draw_permission(200, Some(0), 0.01, 5.0, &mut rng));
     assert!((budget.tokens() - 2.0).abs() < 1e-9);
     budget.spend();
     assert!((budget.tokens() - 1.0).abs() < 1e-9);
-    assert!(budget.try_acquire(100_000, Some(0), 0.01, 5.0, &mut rng));
+    assert!(budget.draw_permission(100_000, Some(0), 0.01, 5.0, &mut rng));
     assert!((budget.tokens() - 5.0).abs() < 1e-9, "at most its maximum");
 }
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -5,7 +5,7 @@
 use decide::{Action, Event, NewRequest, Outcome, RequestId, Settings};
 
 #[test]
-fn connect_failure_is_retried_without_the_retry_budget() {
+fn connect_failures_do_not_use_up_the_initial_retry_budget() {
     let endpoints = pool(6);
     let mut proxy = Proxy::new(settings(), &endpoints);
     // Nearly every endpoint is down at once, and few requests came to earn a retry budget.
--- a/crates/membership/src/call.rs
+++ b/crates/membership/src/call.rs
@@ -5,7 +5,8 @@
 use crate::lease::{NOTIFIED_AFTER_CALL, NOTIFIED_AFTER_WAIT};
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// A call is overdue when its response has not started by this time after the requested wait.
+/// A call is overdue when its response has not started by this time after the requested wait or the queue limit, whichever is
+/// longer.
 pub(crate) const RESPONSE_GRACE: Micros = 250 * MILLISECOND;
 /// Discovery serves calls in turn and rejects one that would queue for longer than this (platform's rule).
 pub(crate) const QUEUE_LIMIT: Micros = 2 * SECOND;
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -1,5 +1,8 @@
 //! The lease on the list: for how long requests may be forwarded by it.
 //!
+//! The platform counts a drain as *notified* to a proxy a fixed time after the proxy's call, received or not. From then on the proxy
+//! has `drain_grace` to stop sending to that endpoint. As it may have missed the drain, it then stops sending to all.
+//!
 //! Its one bound is the moment from which on a change that this process has not received may count as notified. Each state has
 //! one, the states in which no call has been made or none has failed included:
 //!
@@ -21,7 +24,7 @@
 use crate::call::DiscoveryCall;
 use crate::time::{Micros, MILLISECOND, SECOND};
 use crate::watch::DiscoveryMode;
-use outage::Outage;
+use outage::{FailureMeaning, Outage};
 
 /// Changes count as notified this long after the wait of a call is over, whether they arrived or not (platform's rule).
 pub(crate) const NOTIFIED_AFTER_WAIT: Micros = 2 * SECOND;
@@ -52,7 +55,7 @@
     response_missing_from: Option<Micros>,
     /// From when on all of discovery's changes count as notified, since calls fail.
     calls_failed_from: Option<Micros>,
-    /// The longest suspension is counted from here at the earliest.
+    /// `max_suspension` is counted from this time, or from [`Lease::response_missing_from`] or the bound itself if that is later.
     suspension_counts_from: Option<Micros>,
     /// Other callers may have reached discovery since the calls began to fail, while it had a change.
     others_reached_it: bool,
@@ -191,10 +194,11 @@
         }
     }
 
+    /// The order matters: the failure is classified by the proof and the outage before it, and the bound follows from both after it.
     fn fail_service(&mut self, now: Micros, call: &DiscoveryCall, failure: CallFailure, terms: LeaseTerms) {
         let previous_outage = self.outage;
-        let goes_down = self.goes_down(now, call, failure);
-        self.outage = self.outage_after(now, call, failure, goes_down);
+        let meaning = self.classify(now, call, failure);
+        self.outage = meaning.outage(now);
         let proven_until = self.proven_until(now, call, failure);
         if let ListProof::Confirmed { at } = &mut self.proof {
             *at = proven_until.max(*at);
@@ -204,22 +208,24 @@
             (_, Outage::Presumed { since }) => since + terms.presumed_outage + NOTIFIED_AFTER_CALL,
             _ => proven_until + NOTIFIED_AFTER_CALL,
         };
-        let counts_anew = goes_down || self.is_unreachable_anew(previous_outage, failure);
-        self.restart_failure_bound(notified_from, call.started_at - proven_until, counts_anew);
+        let restarts =
+            meaning == FailureMeaning::OutageBegins || self.restarts_failure_bound(previous_outage, failure);
+        self.update_failure_bound(notified_from, call.started_at - proven_until, restarts);
         let reached_discovery = failure != CallFailure::ConnectionRefused && !self.is_outage_presumed();
         self.others_reached_it |= reached_discovery && !call.was_watching(now);
     }
 
-    /// Whether the time counts anew since nobody could reach discovery, and nobody did in between.
-    fn is_unreachable_anew(&self, previous_outage: Outage, failure: CallFailure) -> bool {
+    /// Whether the six seconds start again: discovery was unreachable for everyone, and no call reached it since the first failure.
+    /// Expects the outage that follows from this failure.
+    fn restarts_failure_bound(&self, previous_outage: Outage, failure: CallFailure) -> bool {
         let went_down = previous_outage == Outage::Refused && self.is_outage_presumed();
         (failure == CallFailure::ConnectionRefused || went_down) && !self.others_reached_it
     }
 
     /// Sets the bounds that follow from a failed call. A gap between the proof and the call makes the suspension start
     /// sooner, and end no sooner.
-    fn restart_failure_bound(&mut self, notified_from: Micros, gap: Micros, counts_anew: bool) {
-        if counts_anew {
+    fn update_failure_bound(&mut self, notified_from: Micros, gap: Micros, restarts: bool) {
+        if restarts {
             self.calls_failed_from = None;
             self.suspension_counts_from = None;
         }
--- a/crates/membership/src/lease/outage.rs
+++ b/crates/membership/src/lease/outage.rs
@@ -29,36 +29,68 @@
     now - call.started_at < IMMEDIATE_ERROR
 }
 
+/// What one failed call says of discovery.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FailureMeaning {
+    /// The kernel refused the connection.
+    Refused,
+    /// Discovery went down in this moment. The changes that it had before count anew, as they do not count as notified yet.
+    OutageBegins,
+    /// Discovery was presumed down before, since then.
+    OutageContinues {
+        /// The start of the outage.
+        since: Micros,
+    },
+    /// Discovery is found to be down since then; the changes that it had before do not count anew.
+    OutageFound {
+        /// The start of the outage.
+        since: Micros,
+    },
+    /// An overload may have ended the call, or nothing is known of discovery.
+    MayBeOverload,
+}
+
+impl FailureMeaning {
+    /// What is presumed of discovery after the failure.
+    pub(super) fn outage(self, now: Micros) -> Outage {
+        match self {
+            FailureMeaning::Refused => Outage::Refused,
+            FailureMeaning::OutageBegins => Outage::Presumed { since: now },
+            FailureMeaning::OutageContinues { since } | FailureMeaning::OutageFound { since } => {
+                Outage::Presumed { since }
+            }
+            FailureMeaning::MayBeOverload => Outage::None,
+        }
+    }
+}
+
 impl Lease {
-    /// What is presumed of discovery after a failure.
-    pub(super) fn outage_after(
-        &self,
-        now: Micros,
-        call: &DiscoveryCall,
-        failure: CallFailure,
-        goes_down: bool,
-    ) -> Outage {
+    /// What a failed call says, by how and when it ended and by what was known before.
+    pub(super) fn classify(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> FailureMeaning {
+        if failure == CallFailure::ConnectionRefused {
+            return FailureMeaning::Refused;
+        }
+        let is_error = failure == CallFailure::ErrorResponse;
+        let ended_at_once = ends_at_once(now, call);
         let is_at_limit = call.is_at_queue_limit(now);
-        let may_be_overload = is_at_limit && !call.continues_watch;
-        match (failure, self.outage) {
-            (CallFailure::ConnectionRefused, _) => Outage::Refused,
-            _ if goes_down => Outage::Presumed { since: now },
-            (_, Outage::Presumed { since }) => Outage::Presumed { since },
-            (CallFailure::ErrorResponse, _)
-                if self.is_confirmed() && !ends_at_once(now, call) && !may_be_overload =>
-            {
-                // A discovery that is down rejects calls at the queue limit, and was down when they were made.
-                Outage::Presumed { since: if is_at_limit { call.started_at } else { now } }
-            }
-            _ => Outage::None,
+        // No overload ends a call at any other moment.
+        if is_error && !ended_at_once && !is_at_limit && self.is_proof_recent(now) {
+            return FailureMeaning::OutageBegins;
+        }
+        if let Outage::Presumed { since } = self.outage {
+            return FailureMeaning::OutageContinues { since };
+        }
+        let may_be_overload = ended_at_once || (is_at_limit && !call.continues_watch);
+        if is_error && self.is_confirmed() && !may_be_overload {
+            // A discovery that is down rejects calls at the queue limit, and was down when they were made.
+            let since = if is_at_limit { call.started_at } else { now };
+            return FailureMeaning::OutageFound { since };
         }
+        FailureMeaning::MayBeOverload
     }
 
-    /// Whether a call ends with an error at a moment at which no overload ends one. Discovery went down in that moment, and the
-    /// changes that it had before count anew, unless they count as notified by now.
-    pub(super) fn goes_down(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> bool {
-        let may_be_overload = ends_at_once(now, call) || call.is_at_queue_limit(now);
-        let ListProof::Confirmed { at } = self.proof else { return false };
-        failure == CallFailure::ErrorResponse && !may_be_overload && now < at + NOTIFIED_AFTER_CALL
+    /// Whether a change since the last proof does not count as notified yet.
+    fn is_proof_recent(&self, now: Micros) -> bool {
+        matches!(self.proof, ListProof::Confirmed { at } if now < at + NOTIFIED_AFTER_CALL)
     }
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -58,8 +58,8 @@
         let router = &frontend.router;
         let terms = ShutdownPolicy {
             longest_client_timeout: router.max_request_deadline().as_micros() as Micros,
-            is_killed: router.has_termination_deadline(),
-            is_only_proxy: router.may_shut_down_alone(),
+            has_kill_deadline: router.has_termination_deadline(),
+            clients_may_have_no_other_proxy: router.may_shut_down_alone(),
             shares_listener: frontend.is_socket_shared,
         };
         let clock = Clock::new();
--- a/crates/shutdown/src/policy.rs
+++ b/crates/shutdown/src/policy.rs
@@ -11,7 +11,7 @@
 /// Requests are accepted until this much before the kill: most responses take less.
 const LAST_REQUEST_MARGIN: Micros = 1_200 * MILLISECOND;
 /// The same where clients have no other proxy: requests that cannot be answered in time are rejected at once.
-const LAST_REQUEST_MARGIN_ONLY_PROXY: Micros = 500 * MILLISECOND;
+const LAST_REQUEST_MARGIN_NO_OTHER_PROXY: Micros = 500 * MILLISECOND;
 /// Responses are sent this much before the kill, or [`LATENESS_FACTOR`] times the process's own lateness if that is more.
 const MIN_RESPONSE_MARGIN: Micros = 200 * MILLISECOND;
 /// The signal may be seen late, the deadline may be seen late, and the response may be written late.
@@ -25,9 +25,9 @@
     /// The longest time that a client waits for a response, in microseconds.
     pub longest_client_timeout: Micros,
     /// The process is killed soon after that time, whatever is open: all responses are due before.
-    pub is_killed: bool,
-    /// Clients may have no other proxy meanwhile.
-    pub is_only_proxy: bool,
+    pub has_kill_deadline: bool,
+    /// Clients may have no other proxy meanwhile, as in a tier of one or two.
+    pub clients_may_have_no_other_proxy: bool,
     /// Another process has the listening socket as well, and continues to accept on it.
     pub shares_listener: bool,
 }
@@ -41,7 +41,11 @@
     /// From the begin of the shutdown until no more requests are accepted. It is long because clients often have no other proxy
     /// while others of the tier restart too, and because they take a closed port for a failed proxy.
     pub(crate) fn accept_time(&self) -> Micros {
-        let margin = if self.is_only_proxy { LAST_REQUEST_MARGIN_ONLY_PROXY } else { LAST_REQUEST_MARGIN };
+        let margin = if self.clients_may_have_no_other_proxy {
+            LAST_REQUEST_MARGIN_NO_OTHER_PROXY
+        } else {
+            LAST_REQUEST_MARGIN
+        };
         MIN_ACCEPT_TIME.max(self.time_until_kill() - margin)
     }
 
--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -27,7 +27,7 @@
 
     /// A client waits for this long, in microseconds. Where the platform says when it kills, that does not move the kill.
     pub fn observe_client_timeout(&mut self, timeout: Micros) {
-        if !self.policy.is_killed {
+        if !self.policy.has_kill_deadline {
             self.policy.longest_client_timeout = self.policy.longest_client_timeout.max(timeout);
         }
     }
@@ -64,7 +64,7 @@
     #[must_use]
     pub fn responses_due_at(&self) -> Option<Micros> {
         let began_at = self.began_at?;
-        Some(if self.policy.is_killed {
+        Some(if self.policy.has_kill_deadline {
             // With short client timeouts, connections are still accepted when the last responses are due.
             began_at + self.policy.response_time(self.lateness).max(self.accept_time())
         } else {
@@ -81,7 +81,7 @@
     /// Whether the time of open requests is up.
     #[must_use]
     pub fn is_time_up(&self, now: Micros) -> bool {
-        self.policy.is_killed && self.responses_due_at().is_some_and(|due_at| due_at <= now)
+        self.policy.has_kill_deadline && self.responses_due_at().is_some_and(|due_at| due_at <= now)
     }
 
     /// The time that a request may take which is received now, and whose client waits for this long, in microseconds.
--- a/crates/shutdown/tests/shutdown.rs
+++ b/crates/shutdown/tests/shutdown.rs
@@ -9,10 +9,15 @@
 
 fn policy(
     longest_client_timeout: shutdown::Micros,
-    is_only_proxy: bool,
+    clients_may_have_no_other_proxy: bool,
     shares_listener: bool,
 ) -> ShutdownPolicy {
-    ShutdownPolicy { longest_client_timeout, is_killed: true, is_only_proxy, shares_listener }
+    ShutdownPolicy {
+        longest_client_timeout,
+        has_kill_deadline: true,
+        clients_may_have_no_other_proxy,
+        shares_listener,
+    }
 }
 
 #[test]
@@ -20,12 +25,12 @@
     let (mut accepted_requests, mut closed_unserved, mut new) = (0, 0, 0);
     for seed in 0..6000 {
         let client_timeout = [50, 100, 300, 1000, 1500, 3000, 8000][seed as usize % 7] * MILLISECOND;
-        let (is_only_proxy, shares_listener) =
+        let (clients_may_have_no_other_proxy, shares_listener) =
             [(false, false), (true, false), (false, true)][seed as usize / 7 % 3];
         let hang_ratio = [0.0, 0.4, 1.0][seed as usize / 21 % 3];
         let max_lateness = [0, 5 * MILLISECOND, 25 * MILLISECOND][seed as usize / 63 % 3];
         let world = World {
-            policy: policy(client_timeout, is_only_proxy, shares_listener),
+            policy: policy(client_timeout, clients_may_have_no_other_proxy, shares_listener),
             hang_ratio,
             max_lateness,
         };
@@ -100,7 +105,7 @@
 
 #[test]
 fn a_process_that_is_not_killed_waits_for_its_open_requests() {
-    let mut shutdown = Shutdown::new(ShutdownPolicy { is_killed: false, ..policy(0, false, false) });
+    let mut shutdown = Shutdown::new(ShutdownPolicy { has_kill_deadline: false, ..policy(0, false, false) });
     // The timeouts of clients are all that is known.
     shutdown.observe_client_timeout(60_000 * MILLISECOND);
     shutdown.begin(0);
