--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -41,7 +41,7 @@
     },
     /// Poll discovery for the endpoint list.
     PollDiscovery,
-    /// Send a health check to an endpoint.
+    /// Send a health check to an endpoint. Not used by this version.
     HealthCheck(EndpointId),
     /// Send a message to another balancer of the tier.
     SendGossip {
--- a/crates/decide/src/admission/load.rs
+++ b/crates/decide/src/admission/load.rs
@@ -49,8 +49,10 @@
     latency_target: f64,
     /// Latencies, in latency objectives.
     latencies: Vec<f64>,
-    answers: f64,
-    rejections: f64,
+    /// Attempts that ended in this period with a load signal, and those that clients left.
+    ended: f64,
+    /// Those of them that were rejected or failed.
+    rejected_or_failed: f64,
     /// The latency of the quiet pool, in latency objectives.
     baseline: Option<f64>,
     periods_without_samples: u32,
@@ -63,8 +65,8 @@
             is_deepest_tier: settings.tier + 1 >= settings.tiers,
             latency_target: if settings.tier > 0 { DEEP_LATENCY_TARGET } else { FRONT_LATENCY_TARGET },
             latencies: Vec::new(),
-            answers: 0.0,
-            rejections: 0.0,
+            ended: 0.0,
+            rejected_or_failed: 0.0,
             baseline: None,
             periods_without_samples: 0,
         }
@@ -85,16 +87,16 @@
         match signal {
             LoadSignal::None => return,
             // Deeper tiers answer what they shed with an error.
-            LoadSignal::Rejected | LoadSignal::Failed => self.rejections += 1.0,
+            LoadSignal::Rejected | LoadSignal::Failed => self.rejected_or_failed += 1.0,
             LoadSignal::Latency(units) => self.latencies.push(LoadSignal::latency_in_objectives(units)),
         }
-        self.answers += 1.0;
+        self.ended += 1.0;
     }
 
     /// Takes in that a client left while its request was in flight: to it the answer was late.
     pub fn record_disconnect(&mut self) {
         self.latencies.push(1.0);
-        self.answers += 1.0;
+        self.ended += 1.0;
     }
 
     /// Has no latency been sampled in this period?
@@ -132,14 +134,14 @@
     /// Forgets the samples of the period that ends.
     pub fn start_period(&mut self) {
         self.latencies.clear();
-        self.answers = 0.0;
-        self.rejections = 0.0;
+        self.ended = 0.0;
+        self.rejected_or_failed = 0.0;
     }
 
     /// Follows the baseline, and gives the load at a median latency (in latency objectives).
     fn load_by_latency(&mut self, latency: f64, is_quiet: bool) -> f64 {
         let baseline = self.follow_baseline(latency, is_quiet).min(MAX_BASELINE);
-        let rejected_part = self.rejections / self.answers.max(1.0);
+        let rejected_part = self.rejected_or_failed / self.ended.max(1.0);
         latency / (baseline + self.latency_target * (1.0 - baseline)) + rejected_part
     }
 
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -41,24 +41,11 @@
     Admit,
     /// Shed at once.
     Shed {
-        /// Why.
-        reason: ShedReason,
         /// The Retry-After for its client, in microseconds; 0 sends none.
         retry_after: Micros,
     },
 }
 
-/// Why a request is shed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ShedReason {
-    /// It would take one of the last connections of a balancer that shuts down.
-    ReservedConnections,
-    /// Too little time is left.
-    CannotMeetDeadline,
-    /// Its priority level has met its threshold.
-    Overload,
-}
-
 /// What the threshold is compared with.
 #[derive(Clone, Copy)]
 pub(crate) struct Occupancy {
@@ -134,21 +121,18 @@
         let typical_latency = latency.typical(ClassIndex(request.class));
         if self.reserved.must_stay_free(request.downstream_connections, self.levels.levels_above(level)) {
             // A connection will be free by then.
-            let retry_after = typical_latency as Micros;
-            return AdmissionDecision::Shed { reason: ShedReason::ReservedConnections, retry_after };
-        }
-        if (request.time_left as f64) < MIN_TIME_LEFT * typical_latency {
-            return AdmissionDecision::Shed { reason: ShedReason::CannotMeetDeadline, retry_after: 0 };
+            return AdmissionDecision::Shed { retry_after: typical_latency as Micros };
         }
-        if self.has_met_threshold(level, occupancy) {
-            return AdmissionDecision::Shed { reason: ShedReason::Overload, retry_after: 0 };
+        let cannot_meet_deadline = (request.time_left as f64) < MIN_TIME_LEFT * typical_latency;
+        if cannot_meet_deadline || self.has_met_threshold(level, occupancy) {
+            return AdmissionDecision::Shed { retry_after: 0 };
         }
         AdmissionDecision::Admit
     }
 
     fn has_met_threshold(&self, level: PriorityLevel, occupancy: Occupancy) -> bool {
-        let limit = self.threshold.limit(occupancy, self.table.is_shedding());
-        f64::from(limit.in_flight) >= limit.threshold * self.table.part(level)
+        let check = self.threshold.check(occupancy, self.table.is_shedding());
+        f64::from(check.in_flight) >= check.threshold * self.table.part(level)
     }
 
     /// The Retry-After to send with a rejection, in microseconds; 0 sends none. While shedding, clients are to
--- a/crates/decide/src/admission/priority.rs
+++ b/crates/decide/src/admission/priority.rs
@@ -8,10 +8,10 @@
 use crate::time::Micros;
 use crate::{NewRequest, Settings};
 
-/// The span over which a tenant's requests are counted, in microseconds.
-const QUOTA_WINDOW_US: f64 = 2e6;
-/// The same in seconds.
+/// The span over which a tenant's requests are counted, in seconds.
 const QUOTA_WINDOW_S: f64 = 2.0;
+/// The same in microseconds.
+const QUOTA_WINDOW_US: f64 = QUOTA_WINDOW_S * 1e6;
 /// How far a tenant may exceed its share before it counts.
 const QUOTA_TOLERANCE: f64 = 1.3;
 /// Requests that do not count against a quota.
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -19,7 +19,8 @@
 /// The threshold is at least this while nothing is shed, so that a balancer that sees little does not shed by
 /// chance. Not while shedding: the floors of many small balancers would add up to more than the pool can do.
 const MIN_THRESHOLD: f64 = 8.0;
-/// The floor is at most this many square roots over the threshold: about the spread by chance.
+/// The floor exceeds the threshold by at most this many standard deviations (the square root of the threshold)
+/// of a random count.
 const FLOOR_SPREAD: f64 = 1.5;
 
 /// The base threshold of one balancer.
@@ -29,9 +30,10 @@
     balancers: f64,
 }
 
-/// A number of requests in flight, and the threshold to compare it with.
+/// The in-flight count and threshold to compare: this balancer's, or where that is small the sums over its
+/// gossip group.
 #[derive(Clone, Copy)]
-pub(crate) struct Limit {
+pub(crate) struct ThresholdCheck {
     /// The requests in flight.
     pub in_flight: u32,
     /// The threshold of the whole slots.
@@ -64,7 +66,8 @@
     }
 
     /// The endpoint list has changed. A start at full load without a threshold would build a backlog that
-    /// outlives it; one learned on another pool would crowd the endpoints left, or leave new ones idle.
+    /// outlives it; one learned on another pool would crowd the endpoints left, or leave new ones idle. What was
+    /// served before scales alike, as the next threshold is computed from it.
     pub fn on_pool_change(&mut self, ready_before: usize, ready: usize, throughput: &mut Throughput) {
         if ready == 0 {
             return;
@@ -74,7 +77,7 @@
         } else if ready_before > 0 {
             let part = ready as f64 / ready_before as f64;
             self.value *= part;
-            throughput.served.sum *= part;
+            throughput.scale_served(part);
         }
     }
 
@@ -94,9 +97,9 @@
         self.value < MIN_THRESHOLD
     }
 
-    /// What to compare with what. Where the own threshold is small, a group that gossips compares the sum of
-    /// its requests in flight with the sum of its thresholds.
-    pub fn limit(&self, occupancy: Occupancy, is_shedding: bool) -> Limit {
+    /// What to compare now: where the own threshold is small, a group that gossips compares the sum of its
+    /// requests in flight with the sum of its thresholds.
+    pub fn check(&self, occupancy: Occupancy, is_shedding: bool) -> ThresholdCheck {
         let mut in_flight = occupancy.in_flight;
         let mut threshold = self.value;
         if self.is_small() {
@@ -105,7 +108,7 @@
         }
         let floor =
             if is_shedding { 0.0 } else { MIN_THRESHOLD.min(threshold + FLOOR_SPREAD * threshold.sqrt()) };
-        Limit { in_flight, threshold: threshold.max(floor) }
+        ThresholdCheck { in_flight, threshold: threshold.max(floor) }
     }
 }
 
--- a/crates/decide/src/admission/threshold/tests.rs
+++ b/crates/decide/src/admission/threshold/tests.rs
@@ -23,17 +23,17 @@
 fn floor_holds_only_while_nothing_is_shed() {
     let threshold = threshold(4);
     let alone = Occupancy { in_flight: 3, peers_in_flight: 0, peers: 0 };
-    assert!((threshold.limit(alone, false).threshold - 7.0).abs() < 1e-9);
-    assert!((threshold.limit(alone, true).threshold - 4.0).abs() < 1e-9);
+    assert!((threshold.check(alone, false).threshold - 7.0).abs() < 1e-9);
+    assert!((threshold.check(alone, true).threshold - 4.0).abs() < 1e-9);
 }
 
 #[test]
 fn small_thresholds_are_summed_over_a_gossip_group() {
     let occupancy = Occupancy { in_flight: 3, peers_in_flight: 9, peers: 2 };
-    let small = threshold(4).limit(occupancy, true);
+    let small = threshold(4).check(occupancy, true);
     assert_eq!(small.in_flight, 12);
     assert!((small.threshold - 12.0).abs() < 1e-9);
-    let large = threshold(40).limit(occupancy, true);
+    let large = threshold(40).check(occupancy, true);
     assert_eq!(large.in_flight, 3);
     assert!((large.threshold - 40.0).abs() < 1e-9);
 }
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -55,7 +55,7 @@
     pub class: ClassIndex,
     /// The endpoints that it may go to, where not to all.
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
-    /// The attempts that it may have.
+    /// The attempts that it may have; `usize::MAX` where it sets no limit.
     pub max_attempts: usize,
     /// When its attempts are given up.
     pub deadline: Micros,
@@ -207,8 +207,8 @@
         })
     }
 
-    /// A request has its answer: cancels what is still in flight where that is allowed, and forgets the
-    /// request once all its attempts have ended.
+    /// A request has its answer: cancels what is still in flight where `can_cancel` (the platform lets attempts
+    /// be cancelled), and forgets the request once all its attempts have ended.
     pub fn finish(&mut self, id: RequestId, can_cancel: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if can_cancel && !request.streaming && !request.answered {
--- a/crates/decide/src/discovery.rs
+++ b/crates/decide/src/discovery.rs
@@ -1,4 +1,5 @@
-//! When to poll discovery for the endpoint list.
+//! When to start a watch of discovery again that ended ([`UpdateScope::Failed`]), and when to start the first.
+//! In a running watch the crate `membership` (`DiscoveryWatch`) decides when to poll.
 //!
 //! Rule: only where the list does not come by itself. The first poll is spread over a span that grows with
 //! the fleet, because discovery takes longer to answer a fleet that starts at once. A poll that fails is
@@ -15,13 +16,22 @@
 /// A fleet of the typical size spreads its first polls over this part of the poll interval: one in eight.
 const FIRST_POLL_DIVISOR: i64 = 8;
 
+/// Whether a poll is needed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum PollState {
+    /// Never: the list comes by itself.
+    Pushed,
+    /// At the next timer.
+    Waiting,
+    /// Not now: a poll is under way, or the watch that it started has not ended.
+    Polling,
+}
+
 /// The state of polling.
 pub(crate) struct DiscoveryPoller {
-    must_poll: bool,
+    state: PollState,
     max_poll_interval: Micros,
     balancers: i64,
-    /// The list comes by itself, or a poll is under way.
-    is_subscribed: bool,
     backoff: Micros,
 }
 
@@ -29,17 +39,16 @@
     /// A poller that has not polled yet.
     pub fn new(settings: &Settings) -> Self {
         DiscoveryPoller {
-            must_poll: settings.poll_discovery,
+            state: if settings.poll_discovery { PollState::Waiting } else { PollState::Pushed },
             max_poll_interval: settings.max_poll_interval,
             balancers: i64::from(settings.balancers),
-            is_subscribed: !settings.poll_discovery,
             backoff: 0,
         }
     }
 
     /// When to poll first; `None` where the list comes by itself.
     pub fn first_poll_at(&self, now: Micros, rng: &mut Rng) -> Option<Micros> {
-        if !self.must_poll {
+        if self.state == PollState::Pushed {
             return None;
         }
         let fleet_span = self.balancers.max(TYPICAL_BALANCERS) * self.max_poll_interval
@@ -50,8 +59,11 @@
 
     /// A poll failed or the subscription broke: when to poll next, if polling is needed.
     pub fn on_failure(&mut self, now: Micros, rng: &mut Rng) -> Option<Micros> {
-        self.is_subscribed = !self.must_poll;
-        self.must_poll.then(|| now + rng.i64(1..=self.backoff.max(1)))
+        if self.state == PollState::Pushed {
+            return None;
+        }
+        self.state = PollState::Waiting;
+        Some(now + rng.i64(1..=self.backoff.max(1)))
     }
 
     /// An endpoint list came; one from the cache proves nothing of discovery.
@@ -63,10 +75,10 @@
 
     /// The poll timer is due; true where to poll now.
     pub fn on_timer(&mut self) -> bool {
-        if self.is_subscribed {
+        if self.state != PollState::Waiting {
             return false;
         }
-        self.is_subscribed = true;
+        self.state = PollState::Polling;
         self.backoff = (self.backoff * 2).clamp(self.max_poll_interval / 5, self.max_poll_interval).max(1);
         true
     }
--- a/crates/decide/src/dispatch.rs
+++ b/crates/decide/src/dispatch.rs
@@ -26,10 +26,10 @@
         self.slow_start.earn_warmup();
         self.requests.insert(request.id, PendingRequest::new(now, request, class));
         match self.admit(now, request) {
-            AdmissionDecision::Shed { retry_after, .. } => self.reject(request.id, retry_after, actions),
+            AdmissionDecision::Shed { retry_after } => self.give_up(request.id, retry_after, actions),
             AdmissionDecision::Admit => {
                 if !self.dispatch(now, request.id, actions) {
-                    self.reject(request.id, 0, actions);
+                    self.give_up(request.id, 0, actions);
                 }
             }
         }
@@ -171,12 +171,12 @@
         if may_retry && self.dispatch(now, id, actions) {
             self.retry_budget.spend(outcome);
         } else {
-            self.reject(id, 0, actions);
+            self.give_up(id, 0, actions);
         }
     }
 
     /// Gives up a request: rejects it where that may promise that nothing ran, and fails it otherwise.
-    fn reject(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.streaming || request.answered {
             return;
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -27,7 +27,8 @@
     pub id: EndpointId,
     /// Its state.
     pub state: EndpointState,
-    /// Its size relative to the others.
+    /// Its capacity relative to the others, for address announcements only; load balancing measures capacity
+    /// itself.
     pub weight: f64,
     /// When its process started; `None` for the distant past.
     pub up_since: Option<Micros>,
@@ -61,11 +62,11 @@
     pub queued: Option<f64>,
     /// Part of its processors in use.
     pub utilisation: Option<f64>,
-    /// Recent service time without waiting, in milliseconds.
+    /// Recent service time without waiting, in milliseconds. Not used by this version.
     pub service_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served a second. Not used by this version.
     pub requests_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors a second. Not used by this version.
     pub errors_per_s: Option<f64>,
 }
 
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -33,7 +33,7 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent, in microseconds.
+        /// Time since it was sent, in microseconds. Not used by this version, which measures it itself.
         took: Micros,
         /// The request has its final answer.
         is_final: bool,
@@ -55,9 +55,9 @@
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How it ended. Not used by this version.
         outcome: Outcome,
-        /// Time since it was sent, in microseconds.
+        /// Time since it was sent, in microseconds. Not used by this version.
         took: Micros,
         /// The endpoint's load report, if one came along.
         report: Option<LoadReport>,
--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -53,7 +53,8 @@
     pub typical_latency: Vec<DecayedMean>,
     /// What a successful answer of any class takes.
     pub pool_latency: DecayedMean,
-    /// The base threshold for each endpoint that is ready, in requests in flight; 0 where there is none yet.
+    /// The base threshold for each endpoint that is ready, in requests in flight; 0 where there is none yet;
+    /// importers ignore it.
     pub threshold_per_endpoint: f64,
     /// The position of the admission cursor in its table, from 0 to 1.
     pub cursor_position: f64,
--- a/crates/decide/src/learned/evidence.rs
+++ b/crates/decide/src/learned/evidence.rs
@@ -18,6 +18,8 @@
 const FULL_TRUST_WINDOWS: f64 = 2.0;
 /// Figures worth less than this many samples are ignored.
 const MIN_SAMPLES: f64 = 0.01;
+/// The least number of samples that a sum is divided by: keeps an empty mean from dividing by zero.
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// A figure, and the number of samples that it is worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -38,12 +40,21 @@
 }
 
 impl Prior {
+    /// The figure of a mean without samples.
     fn value(self) -> f64 {
         match self {
             Prior::Zero => 0.0,
             Prior::One => 1.0,
         }
     }
+
+    /// How many samples the prior counts as beside those of the mean.
+    fn weight(self) -> f64 {
+        match self {
+            Prior::Zero => 0.0,
+            Prior::One => 1.0,
+        }
+    }
 }
 
 /// What a mean comes to and how many samples it is worth by now; `None` where it is worth none.
@@ -57,18 +68,17 @@
     let DecayedMean { sum, weight, age } = *mean;
     let is_usable = sum.is_finite() && weight.is_finite() && sum >= 0.0 && weight >= 0.0;
     let age = age.max(0).saturating_add(state.age.max(0)) as f64;
-    let trust = (state.uptime.max(0) as f64 / (FULL_TRUST_WINDOWS * time_constant)).min(1.0);
+    let source_trust = (state.uptime.max(0) as f64 / (FULL_TRUST_WINDOWS * time_constant)).min(1.0);
     // A sum without samples counts as those that the slowest endpoint would have had.
     let samples_of_sum = match prior {
         Prior::Zero => 0.0,
         Prior::One => (sum / MAX_RELATIVE_LATENCY).min(MAX_SAMPLES),
     };
-    let samples = weight.max(samples_of_sum).min(MAX_SAMPLES) * decayed(age, DECAY_TIME_US) * trust;
+    let samples = weight.max(samples_of_sum).min(MAX_SAMPLES) * decayed(age, DECAY_TIME_US) * source_trust;
     if !is_usable || samples <= MIN_SAMPLES || samples.is_nan() {
         return None;
     }
-    let prior_weight = prior.value();
-    let value = (sum + prior.value() * prior_weight) / (weight + prior_weight).max(1e-9);
+    let value = (sum + prior.value() * prior.weight()) / (weight + prior.weight()).max(MIN_DIVISOR);
     Some(Evidence { value, weight: samples })
 }
 
--- a/crates/decide/src/learned/import.rs
+++ b/crates/decide/src/learned/import.rs
@@ -85,22 +85,23 @@
         if states.is_empty() {
             return;
         }
-        let trust = 0.5 + 0.5 * self.rng.f64();
-        self.import_typical_latency(now, states, trust);
+        // Random per balancer, so that importers of one state do not act in step.
+        let dither = 0.5 + 0.5 * self.rng.f64();
+        self.import_typical_latency(now, states, dither);
         let indexed: Vec<IndexedState<'_>> = states.iter().map(IndexedState::new).collect();
         for index in self.endpoints.indexes() {
-            self.import_endpoint(now, index, &indexed, trust);
+            self.import_endpoint(now, index, &indexed, dither);
         }
-        self.import_by_machine_kind(now, states, trust);
-        self.import_by_zone(now, states, trust);
+        self.import_by_machine_kind(now, states, dither);
+        self.import_by_zone(now, states, dither);
         if self.window.age(now) <= self.window.time_constant / 2.0 {
             self.import_threshold(states);
-            self.import_cursor(states, trust);
+            self.import_cursor(states, dither);
             self.import_baseline(states);
         }
     }
 
-    fn import_typical_latency(&mut self, now: Micros, states: &[LearnedState], trust: f64) {
+    fn import_typical_latency(&mut self, now: Micros, states: &[LearnedState], dither: f64) {
         let time_constant = self.window.time_constant;
         for class in 0..self.latency.typical.len() {
             let of_class = states.iter().filter_map(|state| {
@@ -110,7 +111,7 @@
                 let objective = self.latency.objective(ClassIndex(class));
                 let value =
                     value.clamp(objective / MIN_TYPICAL_LATENCY_DIVISOR, objective * MAX_TYPICAL_LATENCY);
-                let sample = Evidence { value, weight: weight * trust };
+                let sample = Evidence { value, weight: weight * dither };
                 add_to(&mut self.latency.typical[class], now, time_constant, sample);
             }
         }
@@ -118,7 +119,7 @@
             .iter()
             .filter_map(|state| evidence(time_constant, state, &state.pool_latency, Prior::Zero));
         if let Some(Evidence { value, weight }) = median_with_prior(of_pool, Prior::Zero) {
-            let sample = Evidence { value: value.clamp(1.0, time_constant), weight: weight * trust };
+            let sample = Evidence { value: value.clamp(1.0, time_constant), weight: weight * dither };
             add_to(&mut self.latency.pool, now, time_constant, sample);
         }
     }
@@ -128,7 +129,7 @@
         now: Micros,
         index: EndpointIndex,
         states: &[IndexedState<'_>],
-        trust: f64,
+        dither: f64,
     ) {
         let id = self.endpoints[index].entry.id;
         let up_since = self.endpoints[index].entry.up_since;
@@ -136,8 +137,8 @@
             Some(EndpointEvidence { state: indexed.state, endpoint: indexed.endpoints.get(&id)? })
         });
         let all: Vec<EndpointEvidence<'_>> = known.filter(|one| one.is_same_process(now, up_since)).collect();
-        self.import_endpoint_latency(now, index, &all, trust);
-        self.import_ejection(now, index, &all, trust);
+        self.import_endpoint_latency(now, index, &all, dither);
+        self.import_ejection(now, index, &all, dither);
     }
 
     fn import_endpoint_latency(
@@ -145,7 +146,7 @@
         now: Micros,
         index: EndpointIndex,
         all: &[EndpointEvidence<'_>],
-        trust: f64,
+        dither: f64,
     ) {
         let time_constant = self.window.time_constant;
         let latency = &mut self.endpoints[index].latency;
@@ -154,7 +155,7 @@
                 evidence(time_constant, one.state, one.endpoint.classes.get(class)?, Prior::One)
             });
             if let Some(median) = median_with_prior(of_class, Prior::One) {
-                let sample = relative_latency(median, trust);
+                let sample = relative_latency(median, dither);
                 add_to(latency.relative_mut(ClassIndex(class)), now, time_constant, sample);
             }
         }
@@ -166,7 +167,7 @@
         now: Micros,
         index: EndpointIndex,
         all: &[EndpointEvidence<'_>],
-        trust: f64,
+        dither: f64,
     ) {
         let mut ejected_for: Vec<Micros> = all.iter().map(EndpointEvidence::ejected_for).collect();
         ejected_for.sort_unstable();
@@ -177,26 +178,26 @@
         let is_minority = 2 * (ejected + 1) <= self.ready.all.len();
         let ejection = &mut self.endpoints[index].ejection;
         if remaining > 0 && is_minority && !ejection.is_ejected(now) {
-            ejection.ejected_until = now + (remaining as f64 * trust) as Micros;
+            ejection.ejected_until = now + (remaining as f64 * dither) as Micros;
         }
     }
 
-    fn import_by_machine_kind(&mut self, now: Micros, states: &[LearnedState], trust: f64) {
+    fn import_by_machine_kind(&mut self, now: Micros, states: &[LearnedState], dither: f64) {
         let time_constant = self.window.time_constant;
         let medians =
             medians_by_index(time_constant, states, |state| &state.latency_by_machine_kind, Prior::One);
         for (kind, median) in medians {
             let mean = self.latency.by_machine_kind.entry(MachineKindIndex(kind)).or_default();
-            add_to(mean, now, time_constant, relative_latency(median, trust));
+            add_to(mean, now, time_constant, relative_latency(median, dither));
         }
     }
 
-    fn import_by_zone(&mut self, now: Micros, states: &[LearnedState], trust: f64) {
+    fn import_by_zone(&mut self, now: Micros, states: &[LearnedState], dither: f64) {
         let time_constant = self.window.time_constant;
         let medians = medians_by_index(time_constant, states, |state| &state.loss_by_zone, Prior::Zero);
         for (zone, median) in medians {
             let loss = self.locality.loss_by_zone.entry(ZoneIndex(zone)).or_default();
-            let sample = Evidence { value: median.value.clamp(0.0, 1.0), weight: median.weight * trust };
+            let sample = Evidence { value: median.value.clamp(0.0, 1.0), weight: median.weight * dither };
             add_to(loss, now, time_constant, sample);
         }
     }
@@ -218,14 +219,14 @@
         }
     }
 
-    fn import_cursor(&mut self, states: &[LearnedState], trust: f64) {
+    fn import_cursor(&mut self, states: &[LearnedState], dither: f64) {
         let decay_time = CURSOR_DECAY_PERIODS * self.period as f64;
         let positions = states.iter().map(|state| Evidence {
             value: state.cursor_position.clamp(0.0, 1.0) * decayed(age(state), decay_time),
             weight: 1.0,
         });
         if let Some(position) = median(positions.filter(|position| position.value.is_finite()), 0.0) {
-            self.admission.table.advance_to(position.value * trust);
+            self.admission.table.advance_to(position.value * dither);
         }
     }
 
@@ -250,9 +251,9 @@
 }
 
 /// A relative latency within what is believed.
-fn relative_latency(median: Evidence, trust: f64) -> Evidence {
+fn relative_latency(median: Evidence, dither: f64) -> Evidence {
     let value = median.value.clamp(1.0 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
-    Evidence { value, weight: median.weight * trust }
+    Evidence { value, weight: median.weight * dither }
 }
 
 /// For each index that any state has a mean for, the median of these means.
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -49,7 +49,7 @@
     pub tenant: Option<usize>,
     /// Time until its client gives this request up, in microseconds.
     pub time_left: Micros,
-    /// Expected work on a standard core in microseconds, where known.
+    /// Expected work on a standard core in microseconds, where known. Not used by this version.
     pub work: Option<Micros>,
     /// The client says that this is a retry.
     pub is_retry: bool,
@@ -57,7 +57,8 @@
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
     /// The attempts that it may have, where that is fewer than the settings allow; 0 sets no limit.
     pub max_attempts: usize,
-    /// Its body has not been received yet and will be within this time (microseconds); its time counts from then.
+    /// Its body has not been received yet and will be within this time (microseconds); its time counts from then. 0 where
+    /// the body has been received.
     pub body_pending: Micros,
     /// The connections of its callers, where they get no new ones.
     pub downstream_connections: Option<DownstreamConnections>,
--- a/crates/decide/src/selection/candidates.rs
+++ b/crates/decide/src/selection/candidates.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Positions that are always looked at.
-    pub fn required(&self) -> usize {
+    /// The number of positions that are always ranked.
+    pub fn always_ranked(&self) -> usize {
         match self {
             Candidates::All(pool) => pool.len(),
             Candidates::Sample(_) => SAMPLE_SIZE,
@@ -129,16 +129,16 @@
         }
     }
 
-    /// All positions; those past [`Candidates::required`] only while no candidate may get the request.
-    pub fn limit(&self) -> usize {
+    /// The number of all positions; those past [`Candidates::always_ranked`] only while no candidate may get the request.
+    pub fn max_positions(&self) -> usize {
         match self {
-            Candidates::SubsetAndSample(_) => self.required() + FALLBACK_SAMPLE_SIZE,
-            _ => self.required(),
+            Candidates::SubsetAndSample(_) => self.always_ranked() + FALLBACK_SAMPLE_SIZE,
+            _ => self.always_ranked(),
         }
     }
 
     /// The candidate at a position. Every other one that is drawn beside the subset is from the own zone.
-    pub fn at(&self, position: usize, rng: &mut Rng) -> EndpointIndex {
+    pub fn pick(&self, position: usize, rng: &mut Rng) -> EndpointIndex {
         match self {
             Candidates::All(pool) => pool[position],
             Candidates::Sample(pool) => draw(pool, rng),
--- a/crates/decide/src/selection/candidates/tests.rs
+++ b/crates/decide/src/selection/candidates/tests.rs
@@ -37,10 +37,10 @@
 fn small_pools_are_ranked_whole() {
     let settings = Settings { balancers: 1, ..Settings::default() };
     let small = ready(SAMPLE_SIZE as u32, &settings);
-    assert_eq!(Candidates::new(&small, None).limit(), SAMPLE_SIZE);
+    assert_eq!(Candidates::new(&small, None).max_positions(), SAMPLE_SIZE);
     let large = ready(200, &Settings { balancers: 100, ..settings });
     let candidates = Candidates::new(&large, None);
-    assert!(candidates.limit() > candidates.required());
+    assert!(candidates.max_positions() > candidates.always_ranked());
     let filtered = Candidates::new(&large, Some(&large.all[..3]));
-    assert_eq!([filtered.required(), filtered.limit()], [3, 3]);
+    assert_eq!([filtered.always_ranked(), filtered.max_positions()], [3, 3]);
 }
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -136,13 +136,14 @@
         }
     }
 
-    /// Takes in a successful answer.
+    /// Takes in a successful answer that took `took` microseconds.
     pub fn record_success(&mut self, now: Micros, window: ObservationWindow, class: ClassIndex, took: f64) {
         self.pool.record(now, window.time_constant, took);
         self.typical[class.0].record(now, window.time_constant, took);
     }
 
-    /// Takes in the end of an attempt at an endpoint, after [`LatencyModel::record_success`] where it was one.
+    /// Takes in the end of an attempt at an endpoint that took `took` microseconds, after
+    /// [`LatencyModel::record_success`] where it was one.
     pub fn record_attempt(
         &mut self,
         now: Micros,
--- a/crates/decide/src/selection/ranking.rs
+++ b/crates/decide/src/selection/ranking.rs
@@ -77,11 +77,11 @@
         let pool = candidates.pool();
         let most_ejected = 2 * outlier::ejected_count(self.now, pool, self.endpoints) > pool.len();
         let mut best: Option<(f64, EndpointIndex)> = None;
-        for position in 0..candidates.limit() {
-            if position >= candidates.required() && best.is_some() {
+        for position in 0..candidates.max_positions() {
+            if position >= candidates.always_ranked() && best.is_some() {
                 break;
             }
-            let endpoint = candidates.at(position, self.rng);
+            let endpoint = candidates.pick(position, self.rng);
             if !self.may_send(endpoint) {
                 continue;
             }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -41,7 +41,7 @@
 pub struct Class {
     /// An answer within this time has its full value.
     pub latency_objective: Micros,
-    /// The longest a client waits.
+    /// The longest a client waits. Not used by this version's decisions: requests bring their own time left.
     pub deadline: Micros,
     /// The value of an answer; classes with more of it are shed later.
     pub priority_weight: f64,
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -25,6 +25,10 @@
 /// The part of the budget that is used at most; the rest is for balancers that get more than an even share of the
 /// requests.
 const MAX_BUDGET_USE: f64 = 0.5;
+/// The budget exceeds the mean number of requests by this many standard deviations of a Poisson count.
+const SAFETY_DEVIATIONS: f64 = 3.0;
+/// The least budget that is divided by, in requests: keeps an empty one from dividing by zero.
+const MIN_BUDGET: f64 = 1e-9;
 /// The least part of its capacity that a warming endpoint counts for.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 /// How fast the measured capacity of a warm endpoint is followed upwards, in parts a period.
@@ -194,7 +198,10 @@
     fn safe_rate(&self, fraction: f64, capacity: f64) -> f64 {
         let limit = self.overload_multiple * fraction * capacity * self.balancers;
         let budget = limit * self.overload_window;
-        let safe_part = (((9.0 + 4.0 * budget).sqrt() - 3.0) / 2.0).powi(2) / budget.max(1e-9);
+        // Solves x + 3 * sqrt(x) = budget: three standard deviations of a Poisson count of mean x stay below it.
+        let discriminant = SAFETY_DEVIATIONS * SAFETY_DEVIATIONS + 4.0 * budget;
+        let safe_mean = ((discriminant.sqrt() - SAFETY_DEVIATIONS) / 2.0).powi(2);
+        let safe_part = safe_mean / budget.max(MIN_BUDGET);
         safe_part.min(MAX_BUDGET_USE) * limit / self.balancers
     }
 
--- a/crates/decide/src/slow_start/tests.rs
+++ b/crates/decide/src/slow_start/tests.rs
@@ -35,4 +35,17 @@
     assert!((budget.tokens() - 1.0).abs() < 1e-9);
     assert!(budget.draw_permission(100_000, Some(0), 0.01, 5.0, &mut rng));
     assert!((budget.tokens() - 5.0).abs() < 1e-9, "at most its maximum");
+    let mut draw_half_a_token = || {
+        let mut budget = SlowStartBudget::default();
+        let is_drawn = budget.draw_permission(50, Some(0), 0.01, 5.0, &mut rng);
+        (is_drawn, budget.tokens())
+    };
+    let draws: Vec<(bool, f64)> = (0..100).map(|_| draw_half_a_token()).collect();
+    for is_drawn in [false, true] {
+        assert!(draws.iter().any(|draw| draw.0 == is_drawn), "half of the draws fail");
+    }
+    for (is_drawn, tokens) in draws {
+        let expected = if is_drawn { 0.5 } else { 0.0 };
+        assert!((tokens - expected).abs() < 1e-9, "a failed draw empties the bucket");
+    }
 }
--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -30,4 +30,9 @@
             self.served_warm.record(now, window.time_constant, 0.0);
         }
     }
+
+    /// Scales the objectives served to a pool that is `part` of the size that it had; the count stays.
+    pub fn scale_served(&mut self, part: f64) {
+        self.served.sum *= part;
+    }
 }
--- a/crates/decide/tests/equality.rs
+++ b/crates/decide/tests/equality.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn the_recorded_form_is_literal() {
+fn recorded_form_is_the_literal_text_of_each_action() {
     let (request, endpoint) = (RequestId(1), EndpointId(2));
     let forms = [
         (
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,6 +3,7 @@
 //!
 //! Pure: no I/O and no clock; times come in as microseconds, chance comes from a seed. [`DiscoveryWatch`] is the state machine of
 //! one proxy that watches one discovery, and owns the lease on its list; it does not look at the endpoints in it.
+//! When a watch that ended is started again is decided by the crate `decide` (its module `discovery`).
 //! [`Maintenance`] holds what operators set for endpoints beside it.
 #![warn(missing_docs)]
 
--- a/crates/membership/src/watch/backoff.rs
+++ b/crates/membership/src/watch/backoff.rs
@@ -13,15 +13,15 @@
 const DOUBT_WAIT: Micros = 250 * MILLISECOND;
 /// The wait of a call that confirms the list of a process that has just started: the shortest that the wire form allows.
 const CONFIRMING_WAIT: Micros = MILLISECOND;
-/// The longest backoff before the first retry; it is drawn from the upper three quarters.
-const FIRST_BACKOFF: Micros = 200 * MILLISECOND;
-/// The longest backoff before a further retry. Discovery's changes count as notified soon after, so it is short.
-const RETRY_BACKOFF: Micros = 2 * SECOND;
-/// The longest backoff where discovery rejected the call, since rejections cost an overloaded discovery work. The retry is in time
+/// Upper bound of the backoff before the first retry. Each backoff is drawn from a quarter of its bound to all of it.
+const MAX_FIRST_BACKOFF: Micros = 200 * MILLISECOND;
+/// Upper bound before a further retry. Discovery's changes count as notified soon after, so it is short.
+const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
+/// Upper bound where discovery rejected the call, since rejections cost an overloaded discovery work. The retry is in time
 /// for the lease all the same.
-const OVERLOAD_BACKOFF: Micros = 8 * SECOND;
-/// The longest backoff of the same kind while forwarding is suspended.
-const OVERLOAD_BACKOFF_SUSPENDED: Micros = 4 * SECOND;
+const MAX_OVERLOAD_BACKOFF: Micros = 8 * SECOND;
+/// Upper bound of the same kind while forwarding is suspended.
+const MAX_OVERLOAD_BACKOFF_SUSPENDED: Micros = 4 * SECOND;
 
 impl DiscoveryWatch {
     /// Draws how long discovery may hold the next call.
@@ -51,9 +51,9 @@
     fn longest_backoff(&self, now: Micros) -> Micros {
         // An agent beside the proxy bears any number of calls.
         if self.policy.mode == DiscoveryMode::Pushed {
-            return FIRST_BACKOFF;
+            return MAX_FIRST_BACKOFF;
         }
-        let backoff = if self.retries == 0 { FIRST_BACKOFF } else { RETRY_BACKOFF };
+        let backoff = if self.retries == 0 { MAX_FIRST_BACKOFF } else { MAX_RETRY_BACKOFF };
         if !self.lease.is_confirmed() && !self.has_version {
             return backoff.min(FIRST_CALL_SPREAD);
         }
@@ -64,9 +64,9 @@
         match self.expiry() {
             Some(expiry) if now < expiry.from => {
                 let in_time = expiry.from - now - QUEUE_LIMIT - RESPONSE_GRACE;
-                in_time.clamp(backoff, OVERLOAD_BACKOFF)
+                in_time.clamp(backoff, MAX_OVERLOAD_BACKOFF)
             }
-            _ => OVERLOAD_BACKOFF_SUSPENDED,
+            _ => MAX_OVERLOAD_BACKOFF_SUSPENDED,
         }
     }
 }
