--- a/crates/decide/src/learned/evidence.rs
+++ b/crates/decide/src/learned/evidence.rs
@@ -105,7 +105,8 @@
     median(all, prior.value())
 }
 
-/// Adds a figure to a mean as so many samples, as far as it has fewer than [`MAX_SAMPLES`].
+/// Adds a figure to a mean as so many samples, as far as it has fewer than [`MAX_SAMPLES`]. `time_constant` is in
+/// microseconds.
 pub(super) fn add_to(mean: &mut Ewma, now: Micros, time_constant: f64, evidence: Evidence) {
     mean.decay(now, time_constant);
     mean.updated_at = mean.updated_at.max(now);
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -106,8 +106,10 @@
 /// The capacity of warming endpoints, and the budget that follows from it.
 pub(crate) struct SlowStart {
     min_capacity: f64,
+    /// In microseconds.
     duration: f64,
     overload_multiple: f64,
+    /// In microseconds.
     overload_window: f64,
     balancers: f64,
     /// Successful answers a microsecond that one warm endpoint gives this balancer, when measured.
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -203,11 +203,13 @@
         if let ListProof::Confirmed { at } = &mut self.proof {
             *at = proven_until.max(*at);
         }
-        let notified_from = match (failure, self.outage) {
-            (CallFailure::ConnectionRefused, _) => now + NOTIFIED_AFTER_CALL,
-            (_, Outage::Presumed { since }) => since + terms.presumed_outage + NOTIFIED_AFTER_CALL,
-            _ => proven_until + NOTIFIED_AFTER_CALL,
+        // Up to then discovery had no change, or may still have been down.
+        let counted_from = match self.outage {
+            Outage::Refused => now,
+            Outage::Presumed { since } => since + terms.presumed_outage,
+            Outage::None => proven_until,
         };
+        let notified_from = counted_from + NOTIFIED_AFTER_CALL;
         let restarts =
             meaning == FailureMeaning::OutageBegins || self.restarts_failure_bound(previous_outage, failure);
         self.update_failure_bound(notified_from, call.started_at - proven_until, restarts);
