--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -41,7 +41,7 @@
 pub struct Class {
     /// An answer within this time has its full value.
     pub latency_objective: Micros,
-    /// The longest a client waits.
+    /// The longest a client waits. Not used by this version's decisions: requests bring their own time left.
     pub deadline: Micros,
     /// The value of an answer; classes with more of it are shed later.
     pub priority_weight: f64,
@@ -83,7 +83,8 @@
     pub max_poll_interval: Micros,
     /// Attempts may be cancelled.
     pub can_cancel: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Two attempts of one request may be in flight together. Accepted from the platform's settings; this
+    /// version never hedges.
     pub hedging_allowed: bool,
     /// Health checks may be sent to endpoints.
     pub health_checks_allowed: bool,
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -25,6 +25,10 @@
 /// The part of the budget that is used at most; the rest is for balancers that get more than an even share of the
 /// requests.
 const MAX_BUDGET_USE: f64 = 0.5;
+/// The budget exceeds the mean number of requests by this many standard deviations of a Poisson count.
+const SAFETY_DEVIATIONS: f64 = 3.0;
+/// The least budget that is divided by, in requests: keeps an empty one from dividing by zero.
+const MIN_BUDGET: f64 = 1e-9;
 /// The least part of its capacity that a warming endpoint counts for.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 /// How fast the measured capacity of a warm endpoint is followed upwards, in parts a period.
@@ -61,10 +65,11 @@
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Refills at `rate` up to `max_tokens`, and takes a token if there is one. Less than one token is a chance
-    /// of one, lost when not drawn: many balancers that each saved up a whole token would send at the same
-    /// time when their warm endpoints fail.
-    fn try_acquire(
+    /// Refills at `rate` (tokens a microsecond) up to `max_tokens`, and draws whether a request may be sent:
+    /// less than one token is the chance of one. A failed draw empties the bucket, as many balancers that each
+    /// saved up a whole token would send at the same time when their warm endpoints fail; a successful one
+    /// spends nothing until [`SlowStartBudget::spend`].
+    fn draw_permission(
         &mut self,
         now: Micros,
         up_since: Option<Micros>,
@@ -76,11 +81,11 @@
         let since_refill = (now - refilled_at).max(0) as f64;
         self.tokens = (self.tokens + since_refill * rate).min(max_tokens);
         self.refilled_at = now;
-        let is_acquired = rng.f64() < self.tokens;
-        if !is_acquired {
+        let is_permitted = rng.f64() < self.tokens;
+        if !is_permitted {
             self.tokens = 0.0;
         }
-        is_acquired
+        is_permitted
     }
 }
 
@@ -101,8 +106,10 @@
 /// The capacity of warming endpoints, and the budget that follows from it.
 pub(crate) struct SlowStart {
     min_capacity: f64,
+    /// In microseconds.
     duration: f64,
     overload_multiple: f64,
+    /// In microseconds.
     overload_window: f64,
     balancers: f64,
     /// Successful answers a microsecond that one warm endpoint gives this balancer, when measured.
@@ -154,14 +161,14 @@
         self.warm_capacity = Some(known + step * (measured - known));
     }
 
-    /// May this endpoint get a request now? Warm ones always may.
-    pub fn try_acquire(&self, index: EndpointIndex, pool: &mut SlowStartPool<'_>, rng: &mut Rng) -> bool {
+    /// Draws whether this endpoint may get a request now. Warm ones always may.
+    pub fn draw_permission(&self, index: EndpointIndex, pool: &mut SlowStartPool<'_>, rng: &mut Rng) -> bool {
         let now = pool.now;
         let Some(fraction) = self.capacity_fraction(now, &pool.endpoints[index].entry) else { return true };
         let rate = self.safe_rate(fraction, self.warm_capacity_now(pool));
         let max_tokens = rate * self.overload_window / 2.0;
         let record = &mut pool.endpoints[index];
-        record.slow_start.try_acquire(now, record.entry.up_since, rate, max_tokens, rng)
+        record.slow_start.draw_permission(now, record.entry.up_since, rate, max_tokens, rng)
     }
 
     /// What a warm endpoint carries: as last measured, or by what is served now if that is more. What is
@@ -193,7 +200,10 @@
     fn safe_rate(&self, fraction: f64, capacity: f64) -> f64 {
         let limit = self.overload_multiple * fraction * capacity * self.balancers;
         let budget = limit * self.overload_window;
-        let safe_part = (((9.0 + 4.0 * budget).sqrt() - 3.0) / 2.0).powi(2) / budget.max(1e-9);
+        // Solves x + 3 * sqrt(x) = budget: three standard deviations of a Poisson count of mean x stay below it.
+        let discriminant = SAFETY_DEVIATIONS * SAFETY_DEVIATIONS + 4.0 * budget;
+        let safe_mean = ((discriminant.sqrt() - SAFETY_DEVIATIONS) / 2.0).powi(2);
+        let safe_part = safe_mean / budget.max(MIN_BUDGET);
         safe_part.min(MAX_BUDGET_USE) * limit / self.balancers
     }
 
