--- a/crates/atomic-file/src/store.rs
+++ b/crates/atomic-file/src/store.rs
@@ -9,6 +9,7 @@
 const TEMPORARY_NAME: &str = "new.tmp";
 /// A file's name is its number, of this many digits, and this suffix.
 const NUMBER_DIGITS: usize = 20;
+/// From the former name of learned state, knowledge.
 const SUFFIX: &str = ".known";
 
 fn file_name(number: u64) -> String {
--- a/crates/learned-state/src/decode.rs
+++ b/crates/learned-state/src/decode.rs
@@ -6,7 +6,7 @@
     section_checksum, SectionKind, HEAD_LENGTH, MAGIC, MAX_ENDPOINTS, MAX_FILE_BYTES, MAX_LIST_ENTRIES,
     MAX_NAME_BYTES, MAX_POOLS, SECTION_HEAD_LENGTH, VERSION,
 };
-use crate::{DecayedMean, EndpointRecord, NamedMean, PoolRecord, Snapshot};
+use crate::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
 /// Why nothing can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The head cannot be read.
-pub fn decode(bytes: &[u8]) -> Result<(Snapshot, SkippedSections), DecodeError> {
+pub fn decode(bytes: &[u8]) -> Result<(LearnedSnapshot, SkippedSections), DecodeError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(DecodeError::TooLarge);
     }
@@ -92,7 +92,7 @@
 
 #[derive(Default)]
 struct Decoder {
-    snapshot: Snapshot,
+    snapshot: LearnedSnapshot,
     skipped: SkippedSections,
     /// The last pool section was decoded, so that sections of endpoints belong to the last pool.
     has_pool: bool,
@@ -199,11 +199,11 @@
         String::from_utf8(self.take(length)?.to_vec()).ok()
     }
 
-    fn mean(&mut self) -> Option<DecayedMean> {
-        Some(DecayedMean { sum: self.f64()?, weight: self.f64()?, age: self.u64()? })
+    fn mean(&mut self) -> Option<StoredMean> {
+        Some(StoredMean { sum: self.f64()?, weight: self.f64()?, age: self.u64()? })
     }
 
-    fn means(&mut self, count: usize) -> Option<Vec<DecayedMean>> {
+    fn means(&mut self, count: usize) -> Option<Vec<StoredMean>> {
         (0..count).map(|_| self.mean()).collect()
     }
 
@@ -241,15 +241,15 @@
     }
 
     /// The endpoints of the pool of this name; `None` where they are of another pool, whose own section was lost.
-    fn endpoints(&mut self, pool: &str, class_count: usize) -> Option<Vec<EndpointRecord>> {
+    fn endpoints(&mut self, pool: &str, class_count: usize) -> Option<Vec<StoredEndpoint>> {
         if self.u32()? != crc32c::crc32c(pool.as_bytes()) {
             return None;
         }
         self.list(|reader| reader.endpoint(class_count))
     }
 
-    fn endpoint(&mut self, class_count: usize) -> Option<EndpointRecord> {
-        Some(EndpointRecord {
+    fn endpoint(&mut self, class_count: usize) -> Option<StoredEndpoint> {
+        Some(StoredEndpoint {
             name: self.name()?,
             started_ms: u64::try_from(self.i64()?).ok(),
             consecutive_failures: self.u32()?,
--- a/crates/learned-state/src/encode.rs
+++ b/crates/learned-state/src/encode.rs
@@ -4,14 +4,14 @@
     section_checksum, SectionKind, CHECKSUM_LENGTH, ENDPOINTS_PER_SECTION, MAGIC, MAX_ENDPOINTS,
     MAX_LIST_ENTRIES, MAX_NAME_BYTES, MAX_POOLS, OLDEST_READER_VERSION, SECTION_HEAD_LENGTH, VERSION,
 };
-use crate::{DecayedMean, EndpointRecord, NamedMean, PoolRecord, Snapshot};
+use crate::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
 /// The start time of an endpoint for which it is unknown.
 const UNKNOWN_START: i64 = -1;
 
 /// Encodes a snapshot. What exceeds a bound is left out.
 #[must_use]
-pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
+pub fn encode(snapshot: &LearnedSnapshot) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_head(&mut bytes);
     if let Some(written_ms) = snapshot.written_ms {
@@ -65,7 +65,7 @@
     write_optional(content, pool.baseline_latency);
 }
 
-fn write_endpoints(content: &mut Vec<u8>, pool: &PoolRecord, endpoints: &[EndpointRecord]) {
+fn write_endpoints(content: &mut Vec<u8>, pool: &PoolRecord, endpoints: &[StoredEndpoint]) {
     content.extend(crc32c::crc32c(bounded(&pool.name)).to_le_bytes());
     write_count(content, endpoints.len());
     let class_count = pool.classes.len().min(MAX_LIST_ENTRIES);
@@ -74,7 +74,7 @@
     }
 }
 
-fn write_endpoint(content: &mut Vec<u8>, endpoint: &EndpointRecord, class_count: usize) {
+fn write_endpoint(content: &mut Vec<u8>, endpoint: &StoredEndpoint, class_count: usize) {
     write_name(content, &endpoint.name);
     let started_ms = endpoint.started_ms.and_then(|ms| i64::try_from(ms).ok()).unwrap_or(UNKNOWN_START);
     content.extend(started_ms.to_le_bytes());
@@ -103,14 +103,14 @@
     &name.as_bytes()[..end]
 }
 
-fn write_mean(content: &mut Vec<u8>, mean: DecayedMean) {
+fn write_mean(content: &mut Vec<u8>, mean: StoredMean) {
     content.extend(mean.sum.to_le_bytes());
     content.extend(mean.weight.to_le_bytes());
     content.extend(mean.age.to_le_bytes());
 }
 
 /// Writes a mean for each class, empty ones for those that are missing.
-fn write_means(content: &mut Vec<u8>, means: &[DecayedMean], class_count: usize) {
+fn write_means(content: &mut Vec<u8>, means: &[StoredMean], class_count: usize) {
     for class in 0..class_count {
         write_mean(content, means.get(class).copied().unwrap_or_default());
     }
--- a/crates/learned-state/src/format.rs
+++ b/crates/learned-state/src/format.rs
@@ -7,7 +7,7 @@
 
 /// The oldest version whose readers can read what is written.
 pub(crate) const OLDEST_READER_VERSION: u16 = 1;
-/// The first bytes of a file.
+/// The first bytes of a file; `kno` is from the former name of learned state, knowledge.
 pub(crate) const MAGIC: &[u8; 8] = b"amberkno";
 /// The bytes of a file's head before its checksum.
 pub(crate) const HEAD_LENGTH: usize = 12;
--- a/crates/learned-state/src/lib.rs
+++ b/crates/learned-state/src/lib.rs
@@ -1,4 +1,4 @@
-//! Learned state as it is stored on disk and sent to peers: a [`Snapshot`], and its binary form.
+//! Learned state as it is stored on disk and sent to peers: a [`LearnedSnapshot`], and its binary form.
 //!
 //! Pure: no clock, no I/O. Ages are durations, so that clocks need not agree. A file is a head and sections, each with its length
 //! and a CRC-32C: a damaged section is skipped alone, one of an unknown kind is skipped, and what exceeds a bound is not read. The
@@ -44,4 +44,4 @@
 pub use decode::{decode, DecodeError, SkippedSections};
 pub use encode::encode;
 pub use format::{MAX_FILE_BYTES, VERSION};
-pub use snapshot::{DecayedMean, EndpointRecord, Micros, NamedMean, PoolRecord, Snapshot, MAX_AGE};
+pub use snapshot::{LearnedSnapshot, Micros, NamedMean, PoolRecord, StoredEndpoint, StoredMean, MAX_AGE};
--- a/crates/learned-state/src/snapshot.rs
+++ b/crates/learned-state/src/snapshot.rs
@@ -10,14 +10,14 @@
 
 /// The learned state of all pools.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Snapshot {
+pub struct LearnedSnapshot {
     /// When it was written, in milliseconds since 1970, by the clock of the machine that wrote it.
     pub written_ms: Option<u64>,
     /// By pool.
     pub pools: Vec<PoolRecord>,
 }
 
-impl Snapshot {
+impl LearnedSnapshot {
     /// Its age by a clock that reads `now_ms`. It is [`MAX_AGE`] where the time of writing is unknown, or lies in the future: then
     /// one of the clocks is wrong by an unknown time.
     #[must_use]
@@ -29,7 +29,7 @@
 
 /// A mean whose samples lose weight over time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DecayedMean {
+pub struct StoredMean {
     /// The weighted sum of the samples.
     pub sum: f64,
     /// The sum of their weights.
@@ -44,7 +44,7 @@
     /// The name of the machine kind or zone.
     pub name: String,
     /// Its mean.
-    pub mean: DecayedMean,
+    pub mean: StoredMean,
 }
 
 /// The learned state of a pool.
@@ -55,9 +55,9 @@
     /// The names of the classes, in the order of the means of endpoints.
     pub classes: Vec<String>,
     /// The latency of a good response, by class, in microseconds.
-    pub typical_latency: Vec<DecayedMean>,
+    pub typical_latency: Vec<StoredMean>,
     /// The latency of a good response over all classes, in microseconds.
-    pub pool_latency: DecayedMean,
+    pub pool_latency: StoredMean,
     /// Latency relative to the pool's, by machine kind.
     pub latency_by_machine_kind: Vec<NamedMean>,
     /// The fraction of attempts without a response, by zone.
@@ -71,12 +71,12 @@
     /// The latency of an idle pool, as a fraction of the latency objective.
     pub baseline_latency: Option<f64>,
     /// The endpoints.
-    pub endpoints: Vec<EndpointRecord>,
+    pub endpoints: Vec<StoredEndpoint>,
 }
 
 /// The learned state of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointRecord {
+pub struct StoredEndpoint {
     /// The name that its source gives.
     pub name: String,
     /// When it was started, in milliseconds since 1970, where that is known.
@@ -88,5 +88,5 @@
     /// What is left of its slow start budget, in requests.
     pub slow_start_tokens: f64,
     /// Latency relative to the pool's, by class.
-    pub latency_by_class: Vec<DecayedMean>,
+    pub latency_by_class: Vec<StoredMean>,
 }
--- a/crates/learned-state/tests/format.rs
+++ b/crates/learned-state/tests/format.rs
@@ -1,13 +1,13 @@
 //! The format: what is encoded is decoded, damage costs one section, versions are compatible, and no bytes cause a panic or take memory.
 
 use learned_state::{
-    decode, encode, DecayedMean, DecodeError, EndpointRecord, NamedMean, PoolRecord, SkippedSections,
-    Snapshot, MAX_AGE,
+    decode, encode, DecodeError, LearnedSnapshot, NamedMean, PoolRecord, SkippedSections, StoredEndpoint,
+    StoredMean, MAX_AGE,
 };
 use proptest::prelude::*;
 
-fn mean(random: &mut fastrand::Rng) -> DecayedMean {
-    DecayedMean { sum: random.f64() * 1e6, weight: random.f64() * 100.0, age: random.u64(..1 << 50) }
+fn mean(random: &mut fastrand::Rng) -> StoredMean {
+    StoredMean { sum: random.f64() * 1e6, weight: random.f64() * 100.0, age: random.u64(..1 << 50) }
 }
 
 fn name(random: &mut fastrand::Rng) -> String {
@@ -18,12 +18,12 @@
     NamedMean { name: name(random), mean: mean(random) }
 }
 
-fn snapshot(seed: u64, pools: usize, endpoints: usize) -> Snapshot {
+fn snapshot(seed: u64, pools: usize, endpoints: usize) -> LearnedSnapshot {
     let mut random = fastrand::Rng::with_seed(seed);
     let random = &mut random;
     let pool = |random: &mut fastrand::Rng| {
         let classes = random.usize(..4);
-        let endpoint = |random: &mut fastrand::Rng| EndpointRecord {
+        let endpoint = |random: &mut fastrand::Rng| StoredEndpoint {
             name: name(random),
             started_ms: random.bool().then(|| random.u64(..1 << 42)),
             consecutive_failures: random.u32(..),
@@ -46,7 +46,7 @@
         }
     };
     let written_ms = random.bool().then(|| random.u64(..));
-    Snapshot { written_ms, pools: (0..pools).map(|_| pool(random)).collect() }
+    LearnedSnapshot { written_ms, pools: (0..pools).map(|_| pool(random)).collect() }
 }
 
 #[test]
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_clock_that_was_set_makes_a_snapshot_of_maximum_age() {
-    let written = |written_ms| Snapshot { written_ms, pools: Vec::new() };
+    let written = |written_ms| LearnedSnapshot { written_ms, pools: Vec::new() };
     let now = 1_700_000_000_000;
     assert_eq!(written(Some(now - 2500)).age(now), 2_500_000);
     for strange in [None, Some(now + 1), Some(u64::MAX), Some(0)] {
@@ -183,28 +183,28 @@
 #[test]
 fn a_file_of_version_1_stays_readable() {
     let stored = include_bytes!("version-1.bin");
-    let endpoint = |name: &str, started_ms| EndpointRecord {
+    let endpoint = |name: &str, started_ms| StoredEndpoint {
         name: name.to_owned(),
         started_ms,
         consecutive_failures: 2,
         ejected_for: 1_500_000,
         slow_start_tokens: 0.25,
-        latency_by_class: vec![DecayedMean { sum: 12.5, weight: 5.0, age: 250_000 }],
+        latency_by_class: vec![StoredMean { sum: 12.5, weight: 5.0, age: 250_000 }],
     };
-    let original = Snapshot {
+    let original = LearnedSnapshot {
         written_ms: None,
         pools: vec![PoolRecord {
             name: "pairings".to_owned(),
             classes: vec!["standings".to_owned()],
-            typical_latency: vec![DecayedMean { sum: 90_000.0, weight: 4.5, age: 1_000 }],
-            pool_latency: DecayedMean { sum: 90_000.0, weight: 4.5, age: 1_000 },
+            typical_latency: vec![StoredMean { sum: 90_000.0, weight: 4.5, age: 1_000 }],
+            pool_latency: StoredMean { sum: 90_000.0, weight: 4.5, age: 1_000 },
             latency_by_machine_kind: vec![NamedMean {
                 name: "m5".to_owned(),
-                mean: DecayedMean { sum: 9.0, weight: 9.0, age: 2_000 },
+                mean: StoredMean { sum: 9.0, weight: 9.0, age: 2_000 },
             }],
             loss_by_zone: vec![NamedMean {
                 name: "south".to_owned(),
-                mean: DecayedMean { sum: 0.5, weight: 30.0, age: 3_000 },
+                mean: StoredMean { sum: 0.5, weight: 30.0, age: 3_000 },
             }],
             uptime: 86_400_000_000,
             threshold_per_endpoint: Some(17.25),
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -7,7 +7,7 @@
 use std::{fs, io};
 
 use decide::platform_settings::NameTable;
-use learned_state::Snapshot;
+use learned_state::LearnedSnapshot;
 use tokio::time::sleep;
 
 use crate::clock::Clock;
@@ -25,7 +25,8 @@
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 /// The first write comes after this: before, little is learned that the previous process did not know.
 const FIRST_WRITE_DELAY: Duration = Duration::from_secs(3);
-/// The largest file that is read, in bytes.
+/// The largest file that is read, in bytes. Writing has no bound: what is larger is written, and the next process starts
+/// without it.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
 /// Imports the state that the previous process left in this folder, if any.
@@ -62,7 +63,7 @@
     while !shutting_down.get() {
         if let Some(learned) = driver.learned_state().await {
             let pool = endpoints.export_learned_state(POOL_NAME, &learned, clock, &names.borrow());
-            let snapshot = timestamped(Snapshot { pools: vec![pool], ..Snapshot::default() });
+            let snapshot = timestamped(LearnedSnapshot { pools: vec![pool], ..LearnedSnapshot::default() });
             if let Err(error) = write(folder, &snapshot) {
                 if !fault_logged {
                     fault_logged = true;
@@ -75,7 +76,7 @@
 }
 
 /// Replaces the file. It is not synced: it is for a process that follows on this machine.
-fn write(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
+fn write(folder: &Path, snapshot: &LearnedSnapshot) -> io::Result<()> {
     let temporary = folder.join(TEMPORARY_NAME);
     fs::write(&temporary, learned_state::encode(snapshot))?;
     fs::rename(&temporary, folder.join(FILE_NAME))
--- a/crates/proxy/src/hosting/tenant.rs
+++ b/crates/proxy/src/hosting/tenant.rs
@@ -14,7 +14,7 @@
 use crate::operators::OperatorContext;
 use crate::pool::PoolContext;
 use crate::request_ids::OpenRequestIds;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// A tenant that is being served.
 pub(super) struct HostedTenant {
@@ -25,7 +25,7 @@
     version: Cell<u64>,
     max_connections: Cell<usize>,
     /// Set while its pools run.
-    snapshot: RefCell<Option<Rc<Snapshot>>>,
+    snapshot: RefCell<Option<Rc<ServingSnapshot>>>,
     last_request: Cell<Instant>,
     /// The ids of its requests in flight; other tenants may use the same ids.
     pub request_ids: OpenRequestIds,
@@ -33,7 +33,7 @@
     pub keys: KeyTable,
 }
 
-/// What [`HostedTenant::update`] found.
+/// What [`HostedTenant::replace`] changed.
 struct Change {
     tenant: bool,
     max_connections: bool,
@@ -94,26 +94,30 @@
     }
 
     /// Starts its pools, or changes them over to its current configuration.
-    fn start(&self, context: &PoolContext<'_>) -> Rc<Snapshot> {
+    fn start(&self, context: &PoolContext<'_>) -> Rc<ServingSnapshot> {
         let operators: Option<OperatorContext> =
             context.operators.map(|operators| operators.for_tenant(&self.name));
         let context = PoolContext { operators: operators.as_ref(), ..*context };
         let config = Arc::clone(&self.tenant.borrow().config);
         let previous = self.running();
-        let snapshot =
-            Rc::new(Snapshot::start(config, self.max_connections.get(), previous.as_deref(), &context));
+        let snapshot = Rc::new(ServingSnapshot::start(
+            config,
+            self.max_connections.get(),
+            previous.as_deref(),
+            &context,
+        ));
         *self.snapshot.borrow_mut() = Some(Rc::clone(&snapshot));
         snapshot
     }
 
     /// The snapshot for a request, whose arrival it notes. Starts the pools if they do not run.
-    pub fn snapshot_for_request(&self, context: &PoolContext<'_>) -> Rc<Snapshot> {
+    pub fn snapshot_for_request(&self, context: &PoolContext<'_>) -> Rc<ServingSnapshot> {
         self.last_request.set(Instant::now());
         self.running().unwrap_or_else(|| self.start(context))
     }
 
     /// The snapshot, while its pools run.
-    pub fn running(&self) -> Option<Rc<Snapshot>> {
+    pub fn running(&self) -> Option<Rc<ServingSnapshot>> {
         self.snapshot.borrow().clone()
     }
 
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -20,7 +20,7 @@
 use crate::log::say;
 use crate::operators::{unique_endpoint, MaintenanceTarget, OperatorActions, OperatorContext};
 use crate::pool::PoolContext;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// The tenants of a hosted service.
 pub(super) struct HostedTenants {
@@ -129,7 +129,7 @@
         self.by_name.borrow().iter().map(|(name, hosted)| (name.clone(), status(hosted))).collect()
     }
 
-    fn running(&self) -> Vec<Rc<Snapshot>> {
+    fn running(&self) -> Vec<Rc<ServingSnapshot>> {
         self.by_name.borrow().values().filter_map(|hosted| hosted.running()).collect()
     }
 }
--- a/crates/proxy/src/learned_state/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use atomic_file::Folder;
-use learned_state::{PoolRecord, Snapshot, MAX_AGE};
+use learned_state::{LearnedSnapshot, PoolRecord, MAX_AGE};
 use tokio::time::Instant;
 
 use crate::log::say;
@@ -19,7 +19,7 @@
 
 /// Learned state as it was read, and its age at that time.
 pub struct SavedState {
-    snapshot: Snapshot,
+    snapshot: LearnedSnapshot,
     age: learned_state::Micros,
     read_at: Instant,
 }
@@ -43,7 +43,7 @@
         learned_state::decode(bytes).ok().map(|(snapshot, _)| SavedState::new(snapshot))
     }
 
-    fn new(snapshot: Snapshot) -> SavedState {
+    fn new(snapshot: LearnedSnapshot) -> SavedState {
         let age = snapshot.age(unix_ms());
         if age == MAX_AGE {
             say(format_args!("knowledge: very old, or a clock is wrong: it counts for nothing"));
@@ -76,7 +76,7 @@
 }
 
 /// Decodes a snapshot, and logs whether a part of it is damaged.
-fn decode_logged(bytes: &[u8]) -> Option<Snapshot> {
+fn decode_logged(bytes: &[u8]) -> Option<LearnedSnapshot> {
     let (snapshot, skipped) = learned_state::decode(bytes).ok()?;
     if skipped.damaged > 0 || skipped.truncated {
         say(format_args!("knowledge: read in part, {} sections are damaged", skipped.damaged));
@@ -85,8 +85,8 @@
 }
 
 /// The snapshot, as written now.
-pub fn timestamped(snapshot: Snapshot) -> Snapshot {
-    Snapshot { written_ms: Some(unix_ms()), ..snapshot }
+pub fn timestamped(snapshot: LearnedSnapshot) -> LearnedSnapshot {
+    LearnedSnapshot { written_ms: Some(unix_ms()), ..snapshot }
 }
 
 fn unix_ms() -> u64 {
--- a/crates/proxy/src/learned_state/names/mod.rs
+++ b/crates/proxy/src/learned_state/names/mod.rs
@@ -9,14 +9,14 @@
 use decide::learned::{self, LearnedState};
 use decide::platform_settings::NameTable;
 use decide::{EndpointId, Micros};
-use learned_state::{EndpointRecord, NamedMean, PoolRecord, MAX_AGE};
+use learned_state::{NamedMean, PoolRecord, StoredEndpoint, MAX_AGE};
 
-/// The names of a pool's endpoints and classes.
-pub struct EndpointNames<'a> {
+/// Maps the names in learned state to the indexes of a balancer.
+pub struct LearnedNames<'a> {
     /// The names of classes, zones and machine kinds.
-    pub names: &'a NameTable,
-    /// Ids by name.
-    pub ids: BTreeMap<&'a str, EndpointId>,
+    pub name_table: &'a NameTable,
+    /// The ids of endpoints by name.
+    pub endpoint_ids: BTreeMap<&'a str, EndpointId>,
 }
 
 /// A duration as it is stored; 0 where it is negative.
@@ -28,11 +28,11 @@
     duration.min(MAX_AGE) as Micros
 }
 
-fn to_stored_mean(mean: &learned::DecayedMean) -> learned_state::DecayedMean {
-    learned_state::DecayedMean { sum: mean.sum, weight: mean.weight, age: to_stored_duration(mean.age) }
+fn to_stored_mean(mean: &learned::DecayedMean) -> learned_state::StoredMean {
+    learned_state::StoredMean { sum: mean.sum, weight: mean.weight, age: to_stored_duration(mean.age) }
 }
 
-fn from_stored_mean(mean: &learned_state::DecayedMean) -> learned::DecayedMean {
+fn from_stored_mean(mean: &learned_state::StoredMean) -> learned::DecayedMean {
     learned::DecayedMean { sum: mean.sum, weight: mean.weight, age: from_stored_duration(mean.age) }
 }
 
@@ -41,14 +41,14 @@
 pub fn to_pool_record(
     pool: &str,
     learned: &LearnedState,
-    endpoint_names: &EndpointNames<'_>,
+    learned_names: &LearnedNames<'_>,
     started_ms: impl Fn(Micros) -> Option<u64>,
 ) -> PoolRecord {
-    let names = endpoint_names.names;
+    let names = learned_names.name_table;
     let name_by_id: BTreeMap<EndpointId, &str> =
-        endpoint_names.ids.iter().map(|(name, id)| (*id, *name)).collect();
+        learned_names.endpoint_ids.iter().map(|(name, id)| (*id, *name)).collect();
     let endpoint_record = |endpoint: &learned::LearnedEndpoint| {
-        Some(EndpointRecord {
+        Some(StoredEndpoint {
             name: (*name_by_id.get(&endpoint.id)?).to_owned(),
             started_ms: endpoint.uptime.and_then(&started_ms),
             consecutive_failures: endpoint.consecutive_failures,
@@ -88,16 +88,16 @@
 pub fn to_learned_state(
     record: &PoolRecord,
     age: learned_state::Micros,
-    endpoint_names: &EndpointNames<'_>,
+    learned_names: &LearnedNames<'_>,
     uptime: impl Fn(u64) -> Option<Micros>,
 ) -> LearnedState {
     let age = from_stored_duration(age);
-    let names = endpoint_names.names;
+    let names = learned_names.name_table;
     let class_order = ClassOrder::new(names, record);
-    let learned_endpoint = |endpoint: &EndpointRecord| {
+    let learned_endpoint = |endpoint: &StoredEndpoint| {
         let uptime_now = endpoint.started_ms.and_then(&uptime);
         Some(learned::LearnedEndpoint {
-            id: *endpoint_names.ids.get(endpoint.name.as_str())?,
+            id: *learned_names.endpoint_ids.get(endpoint.name.as_str())?,
             uptime: uptime_now.map(|uptime| uptime.saturating_sub(age)),
             classes: class_order.apply(&endpoint.latency_by_class),
             consecutive_failures: endpoint.consecutive_failures,
@@ -140,7 +140,7 @@
     }
 
     /// The means of a record in the order of the balancer's classes; empty ones for new classes.
-    fn apply(&self, means: &[learned_state::DecayedMean]) -> Vec<learned::DecayedMean> {
+    fn apply(&self, means: &[learned_state::StoredMean]) -> Vec<learned::DecayedMean> {
         let mean_at = |position: &Option<usize>| position.and_then(|position| means.get(position));
         let learned_mean = |position| mean_at(position).map(from_stored_mean).unwrap_or_default();
         self.position_by_class.iter().map(learned_mean).collect()
--- a/crates/proxy/src/learned_state/names/tests.rs
+++ b/crates/proxy/src/learned_state/names/tests.rs
@@ -35,17 +35,20 @@
         baseline_latency: Some(0.1),
         age: 0,
     };
-    let endpoint_names = EndpointNames { names: &names_before, ids };
+    let learned_names = LearnedNames { name_table: &names_before, endpoint_ids: ids };
     let record =
-        to_pool_record("p", &learned, &endpoint_names, |uptime| Some(1_000_000 - uptime as u64 / 1000));
+        to_pool_record("p", &learned, &learned_names, |uptime| Some(1_000_000 - uptime as u64 / 1000));
     assert_eq!(record.endpoints.len(), 2, "an endpoint without a name is left out");
     assert_eq!(record.endpoints[0].started_ms, Some(940_000));
     // Classes changed places and one is new, one zone is unknown, and so is one endpoint.
     let names_after = names(&["new", "write", "read"], &["south"]);
     let ids = BTreeMap::from([("a", EndpointId(5)), ("c", EndpointId(2))]);
-    let imported = to_learned_state(&record, 1_000_000, &EndpointNames { names: &names_after, ids }, |ms| {
-        Some((1_001_000 - ms as i64) * 1000)
-    });
+    let imported = to_learned_state(
+        &record,
+        1_000_000,
+        &LearnedNames { name_table: &names_after, endpoint_ids: ids },
+        |ms| Some((1_001_000 - ms as i64) * 1000),
+    );
     assert_eq!((imported.age, imported.endpoints.len()), (1_000_000, 1));
     let endpoint = &imported.endpoints[0];
     assert_eq!(
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -9,7 +9,7 @@
 
 use atomic_file::{AtomicFileStore, Folder, OpenError};
 use config::LearnedStateSettings;
-use learned_state::Snapshot;
+use learned_state::LearnedSnapshot;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
@@ -53,7 +53,7 @@
 
 /// A snapshot to write.
 struct WriteJob {
-    snapshot: Snapshot,
+    snapshot: LearnedSnapshot,
     /// Notified when it is written, or failed.
     done: Option<oneshot::Sender<()>>,
 }
@@ -77,7 +77,7 @@
     }
 
     /// Writes the state at every interval, for as long as it is polled.
-    pub async fn write_periodically(&self, state: impl AsyncFn() -> Snapshot) {
+    pub async fn write_periodically(&self, state: impl AsyncFn() -> LearnedSnapshot) {
         loop {
             tokio::time::sleep(self.interval).await;
             // A snapshot that still waits is recent enough: a slow disk gets no second one.
@@ -86,7 +86,7 @@
     }
 
     /// Writes for the last time.
-    pub async fn write_last(&self, snapshot: Snapshot) {
+    pub async fn write_last(&self, snapshot: LearnedSnapshot) {
         let (done, written) = oneshot::channel();
         let mut job = WriteJob { snapshot: timestamped(snapshot), done: Some(done) };
         let deadline = Instant::now() + LAST_WRITE_TIMEOUT;
@@ -126,7 +126,7 @@
         }
     }
 
-    fn write(&mut self, snapshot: &Snapshot) -> Result<(), StateWriteError> {
+    fn write(&mut self, snapshot: &LearnedSnapshot) -> Result<(), StateWriteError> {
         let store = self.open()?;
         Ok(store.put(&learned_state::encode(snapshot))?)
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,19 @@
-//! The data plane: sockets round the decisions of `decide`. What is decided here is nothing but what outcomes
-//! prove; the driver hands events over and carries actions out.
+//! The data plane: the I/O around the load balancing decisions of the `decide` crate. The [`driver`] passes events
+//! to the decisions and carries out their actions.
 //!
-//! Fronts ([`downstream`]) and backends ([`upstream`]) know nothing of each other: between them stand the
-//! types of [`exchange`] and the driver's [`inbox`].
+//! - Modes: [`standalone`], [`hosting`] and [`platform`], which share `process`, `inherited_socket` and
+//!   [`start_error`].
+//! - Downstream, the side of the clients: [`downstream`] serves connections, [`router`] defines what it needs of a
+//!   mode, `route_lookup` and `platform_router` find a request's pool, `request_ids` and `idempotency_keys` keep the
+//!   ids and keys in use.
+//! - Upstream, the side of the endpoints: [`upstream`] keeps the connections and sends attempts.
+//! - Between the two, which do not depend on each other: the types of [`exchange`], and the driver's [`inbox`].
+//! - Messages: [`body`] carries bodies, `rpc_mapping` maps between JSON-RPC and HTTP.
+//! - Pools: `pool` assembles one, `snapshot` holds all pools of a configuration, [`membership`] feeds their endpoint
+//!   lists, and [`gossip`] is the socket for gossip with the other proxies of a tier.
+//! - State across restarts: `learned_state` in a folder, `handover` to the successor, `maintenance` by operators.
+//! - Operations: `operators` serves their address, `metrics` counts, [`log`] writes lines.
+//! - Foundations: [`clock`], `socket`, `panic_guard`.
 
 pub mod body;
 pub mod clock;
--- a/crates/proxy/src/maintenance/file.rs
+++ b/crates/proxy/src/maintenance/file.rs
@@ -46,7 +46,7 @@
         self.folder.join(FILE_NAME)
     }
 
-    /// Locks the file for a change, so that two processes that are told something at once lose neither; `None` where it cannot be
+    /// Locks the file for a change, so that changes that two processes make at once are both kept; `None` where it cannot be
     /// locked.
     pub fn lock(&self) -> Option<File> {
         let path = self.folder.join(LOCK_NAME);
--- a/crates/proxy/src/maintenance/mod.rs
+++ b/crates/proxy/src/maintenance/mod.rs
@@ -18,15 +18,15 @@
 /// How often the file is checked, since another process may have written it. Well within the grace of a drain.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What operators set for the endpoints of one pool.
+/// The maintenance store as one pool sees it, with the prefix of its endpoint names.
 #[derive(Clone)]
-pub struct MaintenanceOverrides {
+pub struct PoolMaintenance {
     pub store: Rc<MaintenanceStore>,
     /// Precedes the names of its endpoints, where there are several pools.
     pub pool: Option<String>,
 }
 
-impl MaintenanceOverrides {
+impl PoolMaintenance {
     /// Records that a list has this endpoint; returns whether it is drained.
     pub fn record_listed(&self, name: &str) -> bool {
         self.store.record_listed(&self.operator_name(name))
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -7,7 +7,7 @@
 
 pub use discovery::Discovery;
 pub use file::FileWatch;
-pub use registry::{EndpointRegistry, RegisteredEndpoints, RegistryObserver, RegistryView};
+pub use registry::{EndpointRegistry, MaintenanceApplier, RegisteredEndpoints, RegistryObserver};
 
 /// The largest list that is read, in bytes.
 const MAX_LIST_BYTES: usize = 8 << 20;
--- a/crates/proxy/src/membership/registry/view.rs
+++ b/crates/proxy/src/membership/registry/maintenance_applier.rs
@@ -1,4 +1,4 @@
-//! Publishes an endpoint again when operators drain or restore it.
+//! Applies operators' drains to a running pool, and reports its gauges.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 
 use super::{most_restrictive, RegisteredEndpoints};
 use crate::inbox::DriverHandle;
-use crate::maintenance::MaintenanceOverrides;
+use crate::maintenance::PoolMaintenance;
 use crate::metrics::{Labels, PoolGauges};
 use crate::upstream::UpstreamPool;
 
@@ -16,28 +16,28 @@
     fn maintenance_changed(&self, operator_name: &str);
 }
 
-/// The endpoints of a pool, and whom to notify of changes.
-pub struct RegistryView {
+/// Applies to the balancer and the connections of a pool what operators drain or restore.
+pub struct MaintenanceApplier {
     pub endpoints: Rc<RegisteredEndpoints>,
     pub driver: DriverHandle,
     pub upstreams: Rc<UpstreamPool>,
-    pub overrides: MaintenanceOverrides,
+    pub maintenance: PoolMaintenance,
 }
 
-impl RegistryView {
+impl MaintenanceApplier {
     /// The gauges of the pool, under these labels.
     pub async fn gauges(&self, labels: Labels) -> PoolGauges {
         let ejected = self.driver.ejected_count().await;
-        let counts = self.endpoints.counts(&self.overrides);
-        PoolGauges { labels, endpoints: counts.listed, ejected: counts.drained + ejected }
+        let counts = self.endpoints.counts(&self.maintenance);
+        PoolGauges { labels, endpoints: counts.listed, unused: counts.drained + ejected }
     }
 }
 
-impl RegistryObserver for RegistryView {
+impl RegistryObserver for MaintenanceApplier {
     fn maintenance_changed(&self, operator_name: &str) {
-        let Some(name) = self.overrides.endpoint_name(operator_name) else { return };
+        let Some(name) = self.maintenance.endpoint_name(operator_name) else { return };
         let Some(listed) = self.endpoints.last_listed(name) else { return };
-        let endpoint = most_restrictive(listed.endpoint, self.overrides.is_drained(name));
+        let endpoint = most_restrictive(listed.endpoint, self.maintenance.is_drained(name));
         self.upstreams.update_endpoint(&endpoint, listed.address);
         self.driver.endpoint_update(UpdateScope::Delta, vec![endpoint]);
     }
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -1,11 +1,11 @@
 //! The registry of a pool's endpoints: applies lists, whatever their source, and passes them on to the balancer and the
 //! connections. Where operators drained an endpoint, that restricts what is listed.
 
+mod maintenance_applier;
 mod registered;
-mod view;
 
+pub use maintenance_applier::{MaintenanceApplier, RegistryObserver};
 pub use registered::RegisteredEndpoints;
-pub use view::{RegistryObserver, RegistryView};
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
 use crate::log::say;
-use crate::maintenance::MaintenanceOverrides;
+use crate::maintenance::PoolMaintenance;
 use crate::upstream::UpstreamPool;
 use registered::ListedAddress;
 
@@ -29,7 +29,8 @@
     pub names: Rc<RefCell<NameTable>>,
     pub driver: DriverHandle,
     pub upstreams: Rc<UpstreamPool>,
-    /// Set once there is a list.
+    /// The process may report ready: a list was confirmed, or the list of the configuration has stayed unconfirmed
+    /// for `READY_UNCONFIRMED_AFTER`.
     pub ready: Rc<Cell<bool>>,
     /// When the source was last heard from.
     pub last_contact: Rc<Cell<Instant>>,
@@ -37,7 +38,7 @@
     pub version: Option<u64>,
     pub endpoints: Rc<RegisteredEndpoints>,
     /// What operators drained, where there is an address for operators.
-    pub overrides: Option<MaintenanceOverrides>,
+    pub maintenance: Option<PoolMaintenance>,
     /// A malformed entry has been logged.
     malformed_entry_logged: bool,
 }
@@ -68,7 +69,7 @@
             last_contact: Rc::new(Cell::new(Instant::now())),
             version: None,
             endpoints: Rc::default(),
-            overrides: None,
+            maintenance: None,
             malformed_entry_logged: false,
         }
     }
@@ -113,7 +114,8 @@
         let name = listed.name.clone();
         let endpoint = self.endpoint(listed);
         self.endpoints.set_last_listed(&name, ListedAddress { endpoint: endpoint.clone(), address });
-        let is_drained = self.overrides.as_ref().is_some_and(|overrides| overrides.record_listed(&name));
+        let is_drained =
+            self.maintenance.as_ref().is_some_and(|maintenance| maintenance.record_listed(&name));
         let endpoint = most_restrictive(endpoint, is_drained);
         self.upstreams.update_endpoint(&endpoint, address);
         endpoint
--- a/crates/proxy/src/membership/registry/registered.rs
+++ b/crates/proxy/src/membership/registry/registered.rs
@@ -13,9 +13,9 @@
 
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
-use crate::learned_state::names::{self, EndpointNames};
+use crate::learned_state::names::{self, LearnedNames};
 use crate::learned_state::SavedPool;
-use crate::maintenance::MaintenanceOverrides;
+use crate::maintenance::PoolMaintenance;
 
 /// The name and id of a removed endpoint are kept for this long: by then no connection to it is open, so that another endpoint
 /// that is assigned its id is not taken for it.
@@ -65,10 +65,10 @@
         self.update_count.set(self.update_count.get() + 1);
     }
 
-    pub(super) fn counts(&self, overrides: &MaintenanceOverrides) -> EndpointCounts {
+    pub(super) fn counts(&self, maintenance: &PoolMaintenance) -> EndpointCounts {
         let by_name = self.by_name.borrow();
         let listed = by_name.iter().filter(|(_, endpoint)| endpoint.removed_at.is_none());
-        let drained = listed.clone().filter(|(name, _)| overrides.is_drained(name));
+        let drained = listed.clone().filter(|(name, _)| maintenance.is_drained(name));
         EndpointCounts { listed: listed.count(), drained: drained.count() }
     }
 
@@ -180,7 +180,7 @@
 fn endpoint_names<'a>(
     by_name: &'a BTreeMap<String, RegisteredEndpoint>,
     names: &'a NameTable,
-) -> EndpointNames<'a> {
+) -> LearnedNames<'a> {
     let ids = by_name.iter().map(|(name, endpoint)| (name.as_str(), endpoint.id));
-    EndpointNames { names, ids: ids.collect() }
+    LearnedNames { name_table: names, endpoint_ids: ids.collect() }
 }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -37,8 +37,9 @@
     pub labels: Labels,
     /// Endpoints in the current list.
     pub endpoints: usize,
-    /// Listed endpoints that are ejected, by outlier detection or by an operator.
-    pub ejected: usize,
+    /// Listed endpoints that operators drained, and listed endpoints that outlier detection ejected, added up. The
+    /// metric is `pool_ejected`.
+    pub unused: usize,
 }
 
 /// A class, and the pool that its requests go to first.
@@ -130,7 +131,7 @@
         self.pool_ejected.clear();
         for pool in pools.iter().take(MAX_LABEL_SETS) {
             self.pool_size.with_labels(&pool.labels).set(pool.endpoints as i64);
-            self.pool_ejected.with_labels(&pool.labels).set(pool.ejected as i64);
+            self.pool_ejected.with_labels(&pool.labels).set(pool.unused as i64);
         }
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -55,7 +55,7 @@
     recorder.record(RequestOutcome::Served);
     metrics.attempts(&vec![]).inc();
     assert_contains_lines(
-        &metrics.encode(&[PoolGauges { labels: vec![], endpoints: 7, ejected: 2 }]),
+        &metrics.encode(&[PoolGauges { labels: vec![], endpoints: 7, unused: 2 }]),
         &[
             "edge_lb_ok_total{kind=\"C\"} 1",
             "edge_lb_shed_total{kind=\"C\"} 0",
@@ -74,7 +74,7 @@
     let labels = |pool: &str| vec![("pool", pool.to_owned())];
     metrics.request_counters("C", &labels("p")).ok.inc();
     metrics.attempts(&labels("p")).inc();
-    let gauges = |name: &str| PoolGauges { labels: labels(name), endpoints: 3, ejected: 1 };
+    let gauges = |name: &str| PoolGauges { labels: labels(name), endpoints: 3, unused: 1 };
     assert_contains_lines(
         &metrics.encode(&[gauges("p"), gauges("q")]),
         &[
--- a/crates/proxy/src/operators/context.rs
+++ b/crates/proxy/src/operators/context.rs
@@ -6,8 +6,8 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
-use crate::membership::{EndpointRegistry, RegistryObserver, RegistryView};
+use crate::maintenance::{MaintenanceStore, PoolMaintenance};
+use crate::membership::{EndpointRegistry, MaintenanceApplier, RegistryObserver};
 use crate::metrics::{Labels, Metrics};
 use crate::operators::server;
 use crate::start_error::StartError;
@@ -66,24 +66,27 @@
     }
 
     /// Maintenance of a pool's endpoints, which operators call `POOL/NAME` or `TENANT/POOL/NAME`.
-    pub fn overrides(&self, pool: &str) -> MaintenanceOverrides {
+    pub fn pool_maintenance(&self, pool: &str) -> PoolMaintenance {
         let qualified_pool = match &self.tenant {
             Some(tenant) => format!("{tenant}/{pool}"),
             None => pool.to_owned(),
         };
-        MaintenanceOverrides { store: Rc::clone(&self.maintenance), pool: Some(qualified_pool) }
+        PoolMaintenance { store: Rc::clone(&self.maintenance), pool: Some(qualified_pool) }
     }
 }
 
-/// A view of the registry that observes the maintenance store for as long as the view exists.
-pub fn observe_maintenance(registry: &EndpointRegistry, overrides: MaintenanceOverrides) -> Rc<RegistryView> {
-    let store = Rc::clone(&overrides.store);
-    let view = Rc::new(RegistryView {
+/// Subscribes an applier of maintenance to the store, for as long as the applier exists.
+pub fn observe_maintenance(
+    registry: &EndpointRegistry,
+    maintenance: PoolMaintenance,
+) -> Rc<MaintenanceApplier> {
+    let store = Rc::clone(&maintenance.store);
+    let applier = Rc::new(MaintenanceApplier {
         endpoints: Rc::clone(&registry.endpoints),
         driver: registry.driver.clone(),
         upstreams: Rc::clone(&registry.upstreams),
-        overrides,
+        maintenance,
     });
-    store.subscribe(Rc::downgrade(&(Rc::clone(&view) as Rc<dyn RegistryObserver>)));
-    view
+    store.subscribe(Rc::downgrade(&(Rc::clone(&applier) as Rc<dyn RegistryObserver>)));
+    applier
 }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -37,8 +37,16 @@
 
 /// The deadline for polls of discovery that is assumed where the settings have a shorter one or none, in microseconds.
 const MIN_POLL_DEADLINE: Micros = 10_000_000;
-/// A list may be used for this many poll deadlines after a failed poll.
-const LEASE_POLL_DEADLINES: Micros = 4;
+/// Forwarding by an expired list stays suspended for at most this many poll deadlines after the last reason to suspend
+/// it, then resumes with the old list.
+const MAX_SUSPENSION_POLL_DEADLINES: Micros = 4;
+/// A discovery that ends standing watches with errors is presumed down for this part of a poll deadline: the longest
+/// outage of discovery that operators name is eight seconds.
+const PRESUMED_OUTAGE_NUMERATOR: Micros = 4;
+const PRESUMED_OUTAGE_DENOMINATOR: Micros = 5;
+/// Names the one folder that a process of the platform shares with its successor; unset: neither learned state nor
+/// maintenance outlives the process.
+const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
 /// Runs the proxy configured by `LB_CONFIG` until it is asked to shut down and every accepted request has its answer.
 ///
@@ -75,7 +83,7 @@
         let driver = pool.driver.handle();
         spawn_local(async move { gossip.receive(driver).await });
     }
-    let state_folder = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let state_folder = std::env::var_os(STATE_FOLDER_VARIABLE).map(PathBuf::from);
     // Only a process that shares its socket has a successor.
     if let Some(folder) = state_folder.clone().filter(|_| is_shared_socket) {
         hand_over_learned_state(folder, &pool.registry, Rc::clone(&shutting_down));
@@ -212,16 +220,14 @@
     }
 }
 
-/// How discovery is polled, and how long a list may be used: the settings bound the time that drains may take, so a list
-/// has a lease of [`LEASE_POLL_DEADLINES`] after a failed poll.
+/// How discovery is polled, and when an unconfirmed list stops being forwarded by, and for how long at most.
 fn discovery_policy(platform: &PlatformSettings) -> WatchPolicy {
-    let max_poll_interval = platform.settings.max_poll_interval.max(MIN_POLL_DEADLINE);
+    let poll_deadline = platform.settings.max_poll_interval.max(MIN_POLL_DEADLINE);
     let terms = LeaseTerms {
         drain_grace: platform.transport.drain_grace,
         margin: DRAIN_MARGIN.as_micros() as Micros,
-        max_suspension: max_poll_interval * LEASE_POLL_DEADLINES,
-        // The longest outage of discovery that operators name is eight seconds.
-        presumed_outage: max_poll_interval * 4 / 5,
+        max_suspension: poll_deadline * MAX_SUSPENSION_POLL_DEADLINES,
+        presumed_outage: poll_deadline * PRESUMED_OUTAGE_NUMERATOR / PRESUMED_OUTAGE_DENOMINATOR,
     };
     let mode = if platform.settings.poll_discovery { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
     WatchPolicy { mode, lease: Some(terms) }
--- a/crates/proxy/src/platform/operations.rs
+++ b/crates/proxy/src/platform/operations.rs
@@ -10,16 +10,16 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use crate::maintenance::{MaintenanceOverrides, MaintenanceStore};
-use crate::membership::{EndpointRegistry, RegistryView};
+use crate::maintenance::{MaintenanceStore, PoolMaintenance};
+use crate::membership::{EndpointRegistry, MaintenanceApplier};
 use crate::metrics::{Labels, Metrics};
 use crate::operators::{self, observe_maintenance, MaintenanceTarget, OperatorActions};
 
 /// The operators' actions on the platform's only pool.
 struct Operations {
     metrics: Rc<Metrics>,
-    /// Observes the maintenance store for as long as it exists.
-    registry: Rc<RegistryView>,
+    /// Subscribed to the maintenance store for as long as it exists.
+    applier: Rc<MaintenanceApplier>,
     ready: Rc<Cell<bool>>,
     shutting_down: Rc<Cell<bool>>,
 }
@@ -30,11 +30,11 @@
     }
 
     fn metrics_text(&self) -> Pin<Box<dyn Future<Output = String> + '_>> {
-        Box::pin(async { self.metrics.encode(&[self.registry.gauges(Labels::new()).await]) })
+        Box::pin(async { self.metrics.encode(&[self.applier.gauges(Labels::new()).await]) })
     }
 
     fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection> {
-        Ok(MaintenanceTarget { store: &self.registry.overrides.store, endpoint: id.to_owned() })
+        Ok(MaintenanceTarget { store: &self.applier.maintenance.store, endpoint: id.to_owned() })
     }
 }
 
@@ -47,11 +47,11 @@
     shutting_down: Rc<Cell<bool>>,
 ) {
     let store = Rc::new(MaintenanceStore::new(state_folder));
-    let overrides = MaintenanceOverrides { store: Rc::clone(&store), pool: None };
-    registry.overrides = Some(overrides.clone());
+    let maintenance = PoolMaintenance { store: Rc::clone(&store), pool: None };
+    registry.maintenance = Some(maintenance.clone());
     let operations = Operations {
         metrics,
-        registry: observe_maintenance(registry, overrides),
+        applier: observe_maintenance(registry, maintenance),
         ready: Rc::clone(&registry.ready),
         shutting_down,
     };
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
 use crate::learned_state::SavedPool;
-use crate::membership::{EndpointRegistry, RegisteredEndpoints, RegistryView};
+use crate::membership::{EndpointRegistry, MaintenanceApplier, RegisteredEndpoints};
 use crate::metrics::{Labels, PoolGauges};
 use crate::operators::OperatorContext;
 use crate::upstream::UpstreamPool;
@@ -47,15 +47,16 @@
     endpoints: Rc<RegisteredEndpoints>,
     ready: Rc<Cell<bool>>,
     /// When the source of the endpoint list last answered.
-    last_update: Rc<Cell<Instant>>,
+    last_contact: Rc<Cell<Instant>>,
     /// Set where the configuration itself lists the endpoints.
     static_registry: Option<RefCell<EndpointRegistry>>,
     operator_view: Option<OperatorView>,
 }
 
-/// What operators see and change of a pool. The registry view observes the maintenance store while the pool exists.
+/// What operators see and change of a pool. The applier is subscribed to the maintenance store while the pool
+/// exists.
 struct OperatorView {
-    registry: Rc<RegistryView>,
+    applier: Rc<MaintenanceApplier>,
     labels: Labels,
 }
 
@@ -82,13 +83,13 @@
     /// The name by which operators refer to this endpoint, if the pool lists it.
     pub fn operator_name(&self, endpoint: &str) -> Option<String> {
         let view = self.operator_view.as_ref().filter(|_| self.endpoints.contains(endpoint))?;
-        Some(view.registry.overrides.operator_name(endpoint))
+        Some(view.applier.maintenance.operator_name(endpoint))
     }
 
     /// The gauges of this pool. None where the process has no operators' address.
     pub async fn gauges(&self) -> Option<PoolGauges> {
         let view = self.operator_view.as_ref()?;
-        Some(view.registry.gauges(view.labels.clone()).await)
+        Some(view.applier.gauges(view.labels.clone()).await)
     }
 
     /// The number of endpoint lists received.
@@ -110,7 +111,7 @@
                 });
             }
         });
-        let silent = self.static_registry.is_none().then(|| self.last_update.get().elapsed());
+        let silent = self.static_registry.is_none().then(|| self.last_contact.get().elapsed());
         bgp::Listed { told: self.ready.get(), silent, nodes }
     }
 
--- a/crates/proxy/src/pool/staleness.rs
+++ b/crates/proxy/src/pool/staleness.rs
@@ -14,11 +14,11 @@
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Logs warnings for as long as it is polled.
-pub(super) async fn warn_when_stale(pool: String, last_update: Rc<Cell<Instant>>) {
+pub(super) async fn warn_when_stale(pool: String, last_contact: Rc<Cell<Instant>>) {
     let mut next_warning_age = WARNING_AGE;
     loop {
         sleep(CHECK_INTERVAL).await;
-        let age = last_update.get().elapsed();
+        let age = last_contact.get().elapsed();
         if age < WARNING_AGE {
             next_warning_age = WARNING_AGE;
         } else if age >= next_warning_age {
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -46,7 +46,7 @@
         let operator_view =
             operators.map(|operators| OperatorView::attach(operators, &pool.name, &mut registry));
         let endpoints = Rc::clone(&registry.endpoints);
-        let last_update = Rc::clone(&registry.last_contact);
+        let last_contact = Rc::clone(&registry.last_contact);
 
         let mut tasks = TaskSet::default();
         tasks.spawn(decision_driver.run());
@@ -62,7 +62,7 @@
             names,
             endpoints,
             ready,
-            last_update,
+            last_contact,
             static_registry,
             operator_view,
         }
@@ -72,9 +72,9 @@
 impl OperatorView {
     /// Puts a pool's registry under the operators' maintenance.
     fn attach(operators: &OperatorContext, pool: &str, registry: &mut EndpointRegistry) -> OperatorView {
-        let overrides = operators.overrides(pool);
-        registry.overrides = Some(overrides.clone());
-        OperatorView { registry: observe_maintenance(registry, overrides), labels: operators.labels(pool) }
+        let maintenance = operators.pool_maintenance(pool);
+        registry.maintenance = Some(maintenance.clone());
+        OperatorView { applier: observe_maintenance(registry, maintenance), labels: operators.labels(pool) }
     }
 }
 
@@ -117,7 +117,7 @@
     seed: u64,
     tasks: &mut TaskSet,
 ) -> Option<RefCell<EndpointRegistry>> {
-    let last_update = Rc::clone(&registry.last_contact);
+    let last_contact = Rc::clone(&registry.last_contact);
     match &pool.source {
         Source::List(nodes) => {
             registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
@@ -130,7 +130,7 @@
             tasks.spawn(run_discovery(*address, registry, poll_requested, seed));
         }
     }
-    tasks.spawn(warn_when_stale(pool.name.clone(), last_update));
+    tasks.spawn(warn_when_stale(pool.name.clone(), last_contact));
     None
 }
 
--- a/crates/proxy/src/route_lookup.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -14,7 +14,7 @@
 
 use crate::idempotency_keys::{KeyScope, KeyTable};
 use crate::router::{single_header_value, Rejection, CLASS_HEADER, TENANT_HEADER};
-use crate::snapshot::{PoolSelection, Snapshot};
+use crate::snapshot::{PoolSelection, ServingSnapshot};
 
 /// The port that a `Host` field need not name.
 const DEFAULT_PORT: u16 = 80;
@@ -69,7 +69,7 @@
 /// # Errors
 /// The rejection to answer with.
 pub fn resolve(
-    snapshot: Rc<Snapshot>,
+    snapshot: Rc<ServingSnapshot>,
     listener: &Listener,
     head: &mut Parts,
     id: &str,
@@ -145,7 +145,7 @@
 }
 
 /// What follows from the class of a route.
-fn resolved_route(snapshot: &Snapshot, class: usize, keys: &KeyTable) -> ResolvedRoute {
+fn resolved_route(snapshot: &ServingSnapshot, class: usize, keys: &KeyTable) -> ResolvedRoute {
     let class_config = &snapshot.config.classes[class];
     let semantics = class_config.parameters.semantics;
     let key_scope = match semantics {
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -25,7 +25,7 @@
 type PoolCounters = BTreeMap<usize, Rc<RequestCounters>>;
 
 /// A configuration that is being served.
-pub struct Snapshot {
+pub struct ServingSnapshot {
     /// Counts from 1.
     pub version: u64,
     pub config: Arc<Config>,
@@ -45,15 +45,15 @@
     lists: u64,
 }
 
-impl Snapshot {
+impl ServingSnapshot {
     /// Starts the pools of a configuration. Unchanged pools are carried over from `previous`, removed ones retired.
     /// `max_connections` are divided between the pools.
     pub fn start(
         config: Arc<Config>,
         max_connections: usize,
-        previous: Option<&Snapshot>,
+        previous: Option<&ServingSnapshot>,
         context: &PoolContext<'_>,
-    ) -> Snapshot {
+    ) -> ServingSnapshot {
         let version = previous.map_or(0, |previous| previous.version) + 1;
         let pools = start_pools(&config, version, max_connections, previous, context);
         for former in previous.iter().flat_map(|previous| &previous.pools) {
@@ -65,7 +65,7 @@
         let filters = routes.iter().map(|route| route_filters(route, &pools)).collect();
         let methods = rpc_methods(&config);
         let counters = routes.iter().map(|route| route_counters(route, &config, context.operators)).collect();
-        Snapshot { version, config, methods, pools, filters, counters }
+        ServingSnapshot { version, config, methods, pools, filters, counters }
     }
 
     /// Imports the state that an earlier process learned.
@@ -78,8 +78,8 @@
     }
 
     /// The state that the pools have learned.
-    pub async fn learned_state(&self) -> learned_state::Snapshot {
-        let mut learned = learned_state::Snapshot::default();
+    pub async fn learned_state(&self) -> learned_state::LearnedSnapshot {
+        let mut learned = learned_state::LearnedSnapshot::default();
         for pool in &self.pools {
             learned.pools.extend(pool.learned_state().await);
         }
@@ -135,7 +135,7 @@
     config: &Config,
     version: u64,
     max_connections: usize,
-    previous: Option<&Snapshot>,
+    previous: Option<&ServingSnapshot>,
     context: &PoolContext<'_>,
 ) -> Vec<Rc<Pool>> {
     let max_pool_connections = config.pool_sockets(max_connections);
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -6,14 +6,14 @@
 use decide::{EndpointFilter, Semantics};
 use route::{PoolChoice, PoolId};
 
-use super::Snapshot;
+use super::ServingSnapshot;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{PoolSequence, RejectionOutcome};
 
 /// The current pool of a request, under the snapshot by which it was routed.
 pub struct PoolSelection {
-    snapshot: Rc<Snapshot>,
+    snapshot: Rc<ServingSnapshot>,
     /// The index of the route.
     route: usize,
     choice: PoolChoice,
@@ -21,7 +21,7 @@
 
 impl PoolSelection {
     /// Starts with the route's first usable pool, beginning at the preferred one.
-    pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
+    pub fn new(snapshot: Rc<ServingSnapshot>, route: usize, preferred: PoolId) -> PoolSelection {
         let choice = snapshot.config.table.routes()[route]
             .first_pool(preferred, |pool| snapshot.endpoint_counts(route, pool));
         PoolSelection { snapshot, route, choice }
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -22,7 +22,7 @@
 use crate::pool::PoolContext;
 use crate::process::{self, BoundListeners, Signals};
 use crate::route_lookup::RequestIdGenerator;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 use crate::start_error::StartError;
 
 pub use announcer::AddressAnnouncer;
@@ -34,7 +34,7 @@
 use state_saver::StateSaver;
 
 /// The snapshot that new requests are routed by.
-type CurrentSnapshot = Rc<RefCell<Rc<Snapshot>>>;
+type CurrentSnapshot = Rc<RefCell<Rc<ServingSnapshot>>>;
 
 /// What a process in the standalone mode is started with.
 pub struct Options {
@@ -68,7 +68,7 @@
     let operator_endpoint = OperatorEndpoint::open(config.operators.as_ref()).await?;
     let (operator_listener, operators) = operator_endpoint.map(OperatorEndpoint::into_parts).unzip();
     let context = PoolContext { clock, seed, operators: operators.as_ref() };
-    let first = Snapshot::start(Arc::new(config), max_upstream, None, &context);
+    let first = ServingSnapshot::start(Arc::new(config), max_upstream, None, &context);
     let current: CurrentSnapshot = Rc::new(RefCell::new(Rc::new(first)));
     let shutting_down = Rc::<Cell<bool>>::default();
     if let (Some(listener), Some(context)) = (operator_listener, operators.clone()) {
--- a/crates/proxy/src/standalone/reload.rs
+++ b/crates/proxy/src/standalone/reload.rs
@@ -13,7 +13,7 @@
 use crate::log::say;
 use crate::operators::OperatorContext;
 use crate::pool::PoolContext;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// Loads and checks the configuration. The error is one line for operators.
 pub type LoadConfig = Box<dyn Fn() -> Result<Config, String>>;
@@ -59,10 +59,10 @@
         }
     }
 
-    fn replace(&self, config: Config, previous: &Snapshot) {
+    fn replace(&self, config: Config, previous: &ServingSnapshot) {
         let (_, max_upstream) = config.socket_budget();
         let context = PoolContext { clock: self.clock, seed: self.seed, operators: self.operators.as_ref() };
-        let snapshot = Snapshot::start(Arc::new(config), max_upstream, Some(previous), &context);
+        let snapshot = ServingSnapshot::start(Arc::new(config), max_upstream, Some(previous), &context);
         let version = snapshot.version;
         let routes = snapshot.config.table.routes().len();
         let pools = snapshot.config.pools.len();
--- a/crates/proxy/src/standalone/state_saver.rs
+++ b/crates/proxy/src/standalone/state_saver.rs
@@ -36,7 +36,7 @@
     }
 }
 
-async fn learned_state(current: &CurrentSnapshot) -> learned_state::Snapshot {
+async fn learned_state(current: &CurrentSnapshot) -> learned_state::LearnedSnapshot {
     let snapshot = Rc::clone(&current.borrow());
     snapshot.learned_state().await
 }
--- a/src/bin/amberlever/state.rs
+++ b/src/bin/amberlever/state.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use learned_state::{DecayedMean, DecodeError, PoolRecord, SkippedSections, Snapshot};
+use learned_state::{DecodeError, LearnedSnapshot, PoolRecord, SkippedSections, StoredMean};
 use serde_json::json;
 
 use crate::cli::{Format, StateCommand};
@@ -77,7 +77,7 @@
     parts.iter().map(|part| part.escape_default().to_string()).collect::<Vec<_>>().join(" / ")
 }
 
-fn figures(snapshot: &Snapshot) -> FiguresBySubject {
+fn figures(snapshot: &LearnedSnapshot) -> FiguresBySubject {
     let mut all = FiguresBySubject::new();
     for pool in &snapshot.pools {
         all.insert(subject(&[&pool.name]), pool_figures(pool));
@@ -102,7 +102,7 @@
 }
 
 /// The figures of a mean, which has this name and is divided by this scale.
-fn mean_figures(mean: &DecayedMean, name: &'static str, scale: f64) -> Figures {
+fn mean_figures(mean: &StoredMean, name: &'static str, scale: f64) -> Figures {
     let value = if mean.weight > 0.0 { mean.sum / mean.weight / scale } else { f64::NAN };
     known([(name, value), ("samples", mean.weight), ("age_s", mean.age as f64 / MICROS_PER_SECOND)])
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use api::*;
-use learned_state::{SkippedSections, Snapshot};
+use learned_state::{LearnedSnapshot, SkippedSections};
 use serde_json::json;
 use store::{Disk, Opened, Record, Versions};
 use stubs::*;
@@ -53,7 +53,7 @@
 
 /// Checks every field and every byte: what was decoded is encoded as the same bytes.
 #[track_caller]
-fn assert_holds(name: &str, expected: &Snapshot) {
+fn assert_holds(name: &str, expected: &LearnedSnapshot) {
     let bytes = bytes(name);
     let (read, skipped) = learned_state::decode(&bytes).expect("readable");
     assert_eq!(skipped, SkippedSections::default(), "{name}");
@@ -127,7 +127,7 @@
 }
 
 /// Starts with a folder and stops without a request; returns the log and the state that was written under this name.
-fn start_and_stop(folder: &Path, written: &str) -> (String, Snapshot) {
+fn start_and_stop(folder: &Path, written: &str) -> (String, LearnedSnapshot) {
     let mut proxy = start_standalone(&two_pools(folder), &[]);
     proxy.terminate();
     assert!(proxy.wait_for_exit().success());
@@ -138,7 +138,7 @@
 }
 
 /// The samples of an endpoint in the class `read`.
-fn samples(learned: &Snapshot, pool: &str, node: &str) -> f64 {
+fn samples(learned: &LearnedSnapshot, pool: &str, node: &str) -> f64 {
     let pool = learned.pools.iter().find(|p| p.name == pool).expect("the pool");
     let class = pool.classes.iter().position(|class| class == "read").expect("the class");
     pool.endpoints.iter().find(|n| n.name == node).expect("the node").latency_by_class[class].weight
@@ -156,7 +156,7 @@
     // The same state, as if it were written now.
     let written_ms = Some(unix_ms());
     let current_state =
-        Snapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
+        LearnedSnapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
     fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&current_state))
         .expect("written");
     let (log, written_state) = start_and_stop(&folder, "00000000000000000006.known");
--- a/tests/stubs/stored.rs
+++ b/tests/stubs/stored.rs
@@ -1,12 +1,12 @@
 //! What the files of learned state in `tests/data` hold, field by field.
 
-use learned_state::{DecayedMean, EndpointRecord, NamedMean, PoolRecord, Snapshot};
+use learned_state::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
-fn mean(sum: f64, weight: f64, age: u64) -> DecayedMean {
-    DecayedMean { sum, weight, age }
+fn mean(sum: f64, weight: f64, age: u64) -> StoredMean {
+    StoredMean { sum, weight, age }
 }
 
-fn named(name: &str, mean: DecayedMean) -> NamedMean {
+fn named(name: &str, mean: StoredMean) -> NamedMean {
     NamedMean { name: name.to_owned(), mean }
 }
 
@@ -15,8 +15,8 @@
 }
 
 /// What `every-field.known` holds.
-pub fn every_field() -> Snapshot {
-    Snapshot {
+pub fn every_field() -> LearnedSnapshot {
+    LearnedSnapshot {
         written_ms: Some(1790000000123),
         pools: vec![
             PoolRecord {
@@ -34,7 +34,7 @@
                 cursor_position: 0.625,
                 baseline_latency: Some(0.03125),
                 endpoints: vec![
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "pairing-1".to_owned(),
                         started_ms: Some(1789000000456),
                         consecutive_failures: 0,
@@ -42,7 +42,7 @@
                         slow_start_tokens: 0.0,
                         latency_by_class: vec![mean(1.5, 2.0, 13), mean(2.5, 3.0, 14)],
                     },
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "pairing-2".to_owned(),
                         started_ms: None,
                         consecutive_failures: 3,
@@ -50,7 +50,7 @@
                         slow_start_tokens: 7.5,
                         latency_by_class: vec![mean(0.5, 4.0, 15), mean(0.0, 0.0, 0)],
                     },
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "pairing-3".to_owned(),
                         started_ms: Some(0),
                         consecutive_failures: 4294967295,
@@ -72,7 +72,7 @@
                 cursor_position: 0.0,
                 baseline_latency: None,
                 endpoints: vec![
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "archive-1".to_owned(),
                         started_ms: None,
                         consecutive_failures: 1,
@@ -80,7 +80,7 @@
                         slow_start_tokens: 0.5,
                         latency_by_class: vec![],
                     },
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "archive-2".to_owned(),
                         started_ms: None,
                         consecutive_failures: 0,
@@ -95,8 +95,8 @@
 }
 
 /// What `learned/00000000000000000003.known` holds.
-pub fn learned_in_a_folder() -> Snapshot {
-    Snapshot {
+pub fn learned_in_a_folder() -> LearnedSnapshot {
+    LearnedSnapshot {
         written_ms: Some(1796284326922),
         pools: vec![
             PoolRecord {
@@ -117,7 +117,7 @@
                 cursor_position: 0.0,
                 baseline_latency: Some(0.015625),
                 endpoints: vec![
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "n0".to_owned(),
                         started_ms: None,
                         consecutive_failures: 0,
@@ -128,7 +128,7 @@
                             mean(12.237443423469225, 50.367375999249965, 1515802),
                         ],
                     },
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "n1".to_owned(),
                         started_ms: None,
                         consecutive_failures: 0,
@@ -136,7 +136,7 @@
                         slow_start_tokens: 0.0,
                         latency_by_class: vec![mean(0.0, 0.0, 2970231), mean(0.0, 0.0, 2970231)],
                     },
-                    EndpointRecord {
+                    StoredEndpoint {
                         name: "n2".to_owned(),
                         started_ms: None,
                         consecutive_failures: 0,
@@ -163,7 +163,7 @@
                 threshold_per_endpoint: Some(11.841644406826346),
                 cursor_position: 0.0,
                 baseline_latency: Some(0.015625),
-                endpoints: vec![EndpointRecord {
+                endpoints: vec![StoredEndpoint {
                     name: "n0".to_owned(),
                     started_ms: None,
                     consecutive_failures: 0,
@@ -180,8 +180,8 @@
 }
 
 /// What `amberlever.learned` holds.
-pub fn handed_over() -> Snapshot {
-    Snapshot {
+pub fn handed_over() -> LearnedSnapshot {
+    LearnedSnapshot {
         written_ms: Some(1796284318270),
         pools: vec![PoolRecord {
             name: "platform".to_owned(),
@@ -199,7 +199,7 @@
             cursor_position: 0.0,
             baseline_latency: Some(0.015625),
             endpoints: vec![
-                EndpointRecord {
+                StoredEndpoint {
                     name: "s-0".to_owned(),
                     started_ms: None,
                     consecutive_failures: 0,
@@ -211,7 +211,7 @@
                         mean(0.00042630911089755664, 1.0, 3993400),
                     ],
                 },
-                EndpointRecord {
+                StoredEndpoint {
                     name: "s-1".to_owned(),
                     started_ms: None,
                     consecutive_failures: 0,
