--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -9,7 +9,7 @@
 
 use super::request::AcceptedRequest;
 use super::ListenerState;
-use crate::exchange::{ClientConnection, FinalResponse, UpstreamRequest};
+use crate::exchange::{ClientConnection, Execution, FinalResponse, UpstreamRequest};
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, RejectionOutcome};
 
@@ -58,7 +58,7 @@
     let AcceptedRequest { mut decision_input, message, mut pools, client_timeout, reserved_key, id_claim } =
         request;
     if listener.drain.is_deadline_passed() {
-        return FinalResponse::Rejected { retry_after: 0, never_ran: true };
+        return FinalResponse::Rejected { retry_after: 0, execution: Execution::RuledOut };
     }
     decision_input.downstream_connections = listener.remaining_connections();
     let timeout = listener.drain.request_timeout(received_at, client_timeout);
@@ -66,8 +66,8 @@
     decision_input.time_left = budget.decision_time.as_micros() as Micros;
     let response = loop {
         let response = submit(listener, &*pools, &decision_input, &message, client, &budget).await;
-        let FinalResponse::Rejected { never_ran, .. } = response else { break response };
-        match pools.on_rejected(never_ran) {
+        let FinalResponse::Rejected { execution, .. } = response else { break response };
+        match pools.on_rejected(execution) {
             RejectionOutcome::Final => break response,
             // A body that was streamed cannot be sent again, in any pool.
             RejectionOutcome::NextPool if message.body().streaming().is_some() => break response,
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -14,7 +14,7 @@
 use super::connection::DownstreamConnection;
 use super::{accept, ListenerState};
 use crate::clock::Clock;
-use crate::log::say;
+use crate::log::log_line;
 use crate::socket::UnreadInput;
 
 /// How often connections are checked while the listener drains.
@@ -101,7 +101,7 @@
 /// Drains a listener: returns once every request that was taken has its response.
 pub async fn drain(listener: &Rc<ListenerState>, socket: TcpListener) {
     let serving_time = listener.drain.start();
-    say(format_args!(
+    log_line(format_args!(
         "told to end: serving on for {:.1} s, on {} connections",
         serving_time.as_secs_f64(),
         listener.connections.open_count()
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -21,10 +21,10 @@
 
 use self::open_request::OpenRequest;
 use crate::clock::Clock;
-use crate::exchange::{AttemptResult, FinalResponse};
+use crate::exchange::{AttemptResult, Execution, FinalResponse};
 use crate::gossip::GossipSocket;
 use crate::inbox::{AcceptedRequest, AttemptId, AttemptTarget, DriverHandle, DriverInput};
-use crate::log::say;
+use crate::log::log_line;
 use crate::upstream::UpstreamPool;
 
 /// Runs the decisions of one pool.
@@ -97,7 +97,7 @@
     /// Fails all open requests and continues with a new balancer, as a panic may have left the state of the old one
     /// half changed.
     fn replace_balancer(&mut self, with_cached_list: bool) {
-        say(format_args!("the decisions panicked: failing what is open and starting anew"));
+        log_line(format_args!("the decisions panicked: failing what is open and starting anew"));
         self.follow_ups.clear();
         for request in std::mem::take(&mut self.open_requests).into_values() {
             request.fail();
@@ -220,7 +220,8 @@
             Action::Send { request, endpoint, deadline } => self.start_attempt(request, endpoint, deadline),
             Action::Reject { request, retry_after } => {
                 let never_ran = self.open_requests.get(&request).is_some_and(OpenRequest::never_ran);
-                self.respond(request, FinalResponse::Rejected { retry_after, never_ran });
+                let execution = if never_ran { Execution::RuledOut } else { Execution::Possible };
+                self.respond(request, FinalResponse::Rejected { retry_after, execution });
             }
             Action::Fail(id) => {
                 if let Some(request) = self.open_requests.get(&id) {
@@ -239,7 +240,7 @@
                     gossip.send(to, &payload);
                 }
             }
-            Action::Log(text) => say(format_args!("{text}")),
+            Action::Log(text) => log_line(format_args!("{text}")),
         }
     }
 
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -89,6 +89,15 @@
     pub body: MessageBody,
 }
 
+/// Whether an endpoint can have executed an attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// No attempt can have been executed, so that a retry in another pool is harmless as well.
+    RuledOut,
+    /// An attempt may have been executed.
+    Possible,
+}
+
 /// The final response to a client.
 #[derive(Debug)]
 pub enum FinalResponse {
@@ -98,8 +107,8 @@
     Rejected {
         /// When to retry, from now; 0 states no time.
         retry_after: Micros,
-        /// No attempt can have been executed, so that a retry in another pool is harmless as well.
-        never_ran: bool,
+        /// Whether an attempt can have been executed.
+        execution: Execution,
     },
     /// No response, and the request may have been executed.
     Failed,
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
 use crate::learned_state::{timestamped, SavedState};
-use crate::log::say;
+use crate::log::log_line;
 use crate::membership::RegisteredEndpoints;
 
 const FILE_NAME: &str = "amberlever.learned";
@@ -43,7 +43,7 @@
     }
     let Ok(bytes) = fs::read(&path) else { return };
     let Some(saved) = SavedState::decode(&bytes).and_then(|state| state.pool(POOL_NAME)) else {
-        say(format_args!("knowledge: passing over {}: not as it was written", path.display()));
+        log_line(format_args!("knowledge: passing over {}: not as it was written", path.display()));
         return;
     };
     endpoints.import_learned_state(saved, clock, names, driver);
@@ -67,7 +67,7 @@
             if let Err(error) = write(folder, &snapshot) {
                 if !fault_logged {
                     fault_logged = true;
-                    say(format_args!("knowledge: the next process will learn anew: {error}"));
+                    log_line(format_args!("knowledge: the next process will learn anew: {error}"));
                 }
             }
         }
--- a/crates/proxy/src/hosting/limits.rs
+++ b/crates/proxy/src/hosting/limits.rs
@@ -11,7 +11,7 @@
 
 use super::tenants::HostedTenants;
 use crate::clock::Clock;
-use crate::exchange::AttemptCounter;
+use crate::exchange::{AttemptCounter, Execution};
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, Rejection, RejectionOutcome};
 use crate::snapshot::PoolSelection;
@@ -122,9 +122,9 @@
         self.attempts.clone()
     }
 
-    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
+    fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome {
         // An attempt in another pool counts against the limit as well.
-        match self.selection.on_rejected(never_ran) {
+        match self.selection.on_rejected(execution) {
             RejectionOutcome::NextPool if self.remaining_attempts() == Some(0) => RejectionOutcome::Final,
             outcome => outcome,
         }
--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::{self, OperatorActions, OperatorEndpoint};
 use crate::process::{self, BoundListeners, Signals};
 use crate::route_lookup::RequestIdGenerator;
@@ -132,7 +132,7 @@
                 Some(Command::Status { reply }) => drop(reply.send(hosted.status())),
                 None => return,
             },
-            _ = hangup.recv() => say(format_args!("a hosted service is changed by its administration API")),
+            _ = hangup.recv() => log_line(format_args!("a hosted service is changed by its administration API")),
         }
     }
 }
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -17,7 +17,7 @@
 use super::Status;
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::{unique_endpoint, MaintenanceTarget, OperatorActions, OperatorContext};
 use crate::pool::PoolContext;
 use crate::snapshot::ServingSnapshot;
@@ -63,7 +63,7 @@
             self.add_or_update(now, name, version, tenants);
         }
         *self.current.borrow_mut() = Arc::clone(tenants);
-        say(format_args!("version {version}: {} tenants", tenants.all.len()));
+        log_line(format_args!("version {version}: {} tenants", tenants.all.len()));
     }
 
     fn remove_missing(&self, tenants: &Tenants) {
--- a/crates/proxy/src/learned_state/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -13,7 +13,7 @@
 use learned_state::{LearnedSnapshot, PoolRecord, MAX_AGE};
 use tokio::time::Instant;
 
-use crate::log::say;
+use crate::log::log_line;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -32,7 +32,7 @@
             // Nothing was written yet.
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => None,
             Err(error) => {
-                say(format_args!("knowledge: cannot be read: {error}"));
+                log_line(format_args!("knowledge: cannot be read: {error}"));
                 None
             }
         }
@@ -46,9 +46,9 @@
     fn new(snapshot: LearnedSnapshot) -> SavedState {
         let age = snapshot.age(unix_ms());
         if age == MAX_AGE {
-            say(format_args!("knowledge: very old, or a clock is wrong: it counts for nothing"));
+            log_line(format_args!("knowledge: very old, or a clock is wrong: it counts for nothing"));
         } else {
-            say(format_args!("knowledge: from {:.0} s ago", age as f64 / MICROS_PER_SECOND));
+            log_line(format_args!("knowledge: from {:.0} s ago", age as f64 / MICROS_PER_SECOND));
         }
         SavedState { snapshot, age, read_at: Instant::now() }
     }
@@ -79,7 +79,7 @@
 fn decode_logged(bytes: &[u8]) -> Option<LearnedSnapshot> {
     let (snapshot, skipped) = learned_state::decode(bytes).ok()?;
     if skipped.damaged > 0 || skipped.truncated {
-        say(format_args!("knowledge: read in part, {} sections are damaged", skipped.damaged));
+        log_line(format_args!("knowledge: read in part, {} sections are damaged", skipped.damaged));
     }
     Some(snapshot)
 }
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -14,7 +14,7 @@
 use tokio::time::{timeout, Instant};
 
 use super::timestamped;
-use crate::log::say;
+use crate::log::log_line;
 
 /// The last write is awaited for this long, so that a disk that hangs does not delay the shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -71,7 +71,7 @@
         let writer = FolderWriter::new(settings.folder.clone(), settings.files);
         let thread = thread::Builder::new().name("memory".to_owned());
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
-            say(format_args!("knowledge: not kept: {error}"));
+            log_line(format_args!("knowledge: not kept: {error}"));
         }
         StateWriter { jobs, interval: settings.every }
     }
@@ -144,11 +144,11 @@
         let folder = self.folder.display();
         match result.map_err(|error| error.to_string()) {
             Err(fault) if self.logged_fault.as_ref() != Some(&fault) => {
-                say(format_args!("knowledge: not kept in {folder}: {fault}"));
+                log_line(format_args!("knowledge: not kept in {folder}: {fault}"));
                 self.logged_fault = Some(fault);
             }
             Ok(()) if self.logged_fault.is_some() => {
-                say(format_args!("knowledge: kept in {folder} again"));
+                log_line(format_args!("knowledge: kept in {folder} again"));
                 self.logged_fault = None;
             }
             _ => {}
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -3,6 +3,6 @@
 use std::io::Write;
 
 /// Writes one line. Unlike `eprintln!` it does not panic when standard error is closed.
-pub fn say(line: std::fmt::Arguments<'_>) {
+pub fn log_line(line: std::fmt::Arguments<'_>) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
--- a/crates/proxy/src/maintenance/file.rs
+++ b/crates/proxy/src/maintenance/file.rs
@@ -15,30 +15,42 @@
 const TEMPORARY_NAME: &str = "amberlever.maintenance.new";
 const LOCK_NAME: &str = "amberlever.maintenance.lock";
 
-/// Tells one content of the file from another.
+/// Tells one content of the file from another. Every process replaces the file by a rename, which gives it another
+/// inode; its size is not compared.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct FileVersion {
+struct MaintenanceFileFingerprint {
     inode: u64,
     modified: Option<SystemTime>,
 }
 
-impl FileVersion {
-    fn of(path: &Path) -> Option<FileVersion> {
+impl MaintenanceFileFingerprint {
+    fn of(path: &Path) -> Option<MaintenanceFileFingerprint> {
         let metadata = fs::metadata(path).ok()?;
-        Some(FileVersion { inode: metadata.ino(), modified: metadata.modified().ok() })
+        Some(MaintenanceFileFingerprint { inode: metadata.ino(), modified: metadata.modified().ok() })
     }
 }
 
+/// What a check of the file finds.
+pub(super) enum FileChange {
+    /// There is no file, or it has the content that was read or written last.
+    Unchanged,
+    /// Other content that cannot be read, or is larger than [`MAX_FILE_BYTES`].
+    Unreadable,
+    /// Other content.
+    Content(Vec<u8>),
+}
+
 /// The file, and which content of it was read or written last.
 pub(super) struct MaintenanceFile {
     folder: PathBuf,
-    version: Cell<Option<FileVersion>>,
+    /// Of the content that was read or written last.
+    fingerprint: Cell<Option<MaintenanceFileFingerprint>>,
 }
 
 impl MaintenanceFile {
     /// The file in this folder, not read yet.
     pub fn new(folder: PathBuf) -> MaintenanceFile {
-        MaintenanceFile { folder, version: Cell::new(None) }
+        MaintenanceFile { folder, fingerprint: Cell::new(None) }
     }
 
     /// Where it is.
@@ -55,16 +67,19 @@
         Some(lock)
     }
 
-    /// The content, where it is not the one that was read or written last; `Some(None)` where that cannot be read.
-    pub fn read_if_changed(&self) -> Option<Option<Vec<u8>>> {
+    /// Reads the content, where it is not the one that was read or written last.
+    pub fn read_if_changed(&self) -> FileChange {
         let path = self.path();
-        let version = FileVersion::of(&path);
-        if version.is_none() || version == self.version.get() {
-            return None;
+        let fingerprint = MaintenanceFileFingerprint::of(&path);
+        if fingerprint.is_none() || fingerprint == self.fingerprint.get() {
+            return FileChange::Unchanged;
         }
-        self.version.set(version);
+        self.fingerprint.set(fingerprint);
         let has_valid_size = fs::metadata(&path).is_ok_and(|metadata| metadata.len() <= MAX_FILE_BYTES);
-        Some(if has_valid_size { fs::read(&path).ok() } else { None })
+        if !has_valid_size {
+            return FileChange::Unreadable;
+        }
+        fs::read(&path).map_or(FileChange::Unreadable, FileChange::Content)
     }
 
     /// Replaces the content. It is not synced: it is for processes that follow on this machine.
@@ -75,7 +90,7 @@
         let path = self.path();
         let temporary = self.folder.join(TEMPORARY_NAME);
         let written = fs::write(&temporary, bytes).and_then(|()| fs::rename(&temporary, &path));
-        self.version.set(FileVersion::of(&path));
+        self.fingerprint.set(MaintenanceFileFingerprint::of(&path));
         written
     }
 }
--- a/crates/proxy/src/maintenance/mod.rs
+++ b/crates/proxy/src/maintenance/mod.rs
@@ -11,9 +11,9 @@
 use membership::{Maintenance, MaintenanceRejection};
 use tokio::time::sleep;
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::membership::RegistryObserver;
-use file::MaintenanceFile;
+use file::{FileChange, MaintenanceFile};
 
 /// How often the file is checked, since another process may have written it. Well within the grace of a drain.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -74,7 +74,7 @@
         store.read_changes();
         let drained = store.state.borrow().drained().count();
         if drained > 0 {
-            say(format_args!("maintenance: {drained} backends are out by hand, from before"));
+            log_line(format_args!("maintenance: {drained} backends are out by hand, from before"));
         }
         store
     }
@@ -154,15 +154,19 @@
     /// Adopts the file, where it is not the one that was read or written last.
     fn read_changes(&self) {
         let Some(file) = &self.file else { return };
-        let Some(bytes) = file.read_if_changed() else { return };
-        match bytes.as_deref().and_then(Maintenance::decode) {
+        let later = match file.read_if_changed() {
+            FileChange::Unchanged => return,
+            FileChange::Unreadable => None,
+            FileChange::Content(bytes) => Maintenance::decode(&bytes),
+        };
+        match later {
             Some(later) => {
                 let changed = self.state.borrow_mut().adopt(&later);
                 self.notify(&changed);
             }
             None => {
                 let path = file.path();
-                say(format_args!("maintenance: passing over {}: not as it was written", path.display()));
+                log_line(format_args!("maintenance: passing over {}: not as it was written", path.display()));
             }
         }
     }
@@ -172,7 +176,7 @@
         let Some(file) = &self.file else { return };
         if let Err(error) = file.write(&self.state.borrow().encode()) {
             if !self.write_fault_logged.replace(true) {
-                say(format_args!("what is out by hand will not outlive this process: {error}"));
+                log_line(format_args!("what is out by hand will not outlive this process: {error}"));
             }
         }
     }
--- a/crates/proxy/src/membership/discovery/mod.rs
+++ b/crates/proxy/src/membership/discovery/mod.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::membership::EndpointRegistry;
 use crate::upstream::ListExpiry;
 use call::CallProgress;
@@ -205,7 +205,7 @@
     fn log_malformed_list(&mut self, fault: &str) {
         if !self.malformed_list_logged {
             self.malformed_list_logged = true;
-            say(format_args!("passing over a malformed list of backends: {fault}"));
+            log_line(format_args!("passing over a malformed list of backends: {fault}"));
         }
     }
 
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -15,7 +15,7 @@
 use decide::UpdateScope;
 use tokio::time::{sleep, Instant};
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::membership::{EndpointRegistry, MAX_LIST_BYTES};
 
 /// How often the file is checked.
@@ -48,19 +48,19 @@
     }
 }
 
-/// Tells one content of a file from another.
+/// Tells one content of the file from another, also where it was written in place.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct FileVersion {
+struct ListFileFingerprint {
     inode: u64,
     size: u64,
     modified_s: i64,
     modified_ns: i64,
 }
 
-impl FileVersion {
-    fn of(path: &Path) -> Option<FileVersion> {
+impl ListFileFingerprint {
+    fn of(path: &Path) -> Option<ListFileFingerprint> {
         let metadata = fs::metadata(path).ok()?;
-        Some(FileVersion {
+        Some(ListFileFingerprint {
             inode: metadata.ino(),
             size: metadata.size(),
             modified_s: metadata.mtime(),
@@ -74,15 +74,15 @@
     pool: String,
     path: PathBuf,
     registry: EndpointRegistry,
-    /// The content that was read last.
-    version: Option<FileVersion>,
+    /// Of the content that was read last.
+    fingerprint: Option<ListFileFingerprint>,
     logged_fault: Option<String>,
 }
 
 impl FileWatch {
     /// Watches a file that lists the endpoints of this pool.
     pub fn new(pool: String, path: PathBuf, registry: EndpointRegistry) -> FileWatch {
-        FileWatch { pool, path, registry, version: None, logged_fault: None }
+        FileWatch { pool, path, registry, fingerprint: None, logged_fault: None }
     }
 
     /// Applies the file whenever it changes.
@@ -94,8 +94,8 @@
     }
 
     fn check(&mut self) {
-        let version = FileVersion::of(&self.path);
-        if version.is_some() && version == self.version {
+        let fingerprint = ListFileFingerprint::of(&self.path);
+        if fingerprint.is_some() && fingerprint == self.fingerprint {
             if self.logged_fault.is_none() {
                 self.registry.last_contact.set(Instant::now());
             }
@@ -105,14 +105,14 @@
             Ok(()) => self.logged_fault = None,
             Err(error) => self.log_fault(error.to_string()),
         }
-        self.version = version;
+        self.fingerprint = fingerprint;
     }
 
     /// A fault that persists is logged once.
     fn log_fault(&mut self, fault: String) {
         if self.logged_fault.as_ref() != Some(&fault) {
             let (pool, path) = (&self.pool, self.path.display());
-            say(format_args!("pool `{pool}`: keeping the list as it was: {path}: {fault}"));
+            log_line(format_args!("pool `{pool}`: keeping the list as it was: {path}: {fault}"));
         }
         self.logged_fault = Some(fault);
     }
@@ -127,7 +127,7 @@
         // Checked as a whole, and applied in the form in which it came.
         let endpoint_count = list.clone().nodes().map_err(ListFileError::Invalid)?.len();
         self.registry.apply(list, UpdateScope::Full);
-        say(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
+        log_line(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
         Ok(())
     }
 }
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::inbox::DriverHandle;
-use crate::log::say;
+use crate::log::log_line;
 use crate::maintenance::PoolMaintenance;
 use crate::upstream::UpstreamPool;
 use registered::ListedAddress;
@@ -149,7 +149,7 @@
     fn log_malformed_entry(&mut self, fault: &str) {
         if !self.malformed_entry_logged {
             self.malformed_entry_logged = true;
-            say(format_args!("passing over a malformed entry in the list of backends: {fault}"));
+            log_line(format_args!("passing over a malformed entry in the list of backends: {fault}"));
         }
     }
 }
--- a/crates/proxy/src/operators/server.rs
+++ b/crates/proxy/src/operators/server.rs
@@ -27,8 +27,12 @@
 
 /// File descriptors that the address uses at most.
 pub const SOCKETS: usize = config::OPERATORS_SOCKETS;
+/// The listener.
+const LISTENER_SOCKETS: usize = 1;
+/// The connection that replaces the oldest: for a moment both are open.
+const REPLACEMENT_SOCKETS: usize = 1;
 /// Concurrent connections; a further one replaces the oldest.
-const MAX_CONNECTIONS: usize = SOCKETS - 2;
+const MAX_CONNECTIONS: usize = SOCKETS - LISTENER_SOCKETS - REPLACEMENT_SOCKETS;
 /// The time limit of a request, connection included.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest request head, in bytes.
@@ -47,8 +51,14 @@
 enum Operation {
     Status,
     Metrics,
-    EnterMaintenance,
-    ExitMaintenance,
+    Maintenance(MaintenanceChange),
+}
+
+/// What an operator changes about an endpoint.
+#[derive(Clone, Copy)]
+enum MaintenanceChange {
+    Drain,
+    Restore,
 }
 
 impl Operation {
@@ -56,8 +66,8 @@
         match path {
             "/status" => Some(Operation::Status),
             "/status/metrics" => Some(Operation::Metrics),
-            "/maintenance/enter" => Some(Operation::EnterMaintenance),
-            "/maintenance/exit" => Some(Operation::ExitMaintenance),
+            "/maintenance/enter" => Some(Operation::Maintenance(MaintenanceChange::Drain)),
+            "/maintenance/exit" => Some(Operation::Maintenance(MaintenanceChange::Restore)),
             _ => None,
         }
     }
@@ -65,7 +75,7 @@
     fn method(self) -> Method {
         match self {
             Operation::Status | Operation::Metrics => Method::GET,
-            Operation::EnterMaintenance | Operation::ExitMaintenance => Method::POST,
+            Operation::Maintenance(_) => Method::POST,
         }
     }
 }
@@ -78,7 +88,7 @@
     let listen_error = |source| StartError::Listen { address, source };
     let listener = TcpListener::bind(address).await.map_err(listen_error)?;
     let bound_address = listener.local_addr().map_err(listen_error)?;
-    log::say(format_args!("operators: listening on {bound_address}"));
+    log::log_line(format_args!("operators: listening on {bound_address}"));
     Ok(listener)
 }
 
@@ -127,8 +137,7 @@
         Operation::Status if actions.is_serving() => text(StatusCode::OK, "taking clients"),
         Operation::Status => text(StatusCode::SERVICE_UNAVAILABLE, "taking no clients"),
         Operation::Metrics => metrics(actions).await,
-        Operation::EnterMaintenance => maintenance(actions, body, true).await,
-        Operation::ExitMaintenance => maintenance(actions, body, false).await,
+        Operation::Maintenance(change) => change_maintenance(actions, body, change).await,
     }
 }
 
@@ -169,29 +178,33 @@
     }
 }
 
-async fn maintenance(actions: &dyn OperatorActions, body: Incoming, enter: bool) -> Reply {
+async fn change_maintenance(
+    actions: &dyn OperatorActions,
+    body: Incoming,
+    change: MaintenanceChange,
+) -> Reply {
     match read_endpoint_id(body).await {
-        Ok(id) => set_maintenance(actions, &id, enter),
+        Ok(id) => apply_change(actions, &id, change),
         Err(error) => text(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-fn set_maintenance(actions: &dyn OperatorActions, id: &str, enter: bool) -> Reply {
+fn apply_change(actions: &dyn OperatorActions, id: &str, change: MaintenanceChange) -> Reply {
     let result = actions.maintenance_target(id).and_then(|target| {
-        if enter {
-            target.store.drain(&target.endpoint)
-        } else {
-            target.store.restore(&target.endpoint)
+        match change {
+            MaintenanceChange::Drain => target.store.drain(&target.endpoint)?,
+            MaintenanceChange::Restore => target.store.restore(&target.endpoint)?,
         }
+        Ok(change)
     });
     match result {
-        Ok(()) if enter => text(StatusCode::OK, "out"),
-        Ok(()) => text(StatusCode::OK, "in use"),
-        Err(refused @ MaintenanceRejection::UnknownEndpoint) => {
-            text(StatusCode::NOT_FOUND, &refused.to_string())
+        Ok(MaintenanceChange::Drain) => text(StatusCode::OK, "out"),
+        Ok(MaintenanceChange::Restore) => text(StatusCode::OK, "in use"),
+        Err(rejection @ MaintenanceRejection::UnknownEndpoint) => {
+            text(StatusCode::NOT_FOUND, &rejection.to_string())
         }
-        Err(refused @ (MaintenanceRejection::TooManyDrained | MaintenanceRejection::AmbiguousName)) => {
-            text(StatusCode::CONFLICT, &refused.to_string())
+        Err(rejection @ (MaintenanceRejection::TooManyDrained | MaintenanceRejection::AmbiguousName)) => {
+            text(StatusCode::CONFLICT, &rejection.to_string())
         }
     }
 }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -23,7 +23,7 @@
 use crate::downstream::{self, Frontend};
 use crate::driver::Driver;
 use crate::gossip::GossipSocket;
-use crate::log::say;
+use crate::log::log_line;
 use crate::membership::{Discovery, EndpointRegistry};
 use crate::metrics::{Labels, Metrics};
 use crate::platform_router::PlatformRouter;
@@ -96,7 +96,7 @@
     pool.start(&config.platform, config.seed, discovery_address, config.initial_list);
     spawn_local(reload_on_hangup(hangup, address_sender));
 
-    say(format_args!("listening on {address}"));
+    log_line(format_args!("listening on {address}"));
     let stop = async move {
         shutdown.received().await;
         shutting_down.set(true);
@@ -209,13 +209,13 @@
     while hangup.recv().await.is_some() {
         match Config::from_env() {
             Ok(config) => {
-                say(format_args!("configuration read again: discovery is at {}", config.discovery));
+                log_line(format_args!("configuration read again: discovery is at {}", config.discovery));
                 discovery_address.send_if_modified(|address| {
                     let former = std::mem::replace(address, config.discovery);
                     former != config.discovery
                 });
             }
-            Err(error) => say(format_args!("going on with the old configuration: {error}")),
+            Err(error) => log_line(format_args!("going on with the old configuration: {error}")),
         }
     }
 }
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -12,6 +12,7 @@
 use hyper::{HeaderMap, Method, StatusCode};
 
 use crate::body::MAX_STREAMED_BODY_BYTES;
+use crate::exchange::Execution;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{
@@ -130,7 +131,7 @@
         None
     }
 
-    fn on_rejected(&mut self, _: bool) -> RejectionOutcome {
+    fn on_rejected(&mut self, _: Execution) -> RejectionOutcome {
         RejectionOutcome::Final
     }
 }
--- a/crates/proxy/src/pool/staleness.rs
+++ b/crates/proxy/src/pool/staleness.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{sleep, Instant};
 
-use crate::log::say;
+use crate::log::log_line;
 
 /// The first warning is logged at this age of the list, further ones whenever the age has doubled.
 const WARNING_AGE: Duration = Duration::from_secs(10);
@@ -23,7 +23,7 @@
             next_warning_age = WARNING_AGE;
         } else if age >= next_warning_age {
             let seconds = age.as_secs();
-            say(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
+            log_line(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
             next_warning_age *= 2;
         }
     }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -11,7 +11,7 @@
 
 use crate::downstream::{self, Frontend};
 use crate::inherited_socket;
-use crate::log::say;
+use crate::log::log_line;
 use crate::request_ids::OpenRequestIds;
 use crate::router::Router;
 use crate::start_error::StartError;
@@ -125,7 +125,7 @@
             tasks.spawn_local(downstream::run(frontend, socket, max_connections, async move {
                 let _ = stopped.changed().await;
             }));
-            say(format_args!("listening on {address}"));
+            log_line(format_args!("listening on {address}"));
         }
         ServingListeners { stop, tasks }
     }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use jsonrpc::Call;
 
-use crate::exchange::{AttemptCounter, MAX_BUFFERED_BODY_BYTES};
+use crate::exchange::{AttemptCounter, Execution, MAX_BUFFERED_BODY_BYTES};
 use crate::idempotency_keys::KeyScope;
 use crate::inbox::DriverHandle;
 use crate::metrics::{RequestCounters, RequestOutcome};
@@ -148,8 +148,8 @@
     }
 
     /// What follows when the current pool rejects the request; with [`RejectionOutcome::NextPool`] the next one is
-    /// current. `never_ran` if no attempt can have been executed.
-    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome;
+    /// current. `execution` tells whether an attempt can have been executed in the current pool.
+    fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome;
 }
 
 /// What follows when a pool rejects a request.
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -19,6 +19,9 @@
 
 pub use pool_selection::PoolSelection;
 
+/// The low bits of a seed that tell the pools of one version apart.
+const POOL_INDEX_BITS: u32 = 16;
+
 /// The filter of one route in each pool, by pool index; None where the route may use the whole pool.
 type PoolFilters = Vec<Option<Arc<EndpointFilter>>>;
 /// The request counters of one route, by pool index.
@@ -150,7 +153,7 @@
                 Rc::clone(former)
             }
             None => {
-                let seed = context.seed.wrapping_add((version << 16) + index as u64);
+                let seed = pool_seed(context.seed, version, index);
                 let context = PoolContext { seed, ..*context };
                 Rc::new(Pool::start(config, index, max_pool_connections[index], &context))
             }
@@ -159,6 +162,11 @@
     pools
 }
 
+/// The seed of a pool's random numbers. Differs for each pool and version.
+fn pool_seed(process_seed: u64, version: u64, pool_index: usize) -> u64 {
+    process_seed.wrapping_add((version << POOL_INDEX_BITS) + pool_index as u64)
+}
+
 fn route_filters(route: &Route, pools: &[Rc<Pool>]) -> PoolFilters {
     let is_filtered = !route.scope.is_all();
     pools.iter().map(|pool| is_filtered.then(|| Arc::new(pool.endpoint_filter(&route.scope)))).collect()
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -7,6 +7,7 @@
 use route::{PoolChoice, PoolId};
 
 use super::ServingSnapshot;
+use crate::exchange::Execution;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{PoolSequence, RejectionOutcome};
@@ -42,11 +43,11 @@
         self.snapshot.filters[self.route][self.choice.pool.0].clone()
     }
 
-    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
+    fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome {
         let config = &self.snapshot.config;
         let route = &config.table.routes()[self.route];
         let is_idempotent = config.classes[route.class].parameters.semantics == Semantics::Idempotent;
-        if !never_ran && !is_idempotent {
+        if execution == Execution::Possible && !is_idempotent {
             // Duplicates are detected within one pool only. Where a client's retry could reach another pool, the
             // rejection would promise that it is safe.
             let has_other_pool = route.pools().nth(1).is_some();
--- a/crates/proxy/src/standalone/reload.rs
+++ b/crates/proxy/src/standalone/reload.rs
@@ -10,7 +10,7 @@
 use super::{AddressAnnouncer, CurrentSnapshot};
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::OperatorContext;
 use crate::pool::PoolContext;
 use crate::snapshot::ServingSnapshot;
@@ -41,7 +41,7 @@
         let previous = Rc::clone(&self.current.borrow());
         match self.load_compatible(&previous.config) {
             Ok(config) => self.replace(config, &previous),
-            Err(fault) => say(format_args!("configuration {} stays: {fault}", previous.version)),
+            Err(fault) => log_line(format_args!("configuration {} stays: {fault}", previous.version)),
         }
         let current = self.current.borrow();
         self.keys.set_limits(current.config.idempotency_keys);
@@ -67,7 +67,7 @@
         let routes = snapshot.config.table.routes().len();
         let pools = snapshot.config.pools.len();
         *self.current.borrow_mut() = Rc::new(snapshot);
-        say(format_args!("configuration {version}: {routes} routes, {pools} pools"));
+        log_line(format_args!("configuration {version}: {routes} routes, {pools} pools"));
     }
 }
 
--- a/crates/proxy/src/upstream/list_expiry.rs
+++ b/crates/proxy/src/upstream/list_expiry.rs
@@ -5,7 +5,7 @@
 use membership::ExpiryCause;
 use tokio::time::Instant;
 
-use crate::log::say;
+use crate::log::log_line;
 
 /// The time in which the endpoint list is too old to send to any endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
         self.expiry.set(expiry);
         let is_current = expiry.is_none_or(|expiry| Instant::now() < expiry.from);
         if is_current && self.has_logged.replace(false) {
-            say(format_args!("sending again: the list is up to date"));
+            log_line(format_args!("sending again: the list is up to date"));
         }
     }
 
@@ -47,7 +47,7 @@
         let now = Instant::now();
         let Some(expiry) = self.expiry.get().filter(|expiry| expiry.contains(now)) else { return false };
         if !self.has_logged.replace(true) {
-            say(format_args!("sending nothing: {}", log_text(expiry.cause)));
+            log_line(format_args!("sending nothing: {}", log_text(expiry.cause)));
         }
         true
     }
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -6,7 +6,7 @@
 use decide::platform_settings::LoadReportField;
 use decide::LoadReport;
 
-use crate::log::say;
+use crate::log::log_line;
 
 /// The largest plausible value of a field. A larger one would keep requests from a healthy endpoint.
 const MAX_VALUE: f64 = 1e6;
@@ -34,7 +34,7 @@
     fn log_malformed(&self, json: &[u8]) {
         if !self.has_logged_malformed.replace(true) {
             let text = String::from_utf8_lossy(json);
-            say(format_args!("passing over a malformed load report: {text:?}"));
+            log_line(format_args!("passing over a malformed load report: {text:?}"));
         }
     }
 }
--- a/crates/proxy/src/upstream/socket_limit.rs
+++ b/crates/proxy/src/upstream/socket_limit.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::socket::DescriptorGuard;
 
 /// Counts open sockets against a limit.
@@ -42,7 +42,7 @@
     /// Logs, once, that the limit kept an attempt from being sent.
     pub fn log_exhaustion(&self) {
         if !self.has_logged_exhaustion.replace(true) {
-            say(format_args!("all {} sockets for backends are in use", self.max.get()));
+            log_line(format_args!("all {} sockets for backends are in use", self.max.get()));
         }
     }
 }
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -12,7 +12,7 @@
 use bgp::Facts;
 use bgp_speaker::Speaker;
 use config::{Bgp, Config};
-use proxy::log::say;
+use proxy::log::log_line;
 use proxy::standalone::AddressAnnouncer;
 use serde_json::{json, Value};
 
@@ -65,13 +65,13 @@
 pub fn start(config: &Config) -> Result<Option<Rc<dyn AddressAnnouncer>>, String> {
     let Some(bgp) = &config.bgp else { return Ok(None) };
     let listener = bgp.api.map(admin::serve::bind).transpose()?;
-    let speaker = Speaker::start(bgp.clone(), seed(), |line| say(format_args!("{line}")))?;
+    let speaker = Speaker::start(bgp.clone(), seed(), |line| log_line(format_args!("{line}")))?;
     let beside = Beside(speaker);
     if let Some(listener) = listener {
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         let router = admin::announce::router(Arc::new(beside.clone()));
         admin::serve::serve(listener, router, config::MOST_OPERATORS)?;
-        say(format_args!("bgp: operators on {address}"));
+        log_line(format_args!("bgp: operators on {address}"));
     }
     Ok(Some(Rc::new(beside)))
 }
--- a/src/bin/amberlever/demo.rs
+++ b/src/bin/amberlever/demo.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use config::{toml_value, Document, Setup, TenantDoc};
-use proxy::log::say;
+use proxy::log::log_line;
 use serde_json::{json, Value};
 use testkit::FixedLatencyEndpoint;
 
@@ -20,7 +20,7 @@
     let state = std::env::temp_dir().join(format!("amberlever-demo-{}", std::process::id()));
     let result = serve(listen, admin, jsonrpc, &state);
     let _ = std::fs::remove_dir_all(&state);
-    say(format_args!("the demo has ended"));
+    log_line(format_args!("the demo has ended"));
     result
 }
 
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -10,7 +10,7 @@
 use admin::{Plane, Service, TenantStatus};
 use config::{Document, Setup, Tenants};
 use proxy::hosting::{self, Command};
-use proxy::log::say;
+use proxy::log::log_line;
 use store::Disk;
 use tokio::sync::{mpsc, oneshot};
 
@@ -61,7 +61,7 @@
         opened.newest,
         first,
     )?;
-    opened.warnings.iter().chain(&warnings).for_each(|w| say(format_args!("state: {w}")));
+    opened.warnings.iter().chain(&warnings).for_each(|w| log_line(format_args!("state: {w}")));
     let service = Arc::new(service);
     let listener = admin::serve::bind(setup.admin)?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -71,8 +71,8 @@
     hosting::run(options, |callers| {
         // Administrators are let in once what they change is served.
         match admin::serve::start(listener, service) {
-            Ok(()) => say(format_args!("administration on {address}")),
-            Err(fault) => say(format_args!("no administration: {fault}")),
+            Ok(()) => log_line(format_args!("administration on {address}")),
+            Err(fault) => log_line(format_args!("no administration: {fault}")),
         }
         started(callers, address);
     })
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -13,7 +13,7 @@
 
 use clap::Parser;
 use config::{Config, Loaded};
-use proxy::log::say;
+use proxy::log::log_line;
 use proxy::standalone;
 
 use crate::cli::{Cli, Command};
@@ -55,7 +55,7 @@
 }
 
 fn failed(fault: &str, code: u8) -> ExitCode {
-    say(format_args!("amberlever: {fault}"));
+    log_line(format_args!("amberlever: {fault}"));
     ExitCode::from(code)
 }
 
