--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -17,10 +17,10 @@
 use super::Status;
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::{unique_endpoint, MaintenanceTarget, OperatorActions, OperatorContext};
 use crate::pool::PoolContext;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// The tenants of a hosted service.
 pub(super) struct HostedTenants {
@@ -63,7 +63,7 @@
             self.add_or_update(now, name, version, tenants);
         }
         *self.current.borrow_mut() = Arc::clone(tenants);
-        say(format_args!("version {version}: {} tenants", tenants.all.len()));
+        log_line(format_args!("version {version}: {} tenants", tenants.all.len()));
     }
 
     fn remove_missing(&self, tenants: &Tenants) {
@@ -129,7 +129,7 @@
         self.by_name.borrow().iter().map(|(name, hosted)| (name.clone(), status(hosted))).collect()
     }
 
-    fn running(&self) -> Vec<Rc<Snapshot>> {
+    fn running(&self) -> Vec<Rc<ServingSnapshot>> {
         self.by_name.borrow().values().filter_map(|hosted| hosted.running()).collect()
     }
 }
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -9,12 +9,12 @@
 
 use atomic_file::{AtomicFileStore, Folder, OpenError};
 use config::LearnedStateSettings;
-use learned_state::Snapshot;
+use learned_state::LearnedSnapshot;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
 use super::timestamped;
-use crate::log::say;
+use crate::log::log_line;
 
 /// The last write is awaited for this long, so that a disk that hangs does not delay the shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -53,7 +53,7 @@
 
 /// A snapshot to write.
 struct WriteJob {
-    snapshot: Snapshot,
+    snapshot: LearnedSnapshot,
     /// Notified when it is written, or failed.
     done: Option<oneshot::Sender<()>>,
 }
@@ -71,13 +71,13 @@
         let writer = FolderWriter::new(settings.folder.clone(), settings.files);
         let thread = thread::Builder::new().name("memory".to_owned());
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
-            say(format_args!("knowledge: not kept: {error}"));
+            log_line(format_args!("knowledge: not kept: {error}"));
         }
         StateWriter { jobs, interval: settings.every }
     }
 
     /// Writes the state at every interval, for as long as it is polled.
-    pub async fn write_periodically(&self, state: impl AsyncFn() -> Snapshot) {
+    pub async fn write_periodically(&self, state: impl AsyncFn() -> LearnedSnapshot) {
         loop {
             tokio::time::sleep(self.interval).await;
             // A snapshot that still waits is recent enough: a slow disk gets no second one.
@@ -86,7 +86,7 @@
     }
 
     /// Writes for the last time.
-    pub async fn write_last(&self, snapshot: Snapshot) {
+    pub async fn write_last(&self, snapshot: LearnedSnapshot) {
         let (done, written) = oneshot::channel();
         let mut job = WriteJob { snapshot: timestamped(snapshot), done: Some(done) };
         let deadline = Instant::now() + LAST_WRITE_TIMEOUT;
@@ -126,7 +126,7 @@
         }
     }
 
-    fn write(&mut self, snapshot: &Snapshot) -> Result<(), StateWriteError> {
+    fn write(&mut self, snapshot: &LearnedSnapshot) -> Result<(), StateWriteError> {
         let store = self.open()?;
         Ok(store.put(&learned_state::encode(snapshot))?)
     }
@@ -144,11 +144,11 @@
         let folder = self.folder.display();
         match result.map_err(|error| error.to_string()) {
             Err(fault) if self.logged_fault.as_ref() != Some(&fault) => {
-                say(format_args!("knowledge: not kept in {folder}: {fault}"));
+                log_line(format_args!("knowledge: not kept in {folder}: {fault}"));
                 self.logged_fault = Some(fault);
             }
             Ok(()) if self.logged_fault.is_some() => {
-                say(format_args!("knowledge: kept in {folder} again"));
+                log_line(format_args!("knowledge: kept in {folder} again"));
                 self.logged_fault = None;
             }
             _ => {}
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -6,14 +6,15 @@
 use decide::{EndpointFilter, Semantics};
 use route::{PoolChoice, PoolId};
 
-use super::Snapshot;
+use super::ServingSnapshot;
+use crate::exchange::Execution;
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{PoolSequence, RejectionOutcome};
 
 /// The current pool of a request, under the snapshot by which it was routed.
 pub struct PoolSelection {
-    snapshot: Rc<Snapshot>,
+    snapshot: Rc<ServingSnapshot>,
     /// The index of the route.
     route: usize,
     choice: PoolChoice,
@@ -21,7 +22,7 @@
 
 impl PoolSelection {
     /// Starts with the route's first usable pool, beginning at the preferred one.
-    pub fn new(snapshot: Rc<Snapshot>, route: usize, preferred: PoolId) -> PoolSelection {
+    pub fn new(snapshot: Rc<ServingSnapshot>, route: usize, preferred: PoolId) -> PoolSelection {
         let choice = snapshot.config.table.routes()[route]
             .first_pool(preferred, |pool| snapshot.endpoint_counts(route, pool));
         PoolSelection { snapshot, route, choice }
@@ -42,11 +43,11 @@
         self.snapshot.filters[self.route][self.choice.pool.0].clone()
     }
 
-    fn on_rejected(&mut self, never_ran: bool) -> RejectionOutcome {
+    fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome {
         let config = &self.snapshot.config;
         let route = &config.table.routes()[self.route];
         let is_idempotent = config.classes[route.class].parameters.semantics == Semantics::Idempotent;
-        if !never_ran && !is_idempotent {
+        if execution == Execution::Possible && !is_idempotent {
             // Duplicates are detected within one pool only. Where a client's retry could reach another pool, the
             // rejection would promise that it is safe.
             let has_other_pool = route.pools().nth(1).is_some();
