--- a/crates/config/src/play.rs
+++ b/crates/config/src/play/mod.rs
@@ -1,62 +1,19 @@
-//! Plays expectations on a configuration, with the very table and the very rules on pools that serve.
+//! Evaluates expectations on a configuration, with the route table and the rules on pools that serve.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod contradictions;
+mod report;
+
+use std::collections::BTreeSet;
 
 use route::{EndpointCounts, HeaderFields, PoolId, RawRequest, RequestAttributes, RouteError, SplitKey};
-use serde::Serialize;
 
+use self::contradictions::contradictions;
+pub use self::report::{Contradiction, Failure, Place, Report};
 use crate::endpoint::EndpointState;
-use crate::expect::{states, Expectation, NodeId, Then, When};
+use crate::expect::{Expectation, NodeId, Then, When};
 use crate::model::Config;
 use crate::pool_endpoints::PoolEndpoints;
 
-/// What playing all expectations showed.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct Report {
-    /// How many there are.
-    pub expectations: usize,
-    /// Those that no configuration can meet together.
-    pub contradictions: Vec<Contradiction>,
-    /// Those that this configuration fails, apart from these.
-    pub failures: Vec<Failure>,
-}
-
-/// Two expectations that no configuration can meet together.
-#[derive(Clone, Debug, Serialize)]
-pub struct Contradiction {
-    /// One of them, with file and line.
-    pub first: Place,
-    /// The other; the same where it contradicts itself.
-    pub second: Place,
-    /// Why.
-    pub why: String,
-}
-
-/// Where an expectation stands.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
-    /// Its name.
-    pub name: String,
-    /// Its file.
-    pub file: String,
-    /// Its line.
-    pub line: usize,
-}
-
-/// An expectation that is not met.
-#[derive(Clone, Debug, Serialize)]
-pub struct Failure {
-    /// Which.
-    #[serde(flatten)]
-    pub place: Place,
-    /// What was expected.
-    pub expected: String,
-    /// What would happen.
-    pub would: String,
-    /// The route to blame, with file and line; none where no route takes the request.
-    pub route: Option<Place>,
-}
-
 /// What becomes of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
@@ -75,53 +32,6 @@
     },
 }
 
-impl std::fmt::Display for Place {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}:{}: `{}`", self.file, self.line, self.name)
-    }
-}
-
-impl std::fmt::Display for Contradiction {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        if self.first == self.second {
-            write!(f, "{} contradicts itself: {}", self.first, self.why)
-        } else {
-            write!(f, "{} and {} contradict each other: {}", self.first, self.second, self.why)
-        }
-    }
-}
-
-impl std::fmt::Display for Failure {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: expected {}, but {}", self.place, self.expected, self.would)?;
-        match &self.route {
-            Some(route) => write!(f, " (by route `{}`, {}:{})", route.name, route.file, route.line),
-            None => Ok(()),
-        }
-    }
-}
-
-impl Report {
-    /// Nothing to complain of?
-    #[must_use]
-    pub fn is_good(&self) -> bool {
-        self.contradictions.is_empty() && self.failures.is_empty()
-    }
-
-    /// The first complaint, in a line, and how many more there are.
-    #[must_use]
-    pub fn summary(&self) -> String {
-        let first = self.contradictions.first().map(ToString::to_string);
-        let Some(first) = first.or_else(|| self.failures.first().map(ToString::to_string)) else {
-            return format!("{} expectations hold", self.expectations);
-        };
-        match self.contradictions.len() + self.failures.len() - 1 {
-            0 => first,
-            more => format!("{first} (and {more} more; `amberlever check` shows all)"),
-        }
-    }
-}
-
 pub(crate) fn play(config: &Config, all: &[Expectation]) -> Report {
     let mut report = Report { expectations: all.len(), ..Report::default() };
     let mut accused = BTreeSet::new();
@@ -311,117 +221,3 @@
     words.extend(then.refused.map(|s| format!("a refusal with {s}")));
     words.join(" and ")
 }
-
-// ---- Contradictions ----
-
-/// A request, and the state of the fleet.
-type Situation<'a> = (When, Vec<(usize, &'a str, EndpointState)>);
-
-/// Pairs that ask two things of one request in one state, and why no configuration meets both.
-fn contradictions(config: &Config, all: &[Expectation]) -> Vec<(usize, usize, String)> {
-    let mut groups: BTreeMap<Situation<'_>, Vec<usize>> = BTreeMap::new();
-    let mut found = Vec::new();
-    for (i, expectation) in all.iter().enumerate() {
-        if let Some(why) = clash(config, expectation, expectation) {
-            found.push((i, i, why));
-        }
-        groups.entry((normal(&expectation.when), states(&expectation.given))).or_default().push(i);
-    }
-    for group in groups.values() {
-        for (n, &a) in group.iter().enumerate() {
-            for &b in &group[n + 1..] {
-                if let Some(why) = clash(config, &all[a], &all[b]).or_else(|| clash(config, &all[b], &all[a]))
-                {
-                    found.push((a, b, why));
-                }
-            }
-        }
-    }
-    found.sort();
-    found
-}
-
-/// The request as routing sees it, so that the same one in two spellings is the same.
-fn normal(when: &When) -> When {
-    let mut when = when.clone();
-    if let Ok(host) = route::normalize::host(&when.host) {
-        when.host = host.name.into_owned();
-    }
-    if let Ok(path) = route::normalize::path(when.path.split('?').next().unwrap_or_default()) {
-        when.path = path.into_owned();
-    }
-    when
-}
-
-/// Why two expectations on the same request cannot both be met, as far as what the first asks is against what
-/// the second does.
-fn clash(config: &Config, a: &Expectation, b: &Expectation) -> Option<String> {
-    let fleet = &a.given;
-    let (x, y) = (&a.then, &b.then);
-    let differ = |sort: &str, one: String, other: String| {
-        Some(format!("one request has one {sort}, and they name `{one}` and `{other}`"))
-    };
-    if let (Some(one), Some(other)) = (&x.route, &y.route) {
-        if one != other {
-            return differ("route", one.clone(), other.clone());
-        }
-    }
-    if let (Some(one), Some(other)) = (x.pool, y.pool) {
-        if one != other {
-            return differ("pool", config.pools[one].name.clone(), config.pools[other].name.clone());
-        }
-    }
-    if let (Some(one), Some(other)) = (x.class, y.class) {
-        if one != other {
-            return differ("class", config.classes[one].name.clone(), config.classes[other].name.clone());
-        }
-    }
-    if let Some(status) = x.refused {
-        if let Some(other) = y.refused.filter(|other| *other != status) {
-            return Some(format!("one request has one answer, and they name {status} and {other}"));
-        }
-        let served = y.stays_in.is_some() || y.nodes.as_ref().is_some_and(|n| !n.is_empty());
-        if served || (status != 503 && !is_only_refusal(y)) {
-            return Some(format!(
-                "one wants a refusal with {status}, the other {}",
-                words(config, fleet, &Then { refused: None, ..y.clone() })
-            ));
-        }
-    }
-    if let (Some(one), Some(other)) = (&x.nodes, &y.nodes) {
-        if one != other {
-            let names = |nodes| node_names(config, fleet, nodes);
-            return Some(format!("the nodes it may reach are either {} or {}", names(one), names(other)));
-        }
-    }
-    // Zones that `y` leaves, against what `x` needs.
-    let leaves = |zone: &String| {
-        y.stays_in.as_ref().is_none_or(|zones| zones.contains(zone)) && !y.never_in.contains(zone)
-    };
-    let asked = words(
-        config,
-        fleet,
-        &Then { stays_in: y.stays_in.clone(), never_in: y.never_in.clone(), ..Then::default() },
-    );
-    if let Some(zones) = x.stays_in.as_ref().filter(|zones| !zones.iter().any(leaves)) {
-        return Some(format!("one wants it to stay in {}, the other {asked}", list(zones.iter().cloned())));
-    }
-    for (p, n) in x.nodes.iter().flatten() {
-        let node = &fleet.pools[*p][*n];
-        if !leaves(&node.zone) {
-            return Some(format!(
-                "one wants node `{}`, which the configuration puts into zone `{}`, the other {asked}",
-                node.name, node.zone
-            ));
-        }
-    }
-    let pool = x.pool.map(|p| (&config.pools[p].name, &fleet.pools[p]));
-    if let Some((name, nodes)) = pool.filter(|(_, nodes)| !nodes.is_empty()) {
-        if y.stays_in.is_some() && !nodes.iter().any(|n| leaves(&n.zone)) {
-            return Some(format!(
-                "one wants pool `{name}`, all of whose nodes the configuration puts elsewhere, the other {asked}"
-            ));
-        }
-    }
-    None
-}
