--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -1,5 +1,5 @@
-//! Messages as octets, by netgauze-bgp-pkt. NOTIFICATIONs are written here: the library has a variant for each subcode
-//! and none for one that it has no name for.
+//! Encodes messages with netgauze-bgp-pkt. NOTIFICATIONs are encoded here, as the library has no variant for an unknown
+//! subcode.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -23,21 +23,21 @@
 use crate::message::{Notification, HEADER, MOST_MESSAGE};
 use crate::table::{Attributes, Speaker};
 
-/// Stands for an AS number of four octets (RFC 6793).
+/// The two-octet AS number that stands in for one of four octets (RFC 6793).
 const AS_TRANS: u16 = 23456;
-/// Prefixes in one message, so that it stays far under its bound beside the largest attributes.
-const MOST_V4: usize = 500;
-const MOST_V6: usize = 150;
+/// Prefixes a message at most, so that it stays within [`MOST_MESSAGE`] with the largest attributes.
+const MAX_PREFIXES_V4: usize = 500;
+const MAX_PREFIXES_V6: usize = 150;
 
-fn octets(message: &BgpMessage) -> Vec<u8> {
+fn encode(message: &BgpMessage) -> Vec<u8> {
     let mut octets = Vec::with_capacity(message.len());
-    // Writing to memory fails for one that is too long only, and those are cut up before.
+    // Writing to memory fails only for a message that is too long, and prefixes are split over messages.
     let written = message.write(&mut octets);
     debug_assert!(written.is_ok() && octets.len() <= MOST_MESSAGE);
     octets
 }
 
-/// An OPEN that says who we are.
+/// An OPEN with the capabilities of this speaker; `hold_s` is the proposed hold time in seconds.
 #[must_use]
 pub fn open_message(asn: u32, hold_s: u16, id: Ipv4Addr) -> Vec<u8> {
     let family = |f| BgpCapability::MultiProtocolExtensions(MultiProtocolExtensionsCapability::new(f));
@@ -49,16 +49,16 @@
     ];
     let short = u16::try_from(asn).unwrap_or(AS_TRANS);
     let parameters = vec![BgpOpenMessageParameter::new_capabilities(capabilities)];
-    octets(&BgpMessage::Open(BgpOpenMessage::new(short, hold_s, id, parameters)))
+    encode(&BgpMessage::Open(BgpOpenMessage::new(short, hold_s, id, parameters)))
 }
 
 /// A KEEPALIVE.
 #[must_use]
 pub fn keepalive() -> Vec<u8> {
-    octets(&BgpMessage::KeepAlive)
+    encode(&BgpMessage::KeepAlive)
 }
 
-/// A NOTIFICATION. What it says of its cause is cut where it would not fit.
+/// A NOTIFICATION; data that does not fit is truncated.
 #[must_use]
 pub fn notification(notification: &Notification) -> Vec<u8> {
     let data = &notification.data[..notification.data.len().min(MOST_MESSAGE - HEADER - 2)];
@@ -69,7 +69,7 @@
     octets
 }
 
-fn v4(prefixes: &[IpNet]) -> Vec<Ipv4UnicastAddress> {
+fn ipv4_nlri(prefixes: &[IpNet]) -> Vec<Ipv4UnicastAddress> {
     let v4 = |prefix: &IpNet| match prefix {
         IpNet::V4(net) => Ipv4Unicast::from_net(*net).ok().map(Ipv4UnicastAddress::new_no_path_id),
         IpNet::V6(_) => None,
@@ -77,7 +77,7 @@
     prefixes.iter().filter_map(v4).collect()
 }
 
-fn v6(prefixes: &[IpNet]) -> Vec<Ipv6UnicastAddress> {
+fn ipv6_nlri(prefixes: &[IpNet]) -> Vec<Ipv6UnicastAddress> {
     let v6 = |prefix: &IpNet| match prefix {
         IpNet::V6(net) => Ipv6Unicast::from_net(*net).ok().map(|net| Ipv6UnicastAddress::new(None, net)),
         IpNet::V4(_) => None,
@@ -86,54 +86,60 @@
 }
 
 fn attribute(optional: bool, transitive: bool, value: PathAttributeValue) -> Option<PathAttribute> {
-    // Long lists of communities need the longer form of a length.
-    let long = match &value {
+    // Values longer than 255 octets need the extended length.
+    let extended_length = match &value {
         PathAttributeValue::LargeCommunities(c) => c.communities().len() * 12 > 255,
         PathAttributeValue::Communities(c) => c.communities().len() * 4 > 255,
         PathAttributeValue::AsPath(_) | PathAttributeValue::As4Path(_) => true,
         PathAttributeValue::MpReach(_) | PathAttributeValue::MpUnreach(_) => true,
         _ => false,
     };
-    PathAttribute::from(optional, transitive, false, long, value).ok()
+    PathAttribute::from(optional, transitive, false, extended_length, value).ok()
 }
 
-fn update(withdrawn: Vec<Ipv4UnicastAddress>, a: Vec<PathAttribute>, n: Vec<Ipv4UnicastAddress>) -> Vec<u8> {
-    octets(&BgpMessage::Update(BgpUpdateMessage::new(withdrawn, a, n)))
+fn update(
+    withdrawn: Vec<Ipv4UnicastAddress>,
+    attributes: Vec<PathAttribute>,
+    nlri: Vec<Ipv4UnicastAddress>,
+) -> Vec<u8> {
+    encode(&BgpMessage::Update(BgpUpdateMessage::new(withdrawn, attributes, nlri)))
 }
 
-/// The messages that withdraw these.
+/// The UPDATEs that withdraw these prefixes.
 pub(crate) fn withdrawals(prefixes: &[IpNet]) -> Vec<Vec<u8>> {
-    let mut messages: Vec<Vec<u8>> =
-        v4(prefixes).chunks(MOST_V4).map(|some| update(some.to_vec(), Vec::new(), Vec::new())).collect();
-    for some in v6(prefixes).chunks(MOST_V6) {
+    let mut messages: Vec<Vec<u8>> = ipv4_nlri(prefixes)
+        .chunks(MAX_PREFIXES_V4)
+        .map(|some| update(some.to_vec(), Vec::new(), Vec::new()))
+        .collect();
+    for some in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
         let value = PathAttributeValue::MpUnreach(MpUnreach::Ipv6Unicast { nlri: some.into() });
         messages.push(update(Vec::new(), attribute(true, false, value).into_iter().collect(), Vec::new()));
     }
     messages
 }
 
-/// The messages that announce these, which have the same attributes. A family without next hop is left out.
+/// The UPDATEs that announce these prefixes with the same attributes. A family without a next hop is left out.
 #[must_use]
 pub fn updates(speaker: &Speaker, attributes: &Attributes, prefixes: &[IpNet]) -> Vec<Vec<u8>> {
-    let common = common(speaker, attributes);
+    let common = common_attributes(speaker, attributes);
     let mut messages = Vec::new();
     if let Some(hop) = speaker.next_hop_v4 {
-        for some in v4(prefixes).chunks(MOST_V4) {
+        for some in ipv4_nlri(prefixes).chunks(MAX_PREFIXES_V4) {
             let mut all = common.clone();
             let hop = PathAttributeValue::NextHop(NextHop::new(hop));
-            // By rising type, as RFC 4271 would have it.
+            // In ascending order of type codes (RFC 4271 section 5).
             all.splice(2..2, attribute(false, true, hop));
             messages.push(update(Vec::new(), all, some.to_vec()));
         }
     }
     if let Some(hop) = speaker.next_hop_v6 {
-        for some in v6(prefixes).chunks(MOST_V6) {
+        for some in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
             let reach = MpReach::Ipv6Unicast {
                 next_hop_global: hop,
                 next_hop_local: None,
                 nlri: some.to_vec().into_boxed_slice(),
             };
-            // First: by RFC 7606 a reader then finds the routes whatever else is wrong.
+            // First, so that a receiver finds the prefixes even if another attribute is malformed (RFC 7606).
             let mut all: Vec<_> =
                 attribute(true, false, PathAttributeValue::MpReach(reach)).into_iter().collect();
             all.extend(common.iter().cloned());
@@ -143,17 +149,17 @@
     messages
 }
 
-/// What all announcements with these attributes have; the first two are ORIGIN and AS_PATH.
-fn common(speaker: &Speaker, attributes: &Attributes) -> Vec<PathAttribute> {
+/// The path attributes that do not depend on the family; the first two are ORIGIN and AS_PATH.
+fn common_attributes(speaker: &Speaker, attributes: &Attributes) -> Vec<PathAttribute> {
     let mut all = vec![attribute(false, true, PathAttributeValue::Origin(Origin::IGP))];
-    let times = if speaker.internal { 0 } else { 1 + usize::from(attributes.prepend) };
+    let path_length = if speaker.internal { 0 } else { 1 + usize::from(attributes.prepend) };
     let four = |times| vec![As4PathSegment::new(AsPathSegmentType::AsSequence, vec![speaker.asn; times])];
-    let wide = if times == 0 { Vec::new() } else { four(times) };
+    let wide = if path_length == 0 { Vec::new() } else { four(path_length) };
     let short = u16::try_from(speaker.asn);
     if speaker.four_octet {
         all.push(attribute(false, true, PathAttributeValue::AsPath(AsPath::as4_path_segments(wide.clone()))));
     } else {
-        let narrow = match times {
+        let narrow = match path_length {
             0 => Vec::new(),
             times => vec![As2PathSegment::new(
                 AsPathSegmentType::AsSequence,
@@ -174,7 +180,7 @@
         let each: Vec<_> = attributes.communities.iter().map(|c| Community::new(*c)).collect();
         all.push(attribute(true, true, PathAttributeValue::Communities(Communities::new(each))));
     }
-    if !speaker.four_octet && short.is_err() && times > 0 {
+    if !speaker.four_octet && short.is_err() && path_length > 0 {
         all.push(attribute(true, true, PathAttributeValue::As4Path(As4Path::new(wide))));
     }
     if !attributes.large.is_empty() {
@@ -184,7 +190,7 @@
     all.into_iter().flatten().collect()
 }
 
-/// An address of the family that the speaker's own end of a connection has.
+/// The next hops of both families that follow from the local address of a connection.
 pub(crate) fn next_hops(local: IpAddr) -> (Option<Ipv4Addr>, Option<std::net::Ipv6Addr>) {
     match local {
         IpAddr::V4(a) => (Some(a), None),
