--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -15,14 +15,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::{Setup, Tenants};
+use config::{HostedSettings, Tenants};
 use limit::Usage;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::{self, OperatorActions, OperatorEndpoint};
 use crate::process::{self, BoundListeners, Signals};
 use crate::route_lookup::RequestIdGenerator;
@@ -58,7 +58,7 @@
 /// What a process in the hosted mode is started with.
 pub struct Options<'a> {
     /// Listeners and what the tenants share.
-    pub setup: &'a Setup,
+    pub setup: &'a HostedSettings,
     /// The version of the tenants that are served first.
     pub version: u64,
     /// The tenants that are served first.
@@ -132,7 +132,7 @@
                 Some(Command::Status { reply }) => drop(reply.send(hosted.status())),
                 None => return,
             },
-            _ = hangup.recv() => say(format_args!("a hosted service is changed by its administration API")),
+            _ = hangup.recv() => log_line(format_args!("a hosted service is changed by its administration API")),
         }
     }
 }
