--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,37 +1,43 @@
-//! BGP-4 as a speaker that announces addresses and never forwards: messages, sessions, what is announced and when.
+//! BGP-4 for a speaker that announces addresses and never forwards: messages, sessions, and the decisions which addresses
+//! are announced.
 //!
-//! Pure: no sockets, no clock, no randomness but from a seed. Times are microseconds of one monotonic clock. What the
-//! wire brings goes into [`Peer`], what is known of pools into [`Announcer`]; both append what is to be done.
-//!
-//! What a session is may not know what an address is, and the other way round: [`Table`] stands between them.
+//! Without I/O: no sockets, no clock, and randomness only from a seed. Times are microseconds of one monotonic clock.
+//! [`Peer`] takes what connections report and returns actions, [`Announcer`] takes the health of pools and decides what is
+//! announced. Neither depends on the other; [`Table`] holds what is advertised.
 #![warn(missing_docs)]
 
 mod announce;
-mod facts;
+mod data_plane;
+mod health_check;
 mod machine;
 mod message;
 mod open;
 mod peer;
-mod probe;
+
 mod table;
 mod update;
 mod write;
 
 pub use announce::{
-    Address, Announcer, Damping, Level, Node, PoolHealth, Process, Thresholds, View, Why, MOST_ADDRESSES,
+    Address, AddressView, AnnouncementLevel, Announcer, Damping, EndpointHealth, PoolHealth, ProcessHealth,
+    StateReason, Thresholds, MOST_ADDRESSES,
 };
-pub use facts::{Facts, Listed, ListedNode};
-pub use machine::{Action, Event, Machine, Settings, State, Timer};
+pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
+pub use health_check::{HealthCheckSettings, HealthChecker};
+pub use machine::{Action, Event, Machine, MachineSettings, State, Timer};
 pub use message::{frame, Kind, Notification, HEADER, MOST_MESSAGE};
 pub use open::Open;
-pub use peer::{Counts, Deed, Input, Peer, PeerSettings, PeerView, Side};
-pub use probe::{ProbeSettings, Prober};
+pub use peer::{
+    Counts, Direction, Input, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
+    PeerView, PrefixCounts,
+};
+
 pub use table::{Attributes, Speaker, Table};
-pub use update::{scan, Peering, Seen};
+pub use update::{scan, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
 
-/// Microseconds.
+/// A time or a span in microseconds.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::{Shared, Tenants};
+use config::{SharedSettings, Tenants};
 use decide::Micros;
 use limit::Limiter;
 use membership::MaintenanceRejection;
@@ -17,14 +17,14 @@
 use super::Status;
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::{unique_endpoint, MaintenanceTarget, OperatorActions, OperatorContext};
 use crate::pool::PoolContext;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// The tenants of a hosted service.
 pub(super) struct HostedTenants {
-    shared: Shared,
+    shared: SharedSettings,
     pub clock: Clock,
     seed: u64,
     pub limiter: Rc<RefCell<Limiter>>,
@@ -36,7 +36,7 @@
 }
 
 impl HostedTenants {
-    pub fn new(shared: Shared, seed: u64, operators: Option<OperatorContext>) -> HostedTenants {
+    pub fn new(shared: SharedSettings, seed: u64, operators: Option<OperatorContext>) -> HostedTenants {
         let limiter = Rc::new(RefCell::new(Limiter::new(shared.capacity)));
         HostedTenants {
             shared,
@@ -63,7 +63,7 @@
             self.add_or_update(now, name, version, tenants);
         }
         *self.current.borrow_mut() = Arc::clone(tenants);
-        say(format_args!("version {version}: {} tenants", tenants.all.len()));
+        log_line(format_args!("version {version}: {} tenants", tenants.all.len()));
     }
 
     fn remove_missing(&self, tenants: &Tenants) {
@@ -82,7 +82,7 @@
         let tenant = &tenants.all[name];
         let limits = tenants.limits(&self.shared, tenant);
         let max_connections = tenants.sockets(&self.shared, tenant);
-        let key_bounds = tenants.keys(&self.shared, tenant);
+        let key_bounds = tenants.idempotency_limits(&self.shared, tenant);
         let mut limiter = self.limiter.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
         let hosted = by_name.entry(name.to_owned()).or_insert_with(|| {
@@ -129,7 +129,7 @@
         self.by_name.borrow().iter().map(|(name, hosted)| (name.clone(), status(hosted))).collect()
     }
 
-    fn running(&self) -> Vec<Rc<Snapshot>> {
+    fn running(&self) -> Vec<Rc<ServingSnapshot>> {
         self.by_name.borrow().values().filter_map(|hosted| hosted.running()).collect()
     }
 }
--- a/crates/proxy/src/pool/staleness.rs
+++ b/crates/proxy/src/pool/staleness.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{sleep, Instant};
 
-use crate::log::say;
+use crate::log::log_line;
 
 /// The first warning is logged at this age of the list, further ones whenever the age has doubled.
 const WARNING_AGE: Duration = Duration::from_secs(10);
@@ -14,16 +14,16 @@
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Logs warnings for as long as it is polled.
-pub(super) async fn warn_when_stale(pool: String, last_update: Rc<Cell<Instant>>) {
+pub(super) async fn warn_when_stale(pool: String, last_contact: Rc<Cell<Instant>>) {
     let mut next_warning_age = WARNING_AGE;
     loop {
         sleep(CHECK_INTERVAL).await;
-        let age = last_update.get().elapsed();
+        let age = last_contact.get().elapsed();
         if age < WARNING_AGE {
             next_warning_age = WARNING_AGE;
         } else if age >= next_warning_age {
             let seconds = age.as_secs();
-            say(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
+            log_line(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
             next_warning_age *= 2;
         }
     }
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -19,13 +19,16 @@
 
 pub use pool_selection::PoolSelection;
 
+/// The low bits of a seed that tell the pools of one version apart.
+const POOL_INDEX_BITS: u32 = 16;
+
 /// The filter of one route in each pool, by pool index; None where the route may use the whole pool.
 type PoolFilters = Vec<Option<Arc<EndpointFilter>>>;
 /// The request counters of one route, by pool index.
 type PoolCounters = BTreeMap<usize, Rc<RequestCounters>>;
 
 /// A configuration that is being served.
-pub struct Snapshot {
+pub struct ServingSnapshot {
     /// Counts from 1.
     pub version: u64,
     pub config: Arc<Config>,
@@ -45,15 +48,15 @@
     lists: u64,
 }
 
-impl Snapshot {
+impl ServingSnapshot {
     /// Starts the pools of a configuration. Unchanged pools are carried over from `previous`, removed ones retired.
     /// `max_connections` are divided between the pools.
     pub fn start(
         config: Arc<Config>,
         max_connections: usize,
-        previous: Option<&Snapshot>,
+        previous: Option<&ServingSnapshot>,
         context: &PoolContext<'_>,
-    ) -> Snapshot {
+    ) -> ServingSnapshot {
         let version = previous.map_or(0, |previous| previous.version) + 1;
         let pools = start_pools(&config, version, max_connections, previous, context);
         for former in previous.iter().flat_map(|previous| &previous.pools) {
@@ -65,7 +68,7 @@
         let filters = routes.iter().map(|route| route_filters(route, &pools)).collect();
         let methods = rpc_methods(&config);
         let counters = routes.iter().map(|route| route_counters(route, &config, context.operators)).collect();
-        Snapshot { version, config, methods, pools, filters, counters }
+        ServingSnapshot { version, config, methods, pools, filters, counters }
     }
 
     /// Imports the state that an earlier process learned.
@@ -78,8 +81,8 @@
     }
 
     /// The state that the pools have learned.
-    pub async fn learned_state(&self) -> learned_state::Snapshot {
-        let mut learned = learned_state::Snapshot::default();
+    pub async fn learned_state(&self) -> learned_state::LearnedSnapshot {
+        let mut learned = learned_state::LearnedSnapshot::default();
         for pool in &self.pools {
             learned.pools.extend(pool.learned_state().await);
         }
@@ -107,7 +110,7 @@
     }
 
     /// The endpoints of the pools behind announced addresses, by pool name.
-    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::Listed> {
+    pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::PoolEndpointList> {
         let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
         let announced: BTreeSet<&String> = addresses.flat_map(|address| &address.pools).collect();
         let slow_start_duration = self.config.limits.slow_start_duration;
@@ -135,7 +138,7 @@
     config: &Config,
     version: u64,
     max_connections: usize,
-    previous: Option<&Snapshot>,
+    previous: Option<&ServingSnapshot>,
     context: &PoolContext<'_>,
 ) -> Vec<Rc<Pool>> {
     let max_pool_connections = config.pool_sockets(max_connections);
@@ -150,7 +153,7 @@
                 Rc::clone(former)
             }
             None => {
-                let seed = context.seed.wrapping_add((version << 16) + index as u64);
+                let seed = pool_seed(context.seed, version, index);
                 let context = PoolContext { seed, ..*context };
                 Rc::new(Pool::start(config, index, max_pool_connections[index], &context))
             }
@@ -159,6 +162,11 @@
     pools
 }
 
+/// The seed of a pool's random numbers. Differs for each pool and version.
+fn pool_seed(process_seed: u64, version: u64, pool_index: usize) -> u64 {
+    process_seed.wrapping_add((version << POOL_INDEX_BITS) + pool_index as u64)
+}
+
 fn route_filters(route: &Route, pools: &[Rc<Pool>]) -> PoolFilters {
     let is_filtered = !route.scope.is_all();
     pools.iter().map(|pool| is_filtered.then(|| Arc::new(pool.endpoint_filter(&route.scope)))).collect()
--- a/crates/proxy/src/standalone/reload.rs
+++ b/crates/proxy/src/standalone/reload.rs
@@ -10,10 +10,10 @@
 use super::{AddressAnnouncer, CurrentSnapshot};
 use crate::clock::Clock;
 use crate::idempotency_keys::KeyTable;
-use crate::log::say;
+use crate::log::log_line;
 use crate::operators::OperatorContext;
 use crate::pool::PoolContext;
-use crate::snapshot::Snapshot;
+use crate::snapshot::ServingSnapshot;
 
 /// Loads and checks the configuration. The error is one line for operators.
 pub type LoadConfig = Box<dyn Fn() -> Result<Config, String>>;
@@ -41,7 +41,7 @@
         let previous = Rc::clone(&self.current.borrow());
         match self.load_compatible(&previous.config) {
             Ok(config) => self.replace(config, &previous),
-            Err(fault) => say(format_args!("configuration {} stays: {fault}", previous.version)),
+            Err(fault) => log_line(format_args!("configuration {} stays: {fault}", previous.version)),
         }
         let current = self.current.borrow();
         self.keys.set_limits(current.config.idempotency_keys);
@@ -59,15 +59,15 @@
         }
     }
 
-    fn replace(&self, config: Config, previous: &Snapshot) {
+    fn replace(&self, config: Config, previous: &ServingSnapshot) {
         let (_, max_upstream) = config.socket_budget();
         let context = PoolContext { clock: self.clock, seed: self.seed, operators: self.operators.as_ref() };
-        let snapshot = Snapshot::start(Arc::new(config), max_upstream, Some(previous), &context);
+        let snapshot = ServingSnapshot::start(Arc::new(config), max_upstream, Some(previous), &context);
         let version = snapshot.version;
         let routes = snapshot.config.table.routes().len();
         let pools = snapshot.config.pools.len();
         *self.current.borrow_mut() = Rc::new(snapshot);
-        say(format_args!("configuration {version}: {routes} routes, {pools} pools"));
+        log_line(format_args!("configuration {version}: {routes} routes, {pools} pools"));
     }
 }
 
--- a/src/bin/amberlever/demo.rs
+++ b/src/bin/amberlever/demo.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use config::{toml_value, Document, Setup, TenantDoc};
-use proxy::log::say;
+use config::{toml_value, Document, HostedSettings, TenantDocument};
+use proxy::log::log_line;
 use serde_json::{json, Value};
 use testkit::FixedLatencyEndpoint;
 
@@ -20,7 +20,7 @@
     let state = std::env::temp_dir().join(format!("amberlever-demo-{}", std::process::id()));
     let result = serve(listen, admin, jsonrpc, &state);
     let _ = std::fs::remove_dir_all(&state);
-    say(format_args!("the demo has ended"));
+    log_line(format_args!("the demo has ended"));
     result
 }
 
@@ -53,7 +53,7 @@
     admin: SocketAddr,
     jsonrpc: SocketAddr,
     state: &Path,
-) -> Result<(Setup, Document, Vec<String>), String> {
+) -> Result<(HostedSettings, Document, Vec<String>), String> {
     let mut config = toml_value(CONFIG)?;
     let server = config.as_object_mut().and_then(|c| c.remove("server")).unwrap_or_default();
     config["expect"] = toml_value(EXPECTATIONS)?["expect"].take();
@@ -62,8 +62,9 @@
         server["zone"], state.display().to_string()
     );
     let embedded = |_: &Path| Ok(file.clone());
-    let (setup, mut document) =
-        Setup::load(Path::new("demo"), &embedded).map_err(|f| f.to_string())?.ok_or("no hosted service")?;
+    let (setup, mut document) = HostedSettings::load(Path::new("demo"), &embedded)
+        .map_err(|f| f.to_string())?
+        .ok_or("no hosted service")?;
     let mut lines = Vec::new();
     for (tenant, hosts) in TENANTS {
         let mut config = config.clone();
@@ -74,7 +75,9 @@
         if tenant == "kpks" && !hosts.contains(&own) {
             hosts.push(own);
         }
-        document.tenants.insert(tenant.to_owned(), TenantDoc { hosts, limits: Default::default(), config });
+        document
+            .tenants
+            .insert(tenant.to_owned(), TenantDocument { hosts, limits: Default::default(), config });
     }
     Ok((setup, document, lines))
 }
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -13,7 +13,7 @@
 
 use clap::Parser;
 use config::{Config, Loaded};
-use proxy::log::say;
+use proxy::log::log_line;
 use proxy::standalone;
 
 use crate::cli::{Cli, Command};
@@ -33,7 +33,7 @@
         Command::Demo { listen, admin, jsonrpc } => ended(demo::run(listen, admin, jsonrpc)),
         Command::Tenant { api, command } => remote::tenant(&api, &command),
         Command::Config { api, command } => remote::config(&api, &command),
-        Command::Bgp { api, format, command } => announce::ask(api, format, &command),
+        Command::Bgp { api, format, command } => announce::run_command(api, format, &command),
         Command::State { command, format } => state::run(&command, format),
         Command::Token { api, command } => remote::token(&api, &command),
     }
@@ -55,7 +55,7 @@
 }
 
 fn failed(fault: &str, code: u8) -> ExitCode {
-    say(format_args!("amberlever: {fault}"));
+    log_line(format_args!("amberlever: {fault}"));
     ExitCode::from(code)
 }
 
