--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -11,7 +11,7 @@
 use super::ListenerState;
 use crate::exchange::{DisconnectProbe, Execution, FinalResponse, UpstreamRequest};
 use crate::inbox::DriverHandle;
-use crate::router::{PoolSequence, RejectionOutcome};
+use crate::router::{PoolSequence, RejectionOutcome, NO_RETRY_AFTER};
 
 /// Reserved out of the client's timeout for sending the response.
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
@@ -59,7 +59,7 @@
     let AcceptedRequest { mut decision_input, message, mut pools, client_timeout, reserved_key, id_claim } =
         request;
     if listener.drain.is_deadline_passed() {
-        return FinalResponse::Rejected { retry_after: 0, execution: Execution::RuledOut };
+        return FinalResponse::Rejected { retry_after: NO_RETRY_AFTER, execution: Execution::RuledOut };
     }
     decision_input.downstream_connections = listener.remaining_connections();
     let timeout = listener.drain.request_timeout(received_at, client_timeout);
--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -7,7 +7,7 @@
 use super::request::HeadError;
 use crate::exchange::{FinalResponse, UpstreamResponse};
 use crate::metrics::RequestOutcome;
-use crate::router::Rejection;
+use crate::router::{Rejection, NO_RETRY_AFTER};
 
 /// Why a request has no response of an endpoint, by the side that caused the error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 pub enum UpstreamError {
     /// Shed for load; a retry is harmless.
     Shed {
-        /// When to retry, in microseconds from now; 0 states no time.
+        /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
         retry_after: Micros,
     },
     /// All attempts failed; the request may have been executed.
@@ -111,10 +111,10 @@
         }
     }
 
-    /// When to retry, in microseconds from now; 0 states no time.
+    /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
     pub fn retry_after(&self) -> Micros {
         match self {
-            DownstreamError::Invalid(_) => 0,
+            DownstreamError::Invalid(_) => NO_RETRY_AFTER,
             DownstreamError::Rejected(rejection) => rejection.retry_after,
         }
     }
@@ -140,12 +140,12 @@
         }
     }
 
-    /// When to retry, in microseconds from now; 0 states no time.
+    /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
     pub fn retry_after(&self) -> Micros {
         match self {
             RequestError::Downstream(error) => error.retry_after(),
             RequestError::Upstream(UpstreamError::Shed { retry_after }) => *retry_after,
-            _ => 0,
+            _ => NO_RETRY_AFTER,
         }
     }
 
--- a/crates/proxy/src/downstream/http/response.rs
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -15,6 +15,7 @@
 use crate::downstream::error::RequestError;
 use crate::exchange::UpstreamResponse;
 use crate::metrics::{RequestOutcome, RequestRecorder};
+use crate::router::NO_RETRY_AFTER;
 
 /// Names the limit that rejected a request.
 const REJECTION_CAUSE_HEADER: &str = "x-refusal-cause";
@@ -102,7 +103,7 @@
     if error.is_connection_limit() {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    if error.retry_after() > 0 {
+    if error.retry_after() > NO_RETRY_AFTER {
         headers.insert(header::RETRY_AFTER, retry_after_value(error.retry_after(), in_whole_seconds));
     }
     response
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -40,7 +40,7 @@
     poll_discovery: Rc<Notify>,
     handle: DriverHandle,
     inputs: mpsc::UnboundedReceiver<DriverInput>,
-    /// Inputs that follow from the one being taken; they precede those of `inputs`.
+    /// Inputs that follow from the one being handled; they precede those of `inputs`.
     follow_ups: VecDeque<DriverInput>,
 }
 
@@ -75,7 +75,7 @@
         self.handle.clone()
     }
 
-    /// Takes inputs, one at a time, for as long as it is polled.
+    /// Handles inputs, one at a time, for as long as it is polled.
     pub async fn run(mut self) {
         while let Some(input) = self.inputs.recv().await {
             self.follow_ups.push_back(input);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -104,7 +104,7 @@
     Served(UpstreamResponse),
     /// Shed by the decisions; a retry by the client is harmless.
     Rejected {
-        /// When to retry, from now; 0 states no time.
+        /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`](crate::router::NO_RETRY_AFTER).
         retry_after: Micros,
         /// Whether an attempt can have been executed.
         execution: Execution,
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -80,6 +80,9 @@
 /// The state that a router keeps with a client's connection for as long as that is open.
 pub type RouterConnectionState = RefCell<Option<Box<dyn Any>>>;
 
+/// In place of a time to retry where none is stated.
+pub const NO_RETRY_AFTER: Micros = 0;
+
 /// Why a request is rejected before any attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
@@ -87,7 +90,7 @@
     pub status: StatusCode,
     /// The limit, or the state of the idempotency key, that rejects it; as in `x-refusal-cause`.
     pub cause: Option<&'static str>,
-    /// When capacity is expected, from now; 0 states no time.
+    /// When capacity is expected, in microseconds from now, or [`NO_RETRY_AFTER`].
     pub retry_after: Micros,
 }
 
@@ -104,7 +107,7 @@
 
 impl From<StatusCode> for Rejection {
     fn from(status: StatusCode) -> Self {
-        Rejection { status, cause: None, retry_after: 0 }
+        Rejection { status, cause: None, retry_after: NO_RETRY_AFTER }
     }
 }
 
