--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -16,8 +16,8 @@
 use crate::inbox::DriverHandle;
 use crate::metrics::RequestCounters;
 use crate::router::{
-    single_header_value, Connection, PoolSequence, Rejection, RejectionOutcome, RouteDecision, Router,
-    CLASS_HEADER, TENANT_HEADER,
+    single_header_value, PoolSequence, Rejection, RejectionOutcome, RouteDecision, Router,
+    RouterConnectionState, CLASS_HEADER, TENANT_HEADER,
 };
 
 /// Routes every request to the platform's one pool.
@@ -67,7 +67,13 @@
 }
 
 impl Router for PlatformRouter {
-    fn route(&self, head: &mut Parts, _: &str, _: u64, _: &Connection) -> Result<RouteDecision, Rejection> {
+    fn route(
+        &self,
+        head: &mut Parts,
+        _: &str,
+        _: u64,
+        _: &RouterConnectionState,
+    ) -> Result<RouteDecision, Rejection> {
         let class = self.class(head)?;
         let class_settings = &self.settings.classes[class];
         if head.method != http_method(class_settings.semantics) {
@@ -80,7 +86,7 @@
             semantics: class_settings.semantics,
             deadline: class_settings.deadline,
             tenant,
-            method: None,
+            rpc_method: None,
             key_scope: None,
             counters: self.class_counters.get(class).cloned(),
             pools: Box::new(SinglePool { driver: self.driver.clone() }),
@@ -112,7 +118,7 @@
         MAX_STREAMED_BODY_BYTES
     }
 
-    fn retry_after_in_seconds(&self) -> bool {
+    fn retry_after_in_whole_seconds(&self) -> bool {
         false
     }
 }
