--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -1,8 +1,8 @@
-//! Requests that are owed an answer, and their attempts.
+//! Pending requests and their attempts.
 //!
-//! A request is added when it lands, and removed when it has its final answer and all its attempts have
-//! ended. An attempt counts as in flight from the time its endpoint has the whole request: until the body has
-//! been received no endpoint works on it.
+//! A request is added when it arrives, and removed when it has its final answer and all its attempts have
+//! ended. An attempt counts as in flight from the time when its endpoint has received the whole request:
+//! until then, the endpoint does not work on it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,64 +13,65 @@
 use crate::time::{elapsed, Micros, ObservationWindow, TIME_LIMIT};
 use crate::{Action, Class, EndpointFilter, NewRequest, Outcome, RequestId};
 
-/// Where an attempt stands.
+/// The status of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptStatus {
     InFlight,
-    /// Ended, and the endpoint may have run the request.
+    /// Ended; the endpoint may have executed the request.
     MayHaveRun,
-    /// Ended, and proved not to have run.
+    /// Ended; it is certain that the endpoint has not executed the request.
     NeverRan,
 }
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
-    /// Where it went.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointIndex,
-    /// When its endpoint had the whole request.
+    /// The time at which the endpoint had the whole request.
     pub sent_at: Micros,
     status: AttemptStatus,
 }
 
 impl Attempt {
-    /// An attempt that starts now.
+    /// Creates an attempt that starts at `now`.
     pub fn new(endpoint: EndpointIndex, now: Micros) -> Self {
         Attempt { endpoint, sent_at: now, status: AttemptStatus::InFlight }
     }
 
-    /// Has it not ended yet?
+    /// Whether the attempt has not ended yet.
     pub fn is_in_flight(&self) -> bool {
         self.status == AttemptStatus::InFlight
     }
 
-    /// Is there no proof that the endpoint has not run it?
+    /// Whether the endpoint may have executed the request.
     pub fn may_have_run(&self) -> bool {
         self.status != AttemptStatus::NeverRan
     }
 }
 
-/// A request that is owed an answer, or whose attempts have not all ended.
+/// A request without its final answer, or with attempts that have not ended.
 pub(crate) struct PendingRequest {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassIndex,
-    /// The endpoints that it may go to, where not to all.
+    /// The endpoints to which the request may be sent; `None` permits all.
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
-    /// The attempts that it may have; `usize::MAX` where it sets no limit.
+    /// The highest number of attempts; `usize::MAX` if the request sets no limit.
     pub max_attempts: usize,
-    /// When its attempts are given up.
+    /// The time at which its attempts are given up.
     pub deadline: Micros,
-    /// A streamed answer has begun; the client owns the attempt.
+    /// Whether a streamed answer has begun. The client then owns the attempt: it is not cancelled, retried or
+    /// rejected.
     pub streaming: bool,
-    /// Its body has not been received yet.
+    /// Whether the body has not been received yet.
     pub body_pending: bool,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     pub answered: bool,
-    /// Its attempts, in order.
+    /// The attempts in the order of their start.
     pub attempts: Vec<Attempt>,
 }
 
 impl PendingRequest {
-    /// A request that lands now.
+    /// Creates a request that arrives at `now`.
     pub fn new(now: Micros, request: &NewRequest, class: &Class) -> Self {
         PendingRequest {
             class: ClassIndex(request.class),
@@ -84,13 +85,15 @@
         }
     }
 
-    /// Is any attempt in flight?
+    /// Whether any attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 }
 
-/// When attempts are given up: an answer that would be worth nothing only loads the endpoints.
+/// The time at which the attempts of a request are given up: its deadline or, if a late answer of its class
+/// has no value, the end of its latency objective if that is earlier. An answer without value only loads the
+/// endpoints.
 fn attempt_deadline(now: Micros, request: &NewRequest, class: &Class) -> Micros {
     let received = now + request.body_pending.clamp(0, TIME_LIMIT);
     let deadline = received + request.time_left.clamp(0, TIME_LIMIT);
@@ -103,11 +106,11 @@
 
 /// An attempt that has just ended.
 pub(crate) struct EndedAttempt {
-    /// Where it went.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointIndex,
     /// The class of its request.
     pub class: ClassIndex,
-    /// How long it took, in microseconds.
+    /// The duration of the attempt, in microseconds.
     pub took: f64,
 }
 
@@ -115,22 +118,22 @@
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Attempts that endpoints work on.
+    /// The number of attempts that endpoints work on.
     in_flight: u32,
 }
 
 impl PendingRequests {
-    /// Is this id in use?
+    /// Whether a pending request has this id.
     pub fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// The request of this id.
+    /// The pending request with this id.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// Attempts of this balancer that endpoints work on.
+    /// The number of attempts of this balancer that endpoints work on.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -140,14 +143,15 @@
         self.requests.insert(id, request);
     }
 
-    /// A streamed answer began.
+    /// Marks the answer of a request as streamed.
     pub fn set_streaming(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
         }
     }
 
-    /// Books an attempt that starts now; gives the time at which it is to be given up.
+    /// Records an attempt that starts at `now`, and returns the time at which it is to be given up. Returns
+    /// `None` if the request is not pending.
     pub fn start_attempt(
         &mut self,
         now: Micros,
@@ -165,7 +169,8 @@
         Some(request.deadline)
     }
 
-    /// The body of a request has been received: its endpoints begin, and its time counts from here.
+    /// Records that the body of a request has been received: its endpoints begin to work on it, and the
+    /// duration of its attempts counts from `now`.
     pub fn on_body_received(
         &mut self,
         now: Micros,
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Books the end of an attempt; `None` where it was never made or has ended before.
+    /// Records the end of an attempt. Returns `None` if there is no such attempt or it has ended before.
     pub fn end_attempt(
         &mut self,
         now: Micros,
@@ -207,8 +212,8 @@
         })
     }
 
-    /// A request has its answer: cancels what is still in flight where `can_cancel` (the platform lets attempts
-    /// be cancelled), and forgets the request once all its attempts have ended.
+    /// Records the final answer of a request: cancels its attempts in flight if `can_cancel` (the platform
+    /// can cancel attempts), and removes the request if all its attempts have ended.
     pub fn finish(&mut self, id: RequestId, can_cancel: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if can_cancel && !request.streaming && !request.answered {
@@ -222,8 +227,8 @@
         }
     }
 
-    /// The time that the attempt in flight that is furthest past its latency objective has taken so far, as
-    /// a multiple of that objective; `None` where all are within it.
+    /// The longest duration so far of an attempt in flight beyond its latency objective, as a multiple of
+    /// that objective; `None` if all attempts are within it. Requests past their deadline do not count.
     pub fn longest_overdue(&self, now: Micros, latency: &LatencyModel) -> Option<f64> {
         let due = self.requests.values().filter(|request| request.deadline > now);
         let attempts =
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -1,10 +1,10 @@
-//! Latency: what a class takes in the pool, and how an endpoint compares.
+//! Latency: the typical latency of each class in the pool, and the relative latency of each endpoint.
 //!
-//! Rule: an endpoint's latency for a class is the time spent there over the successful answers got, as a
-//! multiple of what the class takes in the pool. Attempts in flight, cancelled and failed count as time spent,
-//! so an endpoint, or one class on it, that is silent, fails or slows down shows early. With few answers the
-//! figure leans on the endpoint's other classes, then on its machine kind, then on the pool. Errors that
-//! deeper tiers cause raise all endpoints alike.
+//! Rule: the relative latency of an endpoint for a class is the time spent there per successful answer, as a
+//! multiple of the typical latency of the class in the pool. Attempts that are in flight, cancelled or failed
+//! add time spent, so an endpoint, or one class on it, that does not answer, fails or slows down is detected
+//! early. If an endpoint has few answers of the class, its other classes, then its machine kind, then the
+//! pool count as prior. Errors caused by deeper tiers raise the relative latency of all endpoints equally.
 //!
 //! Inputs are in microseconds. All means decay over the observation window.
 
@@ -16,26 +16,26 @@
 use crate::time::{Micros, ObservationWindow};
 use crate::{Outcome, Settings};
 
-/// What a failed attempt adds to the time that it took, in latency objectives.
+/// The time that a failed attempt adds to its duration, in latency objectives.
 const FAILURE_COST: f64 = 2.0;
-/// Samples that the pool's typical latency counts as for a machine kind.
+/// The weight of the pool as the prior of a machine kind, in samples.
 const POOL_PRIOR_WEIGHT: f64 = 3.0;
-/// Samples that the machine kind counts as for an endpoint.
+/// The weight of the machine kind as the prior of an endpoint, in samples.
 const MACHINE_KIND_PRIOR_WEIGHT: f64 = 2.0;
-/// Samples that an endpoint's classes together count as for one of them.
+/// The weight of the endpoint as the prior of one of its classes, in samples.
 const ENDPOINT_PRIOR_WEIGHT: f64 = 4.0;
-/// What a request is taken to need before any has been answered, in microseconds.
+/// The latency assumed for the pool before the first answer, in microseconds.
 const INITIAL_POOL_LATENCY: f64 = 1e4;
-/// Samples that this counts as.
+/// The weight of that assumption, in samples.
 const INITIAL_POOL_LATENCY_WEIGHT: f64 = 0.01;
 
 /// The attempts of one class at one endpoint.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClassLatency {
-    /// Time spent for each successful answer, as a multiple of what the class takes in the pool.
+    /// Time spent per successful answer, as a multiple of the typical latency of the class in the pool.
     pub relative: Ewma,
     in_flight: u32,
-    /// The sum of the balancer's ages, in microseconds, at which the attempts in flight were sent.
+    /// The sum over the attempts in flight of the age of the balancer when they were sent, in microseconds.
     sent_age_sum: f64,
 }
 
@@ -46,36 +46,37 @@
 }
 
 impl EndpointLatency {
-    /// No samples in any of so many classes.
+    /// Creates the state without samples for a number of classes.
     pub fn new(classes: usize) -> Self {
         EndpointLatency { classes: vec![ClassLatency::default(); classes] }
     }
 
-    /// The classes, by index.
+    /// The state of each class, by class index.
     pub fn classes(&self) -> &[ClassLatency] {
         &self.classes
     }
 
-    /// The mean of one class.
+    /// The mean relative latency of one class.
     pub fn relative_mut(&mut self, class: ClassIndex) -> &mut Ewma {
         &mut self.classes[class.0].relative
     }
 
-    /// Forgets what was learned, but not what is in flight.
+    /// Removes all samples; the attempts in flight stay counted.
     pub fn forget_samples(&mut self) {
         for class in &mut self.classes {
             class.relative = Ewma::default();
         }
     }
 
-    /// Counts an attempt in flight; `sent_age` is the balancer's age in microseconds.
+    /// Counts an attempt as in flight; `sent_age` is the age of the balancer in microseconds when it was
+    /// sent.
     pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight += 1;
         class.sent_age_sum += sent_age;
     }
 
-    /// Counts the end of such an attempt.
+    /// Removes an attempt from those in flight; `sent_age` is the value given at its start.
     pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight = class.in_flight.saturating_sub(1);
@@ -83,26 +84,29 @@
     }
 }
 
-/// What the pool takes, by class and by machine kind.
+/// The latencies of the pool, by class and by machine kind.
 pub(crate) struct LatencyModel {
-    /// By class: the latency objective of this tier, in microseconds.
+    /// The latency objective of this tier by class, in microseconds.
     objectives: Vec<f64>,
-    /// By class: how long successful answers take.
+    /// The duration of successful answers by class.
     pub typical: Vec<Ewma>,
-    /// By machine kind: time spent for each successful answer, as for one endpoint's class.
+    /// The time spent per successful answer by machine kind, relative as in [`ClassLatency::relative`].
     pub by_machine_kind: BTreeMap<MachineKindIndex, Ewma>,
-    /// How long successful answers of any class take.
+    /// The duration of successful answers of all classes.
     pub pool: Ewma,
 }
 
 impl LatencyModel {
-    /// No samples. A deeper tier is owed a part of the objective: the tiers still ahead over all tiers.
+    /// Creates the model without samples. The objective of a tier is the fraction of the class objective that
+    /// its own and the deeper tiers make up of all tiers.
     pub fn new(settings: &Settings) -> Self {
         let tiers = settings.tiers.max(1);
-        let part = 1.0 - settings.tier.min(tiers - 1) as f64 / tiers as f64;
+        let tier_fraction = 1.0 - settings.tier.min(tiers - 1) as f64 / tiers as f64;
         let classes = settings.classes.iter();
         LatencyModel {
-            objectives: classes.map(|class| (class.latency_objective.max(1) as f64) * part).collect(),
+            objectives: classes
+                .map(|class| (class.latency_objective.max(1) as f64) * tier_fraction)
+                .collect(),
             typical: vec![Ewma::default(); settings.classes.len()],
             by_machine_kind: BTreeMap::new(),
             pool: Ewma::default(),
@@ -114,36 +118,36 @@
         self.objectives[class.0]
     }
 
-    /// The shortest latency objective, at most a thousand seconds, in microseconds.
+    /// The shortest latency objective of all classes in microseconds, at most 1e9 (a thousand seconds).
     pub fn shortest_objective(&self) -> f64 {
         self.objectives.iter().copied().fold(f64::INFINITY, f64::min).min(1e9)
     }
 
-    /// What a successful answer of a class takes in the pool, in microseconds.
+    /// The typical duration of a successful answer of a class in the pool, in microseconds.
     pub fn typical(&self, class: ClassIndex) -> f64 {
         self.typical[class.0].mean(self.objective(class) / 2.0, 1.0)
     }
 
-    /// What a successful answer of any class takes in the pool, in microseconds.
+    /// The typical duration of a successful answer of any class in the pool, in microseconds.
     pub fn pool_typical(&self) -> Micros {
         self.pool.mean(INITIAL_POOL_LATENCY, INITIAL_POOL_LATENCY_WEIGHT) as Micros
     }
 
-    /// Lets the typical latencies decay up to `now`.
+    /// Decays the typical latencies up to `now`.
     pub fn decay(&mut self, now: Micros, window: ObservationWindow) {
         for typical in &mut self.typical {
             typical.decay(now, window.time_constant);
         }
     }
 
-    /// Takes in a successful answer that took `took` microseconds.
+    /// Records a successful answer with a duration of `took` microseconds.
     pub fn record_success(&mut self, now: Micros, window: ObservationWindow, class: ClassIndex, took: f64) {
         self.pool.record(now, window.time_constant, took);
         self.typical[class.0].record(now, window.time_constant, took);
     }
 
-    /// Takes in the end of an attempt at an endpoint that took `took` microseconds, after
-    /// [`LatencyModel::record_success`] where it was one.
+    /// Records the end of an attempt at an endpoint with a duration of `took` microseconds. For a successful
+    /// one, [`LatencyModel::record_success`] is called before.
     pub fn record_attempt(
         &mut self,
         now: Micros,
@@ -169,7 +173,7 @@
         }
     }
 
-    /// An endpoint's latency for a class, as a multiple of what the class takes in the pool.
+    /// The latency of an endpoint for a class, as a multiple of the typical latency of the class in the pool.
     pub fn relative(
         &self,
         now: Micros,
@@ -194,7 +198,7 @@
         of_class.mean(of_endpoint, ENDPOINT_PRIOR_WEIGHT)
     }
 
-    /// A class's mean at an endpoint, with the time that its attempts in flight have taken so far.
+    /// The mean of a class at an endpoint, with the time that its attempts in flight have taken so far.
     fn with_attempts_in_flight(
         &self,
         now: Micros,
--- a/crates/decide/src/selection/latency/tests.rs
+++ b/crates/decide/src/selection/latency/tests.rs
@@ -19,13 +19,17 @@
     table
 }
 
+/// Guards the objective of a deeper tier: with the whole objective, it would use the time of the tiers above
+/// it.
 #[test]
-fn deeper_tiers_have_a_part_of_the_objective() {
+fn deeper_tier_has_a_fraction_of_the_objective() {
     assert!((LatencyModel::new(&settings()).objective(CLASS) - 10_000.0).abs() < 1e-9);
     let deeper = LatencyModel::new(&Settings { tier: 1, ..settings() });
     assert!((deeper.objective(CLASS) - 5_000.0).abs() < 1e-9);
 }
 
+/// Guards that an endpoint that does not answer or fails ranks as slow. If only successful answers counted,
+/// it would keep the relative latency of the pool and go on getting requests.
 #[test]
 fn failures_and_attempts_in_flight_raise_the_relative_latency() {
     let mut model = LatencyModel::new(&settings());
@@ -33,7 +37,7 @@
     let relative = |model: &LatencyModel, table: &EndpointTable, now| {
         model.relative(now, WINDOW, &table[ENDPOINT], CLASS)
     };
-    assert!((relative(&model, &table, 0) - 1.0).abs() < 1e-9, "as the pool, without samples");
+    assert!((relative(&model, &table, 0) - 1.0).abs() < 1e-9, "an endpoint without samples equals the pool");
     table[ENDPOINT].begin_attempt(CLASS, 0.0);
     let waiting = relative(&model, &table, 50_000);
     assert!(waiting > 1.0);
@@ -43,8 +47,9 @@
     assert!(relative(&model, &table, 50_000) > 1.0);
 }
 
+/// Guards the count in flight when samples are removed: the ends of these attempts still follow.
 #[test]
-fn samples_are_forgotten_but_not_what_is_in_flight() {
+fn forgotten_samples_leave_attempts_in_flight_counted() {
     let mut latency = EndpointLatency::new(1);
     latency.begin_attempt(CLASS, 7.0);
     latency.relative_mut(CLASS).record(0, 1e6, 3.0);
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -1,14 +1,14 @@
-//! Slow start: what an endpoint gets while it warms up.
+//! Slow start: limits the requests that a balancer sends to an endpoint while it warms up.
 //!
 //! Rules:
-//! - the endpoint's capacity grows in a straight line from `slow_start_min_capacity` to all of it within
-//!   `slow_start_duration`; it fails if all balancers together send more than `overload_multiple` times that
-//!   for `overload_window`;
-//! - each balancer has an even share of that budget, as if all others used theirs in full, and only a part of
-//!   it: balancers do not know of each other's requests;
-//! - what a warm endpoint carries is measured in this balancer's own successful answers;
-//! - an endpoint that got no request for long is given a warm-up request now and then, though it ranks last,
-//!   as it would otherwise get none until the warm ones are crowded.
+//! - The capacity of a warming endpoint grows linearly from `slow_start_min_capacity` to its full capacity
+//!   within `slow_start_duration`. The endpoint fails if all balancers together send more than
+//!   `overload_multiple` times that capacity for `overload_window`.
+//! - Each balancer has an even share of that budget, as if all others used theirs in full. It uses only a
+//!   fraction of its share, because balancers do not see each other's requests.
+//! - The capacity of a warm endpoint is measured in the successful answers that this balancer gets.
+//! - A warming endpoint ranks last and would get no request until the warm endpoints are crowded. If it has
+//!   had none for a while, it occasionally gets a warm-up request.
 //!
 //! Times are in microseconds, rates in requests per microsecond.
 
@@ -22,27 +22,32 @@
 use crate::time::{Micros, ObservationWindow, DISTANT_PAST};
 use crate::{Endpoint, Settings};
 
-/// The part of the budget that is used at most; the rest is for balancers that get more than an even share of the
-/// requests.
+/// The highest fraction of the budget that is used. The rest is for balancers that get more than an even
+/// share of the requests.
 const MAX_BUDGET_USE: f64 = 0.5;
-/// The budget exceeds the mean number of requests by this many standard deviations of a Poisson count.
+/// The number of standard deviations of a Poisson count by which the budget exceeds the mean number of
+/// requests.
 const SAFETY_DEVIATIONS: f64 = 3.0;
-/// The least budget that is divided by, in requests: keeps an empty one from dividing by zero.
+/// The lowest divisor for a budget, in requests; prevents a division by zero.
 const MIN_BUDGET: f64 = 1e-9;
-/// The least part of its capacity that a warming endpoint counts for.
+/// The lowest fraction of its capacity that is assumed for a warming endpoint.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
-/// How fast the measured capacity of a warm endpoint is followed upwards, in parts a period.
+/// The rate at which the measured capacity of a warm endpoint follows higher values, as a fraction of the
+/// difference per control period.
 const CAPACITY_RISE: f64 = 0.1;
-/// And downwards: slowly, as requests that are shed for want of warm endpoints must not lower it.
+/// The rate at which it follows lower values, as a fraction of the difference per control period. It is low
+/// because requests that are shed when too few endpoints are warm must not lower the measurement.
 const CAPACITY_FALL: f64 = 0.003;
-/// Where fewer endpoints are warm than this part of those ready, they count as so many.
+/// The lowest number of endpoints that served requests are divided by, while at least one endpoint is warm,
+/// is the number of ready endpoints divided by this.
 const MIN_WARM_DIVISOR: f64 = 8.0;
-/// Warm-up requests as a part of all requests.
+/// Warm-up requests as a fraction of all requests.
 const WARMUP_SHARE: f64 = 0.1;
-/// An endpoint is due for a warm-up request after this time without any, in observation windows.
+/// The time without a request after which a warming endpoint is due for a warm-up request, in observation
+/// windows.
 const WARMUP_INTERVAL: f64 = 0.5;
 
-/// The token bucket of one warming endpoint: requests that this balancer may send it.
+/// The token bucket of one warming endpoint; a token permits this balancer one request.
 pub(crate) struct SlowStartBudget {
     tokens: f64,
     refilled_at: Micros,
@@ -55,20 +60,22 @@
 }
 
 impl SlowStartBudget {
-    /// The requests that the endpoint may still get.
+    /// The tokens left, in requests.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Pays for a request.
+    /// Takes the token of a request that is sent.
     pub fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Refills at `rate` (tokens a microsecond) up to `max_tokens`, and draws whether a request may be sent:
-    /// less than one token is the chance of one. A failed draw empties the bucket, as many balancers that each
-    /// saved up a whole token would send at the same time when their warm endpoints fail; a successful one
-    /// spends nothing until [`SlowStartBudget::spend`].
+    /// Refills the bucket at `rate` (tokens per microsecond) up to `max_tokens`, and draws whether a request
+    /// may be sent. With less than one token, the number of tokens is the probability of permission.
+    ///
+    /// A failed draw empties the bucket: if many balancers each saved up a whole token, all of them would
+    /// send at the same time when their warm endpoints fail. A successful draw takes no token;
+    /// [`SlowStartBudget::spend`] does.
     fn draw_permission(
         &mut self,
         now: Micros,
@@ -89,21 +96,21 @@
     }
 }
 
-/// What slow start looks at beside its own state.
+/// The state of the pool that slow start reads, beside its own.
 pub(crate) struct SlowStartPool<'a> {
     /// The time of the event.
     pub now: Micros,
-    /// The span that measurements stand for.
+    /// The observation window of the measurements.
     pub window: ObservationWindow,
-    /// All endpoints; their budgets are drawn on.
+    /// All endpoints. Permissions are drawn from their budgets.
     pub endpoints: &'a mut EndpointTable,
-    /// The endpoints that are ready.
+    /// The ready endpoints.
     pub ready: &'a [EndpointIndex],
-    /// Requests that arrive and are served.
+    /// The rates of requests that arrive and that are served.
     pub throughput: &'a mut Throughput,
 }
 
-/// The capacity of warming endpoints, and the budget that follows from it.
+/// The capacity of warming endpoints, and the budgets derived from it.
 pub(crate) struct SlowStart {
     min_capacity: f64,
     /// In microseconds.
@@ -112,14 +119,15 @@
     /// In microseconds.
     overload_window: f64,
     balancers: f64,
-    /// Successful answers a microsecond that one warm endpoint gives this balancer, when measured.
+    /// Successful answers per microsecond that this balancer gets from one warm endpoint; `None` before the
+    /// first measurement.
     warm_capacity: Option<f64>,
-    /// Warm-up requests that may be sent.
+    /// The number of warm-up requests that may be sent, at most 1.
     warmup_tokens: f64,
 }
 
 impl SlowStart {
-    /// Slow start as the settings describe the endpoints.
+    /// Creates slow start from the settings, without a measurement.
     pub fn new(settings: &Settings) -> Self {
         SlowStart {
             min_capacity: settings.slow_start_min_capacity,
@@ -132,7 +140,7 @@
         }
     }
 
-    /// The part of its capacity that a warming endpoint has by now; `None` where it is warm.
+    /// The fraction of its capacity that a warming endpoint has at `now`; `None` if it is warm.
     pub fn capacity_fraction(&self, now: Micros, entry: &Endpoint) -> Option<f64> {
         let age = now - entry.up_since?;
         let progress = age.max(0) as f64 / self.duration;
@@ -140,13 +148,13 @@
             .then(|| (self.min_capacity + (1.0 - self.min_capacity) * progress).max(MIN_CAPACITY_FRACTION))
     }
 
-    /// Is this endpoint past its slow start?
+    /// Whether this endpoint has completed its slow start.
     pub fn is_warm(&self, now: Micros, entry: &Endpoint) -> bool {
         self.capacity_fraction(now, entry).is_none()
     }
 
-    /// Measures what a warm endpoint carries; called every period. With less than half of the endpoints warm
-    /// the last measurement stands.
+    /// Measures the capacity of a warm endpoint, once per control period. If less than half of the ready
+    /// endpoints are warm, the last measurement is kept.
     pub fn on_period(&mut self, pool: &mut SlowStartPool<'_>) {
         let SlowStartPool { now, window, ref endpoints, ready, ref mut throughput } = *pool;
         throughput.served_warm.decay(now, window.time_constant);
@@ -161,7 +169,7 @@
         self.warm_capacity = Some(known + step * (measured - known));
     }
 
-    /// Draws whether this endpoint may get a request now. Warm ones always may.
+    /// Draws whether this endpoint may get a request now. A warm endpoint always may.
     pub fn draw_permission(&self, index: EndpointIndex, pool: &mut SlowStartPool<'_>, rng: &mut Rng) -> bool {
         let now = pool.now;
         let Some(fraction) = self.capacity_fraction(now, &pool.endpoints[index].entry) else { return true };
@@ -171,9 +179,10 @@
         record.slow_start.draw_permission(now, record.entry.up_since, rate, max_tokens, rng)
     }
 
-    /// What a warm endpoint carries: as last measured, or by what is served now if that is more. What is
-    /// served now is shared by the warm endpoints, or where none is warm by the capacity that each surely
-    /// has.
+    /// The capacity of a warm endpoint: the last measurement, or the rate served now if that is higher. The
+    /// rate served now is divided by the number of warm endpoints or, if none is warm, by the sum of the
+    /// capacity fractions of the warming ones. Without a measurement and without warm endpoints, it is an
+    /// even share of the arrivals.
     fn warm_capacity_now(&self, pool: &mut SlowStartPool<'_>) -> f64 {
         let SlowStartPool { now, window, ref endpoints, ready, ref mut throughput } = *pool;
         throughput.arrivals.decay(now, window.time_constant);
@@ -194,31 +203,32 @@
         }
     }
 
-    /// The rate at which this balancer may send to an endpoint with this part of `capacity`: what all may
-    /// send within the overload window, less three standard deviations, as an even share of a small budget is
-    /// often overrun by chance.
+    /// The rate at which this balancer may send to an endpoint that has this fraction of `capacity`. It is an
+    /// even share of what all balancers may send within the overload window, less three standard deviations,
+    /// because an even share of a small budget is often exceeded by chance.
     fn safe_rate(&self, fraction: f64, capacity: f64) -> f64 {
         let limit = self.overload_multiple * fraction * capacity * self.balancers;
         let budget = limit * self.overload_window;
-        // Solves x + 3 * sqrt(x) = budget: three standard deviations of a Poisson count of mean x stay below it.
+        // Solves x + 3 * sqrt(x) = budget: the mean x of a Poisson count that stays three standard deviations
+        // below the budget.
         let discriminant = SAFETY_DEVIATIONS * SAFETY_DEVIATIONS + 4.0 * budget;
         let safe_mean = ((discriminant.sqrt() - SAFETY_DEVIATIONS) / 2.0).powi(2);
-        let safe_part = safe_mean / budget.max(MIN_BUDGET);
-        safe_part.min(MAX_BUDGET_USE) * limit / self.balancers
+        let safe_fraction = safe_mean / budget.max(MIN_BUDGET);
+        safe_fraction.min(MAX_BUDGET_USE) * limit / self.balancers
     }
 
-    /// Adds what one request earns for warm-up requests.
+    /// Adds the fraction of a warm-up request that one request permits.
     pub fn earn_warmup(&mut self) {
         self.warmup_tokens = (self.warmup_tokens + WARMUP_SHARE).min(1.0);
     }
 
-    /// Pays for a warm-up request.
+    /// Takes the token of a warm-up request that is sent.
     pub fn spend_warmup(&mut self) {
         self.warmup_tokens -= 1.0;
     }
 
-    /// Should this request warm up this endpoint? Only a first attempt that can wait for a slow answer is
-    /// spent on that.
+    /// Whether this request is to be sent to this endpoint to warm it up. Only a first attempt with enough
+    /// time left for a slow answer is used for that.
     pub fn is_warmup_due(
         &self,
         now: Micros,
