--- a/crates/decide/src/admission/load.rs
+++ b/crates/decide/src/admission/load.rs
@@ -1,9 +1,10 @@
-//! The pool's load, from the samples of one control period.
+//! The load of the pool, from the samples of one control period.
 //!
-//! Rule: load is the median utilisation that endpoints report over its target, or the median latency (in
-//! latency objectives) over its target plus the part of the attempts that were rejected or failed; above 1 the
-//! pool is overloaded. The median, as one slow endpoint must not shed what the others could serve. Utilisation
-//! says nothing of what waits in deeper tiers, so except in the deepest the greater of the two counts.
+//! Rule: the load is the median utilisation that endpoints report, over its target; or the median latency in
+//! latency objectives, over its target, plus the fraction of the attempts that were rejected or failed. Above
+//! 1 the pool is overloaded. The median is used so that one slow endpoint does not shed what the others could
+//! serve. Utilisation does not include the queues of deeper tiers, so in all but the deepest tier the greater
+//! of the two counts.
 //!
 //! The latency target lies between the latency of the quiet pool (the baseline) and the objective.
 
@@ -12,23 +13,26 @@
 
 /// The target of reported utilisation.
 const TARGET_UTILISATION: f64 = 0.92;
-/// The latency target at the front tier, as the part of the way from baseline to objective.
+/// The latency target of the front tier, as a fraction of the way from the baseline to the objective.
 const FRONT_LATENCY_TARGET: f64 = 0.4;
-/// And in deeper tiers: what they shed wastes the work above, so the front is to shed first.
+/// The latency target of deeper tiers, as the same fraction. It is higher because a request shed there wastes
+/// the work of the tiers above, so the front tier is to shed first.
 const DEEP_LATENCY_TARGET: f64 = 0.6;
-/// Periods without samples for which the cursor holds.
+/// The number of control periods without samples for which the cursor holds.
 const MAX_HOLD_PERIODS: u32 = 4;
-/// How fast the baseline follows lower latencies, in parts a period.
+/// The rate at which the baseline follows lower latencies, as a fraction of the difference per control
+/// period.
 const BASELINE_FALL: f64 = 0.2;
-/// And higher ones, while nothing is shed: it must not learn the overload.
+/// The rate at which it follows higher latencies while nothing is shed, as the same fraction. It is low
+/// because an overload must not become the baseline.
 const BASELINE_RISE: f64 = 0.002;
 /// The highest baseline, in latency objectives.
 pub(crate) const MAX_BASELINE: f64 = 0.6;
 
-/// Where a load was read from.
+/// The source of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSource {
-    /// The attempts of this balancer and of the peers that gossip.
+    /// Attempts of this balancer and of the peers that gossip.
     Answers,
     /// Load reports of endpoints.
     Reports,
@@ -37,7 +41,7 @@
 /// The load of one period.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadReading {
-    /// Over its target; above 1 is overload.
+    /// The measurement over its target; above 1 is overload.
     pub load: f64,
     /// Where it was read from.
     pub source: LoadSource,
@@ -47,19 +51,19 @@
 pub(crate) struct LoadEstimator {
     is_deepest_tier: bool,
     latency_target: f64,
-    /// Latencies, in latency objectives.
+    /// The latencies of this period, in latency objectives.
     latencies: Vec<f64>,
-    /// Attempts that ended in this period with a load signal, and those that clients left.
+    /// The number of attempts that ended in this period with a load signal, and of clients that disconnected.
     ended: f64,
-    /// Those of them that were rejected or failed.
+    /// The number of these attempts that were rejected or failed.
     rejected_or_failed: f64,
-    /// The latency of the quiet pool, in latency objectives.
+    /// The latency of the quiet pool, in latency objectives; `None` until it is sampled or set.
     baseline: Option<f64>,
     periods_without_samples: u32,
 }
 
 impl LoadEstimator {
-    /// No samples and no baseline.
+    /// Creates the estimator without samples and without a baseline.
     pub fn new(settings: &Settings) -> Self {
         LoadEstimator {
             is_deepest_tier: settings.tier + 1 >= settings.tiers,
@@ -72,45 +76,46 @@
         }
     }
 
-    /// The latency of the quiet pool, in latency objectives.
+    /// The latency of the quiet pool, in latency objectives; `None` until it is sampled or set.
     pub fn baseline(&self) -> Option<f64> {
         self.baseline
     }
 
-    /// Takes a baseline from elsewhere, within its bounds.
+    /// Sets a baseline learned elsewhere, clamped to its bounds.
     pub fn set_baseline(&mut self, baseline: f64) {
         self.baseline = Some(baseline.clamp(0.0, MAX_BASELINE));
     }
 
-    /// Takes in the load signal of an attempt that ended.
+    /// Records the load signal of an attempt that ended.
     pub fn record(&mut self, signal: LoadSignal) {
         match signal {
             LoadSignal::None => return,
-            // Deeper tiers answer what they shed with an error.
+            // A deeper tier answers with an error when it sheds a request.
             LoadSignal::Rejected | LoadSignal::Failed => self.rejected_or_failed += 1.0,
             LoadSignal::Latency(units) => self.latencies.push(LoadSignal::latency_in_objectives(units)),
         }
         self.ended += 1.0;
     }
 
-    /// Takes in that a client left while its request was in flight: to it the answer was late.
+    /// Records that a client disconnected while its request was in flight. It counts as a latency of one
+    /// objective, because the answer came too late for that client.
     pub fn record_disconnect(&mut self) {
         self.latencies.push(1.0);
         self.ended += 1.0;
     }
 
-    /// Has no latency been sampled in this period?
+    /// Whether no latency has been sampled in this period.
     pub fn lacks_latencies(&self) -> bool {
         self.latencies.is_empty()
     }
 
-    /// Takes in how long an attempt in flight has taken so far, in latency objectives, where no answer has come:
-    /// a small balancer's late answers come too late to tell of an overload.
+    /// Records the time that an attempt in flight has taken so far, in latency objectives, when no answer has
+    /// arrived. The late answers of a balancer with few requests arrive too late to detect an overload.
     pub fn record_overdue(&mut self, latency: f64) {
         self.latencies.push(latency);
     }
 
-    /// The load of the period that ends; `None` without samples.
+    /// The load of the control period that ends; `None` without samples.
     pub fn read(&mut self, reported_utilisation: &mut [f64], is_quiet: bool) -> Option<LoadReading> {
         let by_reports = median(reported_utilisation).map(|utilisation| utilisation / TARGET_UTILISATION);
         let by_answers = median(&mut self.latencies).map(|latency| self.load_by_latency(latency, is_quiet));
@@ -126,36 +131,36 @@
         reading
     }
 
-    /// May the cursor hold for want of samples?
+    /// Whether the cursor may hold its position although there are no samples.
     pub fn may_hold(&self) -> bool {
         self.periods_without_samples <= MAX_HOLD_PERIODS
     }
 
-    /// Forgets the samples of the period that ends.
+    /// Removes the samples of the control period that ends.
     pub fn start_period(&mut self) {
         self.latencies.clear();
         self.ended = 0.0;
         self.rejected_or_failed = 0.0;
     }
 
-    /// Follows the baseline, and gives the load at a median latency (in latency objectives).
+    /// Updates the baseline, and returns the load at a median latency (in latency objectives).
     fn load_by_latency(&mut self, latency: f64, is_quiet: bool) -> f64 {
         let baseline = self.follow_baseline(latency, is_quiet).min(MAX_BASELINE);
-        let rejected_part = self.rejected_or_failed / self.ended.max(1.0);
-        latency / (baseline + self.latency_target * (1.0 - baseline)) + rejected_part
+        let rejected_fraction = self.rejected_or_failed / self.ended.max(1.0);
+        latency / (baseline + self.latency_target * (1.0 - baseline)) + rejected_fraction
     }
 
     fn follow_baseline(&mut self, latency: f64, is_quiet: bool) -> f64 {
-        let known = *self.baseline.get_or_insert(latency);
+        let previous = *self.baseline.get_or_insert(latency);
         let rise = if is_quiet { BASELINE_RISE } else { 0.0 };
-        let step = if latency < known { BASELINE_FALL } else { rise };
-        let baseline = known + step * (latency - known);
+        let step = if latency < previous { BASELINE_FALL } else { rise };
+        let baseline = previous + step * (latency - previous);
         self.baseline = Some(baseline);
         baseline
     }
 }
 
-/// The upper median; reorders the values.
+/// The upper median; `None` if there are no values. Reorders the values.
 fn median(values: &mut [f64]) -> Option<f64> {
     if values.is_empty() {
         return None;
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -1,10 +1,10 @@
-//! Admission: whether a request is let in or shed at once.
+//! Admission: decides whether a request is admitted or shed at once.
 //!
-//! Rule (cursor table of Villen-Altamirano, ITC 11, section 3.3): each period the pool's load moves a cursor
-//! over a table of thresholds on this balancer's requests in flight. A request whose priority level has met
-//! its threshold is shed. Requests that cannot meet their deadline, and those that would take the last
-//! connections of callers with nowhere else to go, are shed as well. `docs/design.md` lists what departs
-//! from the paper.
+//! Rule (cursor table of Villen-Altamirano, ITC 11, section 3.3): each control period, the load of the pool
+//! moves a cursor over a table of thresholds on this balancer's requests in flight. A request whose priority
+//! level has reached its threshold is shed. Requests that cannot meet their deadline are shed as well, and so
+//! are those that would take the last connections of clients that may have no other balancer to connect to.
+//! `docs/design.md` lists the differences from the paper.
 
 mod cursor_table;
 mod load;
@@ -26,61 +26,62 @@
 use crate::time::Micros;
 use crate::{NewRequest, Settings};
 
-/// A request with less time left than this part of what its class typically takes is shed.
+/// A request is shed if its time left is less than this fraction of the typical latency of its class.
 const MIN_TIME_LEFT: f64 = 0.5;
-/// Below this part of the base threshold in flight the cursor steps left, where load is read from answers:
-/// they come late, and may be of a crowd long gone.
+/// The fraction of the base threshold in flight below which the cursor steps left although the load is above
+/// 1, when the load is read from answers. Answers arrive late and may result from an overload that is over.
 const DRAINED_BY_ANSWERS: f64 = 0.25;
-/// And where it is read from load reports, which are later, noisier, and of other balancers' requests too.
+/// The same fraction when the load is read from load reports, which arrive later, are noisier, and include
+/// the requests of other balancers.
 const DRAINED_BY_REPORTS: f64 = 0.45;
 
-/// Whether a request is let in.
+/// The decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// Let in.
+    /// The request is admitted.
     Admit,
-    /// Shed at once.
+    /// The request is shed at once.
     Shed {
         /// The Retry-After for its client, in microseconds; 0 sends none.
         retry_after: Micros,
     },
 }
 
-/// What the threshold is compared with.
+/// The requests in flight that are compared with the threshold.
 #[derive(Clone, Copy)]
 pub(crate) struct Occupancy {
     /// This balancer's attempts in flight.
     pub in_flight: u32,
-    /// Those of the peers that gossip about the same endpoints.
+    /// Attempts in flight of the peers that gossip about the same endpoints.
     pub peers_in_flight: u32,
-    /// How many such peers there are.
+    /// The number of these peers.
     pub peers: usize,
 }
 
-/// What a control period has brought, beside what is recorded in [`LoadEstimator`].
+/// The inputs of one control period, beside those recorded in [`LoadEstimator`].
 pub(crate) struct PeriodInputs {
-    /// Utilisation that endpoints reported recently, one value for each.
+    /// The utilisation that endpoints reported recently, one value per endpoint.
     pub reported_utilisation: Vec<f64>,
     /// This balancer's attempts in flight.
     pub in_flight: u32,
-    /// Do peers gossip about the same endpoints?
+    /// Whether peers gossip about the same endpoints.
     pub has_gossip_peers: bool,
 }
 
-/// Shedding began or ended.
+/// The start or the end of shedding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SheddingChange {
     /// The cursor has left the slots at rest.
     Begins,
-    /// It is back there.
+    /// The cursor has returned to the slots at rest.
     Ends,
 }
 
-/// The parts of admission.
+/// The state of admission.
 pub(crate) struct Admission {
     /// The thresholds.
     pub table: CursorTable,
-    /// What the thresholds are parts of.
+    /// The base threshold, of which the table holds fractions.
     pub threshold: BaseThreshold,
     /// The load that moves the cursor.
     pub load: LoadEstimator,
@@ -91,7 +92,7 @@
 }
 
 impl Admission {
-    /// Admission at the start: nothing is shed.
+    /// Creates the state at the start: the cursor is at rest and there is no threshold yet.
     pub fn new(settings: &Settings) -> Self {
         let levels = PriorityLevels::new(settings);
         Admission {
@@ -105,12 +106,12 @@
         }
     }
 
-    /// The priority level of a request that lands now.
+    /// The priority level of a request that arrives at `now`.
     pub fn priority_level(&mut self, now: Micros, request: &NewRequest) -> PriorityLevel {
         self.levels.level(now, request)
     }
 
-    /// Whether to let a request in.
+    /// Decides whether a request is admitted.
     pub fn decide(
         &self,
         request: &NewRequest,
@@ -120,7 +121,7 @@
     ) -> AdmissionDecision {
         let typical_latency = latency.typical(ClassIndex(request.class));
         if self.reserved.must_stay_free(request.downstream_connections, self.levels.levels_above(level)) {
-            // A connection will be free by then.
+            // A connection will probably be free after this time.
             return AdmissionDecision::Shed { retry_after: typical_latency as Micros };
         }
         let cannot_meet_deadline = (request.time_left as f64) < MIN_TIME_LEFT * typical_latency;
@@ -132,11 +133,11 @@
 
     fn has_met_threshold(&self, level: PriorityLevel, occupancy: Occupancy) -> bool {
         let check = self.threshold.check(occupancy, self.table.is_shedding());
-        f64::from(check.in_flight) >= check.threshold * self.table.part(level)
+        f64::from(check.in_flight) >= check.threshold * self.table.fraction(level)
     }
 
-    /// The Retry-After to send with a rejection, in microseconds; 0 sends none. While shedding, clients are to
-    /// come back when the overload may have passed.
+    /// The Retry-After to send with a rejection, in microseconds; 0 sends none. While shedding it is the
+    /// maximum, because the overload may have passed by then.
     pub fn retry_after(&self, proposed: Micros) -> Micros {
         let wait = if self.table.is_shedding() { self.max_retry_after } else { proposed };
         if self.advises_retry_after {
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Moves the cursor by the load of the period that ends, once the base threshold has been updated.
+    /// Moves the cursor by the load of the control period that ends. Called once the base threshold has been
+    /// updated.
     pub fn move_cursor(&mut self, mut inputs: PeriodInputs) -> Option<SheddingChange> {
         let reading = self.load.read(&mut inputs.reported_utilisation, self.table.is_at_start());
         let was_shedding = self.table.is_shedding();
@@ -154,7 +156,8 @@
             Some(reading) if reading.load > 1.0 && !self.is_drained(&reading, &inputs) => {
                 self.table.step_right();
             }
-            // Samples come late: hold. Where they stay away step left, as a cursor that sheds all gets none.
+            // Samples arrive late, so the cursor holds. If none arrive for too long it steps left, because a
+            // cursor position that sheds everything produces no samples.
             None if self.load.may_hold() && inputs.in_flight > 0 => {}
             _ => self.table.step_left(),
         }
@@ -166,13 +169,13 @@
         }
     }
 
-    /// Is so little in flight that the load read cannot be of now? A group that gossips reads the load of
-    /// more than its own requests.
+    /// Whether so little is in flight that the load must be outdated. Not applied if peers gossip, because
+    /// the load then includes requests of other balancers.
     fn is_drained(&self, reading: &LoadReading, inputs: &PeriodInputs) -> bool {
-        let drained_part = match reading.source {
+        let drained_fraction = match reading.source {
             LoadSource::Answers => DRAINED_BY_ANSWERS,
             LoadSource::Reports => DRAINED_BY_REPORTS,
         };
-        !inputs.has_gossip_peers && f64::from(inputs.in_flight) < drained_part * self.threshold.value()
+        !inputs.has_gossip_peers && f64::from(inputs.in_flight) < drained_fraction * self.threshold.value()
     }
 }
--- a/crates/decide/src/admission/priority.rs
+++ b/crates/decide/src/admission/priority.rs
@@ -1,32 +1,33 @@
 //! The priority level of a request.
 //!
-//! Rule: classes are ordered by their priority weight, one level for each weight. Retries, and what exceeds a
-//! tenant's quota, are on the lowest level. A tenant's rate (requests a second at this balancer, over two
-//! seconds) exceeds its even share of the quota from 1.3 times that share, and two requests for chance.
+//! Rule: classes are ordered by their priority weight, one level per weight. Retries, and requests that
+//! exceed the quota of their tenant, are on the lowest level. A tenant exceeds its quota if its requests at
+//! this balancer within a window of two seconds are more than 1.3 times its even share of the quota, plus two
+//! requests of allowance for chance.
 
 use crate::ewma::Ewma;
 use crate::time::Micros;
 use crate::{NewRequest, Settings};
 
-/// The span over which a tenant's requests are counted, in seconds.
+/// The window over which the requests of a tenant are counted, in seconds.
 const QUOTA_WINDOW_S: f64 = 2.0;
-/// The same in microseconds.
+/// The window over which the requests of a tenant are counted, in microseconds.
 const QUOTA_WINDOW_US: f64 = QUOTA_WINDOW_S * 1e6;
-/// How far a tenant may exceed its share before it counts.
+/// The factor by which a tenant may exceed its share before its requests count as over quota.
 const QUOTA_TOLERANCE: f64 = 1.3;
-/// Requests that do not count against a quota.
+/// The number of requests beyond that which do not count as over quota.
 const QUOTA_ALLOWANCE: f64 = 2.0;
 
-/// A row of the cursor table; higher is shed later.
+/// The priority level as a row of the cursor table; a higher level is shed later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PriorityLevel(pub usize);
 
 /// The level that is shed first.
 const LOWEST: PriorityLevel = PriorityLevel(0);
 
-/// A tenant's requests, and its share of its quota.
+/// The requests of a tenant, and its share of its quota.
 struct TenantRate {
-    /// This balancer's even share, in requests a second; 0 is without bounds.
+    /// The even share of this balancer in requests per second; 0 sets no limit.
     quota_per_s: f64,
     requests: Ewma,
 }
@@ -39,7 +40,8 @@
 }
 
 impl PriorityLevels {
-    /// Orders the classes. One weight alone makes two levels, as retries need one under it.
+    /// Orders the classes by weight. If there is only one weight there are two levels, because retries need a
+    /// lower one.
     pub fn new(settings: &Settings) -> Self {
         let mut weights: Vec<f64> = settings.classes.iter().map(|class| class.priority_weight).collect();
         weights.sort_by(f64::total_cmp);
@@ -60,17 +62,17 @@
         }
     }
 
-    /// How many levels there are.
+    /// The number of levels.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// How many levels are above this one.
+    /// The number of levels above this one.
     pub fn levels_above(&self, level: PriorityLevel) -> usize {
         self.count - 1 - level.0
     }
 
-    /// The level of a request that lands now; its class is known.
+    /// The level of a request that arrives at `now`. Its class must be one of the settings.
     pub fn level(&mut self, now: Micros, request: &NewRequest) -> PriorityLevel {
         let exceeds_quota = self.count_for_tenant(now, request.tenant);
         if exceeds_quota || request.is_retry {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Counts a request for its tenant, and says whether the tenant exceeds its quota.
+    /// Counts a request for its tenant, and returns whether the tenant exceeds its quota.
     fn count_for_tenant(&mut self, now: Micros, tenant: Option<usize>) -> bool {
         let Some(rate) = tenant.and_then(|index| self.tenants.get_mut(index)) else { return false };
         rate.requests.record(now, QUOTA_WINDOW_US, 0.0);
--- a/crates/decide/src/admission/priority/tests.rs
+++ b/crates/decide/src/admission/priority/tests.rs
@@ -11,15 +11,19 @@
     })
 }
 
+/// Guards the order of the levels: classes of one weight must share a level, whatever their order in the
+/// settings.
 #[test]
-fn one_level_for_each_weight() {
+fn each_weight_has_one_level() {
     let mut levels = levels(&[5.0, 1.0, 5.0]);
     let mut level = |class| levels.level(0, &NewRequest { class, ..NewRequest::default() });
     assert_eq!([level(0), level(1), level(2)], [1, 0, 1].map(PriorityLevel));
 }
 
+/// Guards that retries are shed first even if all classes have one weight. Otherwise they would displace
+/// first attempts in an overload.
 #[test]
-fn retries_are_below_the_only_weight() {
+fn retry_is_below_the_only_weight() {
     let mut levels = levels(&[1.0]);
     assert_eq!(levels.count(), 2);
     assert_eq!(levels.level(0, &NewRequest::default()), PriorityLevel(1));
@@ -27,11 +31,12 @@
     assert_eq!(levels.level(0, &retry), PriorityLevel(0));
 }
 
+/// Guards the other tenants against one that exceeds its quota.
 #[test]
 fn tenant_over_its_quota_is_on_the_lowest_level() {
     let mut levels = levels(&[1.0]);
     let request = NewRequest { tenant: Some(0), ..NewRequest::default() };
-    // One a second over two seconds, a tolerance of 1.3 and two more.
+    // One per second over two seconds, a tolerance of 1.3, and an allowance of two.
     for _ in 0..4 {
         assert_eq!(levels.level(0, &request), PriorityLevel(1));
     }
--- a/crates/decide/src/admission/reserved_connections.rs
+++ b/crates/decide/src/admission/reserved_connections.rs
@@ -1,30 +1,33 @@
 //! Connections that stay free while a balancer shuts down.
 //!
-//! Rule: where callers may have nowhere else to go, and get no new connections here, a request that would
-//! take one of the last free ones is shed. Callers that find none free take the balancer for dead, and leave
-//! the connections that they have, too. More stay free for lower priority levels.
+//! Rule: while the balancer accepts no new connections and its clients may have no other balancer to connect
+//! to, a request that would take one of the last idle connections is shed. Clients that find no idle
+//! connection assume that the balancer has failed, and close the connections that they have, too. More
+//! connections stay free for lower priority levels.
 //!
-//! Inputs: the caller's idle and open connections. Bound: a part of the open ones.
+//! Inputs: the numbers of idle and of open downstream connections. Bound: a fraction of the open ones.
 
 use crate::{DownstreamConnections, Settings};
 
-/// Connections that stay free for the highest priority level; each level under it leaves one more.
+/// The number of connections that stay free for the highest priority level; each level below it leaves one
+/// more free.
 const RESERVED_CONNECTIONS: usize = 3;
-/// But at most one in this many of the open connections.
+/// The highest number of reserved connections is the number of open ones divided by this.
 const MAX_RESERVED_DIVISOR: usize = 4;
 
-/// Whether this balancer reserves connections.
+/// The rule of reserved connections for one balancer.
 pub(crate) struct ReservedConnections {
     may_shut_down_alone: bool,
 }
 
 impl ReservedConnections {
-    /// The rule as the number of balancers asks for it.
+    /// Creates the rule. It applies only if the fleet is so small that the balancer may shut down alone.
     pub fn new(settings: &Settings) -> Self {
         ReservedConnections { may_shut_down_alone: settings.may_shut_down_alone() }
     }
 
-    /// Must a request with so many priority levels above it leave its connection free?
+    /// Whether a request must leave its connection free; `levels_above` is the number of priority levels
+    /// above its own.
     pub fn must_stay_free(&self, connections: Option<DownstreamConnections>, levels_above: usize) -> bool {
         let Some(connections) = connections.filter(|_| self.may_shut_down_alone) else { return false };
         let reserved = RESERVED_CONNECTIONS + levels_above;
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -1,26 +1,29 @@
-//! The base threshold: requests in flight that the highest priority level is admitted up to at rest.
+//! The base threshold: the requests in flight up to which the highest priority level is admitted while the
+//! cursor is at rest.
 //!
-//! Rule: by Little's law, a part of the requests in flight at which an answer takes its whole latency
-//! objective at the rate now served. It rises at once and falls slowly. Before there are samples it is a
-//! fixed number for each endpoint; when endpoints come and go it scales with their number.
+//! Rule: the threshold is a fraction of the requests in flight that, by Little's law, there would be if each
+//! answer took its whole latency objective at the rate served now. It rises at once and falls slowly. Before
+//! there are samples it is a fixed number per endpoint. When endpoints are added or removed it scales with
+//! their number.
 //!
-//! Inputs: the sum of the latency objectives served, in microseconds; counts of endpoints.
+//! Inputs: the sum of the latency objectives served, in microseconds; numbers of endpoints.
 
 use super::Occupancy;
 use crate::throughput::Throughput;
 use crate::time::{Micros, ObservationWindow};
 
-/// The part of the requests in flight at which answers take their whole objective.
-const PART_OF_OBJECTIVE: f64 = 0.45;
-/// What is left of the threshold after a period in which less was served.
+/// The threshold as a fraction of the requests in flight at which answers take their whole objective.
+const OBJECTIVE_FRACTION: f64 = 0.45;
+/// The fraction of the threshold that remains after a control period in which less was served.
 const FALL_PER_PERIOD: f64 = 0.995;
-/// The threshold for each endpoint before there are samples; balancers share it evenly.
+/// The threshold per endpoint before there are samples, over all balancers; each has an even share of it.
 pub(crate) const INITIAL_THRESHOLD_PER_ENDPOINT: f64 = 10.0;
-/// The threshold is at least this while nothing is shed, so that a balancer that sees little does not shed by
-/// chance. Not while shedding: the floors of many small balancers would add up to more than the pool can do.
+/// The lowest threshold while nothing is shed, in requests in flight, so that a balancer with little traffic
+/// does not shed by chance. It does not apply while shedding: the sum over many small balancers would exceed
+/// the capacity of the pool.
 const MIN_THRESHOLD: f64 = 8.0;
-/// The floor exceeds the threshold by at most this many standard deviations (the square root of the threshold)
-/// of a random count.
+/// The highest difference between that lowest threshold and the computed one, in standard deviations of a
+/// random count (the square root of the threshold).
 const FLOOR_SPREAD: f64 = 1.5;
 
 /// The base threshold of one balancer.
@@ -30,18 +33,18 @@
     balancers: f64,
 }
 
-/// The in-flight count and threshold to compare: this balancer's, or where that is small the sums over its
-/// gossip group.
+/// The requests in flight and the threshold to compare: those of this balancer or, if its threshold is small,
+/// the sums over its gossip group.
 #[derive(Clone, Copy)]
 pub(crate) struct ThresholdCheck {
     /// The requests in flight.
     pub in_flight: u32,
-    /// The threshold of the whole slots.
+    /// The threshold of the highest priority level at rest.
     pub threshold: f64,
 }
 
 impl BaseThreshold {
-    /// No threshold yet.
+    /// Creates a base threshold without a value.
     pub fn new(balancers: u32) -> Self {
         BaseThreshold { value: f64::INFINITY, balancers: f64::from(balancers) }
     }
@@ -51,13 +54,15 @@
         self.value
     }
 
-    /// The threshold of all balancers for each of the `ready` endpoints; `None` where there is none yet.
+    /// The threshold of all balancers together per endpoint, for `ready` ready endpoints; `None` if there is
+    /// no threshold yet.
     pub fn per_endpoint(&self, ready: usize) -> Option<f64> {
-        let is_known = self.value.is_finite() && ready > 0;
-        is_known.then(|| self.value / ready as f64 * self.balancers)
+        let is_defined = self.value.is_finite() && ready > 0;
+        is_defined.then(|| self.value / ready as f64 * self.balancers)
     }
 
-    /// Moves the threshold by `weight` (0 to 1) towards one of another balancer; without one it stays so.
+    /// Moves the threshold by the fraction `weight` (0 to 1) towards that of another balancer, given per
+    /// endpoint. Does nothing if there is no threshold yet.
     pub fn approach(&mut self, per_endpoint: f64, ready: usize, weight: f64) {
         if self.value.is_finite() {
             let target = per_endpoint * (ready as f64 / self.balancers);
@@ -65,9 +70,10 @@
         }
     }
 
-    /// The endpoint list has changed. A start at full load without a threshold would build a backlog that
-    /// outlives it; one learned on another pool would crowd the endpoints left, or leave new ones idle. What was
-    /// served before scales alike, as the next threshold is computed from it.
+    /// Adjusts the threshold to a changed endpoint list. Without a threshold, a start at full load would
+    /// build a backlog that outlasts it. A threshold of a pool of another size would crowd the endpoints that
+    /// are left, or leave new ones idle. The objectives served so far are scaled as well, because the next
+    /// threshold is computed from them.
     pub fn on_pool_change(&mut self, ready_before: usize, ready: usize, throughput: &mut Throughput) {
         if ready == 0 {
             return;
@@ -75,13 +81,13 @@
         if self.value.is_infinite() {
             self.value = INITIAL_THRESHOLD_PER_ENDPOINT * ready as f64 / self.balancers;
         } else if ready_before > 0 {
-            let part = ready as f64 / ready_before as f64;
-            self.value *= part;
-            throughput.scale_served(part);
+            let growth = ready as f64 / ready_before as f64;
+            self.value *= growth;
+            throughput.scale_served(growth);
         }
     }
 
-    /// Follows what is served; called once a period.
+    /// Updates the threshold from the rate served; called once per control period.
     pub fn on_period(&mut self, now: Micros, throughput: &mut Throughput, window: ObservationWindow) {
         throughput.served.decay(now, window.time_constant);
         if window.age(now) <= window.time_constant / 2.0 {
@@ -89,16 +95,17 @@
         }
         let in_flight_at_objective = throughput.served.sum / window.span(now);
         let fallen = if self.value.is_finite() { self.value * FALL_PER_PERIOD } else { 0.0 };
-        self.value = (in_flight_at_objective * PART_OF_OBJECTIVE).max(fallen);
+        self.value = (in_flight_at_objective * OBJECTIVE_FRACTION).max(fallen);
     }
 
-    /// Is it so small that this balancer's own requests are too few to go by?
+    /// Whether the threshold is so small that the requests of this balancer alone are too few for a
+    /// comparison.
     pub fn is_small(&self) -> bool {
         self.value < MIN_THRESHOLD
     }
 
-    /// What to compare now: where the own threshold is small, a group that gossips compares the sum of its
-    /// requests in flight with the sum of its thresholds.
+    /// The values to compare now. If the threshold of this balancer is small, the sum of the requests in
+    /// flight of its gossip group is compared with the sum of the thresholds of the group.
     pub fn check(&self, occupancy: Occupancy, is_shedding: bool) -> ThresholdCheck {
         let mut in_flight = occupancy.in_flight;
         let mut threshold = self.value;
--- a/crates/decide/src/admission/threshold/tests.rs
+++ b/crates/decide/src/admission/threshold/tests.rs
@@ -7,6 +7,9 @@
     threshold
 }
 
+/// Guards the threshold against a change of the pool: an unscaled one would overload the endpoints that are
+/// left. An empty list must not set it to zero, because nothing would be admitted when the endpoints are
+/// listed again.
 #[test]
 fn threshold_scales_with_the_pool() {
     let mut throughput = Throughput::default();
@@ -19,16 +22,20 @@
     assert!((threshold.value() - 10.0).abs() < 1e-9, "an empty pool changes nothing");
 }
 
+/// Guards the lowest threshold: without it a balancer with few requests sheds by chance, and while shedding
+/// it would let many small balancers together overload the pool.
 #[test]
-fn floor_holds_only_while_nothing_is_shed() {
+fn floor_applies_only_while_nothing_is_shed() {
     let threshold = threshold(4);
     let alone = Occupancy { in_flight: 3, peers_in_flight: 0, peers: 0 };
     assert!((threshold.check(alone, false).threshold - 7.0).abs() < 1e-9);
     assert!((threshold.check(alone, true).threshold - 4.0).abs() < 1e-9);
 }
 
+/// Guards the comparison of small balancers: the requests of one alone are too few, so its gossip group
+/// counts together. A balancer with a large threshold must not count its peers.
 #[test]
-fn small_thresholds_are_summed_over_a_gossip_group() {
+fn small_threshold_is_summed_over_the_gossip_group() {
     let occupancy = Occupancy { in_flight: 3, peers_in_flight: 9, peers: 2 };
     let small = threshold(4).check(occupancy, true);
     assert_eq!(small.in_flight, 12);
--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -1,19 +1,19 @@
 //! Arrivals and successful answers of this balancer as decaying counts.
 //!
-//! Inputs: each request that arrives and each successful answer. The counts stand for the span that
-//! [`ObservationWindow::span`] gives, so a count over that span is a rate.
+//! The counts cover the span that [`ObservationWindow::span`] returns: a count divided by that span is a
+//! rate.
 
 use crate::ewma::Ewma;
 use crate::time::{Micros, ObservationWindow};
 
-/// What arrives and what is served.
+/// The requests that arrive and those that are served.
 #[derive(Default)]
 pub(crate) struct Throughput {
-    /// Requests that arrived.
+    /// The number of requests that arrived.
     pub arrivals: Ewma,
-    /// Successful answers; the sum is of their latency objectives, in microseconds.
+    /// The successful answers; the sum is of their latency objectives, in microseconds.
     pub served: Ewma,
-    /// Successful answers of endpoints that are past their slow start.
+    /// The number of successful answers of endpoints that have completed their slow start.
     pub served_warm: Ewma,
 }
 
@@ -23,7 +23,7 @@
         self.arrivals.record(now, window.time_constant, 0.0);
     }
 
-    /// Counts a successful answer; `objective` is its class's latency objective in microseconds.
+    /// Counts a successful answer; `objective` is the latency objective of its class in microseconds.
     pub fn record_success(&mut self, now: Micros, window: ObservationWindow, objective: f64, is_warm: bool) {
         self.served.record(now, window.time_constant, objective);
         if is_warm {
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Scales the objectives served to a pool that is `part` of the size that it had; the count stays.
-    pub fn scale_served(&mut self, part: f64) {
-        self.served.sum *= part;
+    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `growth`; the
+    /// number of answers stays.
+    pub fn scale_served(&mut self, growth: f64) {
+        self.served.sum *= growth;
     }
 }
