--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -1,5 +1,6 @@
-//! What a balancer has learned, as plain numbers: exported by [`crate::Balancer::learned_state`], and imported by
-//! [`crate::Balancer::import_learned_state`] from a process before or from other balancers. Times are in microseconds.
+//! The learned state of a balancer as plain numbers: exported by [`crate::Balancer::learned_state`], and
+//! imported by [`crate::Balancer::import_learned_state`] from a previous process or from other balancers.
+//! Times are in microseconds.
 
 mod evidence;
 mod export;
@@ -7,57 +8,59 @@
 
 use crate::{EndpointId, Micros};
 
-/// An exponentially decayed mean: a sum over a number of samples, as of some time ago.
+/// An exponentially decayed mean: a sum and a number of samples at a time in the past.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayedMean {
     /// The sum of the samples.
     pub sum: f64,
-    /// How many there are; older ones count for less than one.
+    /// The number of samples; an older sample counts for less than one.
     pub weight: f64,
-    /// The time since the last of them.
+    /// The time since the sum and the number were last decayed.
     pub age: Micros,
 }
 
-/// What was learned of one endpoint.
+/// The learned state of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedEndpoint {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub id: EndpointId,
-    /// How long its process had run, where that is known. Nothing here holds for another process.
+    /// The uptime of the process of the endpoint; `None` if its start is not known. The state does not apply
+    /// to another process.
     pub uptime: Option<Micros>,
-    /// By class: time spent for each successful answer, as a multiple of what the class takes in the pool.
+    /// The time spent per successful answer by class, as a multiple of the typical latency of the class in
+    /// the pool.
     pub classes: Vec<DecayedMean>,
-    /// Failures since its last successful answer.
+    /// The number of failures since the last successful answer.
     pub consecutive_failures: u32,
-    /// How much longer it is ejected; 0 where it is not.
+    /// The time for which the endpoint is still ejected; 0 if it is not.
     pub ejected_for: Micros,
-    /// Requests that it might still get in its slow start. For operators, and never imported: a budget that
-    /// several balancers have at the same time would be overspent.
+    /// The requests left in the slow start budget. It is shown to operators and never imported: if several
+    /// balancers imported one budget, they would together exceed it.
     pub slow_start_tokens: f64,
 }
 
-/// What a balancer has learned.
+/// The learned state of one balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// The time since it was exported.
+    /// The time since the state was exported.
     pub age: Micros,
-    /// How long its balancer had run by then.
+    /// The time that its balancer had run when the state was exported.
     pub uptime: Micros,
-    /// By endpoint.
+    /// The endpoints that are listed, one entry each.
     pub endpoints: Vec<LearnedEndpoint>,
-    /// By machine kind: time spent for each successful answer, as for one endpoint's class.
+    /// The time spent per successful answer by machine kind, relative as in [`LearnedEndpoint::classes`].
     pub latency_by_machine_kind: Vec<(usize, DecayedMean)>,
-    /// By zone: the part of the attempts that got no answer.
+    /// The fraction of the attempts that got no answer, by zone.
     pub loss_by_zone: Vec<(usize, DecayedMean)>,
-    /// By class: what a successful answer takes.
+    /// The duration of successful answers by class.
     pub typical_latency: Vec<DecayedMean>,
-    /// What a successful answer of any class takes.
+    /// The duration of successful answers of all classes.
     pub pool_latency: DecayedMean,
-    /// The base threshold for each endpoint that is ready, in requests in flight; 0 where there is none yet;
-    /// importers ignore it.
+    /// The base threshold of all balancers per ready endpoint, in requests in flight; 0 if there is none yet,
+    /// which importers ignore.
     pub threshold_per_endpoint: f64,
     /// The position of the admission cursor in its table, from 0 to 1.
     pub cursor_position: f64,
-    /// The latency of the quiet pool, in latency objectives.
+    /// The latency of the quiet pool, in latency objectives; `None` if there is none yet.
     pub baseline_latency: Option<f64>,
 }
--- a/crates/decide/src/learned/evidence.rs
+++ b/crates/decide/src/learned/evidence.rs
@@ -1,46 +1,48 @@
-//! How far learned figures are believed.
+//! The weight of imported figures.
 //!
-//! Rule: a figure counts as a few samples at most, fewer with age, and fewer from a balancer that has itself
-//! run for a short time. Of several figures for one thing the median counts, so that one that is wrong or
-//! stale is outvoted.
+//! Rule: a figure counts as a few samples at most, as fewer the older it is, and as fewer if the balancer
+//! that exported it had run only for a short time. Of several figures for one thing the median counts, so
+//! that a single wrong or outdated one has no effect.
 
 use super::{DecayedMean, LearnedState};
 use crate::ewma::Ewma;
 use crate::time::Micros;
 
-/// The time constant by which figures lose their weight, in microseconds.
+/// The time constant by which the weight of figures decays, in microseconds.
 pub(super) const DECAY_TIME_US: f64 = 60e6;
-/// A mean takes in so many samples at most: as many own answers count for as much.
+/// The highest weight of a mean up to which figures are added, in samples: as many own samples then weigh as
+/// much.
 const MAX_SAMPLES: f64 = 6.0;
-/// An endpoint is believed to be at most so many times slower or faster than the pool.
+/// The highest accepted factor by which an endpoint is slower or faster than the pool.
 pub(super) const MAX_RELATIVE_LATENCY: f64 = 6.0;
-/// A balancer that has run for less than this many observation windows counts for less.
+/// The uptime from which the figures of a balancer have their full weight, in observation windows.
 const FULL_TRUST_WINDOWS: f64 = 2.0;
-/// Figures worth less than this many samples are ignored.
+/// Figures that weigh no more than this are ignored, in samples.
 const MIN_SAMPLES: f64 = 0.01;
-/// The least number of samples that a sum is divided by: keeps an empty mean from dividing by zero.
+/// The lowest divisor of a sum, in samples; prevents a division by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// A figure, and the number of samples that it is worth.
+/// A figure and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Evidence {
     /// The figure.
     pub value: f64,
-    /// Samples.
+    /// The number of samples that the figure counts as.
     pub weight: f64,
 }
 
-/// What the figure of a mean is when nothing is known.
+/// The value of a mean without samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Prior {
-    /// Nothing: only samples count.
+    /// Zero with no weight: only samples count.
     Zero,
-    /// As the pool: a mean without samples can have a sum, as of an endpoint that never answered.
+    /// One with a weight of one sample: equal to the pool. Used for means that can have a sum without
+    /// samples, for instance for an endpoint that never answered.
     One,
 }
 
 impl Prior {
-    /// The figure of a mean without samples.
+    /// The value of a mean without samples.
     fn value(self) -> f64 {
         match self {
             Prior::Zero => 0.0,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// How many samples the prior counts as beside those of the mean.
+    /// The number of samples that the prior counts as, beside those of the mean.
     fn weight(self) -> f64 {
         match self {
             Prior::Zero => 0.0,
@@ -57,8 +59,8 @@
     }
 }
 
-/// What a mean comes to and how many samples it is worth by now; `None` where it is worth none.
-/// `time_constant` is the observation window's, in microseconds.
+/// The figure of a mean and its weight at present; `None` if the mean is invalid or weighs too little.
+/// `time_constant` is that of the observation window, in microseconds.
 pub(super) fn evidence(
     time_constant: f64,
     state: &LearnedState,
@@ -69,7 +71,8 @@
     let is_usable = sum.is_finite() && weight.is_finite() && sum >= 0.0 && weight >= 0.0;
     let age = age.max(0).saturating_add(state.age.max(0)) as f64;
     let source_trust = (state.uptime.max(0) as f64 / (FULL_TRUST_WINDOWS * time_constant)).min(1.0);
-    // A sum without samples counts as those that the slowest endpoint would have had.
+    // A sum without samples counts as the number of samples that the slowest accepted endpoint would have for
+    // it.
     let samples_of_sum = match prior {
         Prior::Zero => 0.0,
         Prior::One => (sum / MAX_RELATIVE_LATENCY).min(MAX_SAMPLES),
@@ -82,13 +85,13 @@
     Some(Evidence { value, weight: samples })
 }
 
-/// What is left of a weight of 1 after `age`, in the unit of `time_constant`.
+/// The fraction of a weight that is left after `age`, in the unit of `time_constant`.
 pub(super) fn decayed(age: f64, time_constant: f64) -> f64 {
     (-age / time_constant).exp()
 }
 
-/// The median of several figures and of their weights. Of two figures in the middle the one that is nearer to
-/// `neutral`, which stands for nothing known.
+/// The median of several figures and the median of their weights; `None` if there are no figures. Of two
+/// figures in the middle, the one nearer to `neutral` (the value without information) counts.
 pub(super) fn median(all: impl Iterator<Item = Evidence>, neutral: f64) -> Option<Evidence> {
     let (mut values, mut weights): (Vec<f64>, Vec<f64>) = all.map(|one| (one.value, one.weight)).unzip();
     values.sort_by(f64::total_cmp);
@@ -100,12 +103,12 @@
     Some(Evidence { value, weight: weights[(count - 1) / 2] })
 }
 
-/// [`median`] of what [`evidence`] gives for means with one prior.
+/// The [`median`] of figures that [`evidence`] returned for means with one prior.
 pub(super) fn median_with_prior(all: impl Iterator<Item = Evidence>, prior: Prior) -> Option<Evidence> {
     median(all, prior.value())
 }
 
-/// Adds a figure to a mean as so many samples, as far as it has fewer than [`MAX_SAMPLES`]. `time_constant` is in
+/// Adds a figure to a mean with its weight, up to a total weight of [`MAX_SAMPLES`]. `time_constant` is in
 /// microseconds.
 pub(super) fn add_to(mean: &mut Ewma, now: Micros, time_constant: f64, evidence: Evidence) {
     mean.decay(now, time_constant);
--- a/crates/decide/src/learned/export.rs
+++ b/crates/decide/src/learned/export.rs
@@ -1,4 +1,4 @@
-//! States what a balancer has learned.
+//! The export of the learned state of a balancer.
 
 use super::{DecayedMean, LearnedEndpoint, LearnedState};
 use crate::balancer::Balancer;
@@ -8,7 +8,7 @@
 use crate::EndpointState;
 
 impl Balancer {
-    /// What it has learned, as it stands at this time.
+    /// Returns the learned state of this balancer at `now`.
     #[must_use]
     pub fn learned_state(&self, now: Micros) -> LearnedState {
         let now = now.clamp(self.now, TIME_LIMIT);
--- a/crates/decide/src/learned/import.rs
+++ b/crates/decide/src/learned/import.rs
@@ -1,9 +1,9 @@
-//! Takes in what others have learned: a process before this one, or other balancers.
+//! The import of learned states: of a previous process, or of other balancers.
 //!
-//! Rule: figures come in as samples of the means that own answers go into, as [`evidence`](super::evidence)
-//! bounds them, and each a little otherwise for each balancer, so that those who learned the same do not act
-//! in step. Base threshold, cursor and baseline are taken only until there are own samples for them. Retry
-//! rules and slow start budgets are not touched.
+//! Rule: imported figures become samples of the same means as own answers, within the bounds of
+//! [`evidence`](super::evidence). Their weight varies randomly per balancer, so that balancers that import
+//! the same state do not act in step. The base threshold, the cursor and the baseline are imported only until
+//! there are own samples for them. Retry rules and slow start budgets are not affected.
 
 use std::collections::BTreeMap;
 
@@ -19,25 +19,26 @@
 use crate::time::{Micros, TIME_LIMIT};
 use crate::EndpointId;
 
-/// The time constant by which a base threshold loses its weight, in microseconds: it depends on the pool and
-/// not on a passing load.
+/// The time constant by which the weight of a base threshold decays, in microseconds. It is long because the
+/// threshold depends on the pool and not on a passing load.
 const THRESHOLD_DECAY_TIME_US: f64 = 600e6;
-/// And a cursor's position, in periods.
+/// The time constant by which the position of a cursor decays, in control periods.
 const CURSOR_DECAY_PERIODS: f64 = 20.0;
-/// A base threshold is believed to be so many times more or less than the initial one.
+/// The highest accepted ratio between a base threshold and the initial one, in either direction.
 const MAX_THRESHOLD_RATIO: f64 = 16.0;
-/// Starts of an endpoint that are no further apart than this, by two clocks, are the same, in microseconds.
+/// The tolerance within which two start times of an endpoint, taken by two clocks, count as the same, in
+/// microseconds.
 const START_TOLERANCE_US: Micros = 2_000_000;
-/// A typical latency is believed down to one in this many of the latency objective.
+/// The lowest accepted typical latency is the latency objective divided by this.
 const MIN_TYPICAL_LATENCY_DIVISOR: f64 = 1e3;
-/// And up to this multiple of it.
+/// The highest accepted typical latency, as a multiple of the latency objective.
 const MAX_TYPICAL_LATENCY: f64 = 2.0;
-/// An ejection is believed to last at most so many observation windows.
+/// The longest accepted ejection, in observation windows.
 const MAX_EJECTION_WINDOWS: Micros = 8;
-/// A baseline that is worth no more than this part of a sample is not taken.
+/// The weight above which a baseline is imported, in samples.
 const MIN_BASELINE_WEIGHT: f64 = 0.5;
 
-/// One state, and its endpoints by id.
+/// One state with its endpoints by id.
 struct IndexedState<'a> {
     state: &'a LearnedState,
     endpoints: BTreeMap<EndpointId, &'a LearnedEndpoint>,
@@ -50,15 +51,15 @@
     }
 }
 
-/// What one state says of an endpoint.
+/// The entry of one state for one endpoint.
 struct EndpointEvidence<'a> {
     state: &'a LearnedState,
     endpoint: &'a LearnedEndpoint,
 }
 
 impl EndpointEvidence<'_> {
-    /// Is it of the process that runs now, which started at `up_since`? That has been up for as long as it
-    /// had when this was stated, and since.
+    /// Whether the entry is of the process that runs now, which started at `up_since`. That process has been
+    /// up for the uptime in the entry plus the age of the state.
     fn is_same_process(&self, now: Micros, up_since: Option<Micros>) -> bool {
         match (up_since, self.endpoint.uptime) {
             (Some(start), Some(uptime)) => {
@@ -70,22 +71,22 @@
         }
     }
 
-    /// How long it is still ejected.
+    /// The time for which the endpoint is still ejected; 0 or less if it is not.
     fn ejected_for(&self) -> Micros {
         self.endpoint.ejected_for.saturating_sub(self.state.age.max(0))
     }
 }
 
 impl Balancer {
-    /// Takes in what others have learned, once it knows its endpoints: of a process before, or of several
-    /// balancers, whose median counts.
+    /// Imports the learned states of a previous process or of other balancers; of several states the median
+    /// counts. Called once the endpoints are known.
     pub fn import_learned_state(&mut self, now: Micros, states: &[LearnedState]) {
         self.now = now.clamp(self.now, TIME_LIMIT);
         let now = self.now;
         if states.is_empty() {
             return;
         }
-        // Random per balancer, so that importers of one state do not act in step.
+        // The factor is random per balancer, so that importers of one state do not act in step.
         let dither = 0.5 + 0.5 * self.rng.f64();
         self.import_typical_latency(now, states, dither);
         let indexed: Vec<IndexedState<'_>> = states.iter().map(IndexedState::new).collect();
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Ejects an endpoint only where most say so, and while most others are not.
+    /// Ejects an endpoint only if most of the states have it ejected, and only while ejected endpoints stay
+    /// at most half of the ready ones.
     fn import_ejection(
         &mut self,
         now: Micros,
@@ -250,13 +252,13 @@
     state.age.max(0) as f64
 }
 
-/// A relative latency within what is believed.
+/// The sample of a relative latency, clamped to the accepted range.
 fn relative_latency(median: Evidence, dither: f64) -> Evidence {
     let value = median.value.clamp(1.0 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
     Evidence { value, weight: median.weight * dither }
 }
 
-/// For each index that any state has a mean for, the median of these means.
+/// The median of the means of each index for which any state has one.
 fn medians_by_index(
     time_constant: f64,
     states: &[LearnedState],
