--- a/crates/decide/src/platform_settings/tests.rs
+++ b/crates/decide/src/platform_settings/tests.rs
@@ -4,6 +4,8 @@
     parse(json).expect_err("unusable").to_string()
 }
 
+/// Guards the texts that operators get for an invalid settings object. They name the type, the key or the
+/// value.
 #[test]
 fn errors_keep_their_texts() {
     let not_an_object = error("1");
@@ -15,5 +17,5 @@
     };
     assert_eq!(unknown(r#""semantics": "x""#), "unknown semantics \"x\"");
     assert_eq!(unknown(r#""semantics": "deduplicated", "group": "y""#), "unknown group \"y\"");
-    assert_eq!(error("{}"), "unusable settings: no classes");
+    assert_eq!(error("{}"), "unusable settings: no classes: at least one is required");
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,6 +1,6 @@
-//! What one balancer is given at its start.
+//! The settings of one balancer.
 //!
-//! Classes and tenants are known by index; their names never reach the decisions. Times are in microseconds.
+//! Classes and tenants are held as indexes; the decisions do not use their names. Times are in microseconds.
 
 mod check;
 
@@ -8,132 +8,134 @@
 
 use crate::time::{Micros, TIME_LIMIT};
 
-/// Whether a request of a class may run more than once.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Semantics {
     /// Repeats do no harm.
     #[default]
     Idempotent,
-    /// A group of endpoints discards repeats for a while.
+    /// Repeats are discarded by a group of endpoints for a while.
     Deduplicated {
         /// Which endpoints discard each other's repeats.
         group: DeduplicationGroup,
-        /// How long they remember, from the first send that may have run.
+        /// The time for which repeats are discarded, from the first send of an attempt that may have been
+        /// executed.
         window: Micros,
     },
-    /// Must never run twice.
+    /// The request must never be executed twice.
     AtMostOnce,
 }
 
 /// Which endpoints discard each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationGroup {
-    /// Every endpoint of the tier.
+    /// All endpoints of the tier.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// An answer within this time has its full value.
+    /// The time within which an answer has its full value.
     pub latency_objective: Micros,
-    /// The longest a client waits. Not used by this version's decisions: requests bring their own time left.
+    /// The longest time that a client waits. Not used by the decisions of this version, because each request
+    /// has its own time left.
     pub deadline: Micros,
-    /// The value of an answer; classes with more of it are shed later.
+    /// The value of an answer; classes with a higher value are shed later.
     pub priority_weight: f64,
-    /// The part of its value that an answer past the objective still has.
+    /// The fraction of its value that an answer past the objective still has.
     pub late_answer_value: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub semantics: Semantics,
 }
 
 /// A tenant's quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second over all balancers that count as within its quota; 0 is without bounds.
+    /// The requests per second over all balancers that count as within the quota; 0 sets no limit.
     pub quota_per_s: f64,
 }
 
-/// What one balancer is given at its start.
+/// The settings of one balancer.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Balancers in this tier.
+    /// The number of balancers in this tier.
     pub balancers: u32,
-    /// This balancer's number among them, from 0.
+    /// The number of this balancer among them, from 0.
     pub rank: u32,
     /// The tier that this balancer sends into, 0 at the front.
     pub tier: usize,
-    /// How many tiers there are.
+    /// The number of tiers.
     pub tiers: usize,
-    /// The zone that this balancer is in.
+    /// The zone of this balancer, as an index into the names of the settings.
     pub zone: usize,
     /// The classes, by index.
     pub classes: Vec<Class>,
     /// The tenants, by index.
     pub tenants: Vec<Tenant>,
-    /// The price of an attempt that crosses zones, in values of a request.
+    /// The price of an attempt that crosses zones, as a multiple of the value of a request.
     pub cross_zone_price: f64,
-    /// The endpoint list comes only when polled for.
+    /// Whether the endpoint list has to be polled.
     pub poll_discovery: bool,
-    /// Without a subscription, poll again within this time.
+    /// The interval within which to poll again if there is no subscription.
     pub max_poll_interval: Micros,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Two attempts of one request may be in flight together. Accepted from the platform's settings; this
-    /// version never hedges.
+    /// Whether two attempts of one request may be in flight together. Accepted from the settings of the
+    /// platform; this version never hedges.
     pub hedging_allowed: bool,
-    /// Health checks may be sent to endpoints.
+    /// Whether health checks may be sent to endpoints.
     pub health_checks_allowed: bool,
-    /// Balancers of a tier may send each other short messages, which may be late or lost.
+    /// Whether balancers of a tier may send each other short messages, which may be late or lost.
     pub gossip_allowed: bool,
-    /// Rejections carry a Retry-After.
+    /// Whether rejections have a Retry-After.
     pub send_retry_after: bool,
-    /// The longest Retry-After that clients obey.
+    /// The longest Retry-After that clients observe.
     pub max_retry_after: Micros,
-    /// Attempts that a request may have.
+    /// The highest number of attempts of a request.
     pub max_attempts: usize,
-    /// The shortest gap between two moments of decision.
+    /// The timer resolution: the shortest time between two decisions.
     pub timer_resolution: Micros,
-    /// An endpoint that just started has at least this part of its capacity.
+    /// The fraction of its capacity that an endpoint has at least, right after its start.
     pub slow_start_min_capacity: f64,
-    /// It has all of it after this time.
+    /// The time after which a started endpoint has its full capacity.
     pub slow_start_duration: Micros,
-    /// It fails when it is sent more than this multiple of what it can do within `overload_window`.
+    /// The multiple of its capacity within `overload_window` beyond which an endpoint fails.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// The time over which `overload_multiple` is measured.
     pub overload_window: Micros,
 }
 
-/// The most balancers that a tier may have.
+/// The highest number of balancers of a tier.
 const MAX_BALANCERS: u32 = 1_000_000;
-/// Balancers of a tier that are away at once while they are restarted one after another: the next begins to shut
-/// down before the one before is back and has been noticed.
+/// The number of balancers of a tier that are down at once during a rolling restart: the next one begins to
+/// shut down before the previous one is running again and has been detected.
 const MAX_CONCURRENT_RESTARTS: u32 = 2;
-/// The largest number that is calculated with.
+/// The bound of all numbers.
 const MAX_NUMBER: f64 = 1e12;
 
 impl Settings {
-    /// May the callers of this balancer, while it shuts down, have nowhere else to go? Balancers do not know of each
-    /// other's restarts, so this goes by their number alone.
+    /// Whether clients may have no other balancer to connect to while this one shuts down. Balancers are not
+    /// notified of each other's restarts, so only their number counts.
     #[must_use]
     pub fn may_shut_down_alone(&self) -> bool {
         self.balancers <= MAX_CONCURRENT_RESTARTS
     }
 
-    /// Says what makes these settings unusable, if anything does. A balancer takes any settings without a
-    /// panic; with unusable ones it sheds or decides badly.
+    /// Checks whether the settings are usable. A balancer accepts any settings without a panic, but with
+    /// unusable ones it sheds requests or its decisions are bad.
     ///
     /// # Errors
-    /// The first setting found that makes no sense.
+    /// Returns the first unusable setting found.
     pub fn check(&self) -> Result<(), SettingsError> {
         check::check(self)
     }
 
-    /// These settings with every number brought within bounds.
+    /// Returns the settings with every number clamped to its bounds.
     pub(crate) fn bounded(mut self) -> Self {
         self.classes.iter_mut().for_each(Class::bound);
         for tenant in &mut self.tenants {
--- a/crates/decide/src/settings/check.rs
+++ b/crates/decide/src/settings/check.rs
@@ -1,62 +1,62 @@
-//! What makes settings unusable.
+//! The check for unusable settings.
 
 use std::fmt;
 
 use super::{Class, Semantics, Settings, MAX_BALANCERS};
 use crate::time::{Micros, TIME_LIMIT};
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
     /// There are no classes.
     NoClasses,
-    /// The latency objective of a class is no time to answer in.
+    /// The latency objective of a class is out of bounds.
     LatencyObjective {
         /// The class, by index.
         class: usize,
-        /// Its objective, in microseconds.
+        /// The objective, in microseconds.
         objective: Micros,
     },
-    /// The priority weight of a class is no number at or above 0.
+    /// The priority weight of a class is negative or not finite.
     PriorityWeight {
         /// The class, by index.
         class: usize,
-        /// Its weight.
+        /// The weight.
         weight: f64,
     },
     /// The deduplication window of a class is negative.
     DeduplicationWindow {
         /// The class, by index.
         class: usize,
-        /// Its window, in microseconds.
+        /// The window, in microseconds.
         window: Micros,
     },
-    /// There are no balancers, or too many.
+    /// The number of balancers is out of bounds.
     Balancers(u32),
-    /// The rank is not that of one of the balancers.
+    /// The rank is not below the number of balancers.
     Rank {
         /// The rank.
         rank: u32,
-        /// How many balancers there are.
+        /// The number of balancers.
         balancers: u32,
     },
-    /// The tier is not one of the tiers.
+    /// The tier is not below the number of tiers.
     Tier {
         /// The tier.
         tier: usize,
-        /// How many tiers there are.
+        /// The number of tiers.
         tiers: usize,
     },
-    /// A request may have no attempt.
+    /// No attempt is allowed.
     NoAttempts,
-    /// A span of time is out of bounds.
+    /// A duration is out of bounds.
     Span {
         /// The key of the setting.
         key: &'static str,
-        /// The span, in microseconds.
+        /// The duration, in microseconds.
         span: Micros,
     },
-    /// A number is not at or above 0.
+    /// A number is negative or not finite.
     Number {
         /// The key of the setting.
         key: &'static str,
@@ -68,23 +68,34 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::NoClasses => f.write_str("no classes"),
+            SettingsError::NoClasses => f.write_str("no classes: at least one is required"),
             SettingsError::LatencyObjective { class, objective } => {
-                write!(f, "class {class}: the aim is no time to answer in: {objective} us")
+                write!(
+                    f,
+                    "class {class}: latency objective {objective} us, must be from 1 to {TIME_LIMIT} us"
+                )
             }
             SettingsError::PriorityWeight { class, weight } => {
-                write!(f, "class {class}: not a worth: {weight}")
+                write!(f, "class {class}: priority weight {weight}, must be a finite number of at least 0")
             }
             SettingsError::DeduplicationWindow { class, window } => {
-                write!(f, "class {class}: a window of less than nothing: {window} us")
+                write!(f, "class {class}: deduplication window {window} us, must be at least 0 us")
+            }
+            SettingsError::Balancers(balancers) => {
+                write!(f, "balancers: {balancers}, must be from 1 to {MAX_BALANCERS}")
+            }
+            SettingsError::Rank { rank, balancers } => {
+                write!(f, "rank: {rank}, must be below the number of balancers, {balancers}")
+            }
+            SettingsError::Tier { tier, tiers } => {
+                write!(f, "tier: {tier}, must be below the number of tiers, {tiers}")
+            }
+            SettingsError::NoAttempts => f.write_str("max_attempts: 0, must be at least 1"),
+            SettingsError::Span { key, span } => {
+                write!(f, "{key}: {span} us, must be from 0 to {TIME_LIMIT} us")
             }
-            SettingsError::Balancers(balancers) => write!(f, "not a number of balancers: {balancers}"),
-            SettingsError::Rank { rank, balancers } => write!(f, "rank {rank} of {balancers} balancers"),
-            SettingsError::Tier { tier, tiers } => write!(f, "tier {tier} of {tiers}"),
-            SettingsError::NoAttempts => f.write_str("no attempt is allowed"),
-            SettingsError::Span { key, span } => write!(f, "{key}: not a span of time: {span} us"),
             SettingsError::Number { key, number } => {
-                write!(f, "{key}: not a number at or above 0: {number}")
+                write!(f, "{key}: {number}, must be a finite number of at least 0")
             }
         }
     }
@@ -92,7 +103,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// The first setting found that makes no sense.
+/// Returns the first unusable setting found as an error.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
@@ -137,7 +148,7 @@
     Ok(())
 }
 
-/// The keys are those of the settings object.
+/// Checks the durations. The keys in errors are those of the settings object.
 fn check_spans(settings: &Settings) -> Result<(), SettingsError> {
     let spans = [
         ("must_ask_in", settings.max_poll_interval),
@@ -152,7 +163,7 @@
     }
 }
 
-/// The keys are those of the settings object.
+/// Checks the numbers. The keys in errors are those of the settings object.
 fn check_numbers(settings: &Settings) -> Result<(), SettingsError> {
     let numbers = [
         ("cross_zone_price", settings.cross_zone_price),
