--- a/crates/decide/src/platform_settings.rs
+++ b/crates/decide/src/platform_settings.rs
@@ -1,8 +1,8 @@
-//! The settings object as a deployment writes it.
+//! The settings object of a deployment.
 //!
-//! The simulator's bridge and the real proxy are given the same JSON object. It gives the decisions indexes
-//! and numbers ([`Settings`]), the names behind these indexes ([`NameTable`]), and what only a real proxy
-//! needs ([`Transport`]). Unknown keys are ignored.
+//! The simulator's bridge and the real proxy read the same JSON object. It contains the indexes and numbers
+//! of the decisions ([`Settings`]), the names of these indexes ([`NameTable`]), and the settings that only a
+//! real proxy uses ([`Transport`]). Unknown keys are ignored.
 
 mod document;
 mod load_report_field;
@@ -17,36 +17,36 @@
 use crate::{Micros, Settings, SettingsError};
 use document::Config;
 
-/// A settings object, read and checked.
+/// A settings object, parsed and checked.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// What the decisions are given.
+    /// The settings of the decisions.
     pub settings: Settings,
-    /// The names behind the indexes.
+    /// The names of the indexes.
     pub names: NameTable,
-    /// What the sockets need.
+    /// The settings of the sockets.
     pub transport: Transport,
 }
 
-/// What only a real proxy needs to know; all times are in microseconds.
+/// The settings that only a real proxy uses; all times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Transport {
-    /// An endpoint closes a connection that has been idle for this long.
+    /// The time after which an endpoint closes an idle connection.
     pub keepalive: Micros,
-    /// A connection not made by then has failed.
+    /// The time after which an unfinished connection attempt has failed.
     pub connect_timeout: Micros,
-    /// Nothing new may go to an endpoint later than this after it was listed as draining or removed.
+    /// The time after an endpoint was listed as draining or removed from which it must get no new attempts.
     pub drain_grace: Micros,
 }
 
-/// Why a settings object cannot be used.
+/// The reason why a settings object cannot be used.
 #[derive(Debug)]
 pub enum PlatformSettingsError {
-    /// It is not the JSON that is expected.
+    /// The JSON is invalid or not of the expected form.
     Json(serde_json::Error),
-    /// A value in it is not known, or one that is needed is missing.
+    /// A value is unknown, or a required one is missing.
     Document(DocumentError),
-    /// The decisions cannot be made with it.
+    /// The settings are unusable for the decisions.
     Settings(SettingsError),
 }
 
@@ -70,23 +70,23 @@
     }
 }
 
-/// For callers that report errors as one line of text.
+/// Converts the error for code that reports errors as one line of text.
 impl From<PlatformSettingsError> for String {
     fn from(error: PlatformSettingsError) -> String {
         error.to_string()
     }
 }
 
-/// Milliseconds, as the settings and the wire count, in whole microseconds.
+/// Converts milliseconds, the unit of the settings and of the wire, to whole microseconds.
 #[must_use]
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-/// Reads a settings object.
+/// Parses and checks a settings object.
 ///
 /// # Errors
-/// What in it cannot be read or used.
+/// Returns what cannot be parsed or used.
 pub fn parse(json: &str) -> Result<PlatformSettings, PlatformSettingsError> {
     let config: Config = serde_json::from_str(json).map_err(PlatformSettingsError::Json)?;
     let parsed = config.into_settings().map_err(PlatformSettingsError::Document)?;
--- a/crates/decide/src/platform_settings/document.rs
+++ b/crates/decide/src/platform_settings/document.rs
@@ -1,5 +1,5 @@
-//! The JSON form of the settings object, and its mapping to [`Settings`]. Keys are the platform's; fields have
-//! the names of the decisions. Times are in milliseconds.
+//! The JSON form of the settings object, and its conversion to [`Settings`]. The keys are those of the
+//! platform; the fields have the names of the decisions. Times are in milliseconds.
 
 use std::fmt;
 
@@ -8,20 +8,20 @@
 use super::{micros, LoadReportField, NameTable, PlatformSettings, Transport};
 use crate::{Class, DeduplicationGroup, Micros, Semantics, Settings, Tenant, TIME_LIMIT};
 
-/// The value of `discovery` by which the endpoint list comes only when polled for.
+/// The value of `discovery` if the endpoint list has to be polled.
 const DISCOVERY_ON_REQUEST: &str = "on_request";
 
-/// A value that is not known, or one that is needed and missing.
+/// An unknown value, or a missing one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentError {
     /// A class has neither an objective nor a deadline.
     ClassWithoutTimes {
-        /// Its name.
+        /// The name of the class.
         class: String,
     },
-    /// The semantics of a class are not known.
+    /// The semantics of a class are unknown.
     UnknownSemantics(String),
-    /// The deduplication group of a class is not known.
+    /// The deduplication group of a class is unknown.
     UnknownGroup(String),
 }
 
@@ -39,7 +39,7 @@
 
 impl std::error::Error for DocumentError {}
 
-/// The object. Its name, and those of its parts, occur in the texts of errors.
+/// The settings object. Its name, and those of its members, occur in the texts of errors.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct Config {
@@ -143,7 +143,7 @@
 }
 
 impl Config {
-    /// What the object says; the settings are not checked.
+    /// Converts the object to settings, without the check of [`Settings::check`].
     pub(super) fn into_settings(self) -> Result<PlatformSettings, DocumentError> {
         let transport = Transport {
             keepalive: micros(self.limits.keepalive_ms),
@@ -207,7 +207,7 @@
         })
     }
 
-    /// Where objective or deadline is left out it is the other.
+    /// The latency objective and the deadline; if one of them is missing it equals the other.
     fn times(&self) -> Result<ClassTimes, DocumentError> {
         let latency_objective = micros(self.latency_objective_ms).min(TIME_LIMIT);
         let deadline = micros(self.deadline_ms).min(TIME_LIMIT);
--- a/crates/decide/src/platform_settings/load_report_field.rs
+++ b/crates/decide/src/platform_settings/load_report_field.rs
@@ -1,28 +1,28 @@
-//! The values of a load report, by the keys that the settings give them.
+//! The values of a load report, and their keys in the settings.
 
 use crate::LoadReport;
 
-/// A value that a load report may hold.
+/// A value that a load report may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// Requests in hand.
+    /// The number of requests at the endpoint.
     InFlight,
-    /// Requests waiting.
+    /// The number of waiting requests.
     Queued,
-    /// Part of the processors in use.
+    /// The fraction of the processors in use.
     Utilisation,
-    /// Recent service time in milliseconds.
+    /// The recent service time in milliseconds.
     ServiceTime,
-    /// Requests served a second.
+    /// The requests served per second.
     RequestRate,
-    /// Errors a second.
+    /// The errors per second.
     ErrorRate,
-    /// A key that this version does not know.
+    /// A key that is unknown to this version.
     Unknown,
 }
 
 impl LoadReportField {
-    /// The field of a key in the settings or on the wire.
+    /// The field with this key in the settings or on the wire; [`LoadReportField::Unknown`] if there is none.
     #[must_use]
     pub fn from_key(key: &str) -> LoadReportField {
         match key {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Puts a value into its place in a report.
+    /// Stores a value in its field of a report; an unknown field is ignored.
     pub fn store(self, report: &mut LoadReport, value: f64) {
         let place = match self {
             LoadReportField::InFlight => &mut report.in_flight,
--- a/crates/decide/src/platform_settings/name_table.rs
+++ b/crates/decide/src/platform_settings/name_table.rs
@@ -1,68 +1,68 @@
-//! The names behind the indexes that the decisions use.
+//! The names of the indexes that the decisions use.
 
 use super::LoadReportField;
 
-/// The names behind the indexes of the settings and events of one balancer.
+/// The names of the indexes in the settings and events of one balancer.
 #[derive(Clone, Debug)]
 pub struct NameTable {
-    /// The classes, by index.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// The tenants, by index.
+    /// The names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The values of a load report, in the order in which the simulator writes them.
+    /// The fields of a load report, in the order in which the simulator writes them.
     pub fields: Vec<LoadReportField>,
     zones: Vec<String>,
     machine_kinds: Vec<String>,
 }
 
 impl NameTable {
-    /// A table of classes, zones and machine kinds, by index, without tenants and load report fields.
+    /// Creates a table of classes, zones and machine kinds, by index, without tenants and load report fields.
     #[must_use]
     pub fn new(classes: Vec<String>, zones: Vec<String>, machine_kinds: Vec<String>) -> NameTable {
         NameTable { classes, tenants: Vec::new(), fields: Vec::new(), zones, machine_kinds }
     }
 
-    /// The index of a zone; a name that is new gets the next.
+    /// The index of a zone; a new name gets the next index.
     pub fn zone(&mut self, name: &str) -> usize {
         find_or_add(&mut self.zones, name)
     }
 
-    /// The index of a machine kind; a name that is new gets the next.
+    /// The index of a machine kind; a new name gets the next index.
     pub fn kind(&mut self, name: &str) -> usize {
         find_or_add(&mut self.machine_kinds, name)
     }
 
-    /// The name of a zone.
+    /// The name of a zone; `None` if the index is not in use.
     #[must_use]
     pub fn zone_name(&self, index: usize) -> Option<&str> {
         self.zones.get(index).map(String::as_str)
     }
 
-    /// The name of a machine kind.
+    /// The name of a machine kind; `None` if the index is not in use.
     #[must_use]
     pub fn kind_name(&self, index: usize) -> Option<&str> {
         self.machine_kinds.get(index).map(String::as_str)
     }
 
-    /// The index of a zone that has one.
+    /// The index of a zone; `None` if the name is unknown.
     #[must_use]
     pub fn find_zone(&self, name: &str) -> Option<usize> {
         position(&self.zones, name)
     }
 
-    /// The index of a machine kind that has one.
+    /// The index of a machine kind; `None` if the name is unknown.
     #[must_use]
     pub fn find_kind(&self, name: &str) -> Option<usize> {
         position(&self.machine_kinds, name)
     }
 
-    /// The index of a class.
+    /// The index of a class; `None` if the name is unknown.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<usize> {
         position(&self.classes, name)
     }
 
-    /// The index of a tenant.
+    /// The index of a tenant; `None` if the name is unknown.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<usize> {
         position(&self.tenants, name)
@@ -70,7 +70,7 @@
 }
 
 fn position(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
+    names.iter().position(|existing| existing == name)
 }
 
 fn find_or_add(names: &mut Vec<String>, name: &str) -> usize {
