--- a/crates/decide/src/ewma.rs
+++ b/crates/decide/src/ewma.rs
@@ -1,5 +1,5 @@
-//! An exponentially weighted moving average that keeps its sum and its weight apart, so that it can also
-//! count events, take in cost without an answer, and lean on a prior while it has few samples.
+//! An exponentially weighted moving average with separate sum and weight. It can therefore also count events,
+//! add cost without an answer, and use a prior while it has few samples.
 
 use crate::time::{elapsed, Micros};
 
@@ -15,7 +15,8 @@
 }
 
 impl Ewma {
-    /// Lets sum and weight decay up to `now`; `time_constant` is in microseconds.
+    /// Decays the sum and the weight up to `now`; `time_constant` is in microseconds. An earlier `now` has no
+    /// effect.
     pub fn decay(&mut self, now: Micros, time_constant: f64) {
         if now > self.updated_at {
             let remaining = (-elapsed(self.updated_at, now) / time_constant).exp();
@@ -31,13 +32,13 @@
         self.weight += 1.0;
     }
 
-    /// Adds to the sum without counting a sample, as for time that brought no answer.
+    /// Adds to the sum without counting a sample, for instance time spent without an answer.
     pub fn add_to_sum(&mut self, now: Micros, time_constant: f64, value: f64) {
         self.decay(now, time_constant);
         self.sum += value;
     }
 
-    /// The mean, where `prior` counts as `prior_weight` samples.
+    /// The mean, with `prior` counted as `prior_weight` samples.
     pub fn mean(&self, prior: f64, prior_weight: f64) -> f64 {
         (self.sum + prior * prior_weight) / (self.weight + prior_weight)
     }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -1,17 +1,18 @@
-//! Gossip: what balancers of a tier send each other of load, and how long it counts.
+//! Gossip: the messages on load between the balancers of a tier, and how long they count.
 //!
-//! A message states how many attempts its sender has in flight at one endpoint and how its last one there
-//! ended. It is a state and not a change, so a lost message is mended by the next. Messages are six bytes:
-//! endpoint id (little endian), in flight, load signal. All other payloads are ignored.
+//! A message holds the number of attempts that its sender has in flight at one endpoint, and how its last
+//! attempt there ended. It is a state and not a change, so the next message makes up for a lost one. A
+//! message has six bytes: endpoint id (little endian), in flight, load signal. All other payloads are
+//! ignored.
 
 use std::collections::BTreeMap;
 
 use crate::time::Micros;
 use crate::EndpointId;
 
-/// Units of a latency signal in one latency objective.
+/// The number of latency units in one latency objective.
 const LATENCY_UNITS_PER_OBJECTIVE: f64 = 64.0;
-/// The largest latency that a signal can state, in its units.
+/// The highest latency of a signal, in its units.
 const MAX_LATENCY_UNITS: f64 = 253.0;
 /// The wire byte of [`LoadSignal::None`].
 const NONE_BYTE: u8 = 0;
@@ -20,26 +21,26 @@
 /// The wire byte of [`LoadSignal::Rejected`].
 const REJECTED_BYTE: u8 = 255;
 
-/// What the end of an attempt says of load.
+/// The load that the end of an attempt indicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSignal {
-    /// Nothing.
+    /// No indication of load.
     None,
-    /// It took this long, in 64ths of its latency objective, from 1 to 253.
+    /// The duration of the attempt in 64ths of its latency objective, from 1 to 253.
     Latency(u8),
-    /// It got an error.
+    /// The attempt got an error.
     Failed,
-    /// The endpoint rejected it as full.
+    /// The endpoint rejected the attempt because it was full.
     Rejected,
 }
 
 impl LoadSignal {
-    /// The signal of an attempt that took this multiple of its latency objective.
+    /// The signal of an attempt whose duration is this multiple of its latency objective.
     pub fn latency(objectives: f64) -> LoadSignal {
         LoadSignal::Latency((objectives * LATENCY_UNITS_PER_OBJECTIVE).clamp(1.0, MAX_LATENCY_UNITS) as u8)
     }
 
-    /// The latency that a signal's units stand for, as a multiple of the latency objective.
+    /// The latency of a signal in units, converted to a multiple of the latency objective.
     pub fn latency_in_objectives(units: u8) -> f64 {
         f64::from(units) / LATENCY_UNITS_PER_OBJECTIVE
     }
@@ -66,23 +67,24 @@
 /// One message from one balancer to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GossipMessage {
-    /// The endpoint that it is about.
+    /// The endpoint that the message is about.
     pub endpoint: EndpointId,
-    /// The sender's attempts in flight there, 255 at most.
+    /// The number of attempts that the sender has in flight there, at most 255.
     pub in_flight: u8,
-    /// What the end of the sender's last attempt there said of load.
+    /// The load signal of the last attempt of the sender there; [`LoadSignal::None`] if the message is sent
+    /// at the start of an attempt.
     pub signal: LoadSignal,
 }
 
 impl GossipMessage {
-    /// The message on the wire.
+    /// Encodes the message for the wire.
     pub fn encode(self) -> Vec<u8> {
         let mut payload = self.endpoint.0.to_le_bytes().to_vec();
         payload.extend([self.in_flight, self.signal.to_byte()]);
         payload
     }
 
-    /// Reads a message; `None` where the payload is none.
+    /// Decodes a message; returns `None` if the payload is not six bytes long.
     pub fn decode(payload: &[u8]) -> Option<GossipMessage> {
         let &[id_0, id_1, id_2, id_3, in_flight, signal] = payload else { return None };
         Some(GossipMessage {
@@ -99,19 +101,20 @@
     received_at: Micros,
 }
 
-/// What the peers have in flight at one endpoint, by their rank.
+/// The attempts in flight of the peers at one endpoint, by their rank.
 #[derive(Default)]
 pub(crate) struct PeerLoad {
     reports: BTreeMap<u32, PeerReport>,
 }
 
 impl PeerLoad {
-    /// Takes in a peer's message.
+    /// Records the message of a peer.
     pub fn record(&mut self, now: Micros, peer: u32, in_flight: u8) {
         self.reports.insert(peer, PeerReport { in_flight, received_at: now });
     }
 
-    /// The attempts in flight of all peers that sent a message within `max_age` (microseconds).
+    /// The number of attempts in flight of all peers whose last message is less than `max_age` (microseconds)
+    /// old.
     pub fn in_flight(&self, now: Micros, max_age: Micros) -> u32 {
         let recent = self.reports.values().filter(|report| now - report.received_at < max_age);
         recent.map(|report| u32::from(report.in_flight)).sum()
--- a/crates/decide/src/gossip/tests.rs
+++ b/crates/decide/src/gossip/tests.rs
@@ -1,15 +1,18 @@
 use super::{GossipMessage, LoadSignal, PeerLoad};
 use crate::EndpointId;
 
+/// Guards the encoding of load signals: a byte read as another signal would make peers shed or eject by
+/// mistake.
 #[test]
-fn every_signal_byte_is_read_back_as_it_was_written() {
+fn every_signal_byte_round_trips() {
     for byte in 0..=u8::MAX {
         assert_eq!(LoadSignal::from_byte(byte).to_byte(), byte);
     }
 }
 
+/// Guards the wire format between balancers of different versions.
 #[test]
-fn a_message_is_six_bytes_with_a_little_endian_id() {
+fn message_is_six_bytes_with_a_little_endian_id() {
     let message =
         GossipMessage { endpoint: EndpointId(0x0403_0201), in_flight: 9, signal: LoadSignal::Rejected };
     assert_eq!(message.encode(), [1, 2, 3, 4, 9, 255]);
@@ -17,8 +20,9 @@
     assert_eq!(GossipMessage::decode(&[1, 2, 3, 4, 9]), None);
 }
 
+/// Guards against the last message of a peer that stopped: its attempts would count as in flight for ever.
 #[test]
-fn reports_of_silent_peers_expire() {
+fn reports_of_peers_without_messages_expire() {
     let mut load = PeerLoad::default();
     load.record(0, 1, 5);
     load.record(60, 2, 7);
--- a/crates/decide/src/load_report.rs
+++ b/crates/decide/src/load_report.rs
@@ -1,19 +1,19 @@
 //! The last load report of an endpoint.
 //!
-//! A report tells of all callers' requests but is late; this balancer's own count is exact but partial. The
-//! queue estimate moves from the one to the other as the report ages.
+//! A report covers the requests of all balancers but arrives late. This balancer's own count is exact but
+//! covers only its own requests. The queue estimate moves from the report to the count as the report ages.
 
 use crate::time::{elapsed, Micros, DISTANT_PAST};
 use crate::LoadReport;
 
-/// What an endpoint last reported.
+/// The last load report of one endpoint.
 pub(crate) struct LastLoadReport {
-    /// Requests it had in hand.
+    /// The number of requests at the endpoint.
     in_flight: f64,
-    /// Part of its processors in use.
+    /// The fraction of its processors in use; `None` if it was never reported.
     utilisation: Option<f64>,
     received_at: Micros,
-    /// Requests that this balancer sent since.
+    /// The number of requests that this balancer sent since the report.
     sent_since: u32,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl LastLoadReport {
-    /// Takes in a report; values that are negative or no number are ignored.
+    /// Records a report. Values that are negative or not finite are ignored.
     pub fn update(&mut self, now: Micros, report: &LoadReport) {
         if let Some(in_flight) = report.in_flight.or(report.queued).filter(is_usable) {
             self.in_flight = in_flight;
@@ -42,17 +42,17 @@
         self.sent_since += 1;
     }
 
-    /// The utilisation that was reported, if it was at `since` or later.
+    /// The reported utilisation; `None` if there is none or the last report is older than `since`.
     pub fn recent_utilisation(&self, since: Micros) -> Option<f64> {
         self.utilisation.filter(|_| self.received_at >= since)
     }
 
-    /// Requests that the endpoint has in hand by now. `known` is what the balancers are known to have in
-    /// flight there; a report loses its weight with `time_constant` (microseconds).
-    pub fn queue_estimate(&self, now: Micros, known: f64, time_constant: f64) -> f64 {
+    /// An estimate of the requests at the endpoint at `now`. `counted` is the number in flight that the
+    /// balancers counted themselves. The weight of a report decays with `time_constant` (microseconds).
+    pub fn queue_estimate(&self, now: Micros, counted: f64, time_constant: f64) -> f64 {
         let freshness = (-elapsed(self.received_at, now) / time_constant).exp();
-        let reported = (self.in_flight + f64::from(self.sent_since)).max(known);
-        freshness * reported + (1.0 - freshness) * known
+        let reported = (self.in_flight + f64::from(self.sent_since)).max(counted);
+        freshness * reported + (1.0 - freshness) * counted
     }
 }
 
--- a/crates/decide/src/load_report/tests.rs
+++ b/crates/decide/src/load_report/tests.rs
@@ -1,8 +1,10 @@
 use super::LastLoadReport;
 use crate::LoadReport;
 
+/// Guards the estimate against NaN, infinite and negative values of a faulty report, which would spoil every
+/// score.
 #[test]
-fn unusable_values_are_ignored() {
+fn invalid_values_are_ignored() {
     let mut last = LastLoadReport::default();
     for value in [f64::NAN, f64::INFINITY, -1.0] {
         let report = LoadReport { in_flight: Some(value), utilisation: Some(value), ..LoadReport::default() };
@@ -12,8 +14,9 @@
     assert!((last.queue_estimate(10, 4.0, 100.0) - 4.0).abs() < 1e-9);
 }
 
+/// Guards against an outdated report, which would keep requests from an endpoint that is idle again.
 #[test]
-fn a_report_loses_its_weight_to_what_is_known() {
+fn report_loses_its_weight_to_the_own_count() {
     let mut last = LastLoadReport::default();
     last.update(0, &LoadReport { queued: Some(9.0), ..LoadReport::default() });
     last.count_sent();
@@ -23,8 +26,9 @@
     assert!((last.queue_estimate(1_000_000, 2.0, 100.0) - 2.0).abs() < 1e-9);
 }
 
+/// Guards the load against the utilisation of an earlier control period.
 #[test]
-fn old_utilisation_does_not_count() {
+fn old_utilisation_is_ignored() {
     let mut last = LastLoadReport::default();
     last.update(50, &LoadReport { utilisation: Some(0.5), ..LoadReport::default() });
     assert_eq!(last.recent_utilisation(50), Some(0.5));
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,14 +1,17 @@
-//! Whether another attempt may start, and whether a rejection may promise that nothing ran.
+//! Retry rules: whether another attempt may start, and whether a rejection may promise that nothing was
+//! executed.
 //!
 //! Rules:
-//! - the retry budget earns a fixed part of a retry with each request, so retries cannot feed an overload;
-//!   a retry after an attempt that never connected does not spend the budget, as that cost no endpoint
-//!   anything, but needs a token in it;
-//! - no retry after a timeout, nor with less time left than half of what the class typically takes;
-//! - what has run, or may have, is repeated only as far as the class's [`Semantics`] allow.
+//! - Each request adds a fixed fraction of a retry to the retry budget, so retries cannot sustain an
+//!   overload. A retry after an attempt that never connected requires a token in the budget but does not take
+//!   it, because that attempt did not load an endpoint.
+//! - There is no retry after a timeout, nor if the time left is at most half of the typical latency of the
+//!   class.
+//! - A request that was executed, or may have been, is repeated only if the [`Semantics`] of its class allow
+//!   it.
 //!
-//! Bounds: `max_attempts` of the settings and of the request; one attempt at a time, as nothing starts a second one
-//! (`hedging_allowed` only lets it pass).
+//! Bounds: `max_attempts` of the settings and of the request. There is one attempt at a time, because nothing
+//! starts a second one (`hedging_allowed` only permits it).
 
 use crate::attempts::{Attempt, PendingRequest};
 use crate::endpoint_table::EndpointTable;
@@ -16,11 +19,11 @@
 use crate::time::Micros;
 use crate::{DeduplicationGroup, Endpoint, EndpointState, Outcome, Semantics, Settings};
 
-/// Retries that each request adds to the budget.
+/// The number of retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Retries in the budget at the start.
+/// The number of retries in the budget at the start.
 const INITIAL_RETRIES: f64 = 3.0;
-/// The most retries that the budget holds.
+/// The highest number of retries in the budget.
 const MAX_RETRIES: f64 = 10.0;
 
 /// A token bucket of retries.
@@ -29,22 +32,24 @@
 }
 
 impl RetryBudget {
-    /// The budget at the start.
+    /// Creates the budget with its initial retries.
     pub fn new() -> Self {
         RetryBudget { tokens: INITIAL_RETRIES }
     }
 
-    /// Adds what one request earns.
+    /// Adds the fraction of a retry that one request permits.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// May an attempt that ended so be retried? Needs a token whatever the outcome. `time_left` and `typical_latency` are in microseconds.
+    /// Whether an attempt with this outcome may be retried; requires a token for every outcome. `time_left`
+    /// and `typical_latency` are in microseconds.
     pub fn allows(&self, outcome: Outcome, time_left: f64, typical_latency: f64) -> bool {
         time_left > typical_latency / 2.0 && outcome != Outcome::Timeout && self.tokens >= 1.0
     }
 
-    /// Pays for a retry after an attempt that ended so; one after a failed connection costs nothing.
+    /// Takes a token for a retry after an attempt with this outcome. After an attempt that never connected,
+    /// no token is taken.
     pub fn spend(&mut self, outcome: Outcome) {
         if outcome != Outcome::ConnectFailed {
             self.tokens -= 1.0;
@@ -52,7 +57,7 @@
     }
 }
 
-/// What may run again.
+/// The rules on further attempts that do not depend on the budget.
 pub(crate) struct RetryPolicy {
     max_attempts: usize,
     hedging_allowed: bool,
@@ -60,7 +65,7 @@
 }
 
 impl RetryPolicy {
-    /// The policy that the settings ask for.
+    /// Creates the policy from the settings.
     pub fn new(settings: &Settings) -> Self {
         RetryPolicy {
             max_attempts: settings.max_attempts.max(1),
@@ -69,7 +74,7 @@
         }
     }
 
-    /// May an attempt of this request start at this endpoint now?
+    /// Whether an attempt of this request may start at this endpoint now.
     pub fn may_start_attempt(
         &self,
         now: Micros,
@@ -87,7 +92,7 @@
             && self.may_run_again(now, request, endpoints, entry)
     }
 
-    /// May a rejection of this request promise that a retry does no harm?
+    /// Whether a rejection of this request may promise that a retry does no harm.
     pub fn may_reject(&self, request: &PendingRequest) -> bool {
         let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
         match self.semantics(request.class) {
@@ -97,7 +102,7 @@
         }
     }
 
-    /// Do the attempts so far allow another one at this endpoint?
+    /// Whether the semantics of the class and the attempts so far allow another one at this endpoint.
     fn may_run_again(
         &self,
         now: Micros,
@@ -126,7 +131,7 @@
         && request.endpoint_filter.as_ref().is_none_or(|filter| filter.matches(entry))
 }
 
-/// Does `second` discard repeats of what ran on `first`?
+/// Whether `second` discards repeats of a request that was executed on `first`.
 fn share_deduplication(group: DeduplicationGroup, first: &Endpoint, second: &Endpoint) -> bool {
     match group {
         DeduplicationGroup::All => true,
--- a/crates/decide/src/retry/tests.rs
+++ b/crates/decide/src/retry/tests.rs
@@ -16,7 +16,8 @@
     table
 }
 
-/// May a request of such a class that had an attempt at endpoint 0, in flight since 0, go to `endpoint` at `now`?
+/// Whether a request with these semantics, with an attempt at endpoint 0 in flight since time 0, may have
+/// another attempt at `endpoint` at `now`.
 fn may_retry(semantics: Semantics, endpoint: usize, now: i64) -> bool {
     let class = Class { semantics, latency_objective: 10_000, ..Class::default() };
     let settings = Settings {
@@ -31,6 +32,8 @@
     RetryPolicy::new(&settings).may_start_attempt(now, &request, &endpoints(), EndpointIndex(endpoint))
 }
 
+/// Guards against a repeat that executes a request twice: on an endpoint that does not discard repeats of the
+/// first one, or after the deduplication window.
 #[test]
 fn semantics_decide_whether_another_attempt_may_start() {
     assert!(may_retry(Semantics::Idempotent, 1, 10));
@@ -39,16 +42,22 @@
     assert!(may_retry(within(DeduplicationGroup::All), 1, 10));
     assert!(may_retry(within(DeduplicationGroup::Zone), 0, 10));
     assert!(!may_retry(within(DeduplicationGroup::Zone), 1, 10));
-    assert!(!may_retry(within(DeduplicationGroup::Cell), 0, 10), "without a cell nothing is shared");
-    assert!(!may_retry(within(DeduplicationGroup::All), 1, WINDOW), "after the window");
+    assert!(
+        !may_retry(within(DeduplicationGroup::Cell), 0, 10),
+        "endpoints without a cell share no deduplication"
+    );
+    assert!(!may_retry(within(DeduplicationGroup::All), 1, WINDOW), "the deduplication window is over");
 }
 
+/// Guards the endpoints against attempts whose answer nobody waits for.
 #[test]
-fn no_attempt_starts_after_the_deadline() {
+fn no_attempt_starts_from_the_deadline_on() {
     assert!(may_retry(Semantics::Idempotent, 1, 9_999));
     assert!(!may_retry(Semantics::Idempotent, 1, 10_000));
 }
 
+/// Guards the budget: connect failures of an endpoint that is down must not use up the retries of other
+/// failures.
 #[test]
 fn connect_failures_do_not_spend_the_budget() {
     let mut budget = RetryBudget::new();
@@ -63,6 +72,7 @@
     assert!(!budget.allows(Outcome::Error, 100.0, 100.0));
 }
 
+/// Guards the endpoints against retries that are likely to end late as well.
 #[test]
 fn timeouts_and_requests_with_little_time_left_are_not_retried() {
     let budget = RetryBudget::new();
--- a/crates/decide/src/selection/candidates.rs
+++ b/crates/decide/src/selection/candidates.rs
@@ -1,13 +1,13 @@
-//! The endpoints that a pick looks at.
+//! The candidates of a selection.
 //!
-//! Rules: each balancer has its own subset of the pool, an even cut of a ring that all balancers order alike.
-//! Small pools are ranked whole. In larger ones the subset is ranked, and some endpoints drawn at random
-//! beside it; while none of these may get the request, some more are drawn. A request with a filter draws
-//! from what the filter lets through.
+//! Rules: each balancer has a subset of the pool, an even segment of a ring that all balancers order in the
+//! same way. In a small pool all endpoints are ranked. In a larger one the subset and some endpoints drawn at
+//! random are ranked; while none of these may get the request, more are drawn. A request with a filter draws
+//! from the endpoints that match the filter.
 //!
-//! Where balancers gossip, a group of them shares one subset and talks about it: each sees too little of it
-//! alone. Where they do not, the subset is cut from the own zone, if that is large enough: attempts that
-//! cross zones cost, and zones may be cut off from each other.
+//! If balancers gossip, a group of them shares one subset and gossips about it, because each alone observes
+//! too few requests to it. Otherwise the subset is cut from the balancer's own zone if that is large enough,
+//! because attempts that cross zones have a price, and zones may be partitioned from each other.
 
 use fastrand::Rng;
 
@@ -15,32 +15,33 @@
 use crate::index::EndpointIndex;
 use crate::Settings;
 
-/// Pools up to this size are ranked whole; filtered requests draw as many from larger ones.
+/// The size up to which all endpoints of a pool are ranked; a filtered request draws this many from a larger
+/// one.
 const SAMPLE_SIZE: usize = 12;
-/// Endpoints drawn beside the subset.
+/// The number of endpoints drawn beside the subset.
 const SAMPLE_BESIDE_SUBSET: usize = SAMPLE_SIZE / 2;
-/// Endpoints drawn one by one while none of the others may get the request.
+/// The number of endpoints drawn one by one while none of the others may get the request.
 const FALLBACK_SAMPLE_SIZE: usize = 24;
-/// Endpoints in a balancer's subset, as a multiple of endpoints over balancers.
+/// The size of a subset, as a multiple of the number of endpoints divided by the number of balancers.
 const SUBSET_OVERLAP: f64 = 2.0;
-/// The least size of a subset.
+/// The smallest size of a subset.
 const MIN_SUBSET_SIZE: usize = 4;
 
-/// The endpoints that are ready, and cuts of them.
+/// The ready endpoints, and segments of them.
 #[derive(Default)]
 pub(crate) struct ReadyEndpoints {
-    /// All of them, by id.
+    /// All ready endpoints, in the order of their ids.
     pub all: Vec<EndpointIndex>,
-    /// Those in the balancer's own zone, by id.
+    /// The ready endpoints in the zone of the balancer, in the order of their ids.
     pub local: Vec<EndpointIndex>,
-    /// The balancer's own subset.
+    /// The subset of the balancer.
     pub subset: Vec<EndpointIndex>,
     /// The ranks of the balancers that share the subset and gossip about it.
     pub gossip_peers: Vec<u32>,
 }
 
 impl ReadyEndpoints {
-    /// Cuts the pool anew after the endpoint list changed.
+    /// Rebuilds all lists after the endpoint list changed.
     pub fn rebuild(&mut self, endpoints: &EndpointTable, settings: &Settings) {
         let is_ready = |index: &EndpointIndex| endpoints[*index].is_ready();
         self.all = endpoints.indexes_by_id().filter(is_ready).collect();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The ring that subsets are cut from, in the order that all balancers give it.
+    /// The ring that subsets are cut from, in the order that is the same for all balancers.
     fn ring(&self, endpoints: &EndpointTable, gossip_allowed: bool) -> Vec<EndpointIndex> {
         let is_zone_large = self.local.len() >= 2 * MIN_SUBSET_SIZE;
         let mut ring = if is_zone_large && !gossip_allowed { self.local.clone() } else { self.all.clone() };
@@ -72,7 +73,7 @@
         (even_share.ceil() as usize).max(MIN_SUBSET_SIZE)
     }
 
-    /// Takes the subset of the group that this balancer's rank falls into.
+    /// Sets the subset and the peers to those of the group that contains the rank of this balancer.
     fn join_group(&mut self, ring: &[EndpointIndex], size: usize, rank: usize, balancers: usize) {
         let groups = (ring.len() / size).max(1);
         let group_of = |rank: usize| rank * groups / balancers;
@@ -85,24 +86,26 @@
     }
 }
 
-/// An order of ids that depends on nothing else and is the same for every balancer.
+/// A hash that orders ids. It depends on the id alone, so it is the same for every balancer.
 fn hash_id(id: u32) -> u64 {
     let mixed = (u64::from(id) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// The candidates of one pick, by position. Sampled positions draw from the generator when looked at.
+/// The candidates of one selection, by position. Sampled positions draw from the random generator when they
+/// are read.
 pub(crate) enum Candidates<'a> {
-    /// A small pool, ranked whole.
+    /// A small pool, of which all endpoints are ranked.
     All(&'a [EndpointIndex]),
     /// A sample of a large filtered pool.
     Sample(&'a [EndpointIndex]),
-    /// The subset of a large pool, and a sample beside it.
+    /// The subset of a large pool, and a sample of the whole pool.
     SubsetAndSample(&'a ReadyEndpoints),
 }
 
 impl<'a> Candidates<'a> {
-    /// The candidates of a request; `filtered` are the ready endpoints that its filter lets through.
+    /// Creates the candidates of a request; `filtered` holds the ready endpoints that match its filter,
+    /// `None` if it has no filter.
     pub fn new(ready: &'a ReadyEndpoints, filtered: Option<&'a [EndpointIndex]>) -> Self {
         match filtered {
             Some(pool) if pool.len() > SAMPLE_SIZE => Candidates::Sample(pool),
@@ -112,7 +115,7 @@
         }
     }
 
-    /// The pool that they are drawn from.
+    /// The pool that the candidates are drawn from.
     pub fn pool(&self) -> &'a [EndpointIndex] {
         match self {
             Candidates::All(pool) | Candidates::Sample(pool) => pool,
@@ -129,7 +132,8 @@
         }
     }
 
-    /// The number of all positions; those past [`Candidates::always_ranked`] only while no candidate may get the request.
+    /// The number of all positions. Those from [`Candidates::always_ranked`] on are read only while no
+    /// candidate may get the request.
     pub fn max_positions(&self) -> usize {
         match self {
             Candidates::SubsetAndSample(_) => self.always_ranked() + FALLBACK_SAMPLE_SIZE,
@@ -137,7 +141,8 @@
         }
     }
 
-    /// The candidate at a position. Every other one that is drawn beside the subset is from the own zone.
+    /// The candidate at a position. Of those drawn beside the subset, every second one is from the zone of
+    /// the balancer if that has ready endpoints.
     pub fn pick(&self, position: usize, rng: &mut Rng) -> EndpointIndex {
         match self {
             Candidates::All(pool) => pool[position],
--- a/crates/decide/src/selection/candidates/tests.rs
+++ b/crates/decide/src/selection/candidates/tests.rs
@@ -15,16 +15,19 @@
     ready
 }
 
+/// Guards against an endpoint in no subset, which would get only randomly drawn requests.
 #[test]
 fn subsets_of_all_balancers_cover_the_pool() {
     let subset = |rank| ready(30, &Settings { balancers: 10, rank, ..Settings::default() }).subset;
     let covered: BTreeSet<EndpointIndex> = (0..10).flat_map(subset).collect();
     assert_eq!(covered.len(), 30);
-    assert_eq!(subset(0).len(), 6, "two subsets over each endpoint");
+    assert_eq!(subset(0).len(), 6, "each endpoint is in two subsets");
 }
 
+/// Guards the group: with different subsets, balancers would gossip about endpoints that the others do not
+/// use.
 #[test]
-fn a_gossip_group_shares_one_subset() {
+fn gossip_group_shares_one_subset() {
     let of = |rank| ready(30, &Settings { balancers: 10, rank, gossip_allowed: true, ..Settings::default() });
     let first = of(0);
     for &peer in &first.gossip_peers {
@@ -33,8 +36,9 @@
     assert!(!first.gossip_peers.contains(&0));
 }
 
+/// Guards against a sample of a small or filtered pool, which could miss its best endpoint.
 #[test]
-fn small_pools_are_ranked_whole() {
+fn all_endpoints_of_a_small_pool_are_ranked() {
     let settings = Settings { balancers: 1, ..Settings::default() };
     let small = ready(SAMPLE_SIZE as u32, &settings);
     assert_eq!(Candidates::new(&small, None).max_positions(), SAMPLE_SIZE);
--- a/crates/decide/src/selection/locality.rs
+++ b/crates/decide/src/selection/locality.rs
@@ -1,7 +1,8 @@
-//! What an endpoint's zone adds to its score.
+//! Locality: the contribution of an endpoint's zone to its score.
 //!
-//! Rule: an attempt that crosses zones costs its price, and the part of the attempts into that zone that got no
-//! answer: when a zone is cut off, finding out by a failure of each of its endpoints would cost too much.
+//! Rule: an attempt that crosses zones costs its price, and in addition the fraction of the attempts into
+//! that zone that got no answer. If a zone is partitioned, to detect it by a failure of each of its endpoints
+//! would cost too much.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +11,23 @@
 use crate::time::{Micros, ObservationWindow};
 use crate::{Outcome, Settings};
 
-/// How much the price of crossing zones weighs in the score.
+/// The weight of the price of crossing zones in the score.
 const CROSS_ZONE_PRICE_WEIGHT: f64 = 25.0;
-/// How much the part of attempts lost in another zone weighs in the score.
+/// The weight in the score of the fraction of attempts lost in another zone.
 const ZONE_LOSS_WEIGHT: f64 = 30.0;
-/// Samples that no loss counts as.
+/// The weight of the prior of no loss, in samples.
 const NO_LOSS_PRIOR_WEIGHT: f64 = 3.0;
 
-/// The own zone, and losses by zone.
+/// The zone of the balancer, and the losses by zone.
 pub(crate) struct Locality {
     zone: ZoneIndex,
     cross_zone_price: f64,
-    /// By zone: the part of the attempts that got no answer.
+    /// The fraction of the attempts that got no answer, by zone.
     pub loss_by_zone: BTreeMap<ZoneIndex, Ewma>,
 }
 
 impl Locality {
-    /// No losses yet.
+    /// Creates the state without losses.
     pub fn new(settings: &Settings) -> Self {
         Locality {
             zone: ZoneIndex(settings.zone),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes in how an attempt into a zone ended.
+    /// Records the outcome of an attempt into a zone.
     pub fn record(&mut self, now: Micros, window: ObservationWindow, zone: ZoneIndex, outcome: Outcome) {
         let loss = self.loss_by_zone.entry(zone).or_default();
         match outcome {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// The score of an endpoint in this zone, where `score` is that of one at home.
+    /// The score of an endpoint in this zone; `score` is the score that it would have in the zone of the
+    /// balancer.
     pub fn weigh(&self, score: f64, zone: ZoneIndex) -> f64 {
         if zone == self.zone {
             return score;
--- a/crates/decide/src/selection/mod.rs
+++ b/crates/decide/src/selection/mod.rs
@@ -1,5 +1,5 @@
-//! Which endpoint an attempt goes to: candidates are drawn from the ready endpoints, those that may not get
-//! the request are passed over, and the rest are ranked by a score; the lowest wins.
+//! The choice of the endpoint for an attempt: candidates are drawn from the ready endpoints, those that must
+//! not get the request are skipped, and the rest are ranked by a score. The lowest score wins.
 
 pub(crate) mod candidates;
 pub(crate) mod latency;
--- a/crates/decide/src/selection/outlier.rs
+++ b/crates/decide/src/selection/outlier.rs
@@ -1,14 +1,16 @@
 //! Outlier detection: endpoints that fail are ejected for a while.
 //!
 //! Rules:
-//! - a failure ejects once failures in a row, of any kind, reach the limit of its own kind: 1 connect failure,
-//!   2 resets (a response that cannot be read may come from a sound endpoint), 3 timeouts; each further one
-//!   doubles the time, three times at most, from one observation window;
-//! - an endpoint that rejects a request as full is ejected until one of its requests may have ended: it answers
-//!   at once and so has nothing of ours in flight, and would rank first;
-//! - where most of a pool is ejected, ejection is ignored.
+//! - A failure ejects an endpoint when the number of consecutive failures of any kind reaches the limit of
+//!   its own kind: 1 connect failure, 2 resets (a sound endpoint may also send a response that cannot be
+//!   parsed), 3 timeouts. The first ejection takes about one observation window; each further failure doubles
+//!   the time, at most three times.
+//! - An endpoint that rejects a request because it is full is ejected until one of its requests may have
+//!   ended. It answers at once, so it has no attempts of this balancer in flight and would rank first.
+//! - If most of a pool is ejected, ejection is ignored.
 //!
-//! Times are in microseconds. Ends of ejection are jittered, so that balancers do not come back in step.
+//! Times are in microseconds. Ends of ejection are jittered, so that balancers do not return to an endpoint
+//! at the same time.
 
 use fastrand::Rng;
 
@@ -17,31 +19,31 @@
 use crate::time::{jittered, Micros, ObservationWindow};
 use crate::Outcome;
 
-/// Failures in a row of any kind from which a timeout ejects.
+/// The number of consecutive failures of any kind from which a timeout ejects.
 const TIMEOUTS_TO_EJECT: u32 = 3;
-/// Failures in a row of any kind from which a broken connection ejects.
+/// The number of consecutive failures of any kind from which a broken connection ejects.
 const RESETS_TO_EJECT: u32 = 2;
-/// Failures in a row of any kind from which a failed connection ejects.
+/// The number of consecutive failures of any kind from which a failed connection attempt ejects.
 const CONNECT_FAILURES_TO_EJECT: u32 = 1;
-/// The time of ejection is doubled at most so many times.
+/// The highest number of times that the time of ejection is doubled.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// The failures of one endpoint, and whether it is ejected.
 #[derive(Default)]
 pub(crate) struct Ejection {
-    /// Failures since the last successful answer.
+    /// The number of failures since the last successful answer.
     pub consecutive_failures: u32,
-    /// It gets requests again from then on.
+    /// The time from which the endpoint gets requests again.
     pub ejected_until: Micros,
 }
 
 impl Ejection {
-    /// Is it ejected now?
+    /// Whether the endpoint is ejected at `now`.
     pub fn is_ejected(&self, now: Micros) -> bool {
         self.ejected_until > now
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, now: Micros, outcome: Outcome, window: ObservationWindow, rng: &mut Rng) {
         match outcome {
             Outcome::Ok => *self = Ejection::default(),
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Counts a failure of which `failures_to_eject` in a row eject.
+    /// Counts a failure of a kind that ejects from `failures_to_eject` consecutive failures on.
     fn record_failure(
         &mut self,
         now: Micros,
@@ -68,14 +70,15 @@
         self.ejected_until = jittered(now, window.micros() << doublings, rng);
     }
 
-    /// Ejects it for about `wait`, as it is full.
+    /// Ejects the endpoint for between half of `wait` and all of it because it is full. An ejection that ends
+    /// later stays.
     pub fn eject_full(&mut self, now: Micros, wait: Micros, rng: &mut Rng) {
         let until = jittered(now, wait, rng);
         self.ejected_until = self.ejected_until.max(until);
     }
 }
 
-/// How many endpoints of a pool are ejected.
+/// The number of endpoints of a pool that are ejected.
 pub(crate) fn ejected_count(now: Micros, pool: &[EndpointIndex], endpoints: &EndpointTable) -> usize {
     pool.iter().filter(|&&index| endpoints[index].ejection.is_ejected(now)).count()
 }
--- a/crates/decide/src/selection/ranking.rs
+++ b/crates/decide/src/selection/ranking.rs
@@ -1,9 +1,10 @@
-//! The score by which candidates are ranked: relative latency times queue, and factors for what speaks for or
-//! against an endpoint. The lowest score wins.
+//! The score by which candidates are ranked: relative latency times queue, times factors for or against an
+//! endpoint. The lowest score wins.
 //!
-//! Factors: a random tenth, so that balancers with equal measurements do not all choose alike; zones; the capacity
-//! of a warming endpoint; endpoints outside the subset, whose queue is mostly other balancers' requests;
-//! ejected endpoints, which are a last resort; and endpoints that had an attempt of this request already.
+//! Factors: up to a tenth at random, so that balancers with equal measurements do not all choose the same
+//! endpoint; the zone; the capacity of a warming endpoint; a position outside the subset, because the queue
+//! there consists mostly of other balancers' requests; ejection, so that an ejected endpoint is a last
+//! resort; and an earlier attempt of the same request.
 
 use fastrand::Rng;
 
@@ -20,57 +21,57 @@
 use super::locality::Locality;
 use super::outlier;
 
-/// The random part of a score.
+/// The highest random increase of a score, as a fraction of it.
 const JITTER: f64 = 0.1;
-/// What an endpoint outside the subset costs.
+/// The factor of an endpoint outside the subset.
 const OUTSIDE_SUBSET_FACTOR: f64 = 2.0;
-/// How far an endpoint that is due for a warm-up request moves ahead.
+/// The divisor of an endpoint that is due for a warm-up request.
 const WARMUP_FACTOR: f64 = 1e3;
-/// What an ejected endpoint costs.
+/// The factor of an ejected endpoint.
 const EJECTED_FACTOR: f64 = 1e6;
-/// What an endpoint that had an attempt of the request costs.
+/// The factor of an endpoint that had an attempt of the same request.
 const REPEATED_FACTOR: f64 = 1e3;
-/// Periods over which a load report loses its weight.
+/// The time constant by which a load report loses its weight, in control periods.
 const REPORT_LIFETIME_PERIODS: f64 = 4.0;
 
-/// The endpoint that an attempt goes to.
+/// The endpoint selected for an attempt.
 pub(crate) struct Selected {
-    /// Its position.
+    /// The position of the endpoint in the table.
     pub endpoint: EndpointIndex,
-    /// It is chosen to warm it up.
+    /// Whether the request is to warm up the endpoint.
     pub is_warmup: bool,
 }
 
-/// One pick, with all that it looks at.
+/// One selection, with everything that it reads.
 pub(crate) struct Selector<'a> {
-    /// The time of the pick.
+    /// The time of the selection.
     pub now: Micros,
-    /// The span that measurements stand for.
+    /// The observation window of the measurements.
     pub window: ObservationWindow,
     /// The control period, in microseconds.
     pub period: Micros,
     /// The request.
     pub request: &'a PendingRequest,
-    /// The endpoints that are ready.
+    /// The ready endpoints.
     pub ready: &'a ReadyEndpoints,
-    /// All endpoints; slow start budgets are drawn on.
+    /// All endpoints. Permissions are drawn from their slow start budgets.
     pub endpoints: &'a mut EndpointTable,
-    /// What may run again.
+    /// The rules that limit further attempts.
     pub retry: &'a RetryPolicy,
-    /// Latency of pool and endpoints.
+    /// The latency of the pool and its classes.
     pub latency: &'a LatencyModel,
-    /// Zones.
+    /// The price and the losses of zones.
     pub locality: &'a Locality,
-    /// Slow start.
+    /// The capacity of warming endpoints.
     pub slow_start: &'a SlowStart,
-    /// Rates, for slow start.
+    /// The rates that slow start reads.
     pub throughput: &'a mut Throughput,
-    /// The balancer's generator.
+    /// The random generator of the balancer.
     pub rng: &'a mut Rng,
 }
 
 impl Selector<'_> {
-    /// The best candidate that may get the request; `None` where none may.
+    /// Selects the candidate with the lowest score; returns `None` if no candidate may get the request.
     pub fn select(&mut self) -> Option<Selected> {
         let filtered = self.filtered();
         let candidates = Candidates::new(self.ready, filtered.as_deref());
@@ -93,14 +94,14 @@
         best.map(|(_, endpoint)| Selected { endpoint, is_warmup: self.is_warmup_due(endpoint) })
     }
 
-    /// The ready endpoints that the request's filter lets through, where it has one.
+    /// The ready endpoints that match the filter of the request; `None` if it has no filter.
     fn filtered(&self) -> Option<Vec<EndpointIndex>> {
         let filter = self.request.endpoint_filter.as_ref()?;
         let ready = self.ready.all.iter().copied();
         Some(ready.filter(|&index| filter.matches(&self.endpoints[index].entry)).collect())
     }
 
-    /// Do the retry rules and the slow start budget let the request go there?
+    /// Whether the retry rules and the slow start budget permit an attempt at this endpoint.
     fn may_send(&mut self, endpoint: EndpointIndex) -> bool {
         if !self.retry.may_start_attempt(self.now, self.request, self.endpoints, endpoint) {
             return false;
@@ -133,7 +134,7 @@
         score
     }
 
-    /// Relative latency times queue, with jitter, zone and warming capacity.
+    /// Relative latency times queue, with jitter, zone and the capacity of a warming endpoint.
     fn base_score(&mut self, endpoint: EndpointIndex, is_in_subset: bool) -> f64 {
         let record = &self.endpoints[endpoint];
         let latency = self.latency.relative(self.now, self.window, record, self.request.class);
@@ -147,17 +148,17 @@
         }
     }
 
-    /// Requests that the endpoint has in hand. What the group that gossips about it has in flight there is
-    /// newer than any report.
+    /// An estimate of the requests at the endpoint. If a gossip group shares the endpoint, the attempts in
+    /// flight of the group are used alone, because they are newer than any report.
     fn queue(&self, endpoint: EndpointIndex, is_in_subset: bool) -> f64 {
         let record = &self.endpoints[endpoint];
         let of_peers = record.peer_load.in_flight(self.now, self.window.micros() / 2);
-        let known = f64::from(record.in_flight + of_peers);
+        let counted = f64::from(record.in_flight + of_peers);
         if is_in_subset && !self.ready.gossip_peers.is_empty() {
-            return known;
+            return counted;
         }
         let lifetime = REPORT_LIFETIME_PERIODS * self.period as f64;
-        record.load_report.queue_estimate(self.now, known, lifetime)
+        record.load_report.queue_estimate(self.now, counted, lifetime)
     }
 
     fn is_warmup_due(&self, endpoint: EndpointIndex) -> bool {
