--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -1,42 +1,42 @@
-//! What to do: the output of [`crate::Balancer::handle`].
+//! Actions: the output of [`crate::Balancer::handle`].
 
 use crate::endpoint::EndpointId;
 use crate::request::RequestId;
 use crate::time::Micros;
 
-/// Something to do.
+/// An action that the owner of a balancer carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where it goes.
+        /// The endpoint of the attempt.
         endpoint: EndpointId,
-        /// When to give the attempt up.
+        /// The time at which the attempt is given up.
         deadline: Micros,
     },
-    /// Final answer: it has not run, or a retry does no harm.
+    /// Answer the client with a rejection: the request was not executed, or a retry does no harm.
     Reject {
         /// The request.
         request: RequestId,
         /// The Retry-After for the client, in microseconds; 0 sends none.
         retry_after: Micros,
     },
-    /// Final answer: not served, and it may have run.
+    /// Answer the client with a failure: the request was not served, and may have been executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// The number of the attempt in the request, from 0.
         attempt: usize,
     },
-    /// Hand back [`Event::Timer`](crate::Event::Timer) at some time.
+    /// Return [`Event::Timer`](crate::Event::Timer) at a later time.
     Timer {
-        /// When.
+        /// The time at which the timer is due.
         at: Micros,
-        /// The token to hand back.
+        /// The token to return with the event.
         token: u64,
     },
     /// Poll discovery for the endpoint list.
@@ -45,11 +45,11 @@
     HealthCheck(EndpointId),
     /// Send a message to another balancer of the tier.
     SendGossip {
-        /// Its rank.
+        /// The rank of the receiver.
         to: u32,
-        /// At most 256 bytes.
+        /// The bytes of the message, at most 256.
         payload: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log(String),
 }
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -1,7 +1,7 @@
-//! One balancer: owns the parts of the decisions and hands each event to those that it concerns.
+//! One balancer: owns the state of all decisions and passes each event to the modules that handle it.
 //!
-//! No rule stands here. The lifecycle of a request is in [`dispatch`](crate::dispatch), what happens once a period in
-//! [`control_period`](crate::control_period).
+//! It contains no decision rule. The lifecycle of a request is in [`dispatch`](crate::dispatch), the work of
+//! each control period in [`control_period`](crate::control_period).
 
 use fastrand::Rng;
 
@@ -21,7 +21,7 @@
 use crate::time::{Micros, ObservationWindow, TIME_LIMIT};
 use crate::{Action, Endpoint, EndpointId, Event, LoadReport, Settings, UpdateScope};
 
-/// Control periods in the shortest latency objective.
+/// The number of control periods in the shortest latency objective.
 const PERIODS_PER_OBJECTIVE: i64 = 4;
 /// The shortest control period, in timer resolutions.
 const MIN_PERIOD_TIMER_TICKS: i64 = 4;
@@ -34,7 +34,7 @@
 /// The token of the timer of discovery polls.
 const POLL_TIMER: u64 = 1;
 
-/// One balancer's decisions.
+/// The decisions of one balancer.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Rng,
@@ -58,7 +58,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows nothing but its settings; `seed` feeds all its randomness.
+    /// Creates a balancer without endpoints and measurements; all its randomness is derived from `seed`.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = settings.bounded();
@@ -91,15 +91,15 @@
         }
     }
 
-    /// How many endpoints that are ready get nothing for now, because requests to them failed.
+    /// The number of ready endpoints that get no requests at present, because requests to them failed.
     #[must_use]
     pub fn ejected_count(&self, now: Micros) -> usize {
         outlier::ejected_count(now, &self.ready.all, &self.endpoints)
     }
 
-    /// Takes in one event and appends what to do about it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        // A clock that steps back or leaves all bounds must not upset what is computed from it.
+        // A clock that steps back or exceeds its bounds must not corrupt the values computed from it.
         self.now = now.clamp(self.now, TIME_LIMIT);
         let now = self.now;
         self.start(now, actions);
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Sets the first timers, at random: cursors that move in step on the same late samples swing.
+    /// Sets the first timers at random times. Cursors that move in step on the same late samples would
+    /// oscillate.
     fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.started {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Takes in what the end of an attempt, of this balancer or of a peer, says of load.
+    /// Records the load signal of an attempt of this balancer or of a peer.
     pub(crate) fn on_load_signal(&mut self, now: Micros, index: EndpointIndex, signal: LoadSignal) {
         self.admission.load.record(signal);
         if signal == LoadSignal::Rejected {
--- a/crates/decide/src/control_period.rs
+++ b/crates/decide/src/control_period.rs
@@ -1,5 +1,5 @@
-//! What happens once in each control period: the measurements decay, the base threshold follows what is
-//! served, and the cursor moves by the load of the period.
+//! The end of a control period: the measurements decay, the base threshold is updated from the rate served,
+//! and the cursor moves by the load of the period.
 
 use crate::admission::{PeriodInputs, SheddingChange};
 use crate::balancer::{Balancer, PERIOD_TIMER};
@@ -7,11 +7,11 @@
 use crate::time::Micros;
 use crate::Action;
 
-/// Load reports count for so many periods.
+/// The age up to which a load report counts, in control periods.
 const REPORT_MAX_AGE_PERIODS: Micros = 2;
 
 impl Balancer {
-    /// A control period ends.
+    /// Handles the end of a control period, and sets the timer of the next one.
     pub(crate) fn on_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::Timer { at: now + self.period, token: PERIOD_TIMER });
         self.latency.decay(now, self.window);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The line that tells operators that shedding began or ended.
+    /// The log line for operators that shedding began or ended.
     fn shedding_line(&self, change: SheddingChange) -> String {
         let word = match change {
             SheddingChange::Begins => "begins",
--- a/crates/decide/src/discovery.rs
+++ b/crates/decide/src/discovery.rs
@@ -1,29 +1,31 @@
-//! When to start a watch of discovery again that ended ([`UpdateScope::Failed`]), and when to start the first.
-//! In a running watch the crate `membership` (`DiscoveryWatch`) decides when to poll.
+//! The times at which a watch of discovery is started: the first one, and a new one after a watch ended
+//! ([`UpdateScope::Failed`]). While a watch runs, the crate `membership` (`DiscoveryWatch`) decides when to
+//! poll.
 //!
-//! Rule: only where the list does not come by itself. The first poll is spread over a span that grows with
-//! the fleet, because discovery takes longer to answer a fleet that starts at once. A poll that fails is
-//! repeated after a backoff that doubles, from a fifth of `max_poll_interval` up to all of it.
-//! Times are in microseconds.
+//! Rule: a poll is scheduled only if the endpoint list is not pushed. The first poll is spread over a span
+//! that grows with the fleet, because discovery takes longer to answer a fleet that starts at once. A poll
+//! that failed is repeated after a random time of at most the backoff, which doubles from a fifth of
+//! `max_poll_interval` up to all of it. Times are in microseconds.
 
 use fastrand::Rng;
 
 use crate::time::Micros;
 use crate::{Settings, UpdateScope};
 
-/// Balancers of a tier that discovery is usually built for; a tier counts as at least as many.
+/// The number of balancers of a tier that discovery is usually built for; a smaller tier counts as this many.
 const TYPICAL_BALANCERS: i64 = 8;
-/// A fleet of the typical size spreads its first polls over this part of the poll interval: one in eight.
+/// The fraction of the poll interval over which a fleet of the typical size spreads its first polls is one
+/// divided by this.
 const FIRST_POLL_DIVISOR: i64 = 8;
 
 /// Whether a poll is needed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollState {
-    /// Never: the list comes by itself.
+    /// Never, because the list is pushed.
     Pushed,
-    /// At the next timer.
+    /// At the next poll timer.
     Waiting,
-    /// Not now: a poll is under way, or the watch that it started has not ended.
+    /// Not now, because a poll is under way, or the watch that it started has not ended.
     Polling,
 }
 
@@ -36,7 +38,7 @@
 }
 
 impl DiscoveryPoller {
-    /// A poller that has not polled yet.
+    /// Creates the state before the first poll.
     pub fn new(settings: &Settings) -> Self {
         DiscoveryPoller {
             state: if settings.poll_discovery { PollState::Waiting } else { PollState::Pushed },
@@ -46,7 +48,7 @@
         }
     }
 
-    /// When to poll first; `None` where the list comes by itself.
+    /// The time of the first poll; `None` if the list is pushed.
     pub fn first_poll_at(&self, now: Micros, rng: &mut Rng) -> Option<Micros> {
         if self.state == PollState::Pushed {
             return None;
@@ -57,7 +59,8 @@
         Some(now + rng.i64(0..span))
     }
 
-    /// A poll failed or the subscription broke: when to poll next, if polling is needed.
+    /// Records that a poll failed or a subscription broke, and returns the time of the next poll; `None` if
+    /// the list is pushed.
     pub fn on_failure(&mut self, now: Micros, rng: &mut Rng) -> Option<Micros> {
         if self.state == PollState::Pushed {
             return None;
@@ -66,14 +69,15 @@
         Some(now + rng.i64(1..=self.backoff.max(1)))
     }
 
-    /// An endpoint list came; one from the cache proves nothing of discovery.
+    /// Records that an endpoint list arrived, which resets the backoff. A list from the cache does not,
+    /// because it does not show that discovery answers.
     pub fn on_update(&mut self, scope: UpdateScope) {
         if scope != UpdateScope::Cached {
             self.backoff = 0;
         }
     }
 
-    /// The poll timer is due; true where to poll now.
+    /// Records that the poll timer is due; returns whether to poll now.
     pub fn on_timer(&mut self) -> bool {
         if self.state != PollState::Waiting {
             return false;
--- a/crates/decide/src/discovery/tests.rs
+++ b/crates/decide/src/discovery/tests.rs
@@ -8,8 +8,9 @@
     DiscoveryPoller::new(&settings)
 }
 
+/// Guards discovery against needless polls of a fleet whose list is pushed.
 #[test]
-fn nothing_is_polled_where_the_list_is_pushed() {
+fn pushed_list_is_never_polled() {
     let mut poller = poller(false);
     let mut rng = Rng::with_seed(1);
     assert_eq!(poller.first_poll_at(0, &mut rng), None);
@@ -17,6 +18,8 @@
     assert!(!poller.on_timer());
 }
 
+/// Guards discovery against polls in quick succession while it fails, and the balancer against a backoff that
+/// exceeds the poll interval or stays after a success.
 #[test]
 fn failed_polls_back_off_up_to_the_poll_interval() {
     let mut poller = poller(true);
@@ -29,7 +32,7 @@
         assert!((1..=backoff).contains(&next));
     }
     poller.on_update(UpdateScope::Cached);
-    assert_eq!(poller.backoff, 1_000, "a cached list proves nothing");
+    assert_eq!(poller.backoff, 1_000, "a cached list does not show that discovery answers");
     poller.on_update(UpdateScope::Full);
     assert_eq!(poller.backoff, 0);
 }
--- a/crates/decide/src/dispatch.rs
+++ b/crates/decide/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of a request: admitted or shed, sent to an endpoint, retried, answered.
 //!
-//! All actions on requests are made here, from what the parts decide.
+//! All actions on requests are created here, from the decisions of the other modules.
 
 use crate::admission::{AdmissionDecision, Occupancy};
 use crate::attempts::{EndedAttempt, PendingRequest};
@@ -12,7 +12,7 @@
 use crate::{Action, NewRequest, Outcome, RequestId};
 
 impl Balancer {
-    /// A request landed.
+    /// Handles the arrival of a request.
     pub(crate) fn on_request(&mut self, now: Micros, request: &NewRequest, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return;
@@ -41,7 +41,7 @@
         self.admission.decide(request, level, &self.latency, occupancy)
     }
 
-    /// What is in flight here, and at the peers where their requests count.
+    /// The attempts in flight of this balancer and, if the base threshold is small, those of its peers.
     fn occupancy(&self, now: Micros) -> Occupancy {
         let max_age = self.window.micros() / 2;
         let peer_load = |index: &EndpointIndex| self.endpoints[*index].peer_load.in_flight(now, max_age);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends a request to the best endpoint that it may go to; false where there is none.
+    /// Sends a request to the best endpoint that may get it; returns `false` if there is none.
     fn dispatch(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(selected) = self.select(now, id) else { return false };
         if selected.is_warmup {
@@ -81,7 +81,7 @@
         selector.select()
     }
 
-    /// Starts an attempt at an endpoint that [`Balancer::select`] found allowed.
+    /// Starts an attempt at an endpoint that [`Balancer::select`] returned.
     fn send(&mut self, now: Micros, id: RequestId, endpoint: EndpointIndex, actions: &mut Vec<Action>) {
         debug_assert!(self.requests.get(id).is_some_and(|request| {
             self.retry_policy.may_start_attempt(now, request, &self.endpoints, endpoint)
@@ -96,7 +96,8 @@
         self.publish_load(endpoint, LoadSignal::None, actions);
     }
 
-    /// Sends the peers that share this balancer's subset what it has in flight at an endpoint.
+    /// Sends the number of attempts in flight at an endpoint to the peers that share the subset of this
+    /// balancer.
     fn publish_load(&self, endpoint: EndpointIndex, signal: LoadSignal, actions: &mut Vec<Action>) {
         if self.ready.gossip_peers.is_empty() || !self.ready.subset.contains(&endpoint) {
             return;
@@ -108,7 +109,7 @@
         actions.extend(peers.map(|&to| Action::SendGossip { to, payload: payload.clone() }));
     }
 
-    /// Books the end of an attempt; false where it was never made or has ended before.
+    /// Records the end of an attempt; returns `false` if there is no such attempt or it has ended before.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -124,7 +125,7 @@
         true
     }
 
-    /// Hands the end of an attempt to all parts that learn from it.
+    /// Records the end of an attempt in all measurements, and returns its load signal.
     fn learn_from(&mut self, now: Micros, attempt: &EndedAttempt, outcome: Outcome) -> LoadSignal {
         let EndedAttempt { endpoint, class, took } = *attempt;
         let objective = self.latency.objective(class);
@@ -148,7 +149,7 @@
         signal
     }
 
-    /// An attempt has ended: the request has its answer, is retried, or is rejected.
+    /// Finishes, retries or gives up a request after one of its attempts ended.
     pub(crate) fn answer_or_retry(
         &mut self,
         now: Micros,
@@ -175,7 +176,8 @@
         }
     }
 
-    /// Gives up a request: rejects it where that may promise that nothing ran, and fails it otherwise.
+    /// Gives up a request: rejects it if a rejection may promise that nothing was executed, and fails it
+    /// otherwise.
     fn give_up(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.streaming || request.answered {
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -1,6 +1,6 @@
-//! Upstream endpoints: what discovery lists, what they report of their load, and which of them a request may use.
+//! Upstream endpoints: the entries of the endpoint list, load reports, and the filter of a request.
 //!
-//! Zones and machine kinds are known by index; their names never reach the decisions.
+//! Zones and machine kinds are held as indexes; the decisions do not use their names.
 
 use crate::time::Micros;
 
@@ -8,81 +8,81 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointId(pub u32);
 
-/// Where an endpoint is in its lifecycle.
+/// The state of an endpoint in its lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has, and takes nothing new.
+    /// Finishes its current requests and gets no new ones.
     Draining,
     /// No longer listed.
     Removed,
 }
 
-/// An endpoint as discovery lists it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its id.
+    /// The id of the endpoint.
     pub id: EndpointId,
-    /// Its state.
+    /// The state of the endpoint in its lifecycle.
     pub state: EndpointState,
-    /// Its capacity relative to the others, for address announcements only; load balancing measures capacity
-    /// itself.
+    /// The capacity of the endpoint relative to the others. Used only for address announcements; load
+    /// balancing measures the capacity itself.
     pub weight: f64,
-    /// When its process started; `None` for the distant past.
+    /// The time at which its process started; `None` if that was in the distant past.
     pub up_since: Option<Micros>,
-    /// Its zone.
+    /// The zone of the endpoint, as an index into the names of the settings.
     pub zone: usize,
-    /// Its machine kind.
+    /// The machine kind of the endpoint, as an index into the names of the settings.
     pub machine_kind: usize,
-    /// Its cell, for deduplication.
+    /// The cell of the endpoint, for deduplication; `None` if it is in no cell.
     pub cell: Option<u64>,
 }
 
-/// What an endpoint list from discovery holds.
+/// The scope of an endpoint list from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Only what changed.
+    /// Only the entries that changed.
     Delta,
-    /// Everything.
+    /// All entries.
     Full,
-    /// Everything, as last known; maybe out of date.
+    /// All entries from a cache, which may be outdated.
     Cached,
-    /// Nothing: the poll failed, or the subscription broke.
+    /// No entries, because the poll failed or the subscription broke.
     Failed,
 }
 
-/// An endpoint's load report; what a site does not report is `None`.
+/// A load report of an endpoint; a value that it does not report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests that it has in hand.
+    /// The number of requests at the endpoint.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// The number of requests that wait at the endpoint.
     pub queued: Option<f64>,
-    /// Part of its processors in use.
+    /// The fraction of its processors in use.
     pub utilisation: Option<f64>,
-    /// Recent service time without waiting, in milliseconds. Not used by this version.
+    /// The recent service time without waiting, in milliseconds. Not used by this version.
     pub service_ms: Option<f64>,
-    /// Requests served a second. Not used by this version.
+    /// The requests served per second. Not used by this version.
     pub requests_per_s: Option<f64>,
-    /// Errors a second. Not used by this version.
+    /// The errors per second. Not used by this version.
     pub errors_per_s: Option<f64>,
 }
 
-/// The endpoints that a request may go to; an empty list lets all through.
+/// The endpoints to which a request may be sent; an empty list sets no condition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointFilter {
-    /// Any one of these zones.
+    /// The zones of which the endpoint must be in one.
     pub zones: Vec<usize>,
-    /// Any one of these machine kinds.
+    /// The machine kinds of which the endpoint must be one.
     pub machine_kinds: Vec<usize>,
-    /// Any one of these cells.
+    /// The cells of which the endpoint must be in one.
     pub cells: Vec<u64>,
 }
 
 impl EndpointFilter {
-    /// Does it let this endpoint through?
+    /// Whether the endpoint meets all conditions of the filter.
     #[must_use]
     pub fn matches(&self, endpoint: &Endpoint) -> bool {
         (self.zones.is_empty() || self.zones.contains(&endpoint.zone))
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! All endpoints that discovery ever listed, with what each part of the decisions knows of them.
+//! All endpoints that discovery ever listed, with the state that each module keeps for them.
 
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
@@ -12,23 +12,23 @@
 use crate::time::{Micros, DISTANT_PAST, TIME_LIMIT};
 use crate::{Endpoint, EndpointId, EndpointState};
 
-/// One endpoint.
+/// One endpoint with its state.
 pub(crate) struct EndpointRecord {
-    /// Its entry in the endpoint list.
+    /// The entry in the endpoint list.
     pub entry: Endpoint,
-    /// This balancer's attempts in flight there.
+    /// The number of attempts of this balancer in flight there.
     pub in_flight: u32,
-    /// When this balancer last sent it an attempt.
+    /// The time at which this balancer last sent it an attempt.
     pub last_sent_at: Micros,
-    /// What peers have in flight there.
+    /// The attempts in flight of peers there.
     pub peer_load: PeerLoad,
-    /// Its latency, by class.
+    /// The latency of the endpoint, by class.
     pub latency: EndpointLatency,
-    /// What it last reported of its load.
+    /// The last load report of the endpoint.
     pub load_report: LastLoadReport,
-    /// Its failures, and whether it is ejected for them.
+    /// The failures of the endpoint, and whether it is ejected for them.
     pub ejection: Ejection,
-    /// What it may get while it warms up.
+    /// The slow start budget of the endpoint.
     pub slow_start: SlowStartBudget,
 }
 
@@ -46,31 +46,33 @@
         }
     }
 
-    /// Is it listed as ready?
+    /// Whether the endpoint is listed as ready.
     pub fn is_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
-    /// Counts an attempt that is sent now.
+    /// Counts an attempt that is sent at `now`.
     pub fn count_sent(&mut self, now: Micros) {
         self.load_report.count_sent();
         self.last_sent_at = now;
         self.slow_start.spend();
     }
 
-    /// An attempt is in flight from now on; `sent_age` is the balancer's age in microseconds.
+    /// Counts an attempt as in flight; `sent_age` is the age of the balancer in microseconds.
     pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         self.in_flight += 1;
         self.latency.begin_attempt(class, sent_age);
     }
 
-    /// An attempt is no longer in flight; `sent_age` is the balancer's age when it began, in microseconds.
+    /// Removes an attempt from those in flight; `sent_age` is the age of the balancer when it began, in
+    /// microseconds.
     pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.latency.end_attempt(class, sent_age);
     }
 
-    /// Takes in a new entry. What was learned does not hold for another process than before.
+    /// Replaces the entry. If the process of the endpoint is another than before, all other state except the
+    /// attempts in flight is reset, because it does not apply to a new process.
     fn update(&mut self, entry: Endpoint) {
         let is_restarted = entry.up_since.is_some() && self.entry.up_since != entry.up_since;
         if is_restarted {
@@ -85,7 +87,7 @@
     }
 }
 
-/// The endpoints by position and by id. Endpoints are never taken out, so positions stay valid.
+/// The endpoints by position and by id. Endpoints are never removed from the table, so positions stay valid.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     records: Vec<EndpointRecord>,
@@ -93,12 +95,12 @@
 }
 
 impl EndpointTable {
-    /// The position of an endpoint that was listed at some time.
+    /// The position of an endpoint; `None` if it was never listed.
     pub fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// All positions, by id.
+    /// All positions, in the order of the endpoint ids.
     pub fn indexes_by_id(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.by_id.values().copied()
     }
@@ -113,14 +115,14 @@
         self.records.iter()
     }
 
-    /// Marks all endpoints as removed, ahead of a full list.
+    /// Marks all endpoints as removed, before a full list is applied.
     pub fn mark_all_removed(&mut self) {
         for record in &mut self.records {
             record.entry.state = EndpointState::Removed;
         }
     }
 
-    /// Takes in an entry of a list; `classes` is the number of request classes.
+    /// Applies an entry of an endpoint list; `classes` is the number of request classes.
     pub fn update(&mut self, now: Micros, listed: &Endpoint, classes: usize) {
         let mut entry = listed.clone();
         entry.up_since = entry.up_since.map(|time| time.clamp(-TIME_LIMIT, now));
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -1,24 +1,24 @@
-//! What happened: the input of [`crate::Balancer::handle`].
+//! Events: the input of [`crate::Balancer::handle`].
 
 use crate::endpoint::{Endpoint, EndpointId, LoadReport, UpdateScope};
 use crate::request::{NewRequest, Outcome, RequestId};
 use crate::time::Micros;
 
-/// Something that happened.
+/// An event that a balancer handles.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// An endpoint list from discovery.
     EndpointUpdate {
-        /// What the list holds.
+        /// The scope of the list.
         scope: UpdateScope,
-        /// Its entries.
+        /// The entries of the list.
         endpoints: &'a [Endpoint],
     },
-    /// A request landed and is owed one answer.
+    /// A request arrived; it requires exactly one answer.
     Request(NewRequest),
     /// The body of a request that had [`NewRequest::body_pending`] has been received in full.
     BodyReceived(RequestId),
-    /// A streamed answer began; the client owns the attempt now.
+    /// A streamed answer began; the client owns the attempt from now on.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -27,26 +27,27 @@
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// The number of the attempt in the request, from 0.
         attempt: usize,
-        /// Where it went.
+        /// The endpoint of the attempt.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent, in microseconds. Not used by this version, which measures it itself.
+        /// The time since the attempt was sent, in microseconds. Not used by this version, which measures it
+        /// itself.
         took: Micros,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         is_final: bool,
-        /// The endpoint's load report, if one came along.
+        /// The load report that arrived with the result, if any.
         report: Option<LoadReport>,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected(RequestId),
     /// A message from another balancer of the tier.
     GossipReceived {
-        /// Its sender's rank.
+        /// The rank of the sender.
         from: u32,
-        /// Its bytes, which are not trusted.
+        /// The bytes of the message, which are not trusted.
         payload: &'a [u8],
     },
     /// A timer that [`Action::Timer`](crate::Action::Timer) set is due.
@@ -55,11 +56,11 @@
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended. Not used by this version.
+        /// The outcome of the health check. Not used by this version.
         outcome: Outcome,
-        /// Time since it was sent, in microseconds. Not used by this version.
+        /// The time since the health check was sent, in microseconds. Not used by this version.
         took: Micros,
-        /// The endpoint's load report, if one came along.
+        /// The load report that arrived with the result, if any.
         report: Option<LoadReport>,
     },
 }
--- a/crates/decide/src/index.rs
+++ b/crates/decide/src/index.rs
@@ -1,6 +1,7 @@
-//! Positions in the tables of one balancer, one type for each table, so that they cannot be mixed up.
+//! Positions in the tables of one balancer, with one type per table, so that they cannot be confused.
 //!
-//! The public structs carry classes, zones and machine kinds as `usize`; they are wrapped where an event enters.
+//! The public structs hold classes, zones and machine kinds as `usize`. They are converted when an event is
+//! handled.
 
 /// The position of an endpoint in [`EndpointTable`](crate::endpoint_table::EndpointTable).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -10,10 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ClassIndex(pub usize);
 
-/// The number of a zone.
+/// The index of a zone in the names of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ZoneIndex(pub usize);
 
-/// The number of a machine kind.
+/// The index of a machine kind in the names of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MachineKindIndex(pub usize);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,19 +1,20 @@
-//! The decisions of a load balancer for services that call services.
+//! The decisions of a load balancer between services.
 //!
-//! [`Balancer`] makes the decisions of one proxy: it takes events ([`Event`]) and returns actions ([`Action`]).
-//! It reads no clock, does no I/O and shares nothing, so equal events give equal actions.
-//! [`platform_settings`] reads the settings that a deployment writes.
+//! [`Balancer`] makes the decisions of one proxy: it handles events ([`Event`]) and returns actions
+//! ([`Action`]). It reads no clock, does no I/O and shares nothing, so equal events result in equal actions.
+//! [`platform_settings`] parses the settings object of a deployment.
 //!
 //! # Modules
 //!
-//! - `balancer`, `dispatch`, `control_period`: hand events to the parts, and make actions of their decisions
-//! - `admission`: whether a request is let in or shed
-//! - `selection`: which endpoint an attempt goes to
-//! - `slow_start`: what a warming endpoint may get
+//! - `balancer`, `dispatch`, `control_period`: pass events to the other modules, and create actions
+//!   from their decisions
+//! - `admission`: whether a request is admitted or shed
+//! - `selection`: which endpoint gets an attempt
+//! - `slow_start`: how many requests a warming endpoint may get
 //! - `retry`: whether another attempt may start
 //! - `attempts`: requests and attempts in flight
-//! - `discovery`, `gossip`: when to poll for the endpoint list; what balancers tell each other of load
-//! - [`learned`]: what outlives a balancer
+//! - `discovery`, `gossip`: when to poll for the endpoint list; messages on load between balancers
+//! - [`learned`]: the state that is kept when a balancer ends
 //! - `endpoint_table`, `load_report`, `throughput`, `ewma`, `time`, `index`: shared state and arithmetic
 //!
 //! # Example
@@ -21,9 +22,13 @@
 //! One endpoint and one request:
 //!
 //! ```
-//! use decide::{Action, Balancer, Class, Endpoint, EndpointId, Event, NewRequest, Outcome, RequestId, Settings, UpdateScope};
+//! use decide::{
+//!     Action, Balancer, Class, Endpoint, EndpointId, Event, NewRequest, Outcome, RequestId, Settings,
+//!     UpdateScope,
+//! };
 //!
-//! let class = Class { latency_objective: 500_000, deadline: 2_000_000, priority_weight: 1.0, ..Class::default() };
+//! let class =
+//!     Class { latency_objective: 500_000, deadline: 2_000_000, priority_weight: 1.0, ..Class::default() };
 //! let settings =
 //!     Settings { balancers: 1, tiers: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
 //! settings.check().expect("usable settings");
@@ -32,8 +37,9 @@
 //!
 //! // The endpoint list from discovery. Times are microseconds on a clock that never runs backwards.
 //! let endpoint = Endpoint { id: EndpointId(40), ..Endpoint::default() };
-//! balancer.handle(0, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[endpoint] }, &mut actions);
-//! // The first event sets the timer of the control period; hand it back when it is due.
+//! let list = Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[endpoint] };
+//! balancer.handle(0, list, &mut actions);
+//! // The first event sets the timer of the control period; return it when it is due.
 //! let Action::Timer { at, token } = actions[0] else { panic!("{actions:?}") };
 //!
 //! // A request: start the attempt, and end it at `deadline` with `Outcome::Timeout`.
@@ -43,8 +49,8 @@
 //! let Action::Send { request, endpoint, deadline } = actions[0] else { panic!("{actions:?}") };
 //! assert_eq!((endpoint, deadline), (EndpointId(40), 501_000));
 //!
-//! // Its outcome. A first `Ok` answers the client, so it is final; after any other the balancer retries, rejects
-//! // or fails the request.
+//! // The outcome. A first `Ok` answers the client, so it is final. After any other outcome the balancer
+//! // retries, rejects or fails the request.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     request,
@@ -65,15 +71,16 @@
 //!
 //! # Contract
 //!
-//! One event at a time, actions carried out in order, exactly one outcome for each [`Action::Send`] (at its
-//! `deadline` at the latest), every timer handed back, and request ids that are never used twice.
+//! The owner of a balancer passes one event at a time and carries out actions in order. It returns exactly
+//! one outcome for each [`Action::Send`] (at its `deadline` at the latest) and every timer, and never uses a
+//! request id twice.
 //!
 //! # Bad input
 //!
-//! Nothing panics. [`Settings::check`] says what is wrong with settings; unusable ones are brought within
-//! bounds. Times are cut off at [`TIME_LIMIT`], a clock that runs backwards stands still, reports
-//! that are no finite number are ignored, and so are unknown requests, endpoints, peers and messages. A
-//! request of an unknown class is rejected; one whose id is in use is ignored.
+//! Nothing panics. [`Settings::check`] returns the fault in unusable settings; [`Balancer::new`] clamps their
+//! numbers to bounds. Times are clamped to [`TIME_LIMIT`], and a time before the last one counts as the last
+//! one. Reported values that are negative or not finite are ignored, and so are unknown requests, endpoints,
+//! peers and messages. A request of an unknown class is rejected; one whose id is in use is ignored.
 #![warn(missing_docs)]
 
 mod action;
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive downstream, and how their attempts upstream end.
+//! Requests of downstream clients, and the outcomes of their attempts upstream.
 
 use std::sync::Arc;
 
@@ -9,66 +9,66 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Ok,
-    /// Answered with an error; may have run.
+    /// The endpoint answered with an error; the request may have been executed.
     Error,
-    /// Rejected; has not run.
+    /// The endpoint rejected the request without executing it.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer arrived in time; the request may have been executed.
     Timeout,
-    /// Never connected.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The request was not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// True where the outcome proves that nothing ran.
+    /// Whether it is certain that the endpoint did not execute the request.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A request that landed on this balancer.
+/// A request that arrived at this balancer.
 #[derive(Clone, Debug, Default)]
 pub struct NewRequest {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request, as an index into the classes of the settings.
     pub class: usize,
-    /// Its tenant, where there are any.
+    /// The tenant of the request, as an index into the tenants of the settings; `None` if it has none.
     pub tenant: Option<usize>,
-    /// Time until its client gives this request up, in microseconds.
+    /// The time until the client gives this request up, in microseconds.
     pub time_left: Micros,
-    /// Expected work on a standard core in microseconds, where known. Not used by this version.
+    /// The expected work on a standard core in microseconds; `None` if unknown. Not used by this version.
     pub work: Option<Micros>,
-    /// The client says that this is a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The endpoints that it may go to, where not to all.
+    /// The endpoints to which the request may be sent; `None` permits all.
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
-    /// The attempts that it may have, where that is fewer than the settings allow; 0 sets no limit.
+    /// The highest number of attempts, if lower than that of the settings; 0 sets no limit.
     pub max_attempts: usize,
-    /// Its body has not been received yet and will be within this time (microseconds); its time counts from then. 0 where
-    /// the body has been received.
+    /// The time within which the body will have been received, in microseconds; `time_left` counts from then.
+    /// 0 if the body has been received already.
     pub body_pending: Micros,
-    /// The connections of its callers, where they get no new ones.
+    /// The downstream connections of the balancer; `None` if it accepts new ones.
     pub downstream_connections: Option<DownstreamConnections>,
 }
 
-/// The connections of callers to a balancer that accepts no new ones, as while it shuts down.
+/// The downstream connections of a balancer that accepts no new ones, for instance while it shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamConnections {
-    /// Those without a request.
+    /// The number of open connections without a request.
     pub idle: usize,
-    /// All that are open.
+    /// The number of open connections.
     pub open: usize,
 }
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -1,14 +1,15 @@
-//! Time as the decisions count it: whole microseconds on one monotonic clock with an arbitrary start.
+//! Time in the decisions: whole microseconds on one monotonic clock with an arbitrary start.
 
 use fastrand::Rng;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// Times outside of this, some 35 years either way, are cut off.
+/// The bound of all times in both directions, about 35 years; times beyond it are clamped.
 pub const TIME_LIMIT: Micros = 1 << 50;
 
-/// Stands for "never": earlier than any time within [`TIME_LIMIT`], and safe to subtract from one.
+/// The time of an event that never happened: earlier than any time within [`TIME_LIMIT`], and safe to
+/// subtract from one.
 pub(crate) const DISTANT_PAST: Micros = Micros::MIN / 4;
 
 /// The time from `from` to `to`, in microseconds.
@@ -16,31 +17,31 @@
     (to - from) as f64
 }
 
-/// A time between half of `wait` and all of it after `now`, so that balancers do not act in step.
+/// A random time after `now` by between half of `wait` and all of it, so that balancers do not act in step.
 pub(crate) fn jittered(now: Micros, wait: Micros, rng: &mut Rng) -> Micros {
     now + wait / 2 + rng.i64(0..=wait / 2)
 }
 
-/// The recent past that measurements stand for: samples decay with `time_constant`, and none is older than
+/// The recent past that measurements cover: samples decay with `time_constant`, and none is older than
 /// `started_at`.
 #[derive(Clone, Copy)]
 pub(crate) struct ObservationWindow {
     /// The time constant of the exponential decay, in microseconds.
     pub time_constant: f64,
-    /// The first event of the balancer.
+    /// The time of the first event of the balancer.
     pub started_at: Micros,
 }
 
-/// The least age that [`ObservationWindow::span`] assumes, in time constants.
+/// The lowest age that [`ObservationWindow::span`] assumes, in time constants.
 const MIN_AGE: f64 = 0.01;
 
 impl ObservationWindow {
-    /// How long the balancer has run, in microseconds.
+    /// The time that the balancer has run, in microseconds.
     pub fn age(&self, now: Micros) -> f64 {
         elapsed(self.started_at, now)
     }
 
-    /// The span that decayed counts stand for, in microseconds: it grows towards one time constant.
+    /// The span that decayed counts cover, in microseconds; it grows towards one time constant.
     pub fn span(&self, now: Micros) -> f64 {
         let age = (self.age(now) / self.time_constant).max(MIN_AGE);
         self.time_constant * (1.0 - (-age).exp())
