--- a/crates/decide/src/admission/load.rs
+++ b/crates/decide/src/admission/load.rs
@@ -15,16 +15,17 @@
 const TARGET_UTILISATION: f64 = 0.92;
 /// The latency target of the front tier, as a fraction of the way from the baseline to the objective.
 const FRONT_LATENCY_TARGET: f64 = 0.4;
-/// The latency target of deeper tiers, as the same fraction. It is higher because a request shed there wastes
-/// the work of the tiers above, so the front tier is to shed first.
+/// The latency target of deeper tiers, as a fraction of the way from the baseline to the objective. It is
+/// higher than at the front because a request shed in a deeper tier wastes the work of the tiers above, so
+/// the front tier is to shed first.
 const DEEP_LATENCY_TARGET: f64 = 0.6;
 /// The number of control periods without samples for which the cursor holds.
 const MAX_HOLD_PERIODS: u32 = 4;
 /// The rate at which the baseline follows lower latencies, as a fraction of the difference per control
 /// period.
 const BASELINE_FALL: f64 = 0.2;
-/// The rate at which it follows higher latencies while nothing is shed, as the same fraction. It is low
-/// because an overload must not become the baseline.
+/// The rate at which the baseline follows higher latencies while nothing is shed, as a fraction of the
+/// difference per control period. It is low because an overload must not become the baseline.
 const BASELINE_RISE: f64 = 0.002;
 /// The highest baseline, in latency objectives.
 pub(crate) const MAX_BASELINE: f64 = 0.6;
@@ -43,7 +44,7 @@
 pub(crate) struct LoadReading {
     /// The measurement over its target; above 1 is overload.
     pub load: f64,
-    /// Where it was read from.
+    /// The source of the measurement.
     pub source: LoadSource,
 }
 
@@ -55,7 +56,7 @@
     latencies: Vec<f64>,
     /// The number of attempts that ended in this period with a load signal, and of clients that disconnected.
     ended: f64,
-    /// The number of these attempts that were rejected or failed.
+    /// The number of attempts in this period that were rejected or failed.
     rejected_or_failed: f64,
     /// The latency of the quiet pool, in latency objectives; `None` until it is sampled or set.
     baseline: Option<f64>,
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -31,7 +31,8 @@
 /// The fraction of the base threshold in flight below which the cursor steps left although the load is above
 /// 1, when the load is read from answers. Answers arrive late and may result from an overload that is over.
 const DRAINED_BY_ANSWERS: f64 = 0.25;
-/// The same fraction when the load is read from load reports, which arrive later, are noisier, and include
+/// The fraction of the base threshold in flight below which the cursor steps left although the load is above
+/// 1, when the load is read from load reports. Reports arrive later than answers, are noisier, and include
 /// the requests of other balancers.
 const DRAINED_BY_REPORTS: f64 = 0.45;
 
@@ -54,7 +55,7 @@
     pub in_flight: u32,
     /// Attempts in flight of the peers that gossip about the same endpoints.
     pub peers_in_flight: u32,
-    /// The number of these peers.
+    /// The number of peers that gossip about the same endpoints.
     pub peers: usize,
 }
 
--- a/crates/decide/src/admission/priority.rs
+++ b/crates/decide/src/admission/priority.rs
@@ -15,7 +15,7 @@
 const QUOTA_WINDOW_US: f64 = QUOTA_WINDOW_S * 1e6;
 /// The factor by which a tenant may exceed its share before its requests count as over quota.
 const QUOTA_TOLERANCE: f64 = 1.3;
-/// The number of requests beyond that which do not count as over quota.
+/// The number of requests beyond the tolerated share that do not count as over quota.
 const QUOTA_ALLOWANCE: f64 = 2.0;
 
 /// The priority level as a row of the cursor table; a higher level is shed later.
--- a/crates/decide/src/admission/reserved_connections.rs
+++ b/crates/decide/src/admission/reserved_connections.rs
@@ -12,7 +12,7 @@
 /// The number of connections that stay free for the highest priority level; each level below it leaves one
 /// more free.
 const RESERVED_CONNECTIONS: usize = 3;
-/// The highest number of reserved connections is the number of open ones divided by this.
+/// The divisor of the number of open connections that yields the highest number of reserved ones.
 const MAX_RESERVED_DIVISOR: usize = 4;
 
 /// The rule of reserved connections for one balancer.
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -22,13 +22,13 @@
 /// does not shed by chance. It does not apply while shedding: the sum over many small balancers would exceed
 /// the capacity of the pool.
 const MIN_THRESHOLD: f64 = 8.0;
-/// The highest difference between that lowest threshold and the computed one, in standard deviations of a
+/// The highest difference between the lowest threshold and the computed one, in standard deviations of a
 /// random count (the square root of the threshold).
 const FLOOR_SPREAD: f64 = 1.5;
 
 /// The base threshold of one balancer.
 pub(crate) struct BaseThreshold {
-    /// In requests in flight; infinite until an endpoint is ready.
+    /// The threshold in requests in flight; infinite until an endpoint is ready.
     value: f64,
     balancers: f64,
 }
@@ -44,7 +44,7 @@
 }
 
 impl BaseThreshold {
-    /// Creates a base threshold without a value.
+    /// Creates an infinite base threshold, which admits everything until an endpoint is ready.
     pub fn new(balancers: u32) -> Self {
         BaseThreshold { value: f64::INFINITY, balancers: f64::from(balancers) }
     }
@@ -81,9 +81,9 @@
         if self.value.is_infinite() {
             self.value = INITIAL_THRESHOLD_PER_ENDPOINT * ready as f64 / self.balancers;
         } else if ready_before > 0 {
-            let growth = ready as f64 / ready_before as f64;
-            self.value *= growth;
-            throughput.scale_served(growth);
+            let size_ratio = ready as f64 / ready_before as f64;
+            self.value *= size_ratio;
+            throughput.scale_served(size_ratio);
         }
     }
 
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptStatus {
     InFlight,
-    /// Ended; the endpoint may have executed the request.
+    /// The attempt has ended; the endpoint may have executed the request.
     MayHaveRun,
-    /// Ended; it is certain that the endpoint has not executed the request.
+    /// The attempt has ended, and the endpoint has certainly not executed the request.
     NeverRan,
 }
 
--- a/crates/decide/src/discovery.rs
+++ b/crates/decide/src/discovery.rs
@@ -14,18 +14,17 @@
 
 /// The number of balancers of a tier that discovery is usually built for; a smaller tier counts as this many.
 const TYPICAL_BALANCERS: i64 = 8;
-/// The fraction of the poll interval over which a fleet of the typical size spreads its first polls is one
-/// divided by this.
+/// The divisor of the poll interval that yields the span of the first polls of a fleet of the typical size.
 const FIRST_POLL_DIVISOR: i64 = 8;
 
 /// Whether a poll is needed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollState {
-    /// Never, because the list is pushed.
+    /// No poll is started, because the list is pushed.
     Pushed,
-    /// At the next poll timer.
+    /// A poll is started at the next poll timer.
     Waiting,
-    /// Not now, because a poll is under way, or the watch that it started has not ended.
+    /// No poll is started, because one is under way, or the watch that it started has not ended.
     Polling,
 }
 
--- a/crates/decide/src/dispatch.rs
+++ b/crates/decide/src/dispatch.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Gives up a request: rejects it if a rejection may promise that nothing was executed, and fails it
+    /// Gives up a request: rejects it if a rejection may guarantee that nothing was executed, and fails it
     /// otherwise.
     fn give_up(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -30,7 +30,7 @@
     /// The capacity of the endpoint relative to the others. Used only for address announcements; load
     /// balancing measures the capacity itself.
     pub weight: f64,
-    /// The time at which its process started; `None` if that was in the distant past.
+    /// The time at which the process of the endpoint started; `None` if that was in the distant past.
     pub up_since: Option<Micros>,
     /// The zone of the endpoint, as an index into the names of the settings.
     pub zone: usize,
@@ -60,7 +60,7 @@
     pub in_flight: Option<f64>,
     /// The number of requests that wait at the endpoint.
     pub queued: Option<f64>,
-    /// The fraction of its processors in use.
+    /// The fraction of the processors in use.
     pub utilisation: Option<f64>,
     /// The recent service time without waiting, in milliseconds. Not used by this version.
     pub service_ms: Option<f64>,
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -14,19 +14,19 @@
 
 /// One endpoint with its state.
 pub(crate) struct EndpointRecord {
-    /// The entry in the endpoint list.
+    /// The entry of the endpoint in the endpoint list.
     pub entry: Endpoint,
-    /// The number of attempts of this balancer in flight there.
+    /// The number of attempts of this balancer in flight at the endpoint.
     pub in_flight: u32,
-    /// The time at which this balancer last sent it an attempt.
+    /// The time at which this balancer last sent an attempt to the endpoint.
     pub last_sent_at: Micros,
-    /// The attempts in flight of peers there.
+    /// The attempts in flight of peers at the endpoint.
     pub peer_load: PeerLoad,
     /// The latency of the endpoint, by class.
     pub latency: EndpointLatency,
     /// The last load report of the endpoint.
     pub load_report: LastLoadReport,
-    /// The failures of the endpoint, and whether it is ejected for them.
+    /// The failures of the endpoint and the end of its ejection.
     pub ejection: Ejection,
     /// The slow start budget of the endpoint.
     pub slow_start: SlowStartBudget,
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -69,10 +69,10 @@
 pub(crate) struct GossipMessage {
     /// The endpoint that the message is about.
     pub endpoint: EndpointId,
-    /// The number of attempts that the sender has in flight there, at most 255.
+    /// The number of attempts that the sender has in flight at the endpoint, at most 255.
     pub in_flight: u8,
-    /// The load signal of the last attempt of the sender there; [`LoadSignal::None`] if the message is sent
-    /// at the start of an attempt.
+    /// The load signal of the attempt of the sender that ended at the endpoint; [`LoadSignal::None`] if the
+    /// message is sent at the start of an attempt.
     pub signal: LoadSignal,
 }
 
--- a/crates/decide/src/learned/import.rs
+++ b/crates/decide/src/learned/import.rs
@@ -29,7 +29,7 @@
 /// The tolerance within which two start times of an endpoint, taken by two clocks, count as the same, in
 /// microseconds.
 const START_TOLERANCE_US: Micros = 2_000_000;
-/// The lowest accepted typical latency is the latency objective divided by this.
+/// The divisor of the latency objective that yields the lowest accepted typical latency.
 const MIN_TYPICAL_LATENCY_DIVISOR: f64 = 1e3;
 /// The highest accepted typical latency, as a multiple of the latency objective.
 const MAX_TYPICAL_LATENCY: f64 = 2.0;
--- a/crates/decide/src/load_report.rs
+++ b/crates/decide/src/load_report.rs
@@ -8,9 +8,10 @@
 
 /// The last load report of one endpoint.
 pub(crate) struct LastLoadReport {
-    /// The number of requests at the endpoint.
+    /// The number of requests at the endpoint, as last reported.
     in_flight: f64,
-    /// The fraction of its processors in use; `None` if it was never reported.
+    /// The fraction of the processors of the endpoint in use, as last reported; `None` before the first
+    /// report of it.
     utilisation: Option<f64>,
     received_at: Micros,
     /// The number of requests that this balancer sent since the report.
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retry rules: whether another attempt may start, and whether a rejection may promise that nothing was
+//! Retry rules: whether another attempt may start, and whether a rejection may guarantee that nothing was
 //! executed.
 //!
 //! Rules:
@@ -92,7 +92,7 @@
             && self.may_run_again(now, request, endpoints, entry)
     }
 
-    /// Whether a rejection of this request may promise that a retry does no harm.
+    /// Whether a rejection of this request may guarantee that a retry does no harm.
     pub fn may_reject(&self, request: &PendingRequest) -> bool {
         let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
         match self.semantics(request.class) {
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -26,7 +26,7 @@
 const ENDPOINT_PRIOR_WEIGHT: f64 = 4.0;
 /// The latency assumed for the pool before the first answer, in microseconds.
 const INITIAL_POOL_LATENCY: f64 = 1e4;
-/// The weight of that assumption, in samples.
+/// The weight of the assumed latency of the pool, in samples.
 const INITIAL_POOL_LATENCY_WEIGHT: f64 = 0.01;
 
 /// The attempts of one class at one endpoint.
--- a/crates/decide/src/selection/locality.rs
+++ b/crates/decide/src/selection/locality.rs
@@ -1,8 +1,8 @@
 //! Locality: the contribution of an endpoint's zone to its score.
 //!
 //! Rule: an attempt that crosses zones costs its price, and in addition the fraction of the attempts into
-//! that zone that got no answer. If a zone is partitioned, to detect it by a failure of each of its endpoints
-//! would cost too much.
+//! that zone that got no answer. If a zone is partitioned, detecting that by one failure per endpoint would
+//! cost too much.
 
 use std::collections::BTreeMap;
 
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -65,7 +65,7 @@
 pub struct Settings {
     /// The number of balancers in this tier.
     pub balancers: u32,
-    /// The number of this balancer among them, from 0.
+    /// The rank of this balancer in its tier, from 0.
     pub rank: u32,
     /// The tier that this balancer sends into, 0 at the front.
     pub tier: usize,
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -35,11 +35,12 @@
 /// The rate at which the measured capacity of a warm endpoint follows higher values, as a fraction of the
 /// difference per control period.
 const CAPACITY_RISE: f64 = 0.1;
-/// The rate at which it follows lower values, as a fraction of the difference per control period. It is low
-/// because requests that are shed when too few endpoints are warm must not lower the measurement.
+/// The rate at which the measured capacity of a warm endpoint follows lower values, as a fraction of the
+/// difference per control period. It is low because requests that are shed when too few endpoints are warm
+/// must not lower the measurement.
 const CAPACITY_FALL: f64 = 0.003;
-/// The lowest number of endpoints that served requests are divided by, while at least one endpoint is warm,
-/// is the number of ready endpoints divided by this.
+/// The divisor of the number of ready endpoints that yields the lowest number of warm endpoints assumed while
+/// at least one is warm.
 const MIN_WARM_DIVISOR: f64 = 8.0;
 /// Warm-up requests as a fraction of all requests.
 const WARMUP_SHARE: f64 = 0.1;
@@ -113,10 +114,10 @@
 /// The capacity of warming endpoints, and the budgets derived from it.
 pub(crate) struct SlowStart {
     min_capacity: f64,
-    /// In microseconds.
+    /// The duration of slow start, in microseconds.
     duration: f64,
     overload_multiple: f64,
-    /// In microseconds.
+    /// The overload window, in microseconds.
     overload_window: f64,
     balancers: f64,
     /// Successful answers per microsecond that this balancer gets from one warm endpoint; `None` before the
@@ -164,9 +165,9 @@
             return;
         }
         let measured = throughput.served_warm.weight / warm as f64 / window.span(now);
-        let known = *self.warm_capacity.get_or_insert(measured);
-        let step = if measured < known { CAPACITY_FALL } else { CAPACITY_RISE };
-        self.warm_capacity = Some(known + step * (measured - known));
+        let previous = *self.warm_capacity.get_or_insert(measured);
+        let step = if measured < previous { CAPACITY_FALL } else { CAPACITY_RISE };
+        self.warm_capacity = Some(previous + step * (measured - previous));
     }
 
     /// Draws whether this endpoint may get a request now. A warm endpoint always may.
--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `growth`; the
+    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `size_ratio`; the
     /// number of answers stays.
-    pub fn scale_served(&mut self, growth: f64) {
-        self.served.sum *= growth;
+    pub fn scale_served(&mut self, size_ratio: f64) {
+        self.served.sum *= size_ratio;
     }
 }
