--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `size_ratio`; the
-    /// number of answers stays.
+    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `size_ratio`;
+    /// the number of answers stays.
     pub fn scale_served(&mut self, size_ratio: f64) {
         self.served.sum *= size_ratio;
     }
