--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -34,6 +34,8 @@
     assert!((25..=50).contains(&admitted), "{admitted} admitted at once");
 }
 
+/// A small share of the pool gives a balancer too few requests to compare with its own threshold. Guards
+/// against admission that ignores the requests of its gossip group.
 #[test]
 fn in_flight_of_peers_counts_against_the_sum_of_thresholds() {
     let endpoints = pool(4);
@@ -47,6 +49,7 @@
     assert!(is_rejected(&proxy.request(0).1));
 }
 
+/// Guards against an overload that a balancer with few requests of its own does not detect.
 #[test]
 fn load_signals_of_peers_move_the_cursor() {
     let endpoints = pool(4);
@@ -79,6 +82,7 @@
     assert!(!is_rejected(&proxy.request(0).1));
 }
 
+/// Guards against a sudden peak that is shed from all priority levels alike.
 #[test]
 fn low_priority_is_shed_before_high() {
     let class = |priority_weight| Class { priority_weight, ..settings().classes[0].clone() };
@@ -91,6 +95,8 @@
     assert!(admitted[0] > 0 && admitted[1] > admitted[0], "{admitted:?}");
 }
 
+/// Guards against retries and tenants over their quota that displace first attempts and tenants within
+/// theirs.
 #[test]
 fn retries_and_requests_over_a_tenants_quota_have_the_lowest_priority() {
     let class = |priority_weight| Class { priority_weight, ..settings().classes[0].clone() };
@@ -114,9 +120,9 @@
     // The initial threshold is 20, of which the lowest priority level gets 16.
     let admitted = (0..16).filter(|_| !is_rejected(&send(&mut proxy, None, false).1)).count();
     assert_eq!(admitted, 16);
-    assert!(is_rejected(&send(&mut proxy, None, true).1), "a retry");
-    assert!(is_rejected(&send(&mut proxy, Some(0), false).1), "over its quota");
-    assert!(!is_rejected(&send(&mut proxy, Some(1), false).1), "within its quota");
+    assert!(is_rejected(&send(&mut proxy, None, true).1), "admitted a retry");
+    assert!(is_rejected(&send(&mut proxy, Some(0), false).1), "admitted a request over the quota");
+    assert!(!is_rejected(&send(&mut proxy, Some(1), false).1), "rejected a request within the quota");
 }
 
 /// Guards against clients that find no idle connection while the only balancer shuts down: they take the
@@ -176,6 +182,7 @@
     assert!(!is_rejected(&proxy.request(0).1), "rejected after one step back");
 }
 
+/// Guards against floors that add up: those of many small balancers together exceed the capacity of the pool.
 #[test]
 fn threshold_floors_do_not_hold_while_shedding() {
     let mut proxy = Proxy::new(Settings { balancers: 10, ..settings() }, &pool(4));
@@ -194,6 +201,7 @@
     assert!(admitted <= 4, "{admitted} admitted by one of 10 balancers with 4 slow endpoints");
 }
 
+/// Guards against work on requests that have too little time left for an answer.
 #[test]
 fn request_that_cannot_meet_its_deadline_is_shed() {
     let mut proxy = Proxy::new(settings(), &pool(2));
@@ -209,6 +217,7 @@
     assert!(send(1001, 20_000) && !send(1002, 150_000));
 }
 
+/// Guards against an overload that goes undetected because clients disconnect before the late answers arrive.
 #[test]
 fn client_disconnects_move_the_cursor_like_late_answers() {
     let low = Class { priority_weight: 1.0, ..settings().classes[0].clone() };
@@ -226,6 +235,7 @@
     assert!(low_rejected >= 10, "{low_rejected} of 30 requests of low priority rejected");
 }
 
+/// Guards against a small balancer that detects an overload only when its few late answers arrive.
 #[test]
 fn overdue_attempts_move_the_cursor() {
     // The initial threshold is 4, with a floor above it while the cursor is in the full slots. No request has
--- a/crates/decide/tests/attempts.rs
+++ b/crates/decide/tests/attempts.rs
@@ -4,6 +4,8 @@
 use common::{is_rejected, pool, sent_to, settings, Proxy};
 use decide::{Action, Event, NewRequest, Outcome, RequestId, Settings};
 
+/// Guards against requests that fail although endpoints are left: a retry after a failed connection costs no
+/// endpoint anything, so it does not spend the budget.
 #[test]
 fn connect_failures_do_not_use_up_the_initial_retry_budget() {
     let endpoints = pool(6);
@@ -51,6 +53,7 @@
     assert_eq!(admitted, 9);
 }
 
+/// Guards against duplicate outcomes that are subtracted from the attempts in flight at another endpoint.
 #[test]
 fn duplicate_outcome_counts_once() {
     let mut proxy = Proxy::new(Settings { max_attempts: 1, ..settings() }, &pool(2));
--- a/crates/decide/tests/equality.rs
+++ b/crates/decide/tests/equality.rs
@@ -124,6 +124,7 @@
     ),
 ];
 
+/// Guards against a change of decisions where none is meant: the digests differ as soon as one action does.
 #[test]
 fn event_sequences_emit_the_recorded_actions() {
     let mut all = Vec::new();
@@ -197,6 +198,7 @@
     );
 }
 
+/// Guards against a change of the texts themselves, which would change all digests.
 #[test]
 fn recorded_form_is_the_literal_text_of_each_action() {
     let (request, endpoint) = (RequestId(1), EndpointId(2));
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -84,6 +84,7 @@
     check_invariants(&Settings { poll_discovery: true, tier: 1, max_attempts: 2, ..settings() });
 }
 
+/// Guards against decisions that depend on anything but the seed and the events.
 #[test]
 fn equal_events_give_equal_actions() {
     let play = || {
--- a/crates/decide/tests/learned.rs
+++ b/crates/decide/tests/learned.rs
@@ -28,7 +28,7 @@
     world.balancers.iter().map(export).collect()
 }
 
-/// Counts for balancer 0 and a peer over a span of time from the replacement of balancer 0.
+/// Counts for balancer 0 and a peer over a span of time that begins when balancer 0 is replaced, if it is.
 #[derive(Clone, Copy, Debug, Default)]
 struct SpanCounts {
     /// Requests that balancer 0 served within their latency objective.
@@ -39,7 +39,7 @@
     slow_attempts: usize,
 }
 
-/// Imports the part of all balancers' states that a test is about into the new balancer, at the given time.
+/// A function that imports some of the states of all balancers into the new balancer, at a given time.
 type Import<'a> = &'a dyn Fn(&[LearnedState], &mut Balancer, Micros);
 
 const SPANS: [Micros; 3] = [SECOND, 3 * SECOND, 10 * SECOND];
@@ -69,8 +69,8 @@
     all
 }
 
-/// Guards against an import that leaves most of the loss of a start without state, by requests that are late
-/// or sent to slow endpoints.
+/// Guards against an import with little effect: the new balancer then serves fewer requests in time and sends
+/// more to slow endpoints than if it had not been replaced.
 #[test]
 fn import_of_own_state_saves_nine_tenths_of_the_loss_of_a_start_without_state() {
     const SEEDS: u64 = 4;
@@ -111,6 +111,8 @@
     }
 }
 
+/// Guards against old state that still has an effect: as many requests are served as after a start without
+/// state, within a tenth.
 #[test]
 fn state_that_is_hours_old_has_no_effect() {
     let without_state = count_after_replacement(2, Some(&|_, _, _| {}))[1];
@@ -174,6 +176,8 @@
     }
 }
 
+/// Guards against a wrong state, also if each source sends the same one, that overloads the one endpoint it
+/// favours.
 #[test]
 fn no_state_moves_all_requests_onto_one_endpoint() {
     for sources in 1..=3 {
@@ -197,6 +201,7 @@
     }
 }
 
+/// Guards against a single wrong state that sends requests to a slow endpoint despite two correct ones.
 #[test]
 fn one_wrong_state_of_three_is_outvoted() {
     let attempts_at_slow = |wrong: bool| {
@@ -220,6 +225,8 @@
     );
 }
 
+/// Guards against imported figures that make an endpoint look so good that the rules on drains, slow start or
+/// repeats are passed over.
 #[test]
 fn imported_state_does_not_override_drains_slow_start_or_semantics() {
     // A draining endpoint and a warming one, both with very good figures, and a class that must not run
@@ -270,6 +277,8 @@
     assert!(to_warming[0] <= to_warming[1] + 2, "too many attempts at the warming endpoint: {to_warming:?}");
 }
 
+/// Guards against latencies of a process that has been replaced: the uptime of the endpoint shows whether it
+/// is the same.
 #[test]
 fn restarted_endpoint_gets_no_state_of_its_former_process() {
     let entries = |up_since: Micros| {
@@ -296,6 +305,8 @@
     assert!(attempts(Some(aged)) < attempts(None), "older state of the same process was not used");
 }
 
+/// Guards against figures such as NaN, infinities and negative ages: they must not make the threshold or the
+/// cursor unusable.
 #[test]
 fn implausible_state_neither_panics_nor_has_a_lasting_effect() {
     let values = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 0.0, 1e-300, 1e300, 1.0];
--- a/crates/decide/tests/selection.rs
+++ b/crates/decide/tests/selection.rs
@@ -12,6 +12,7 @@
     assert!(is_rejected(&proxy.request(0).1));
 }
 
+/// Guards against a zone outage that costs a failed attempt for each endpoint of the zone.
 #[test]
 fn unreachable_zone_is_avoided_before_each_of_its_endpoints_has_failed() {
     let endpoints: Vec<Endpoint> = (0..48).map(|id| ready_endpoint(id, 1 + id as usize % 2)).collect();
@@ -35,6 +36,7 @@
     assert!(failed.len() <= 12, "attempts at {} of 24 endpoints of the unreachable zone", failed.len());
 }
 
+/// Guards against balancers that send to an endpoint which is idle for them but loaded by others.
 #[test]
 fn endpoint_loaded_by_peers_is_avoided() {
     let endpoints = pool(4);
@@ -51,6 +53,7 @@
     }
 }
 
+/// Guards against the last message of a silent peer that keeps its endpoints unused.
 #[test]
 fn peer_load_expires() {
     let endpoints = pool(4);
@@ -79,6 +82,8 @@
     }
 }
 
+/// Guards against an endpoint that ranks first because it rejects: it answers at once and has none of the
+/// attempts in flight.
 #[test]
 fn endpoint_that_rejects_is_ejected_for_a_while() {
     let endpoints = pool(4);
@@ -140,6 +145,7 @@
     (0..80).filter(|_| sent_to(&proxy.request(0).1).first() == Some(&EndpointId(0))).count()
 }
 
+/// One reset may come from a sound endpoint, because a response that cannot be read counts as a reset.
 #[test]
 fn two_resets_eject_an_endpoint_and_one_does_not() {
     let (one, two) = (requests_after_resets(1), requests_after_resets(2));
@@ -153,6 +159,7 @@
     assert_eq!(attempts_at_faulty_endpoint(Outcome::Error, 500), 0);
 }
 
+/// Guards against a silent endpoint that keeps its rank because its attempts end as cancelled.
 #[test]
 fn cancelled_attempts_count_against_their_endpoint() {
     assert_eq!(attempts_at_faulty_endpoint(Outcome::Cancelled, 300_000), 0);
@@ -180,6 +187,7 @@
     assert!(*least > 0 && most / least < 3, "{got:?}");
 }
 
+/// Guards against failures of one class that take an endpoint away from the others.
 #[test]
 fn endpoint_that_fails_one_class_still_serves_the_other() {
     let class = settings().classes[0].clone();
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/decide/tests/slow_start.rs
@@ -15,6 +15,8 @@
     }
 }
 
+/// Guards against overload of a warming endpoint that ranks well: the balancer must hold requests back from
+/// it.
 #[test]
 fn warming_endpoint_gets_no_more_than_its_budget() {
     let mut endpoints = pool(4);
@@ -31,7 +33,8 @@
         proxy.advance(10_000);
         for (id, to) in requests {
             for endpoint in to {
-                // The warming endpoint is faster than the warm ones, so that only its budget limits it.
+                // The warming endpoint is faster than the warm ones, so that it ranks well and only its
+                // budget limits it.
                 let took = if endpoint == EndpointId(3) { 1_000 } else { 10_000 };
                 sends[endpoint.0 as usize] += 1.0;
                 proxy.outcome(id, 0, endpoint, Outcome::Ok, took);
@@ -44,13 +47,13 @@
 }
 
 /// An endpoint that has restarted ranks last. Guards against its getting no request until the others are
-/// loaded.
+/// heavily loaded.
 #[test]
 fn idle_warming_endpoint_gets_warm_up_requests_that_can_wait() {
     let mut endpoints = pool(4);
     let mut proxy = Proxy::new(Settings { balancers: 1, ..slow_start_settings() }, &endpoints);
-    // Three requests at a time, so that each warm endpoint has one at most. `time_left` is the time left of
-    // each.
+    // Three requests at a time, so that the warm endpoints are never heavily loaded. Each can wait for
+    // `time_left`.
     let serve_rounds = |proxy: &mut Proxy, rounds: usize, time_left: Micros| {
         let mut to_warming = 0;
         for _ in 0..rounds {
@@ -75,6 +78,8 @@
     assert!((1..=3).contains(&warm_ups), "{warm_ups} requests to the warming endpoint");
 }
 
+/// Guards against a new balancer that overloads warming endpoints, because it has not yet measured what a
+/// warm one serves.
 #[test]
 fn new_balancer_sends_few_requests_to_warming_endpoints() {
     let endpoints: Vec<Endpoint> =
--- a/crates/decide/tests/slow_start_fleet.rs
+++ b/crates/decide/tests/slow_start_fleet.rs
@@ -42,7 +42,7 @@
     AllWarming,
     /// One in three first attempts ends in an error, so that there are retries.
     Errors,
-    /// Until the start there is a tenth of the load, so that the processes have sent few requests.
+    /// The load is a tenth until the start, so that the warming endpoint has had no request for long.
     LowLoadBefore,
 }
 
@@ -267,6 +267,7 @@
     }
 }
 
+/// Guards against balancers that each keep within a budget and together overload a warming endpoint.
 #[test]
 fn fleet_keeps_within_the_slow_start_budget() {
     let requested = std::env::var("COLD_SEEDS").ok().and_then(|n| n.parse().ok());
