--- a/crates/membership/src/call.rs
+++ b/crates/membership/src/call.rs
@@ -1,45 +1,47 @@
-//! One call to discovery in flight: when it is overdue, and when the changes it was to bring count as notified.
+//! A call to discovery in flight: when it is overdue, and when the changes that its response should contain
+//! count as notified.
 
 use std::ops::Range;
 
 use crate::lease::{NOTIFIED_AFTER_CALL, NOTIFIED_AFTER_WAIT};
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// A call is overdue when its response has not started by this time after the requested wait or the queue limit, whichever is
-/// longer.
+/// The time from the requested wait or the queue limit, whichever is longer, until a call whose response has
+/// not started is overdue.
 pub(crate) const RESPONSE_GRACE: Micros = 250 * MILLISECOND;
-/// Discovery serves calls in turn and rejects one that would queue for longer than this (platform's rule).
+/// The longest time that discovery queues a call before it rejects it (rule of the platform). Discovery
+/// serves calls in turn.
 pub(crate) const QUEUE_LIMIT: Micros = 2 * SECOND;
-/// A call that ends at this age was rejected at the queue limit.
+/// The ages at which a call that ends counts as rejected at the queue limit.
 const QUEUE_LIMIT_WINDOW: Range<Micros> = QUEUE_LIMIT - 20 * MILLISECOND..QUEUE_LIMIT + 150 * MILLISECOND;
-/// A response that has started must be complete after this.
+/// The time from the start of a response until the call is overdue if the response is incomplete.
 const BODY_TIMEOUT: Micros = SECOND;
 
-/// Identifies a call among those of one watch.
+/// The identifier of a call, unique within one watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A call in flight.
+/// A call to discovery in flight.
 pub(crate) struct DiscoveryCall {
     pub id: CallId,
     pub started_at: Micros,
     /// How long discovery may hold the call until there is a change; 0 requests the full list.
     pub wait: Micros,
     pub response_started_at: Option<Micros>,
-    /// It has been found overdue, and another call makes up for it.
+    /// Whether the call was found overdue, so that another call replaces it.
     pub is_overdue: bool,
-    /// It continues the watch of the last response, and skips discovery's queue.
+    /// Whether the call continues the watch of the last response. Such a call skips the queue of discovery.
     pub continues_watch: bool,
 }
 
 impl DiscoveryCall {
-    /// When the call is overdue.
+    /// Returns when the call is overdue.
     pub fn overdue_at(&self) -> Micros {
         let response_due = self.started_at + self.wait.max(QUEUE_LIMIT) + RESPONSE_GRACE;
         self.response_started_at.map_or(response_due, |started| started + BODY_TIMEOUT)
     }
 
-    /// When the changes that it was to bring count as notified, whether they arrived or not.
+    /// Returns when the changes that the response should contain count as notified, received or not.
     pub fn notified_at(&self) -> Micros {
         let delay = if self.wait > 0 { self.wait + NOTIFIED_AFTER_WAIT } else { NOTIFIED_AFTER_CALL };
         let without_response = self.started_at + delay;
@@ -47,12 +49,12 @@
             .map_or(without_response, |started| without_response.min(started + NOTIFIED_AFTER_WAIT))
     }
 
-    /// Whether `now` is the time at which discovery rejects a call that is still queued.
+    /// Returns whether `now` is the time at which discovery rejects a call that is still queued.
     pub fn is_at_queue_limit(&self, now: Micros) -> bool {
         QUEUE_LIMIT_WINDOW.contains(&(now - self.started_at))
     }
 
-    /// Whether, judged by its age, the call had left the queue and was watching.
+    /// Returns whether the call has left the queue and is held as a watch. This is inferred from its age.
     pub fn was_watching(&self, now: Micros) -> bool {
         self.continues_watch || now > self.started_at + QUEUE_LIMIT + RESPONSE_GRACE
     }
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -1,20 +1,22 @@
-//! The lease on the list: for how long requests may be forwarded by it.
+//! The lease on the list: for how long requests may be forwarded on the basis of the list.
 //!
-//! The platform counts a drain as *notified* to a proxy a fixed time after the proxy's call, received or not. From then on the proxy
-//! has `drain_grace` to stop sending to that endpoint. As it may have missed the drain, it then stops sending to all.
+//! The platform counts a drain as *notified* to a proxy a fixed time after the proxy's call, whether the
+//! proxy received it or not. From then on the proxy has `drain_grace` to stop sending to that endpoint.
+//! Because the proxy may have missed the drain, it then stops sending to all endpoints.
 //!
-//! Its one bound is the moment from which on a change that this process has not received may count as notified. Each state has
-//! one, the states in which no call has been made or none has failed included:
+//! The lease has one bound: the earliest time at which a change that this process has not received may count
+//! as notified. Every state has such a bound, including those without a call or without a failed call:
 //!
-//! | state | counts as notified from | what ends it |
-//! | --- | --- | --- |
-//! | unconfirmed: the list came with the configuration, and nothing proves its age | the start of the process | a response; a refused connection |
-//! | confirmed, a call is in flight | two seconds after its wait, six after the call where it requests the full list | a response |
-//! | confirmed, no call is in flight | six seconds after the last response | the next call |
-//! | a call failed | by [`CallFailure`], six seconds after the first of them unless nobody could reach discovery | a response |
-//! | a response broke off, or did not come | two seconds after the wait of its call | a response |
+//! - Unconfirmed (the list came with the configuration, and its age is unknown): from the start of the
+//!   process, until a response or a refused connection.
+//! - Confirmed, a call is in flight: from two seconds after the wait of the call, or from six seconds after
+//!   the call if it requests the full list, until a response.
+//! - Confirmed, no call is in flight: from six seconds after the last response, until the next call.
+//! - A call failed: by [`CallFailure`], from six seconds after the first failure unless discovery was
+//!   unreachable for every proxy, until a response.
+//! - A response broke off, or is missing: from two seconds after the wait of its call, until a response.
 //!
-//! Forwarding ends when the drain grace, less a margin, is over after that moment.
+//! Forwarding is suspended from `drain_grace` less a margin after the bound.
 
 mod outage;
 mod terms;
@@ -24,25 +26,28 @@
 use crate::call::DiscoveryCall;
 use crate::time::{Micros, MILLISECOND, SECOND};
 use crate::watch::DiscoveryMode;
-use outage::{FailureMeaning, Outage};
+use outage::{FailureClass, Outage};
 
-/// Changes count as notified this long after the wait of a call is over, whether they arrived or not (platform's rule).
+/// The time from the end of a call's wait until changes count as notified, received or not (rule of the
+/// platform).
 pub(crate) const NOTIFIED_AFTER_WAIT: Micros = 2 * SECOND;
-/// Changes that a reachable discovery had count as notified this long after, whatever became of the calls (platform's rule).
+/// The time from a change at a reachable discovery until the change counts as notified, however the calls
+/// ended (rule of the platform).
 pub(crate) const NOTIFIED_AFTER_CALL: Micros = 6 * SECOND;
-/// An agent beside the proxy that has a change responds within this.
+/// The time within which an agent beside the proxy responds if it has a change.
 const AGENT_RESPONSE_TIME: Micros = 250 * MILLISECOND;
 
-/// What is known of the age of the list.
+/// How recently the list was confirmed to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ListProof {
+enum ListConfirmation {
     /// There is no list.
     Absent,
-    /// Nothing has proven it since this moment, the start of the process.
+    /// The list has not been confirmed since this time, the start of the process.
     Unconfirmed { since: Micros },
-    /// Nothing has proven it, and nobody could reach discovery when it was polled.
+    /// The list has not been confirmed, and the connection of a call was refused, so that no proxy could
+    /// reach discovery.
     DiscoveryUnreachable,
-    /// By a response of discovery, or a watch that stood, it was current then.
+    /// The list was current at this time, as a response of discovery or an open watch confirmed.
     Confirmed { at: Micros },
 }
 
@@ -50,57 +55,61 @@
 pub(crate) struct Lease {
     terms: Option<LeaseTerms>,
     mode: DiscoveryMode,
-    proof: ListProof,
-    /// From when on the changes of a missing response count as notified.
+    confirmation: ListConfirmation,
+    /// When the changes of a missing response begin to count as notified. `None` if no response is missing.
     response_missing_from: Option<Micros>,
-    /// From when on all of discovery's changes count as notified, since calls fail.
+    /// When all changes at discovery begin to count as notified because calls fail. `None` if no call failed.
     calls_failed_from: Option<Micros>,
-    /// `max_suspension` is counted from this time, or from [`Lease::response_missing_from`] or the bound itself if that is later.
+    /// The time from which `max_suspension` counts, unless [`Lease::response_missing_from`] or the bound
+    /// itself is later.
     suspension_counts_from: Option<Micros>,
-    /// Other callers may have reached discovery since the calls began to fail, while it had a change.
-    others_reached_it: bool,
+    /// Whether other proxies may have reached discovery, while it had a change, since the calls began to
+    /// fail.
+    others_reached_discovery: bool,
     outage: Outage,
 }
 
 impl Lease {
+    /// Creates the lease on the list that the process starts with. Without terms the lease never expires.
     pub fn new(terms: Option<LeaseTerms>, mode: DiscoveryMode, list: InitialList, now: Micros) -> Lease {
-        let proof = match list {
-            InitialList::Absent => ListProof::Absent,
-            InitialList::Unconfirmed => ListProof::Unconfirmed { since: now },
+        let confirmation = match list {
+            InitialList::Absent => ListConfirmation::Absent,
+            InitialList::Unconfirmed => ListConfirmation::Unconfirmed { since: now },
         };
         Lease {
             terms,
             mode,
-            proof,
+            confirmation,
             response_missing_from: None,
             calls_failed_from: None,
             suspension_counts_from: None,
-            others_reached_it: false,
+            others_reached_discovery: false,
             outage: Outage::None,
         }
     }
 
-    /// Whether discovery has ever responded.
+    /// Returns whether the list has been confirmed at least once.
     pub fn is_confirmed(&self) -> bool {
-        matches!(self.proof, ListProof::Confirmed { .. })
+        matches!(self.confirmation, ListConfirmation::Confirmed { .. })
     }
 
-    /// Whether the list that the process started with still lacks its proof.
+    /// Returns whether the list that the process started with is still unconfirmed.
     pub fn is_unconfirmed(&self) -> bool {
-        matches!(self.proof, ListProof::Unconfirmed { .. })
+        matches!(self.confirmation, ListConfirmation::Unconfirmed { .. })
     }
 
-    /// Whether discovery is presumed down.
+    /// Returns whether discovery is presumed down.
     pub fn is_outage_presumed(&self) -> bool {
         matches!(self.outage, Outage::Presumed { .. })
     }
 
-    /// Whether a response is missing, or calls failed.
+    /// Returns whether a response is missing, or calls failed.
     pub fn is_in_doubt(&self) -> bool {
         self.response_missing_from.is_some() || self.calls_failed_from.is_some()
     }
 
-    /// When forwarding is suspended, and until when, given the calls in flight.
+    /// Returns the period in which forwarding is suspended, given the calls in flight. `None` without terms
+    /// or without a bound.
     pub fn expiry(&self, calls: &[DiscoveryCall]) -> Option<Expiry> {
         let terms = self.terms?;
         let (notified_from, cause) = self.earliest_notification(calls)?;
@@ -114,10 +123,11 @@
         })
     }
 
-    /// From when on a change that was not received may count as notified, and why.
+    /// Returns the earliest time at which a change that was not received may count as notified, and the
+    /// cause.
     fn earliest_notification(&self, calls: &[DiscoveryCall]) -> Option<(Micros, ExpiryCause)> {
-        let unconfirmed_since = match self.proof {
-            ListProof::Unconfirmed { since } => Some(since),
+        let unconfirmed_since = match self.confirmation {
+            ListConfirmation::Unconfirmed { since } => Some(since),
             _ => None,
         };
         let bounds = [
@@ -130,52 +140,55 @@
         known_bounds.min_by_key(|(from, _)| *from)
     }
 
-    /// The bound while nothing has gone wrong. It is always in the future, unless the process itself was suspended.
+    /// Returns the bound while no call has failed and no response is missing. It always lies in the future,
+    /// unless the process itself was suspended.
     fn undisturbed_bound(&self, calls: &[DiscoveryCall]) -> Option<Micros> {
-        // The silence of an agent means that nothing has changed.
+        // An agent sends nothing while nothing changes, so its silence sets no bound.
         if self.mode == DiscoveryMode::Pushed || self.is_in_doubt() {
             return None;
         }
-        let ListProof::Confirmed { at } = self.proof else { return None };
+        let ListConfirmation::Confirmed { at } = self.confirmation else { return None };
         let by_calls = calls.iter().map(DiscoveryCall::notified_at).min();
         Some(by_calls.unwrap_or(at + NOTIFIED_AFTER_CALL))
     }
 
-    /// A response was received completely.
+    /// Records that a response was received completely.
     pub fn confirm(&mut self, now: Micros) {
-        self.proof = ListProof::Confirmed { at: now };
+        self.confirmation = ListConfirmation::Confirmed { at: now };
         self.response_missing_from = None;
         self.calls_failed_from = None;
         self.suspension_counts_from = None;
-        self.others_reached_it = false;
+        self.others_reached_discovery = false;
         self.outage = Outage::None;
     }
 
-    /// The changes of a missing response count as notified from this moment on.
-    pub fn miss_response(&mut self, from: Micros) {
+    /// Records a missing response, whose changes count as notified from `from` on.
+    pub fn record_missing_response(&mut self, from: Micros) {
         let earliest = self.response_missing_from.map_or(from, |earlier| earlier.min(from));
         self.response_missing_from = Some(earliest);
     }
 
-    /// Discovery is at another address. The whole fleet moves with it, so its first errors tell of overload, and of nothing that
-    /// was there before.
+    /// Records that discovery moved to another address. The whole fleet moves at once, so the first errors at
+    /// the new address are due to overload and do not concern changes from before.
     pub fn change_address(&mut self, now: Micros) {
         if self.is_confirmed() && !self.is_outage_presumed() {
             self.outage = Outage::Presumed { since: now };
         }
     }
 
-    /// When an agent that was polled at `polled_at`, and is silent, has shown that it has no change.
+    /// Returns when the silence of an agent that was polled at `polled_at` confirms the list. `None` if
+    /// discovery is polled, or if the list is not unconfirmed.
     pub fn silence_confirms_at(&self, polled_at: Micros) -> Option<Micros> {
         let is_pushed = self.mode == DiscoveryMode::Pushed;
         (is_pushed && self.is_unconfirmed()).then_some(polled_at + AGENT_RESPONSE_TIME)
     }
 
-    /// A call failed: the changes that discovery had meanwhile count as notified at some time, received or not.
+    /// Records a failed call: changes that discovery had in the meantime count as notified after a delay,
+    /// received or not.
     pub fn fail(&mut self, now: Micros, call: &DiscoveryCall, failure: CallFailure) {
         let Some(terms) = self.terms else { return };
         if failure == CallFailure::ConnectionRefused && self.is_unconfirmed() {
-            self.proof = ListProof::DiscoveryUnreachable;
+            self.confirmation = ListConfirmation::DiscoveryUnreachable;
         }
         match self.mode {
             DiscoveryMode::Polled => self.fail_service(now, call, failure, terms),
@@ -185,47 +198,48 @@
 
     fn fail_agent(&mut self, now: Micros, failure: CallFailure) {
         match failure {
-            // The changes that an agent has count as notified at once.
+            // Changes at an agent count as notified at once.
             CallFailure::ErrorResponse | CallFailure::ConnectionLost => {
                 self.calls_failed_from.get_or_insert(now);
             }
-            // An agent that nobody can reach has none.
+            // An agent that cannot be reached has no changes to notify.
             CallFailure::ConnectionRefused | CallFailure::Unreachable => self.calls_failed_from = None,
         }
     }
 
-    /// The order matters: the failure is classified by the proof and the outage before it, and the bound follows from both after it.
+    /// Records a failed call to a polled discovery. The order matters: the failure is classified by the
+    /// confirmation and the outage before it, and the bound follows from both after it.
     fn fail_service(&mut self, now: Micros, call: &DiscoveryCall, failure: CallFailure, terms: LeaseTerms) {
         let previous_outage = self.outage;
-        let meaning = self.classify(now, call, failure);
-        self.outage = meaning.outage(now);
-        let proven_until = self.proven_until(now, call, failure);
-        if let ListProof::Confirmed { at } = &mut self.proof {
-            *at = proven_until.max(*at);
+        let failure_class = self.classify(now, call, failure);
+        self.outage = failure_class.outage(now);
+        let confirmed_until = self.confirmed_until(now, call, failure);
+        if let ListConfirmation::Confirmed { at } = &mut self.confirmation {
+            *at = confirmed_until.max(*at);
         }
-        // Up to then discovery had no change, or may still have been down.
+        // Until this time discovery had no change, or may still have been down.
         let counted_from = match self.outage {
             Outage::Refused => now,
             Outage::Presumed { since } => since + terms.presumed_outage,
-            Outage::None => proven_until,
+            Outage::None => confirmed_until,
         };
         let notified_from = counted_from + NOTIFIED_AFTER_CALL;
-        let restarts =
-            meaning == FailureMeaning::OutageBegins || self.restarts_failure_bound(previous_outage, failure);
-        self.update_failure_bound(notified_from, call.started_at - proven_until, restarts);
+        let restarts = failure_class == FailureClass::OutageBegins
+            || self.restarts_failure_bound(previous_outage, failure);
+        self.update_failure_bound(notified_from, call.started_at - confirmed_until, restarts);
         let reached_discovery = failure != CallFailure::ConnectionRefused && !self.is_outage_presumed();
-        self.others_reached_it |= reached_discovery && !call.was_watching(now);
+        self.others_reached_discovery |= reached_discovery && !call.was_watching(now);
     }
 
-    /// Whether the six seconds start again: discovery was unreachable for everyone, and no call reached it since the first failure.
-    /// Expects the outage that follows from this failure.
+    /// Returns whether [`NOTIFIED_AFTER_CALL`] starts again: discovery was unreachable for every proxy, and
+    /// no call has reached it since the first failure. `self.outage` must already include this failure.
     fn restarts_failure_bound(&self, previous_outage: Outage, failure: CallFailure) -> bool {
         let went_down = previous_outage == Outage::Refused && self.is_outage_presumed();
-        (failure == CallFailure::ConnectionRefused || went_down) && !self.others_reached_it
+        (failure == CallFailure::ConnectionRefused || went_down) && !self.others_reached_discovery
     }
 
-    /// Sets the bounds that follow from a failed call. A gap between the proof and the call makes the suspension start
-    /// sooner, and end no sooner.
+    /// Sets the bounds that follow from a failed call. A gap between the confirmation and the call makes the
+    /// suspension start sooner, but not end sooner.
     fn update_failure_bound(&mut self, notified_from: Micros, gap: Micros, restarts: bool) {
         if restarts {
             self.calls_failed_from = None;
@@ -236,19 +250,19 @@
         self.suspension_counts_from.get_or_insert(notified_from + gap.max(0));
     }
 
-    /// Up to when the list is proven, where a call brought nothing.
-    fn proven_until(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> Micros {
-        // A discovery that nobody could reach had no change to report.
+    /// Returns the time up to which the list counts as confirmed after a failed call.
+    fn confirmed_until(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> Micros {
+        // If discovery refuses connections, no proxy can reach it, and it had no change to report.
         if failure == CallFailure::ConnectionRefused {
             return now;
         }
-        // The connection may have been silent before it broke.
+        // The connection may have been dead for some time before it broke.
         if failure == CallFailure::ConnectionLost && call.was_watching(now) {
             let silence = (call.wait + NOTIFIED_AFTER_WAIT - NOTIFIED_AFTER_CALL).max(0);
             return now.min(call.started_at + silence);
         }
-        match self.proof {
-            ListProof::Confirmed { at } if !call.continues_watch => at.min(call.started_at),
+        match self.confirmation {
+            ListConfirmation::Confirmed { at } if !call.continues_watch => at.min(call.started_at),
             _ => call.started_at,
         }
     }
--- a/crates/membership/src/lease/outage.rs
+++ b/crates/membership/src/lease/outage.rs
@@ -1,24 +1,24 @@
-//! Whether failed calls tell of an outage of discovery, or of an overload.
+//! Classification of failed calls: outage of discovery, or overload.
 //!
-//! An overloaded discovery rejects calls that are queued, at once or at the queue limit, and ends no watch. So a watch that ends
-//! with an error, or an error at any other moment, says that discovery went down. A process that never had a response presumes no
-//! outage: its list proves nothing, whatever discovery does.
+//! An overloaded discovery rejects queued calls, at once or at the queue limit, and ends no watch. A watch
+//! that ends with an error, or an error at any other time, therefore indicates that discovery went down. A
+//! process that never received a response presumes no outage, because its list is unconfirmed in either case.
 
-use super::{CallFailure, Lease, ListProof, NOTIFIED_AFTER_CALL};
+use super::{CallFailure, Lease, ListConfirmation, NOTIFIED_AFTER_CALL};
 use crate::call::DiscoveryCall;
 use crate::time::{Micros, MILLISECOND};
 
-/// A call that ends with an error within this was not queued.
+/// The age below which a call that ends with an error was not queued.
 const IMMEDIATE_ERROR: Micros = 100 * MILLISECOND;
 
-/// What failed calls say of discovery as a whole.
+/// The state of discovery that is inferred from failed calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outage {
-    /// Nothing.
+    /// No outage is inferred.
     None,
-    /// The last call's connection was refused by the kernel.
+    /// The kernel refused the connection of the last call.
     Refused,
-    /// Discovery is presumed down since then.
+    /// Discovery is presumed down.
     Presumed {
         /// The start of the outage.
         since: Micros,
@@ -29,68 +29,70 @@
     now - call.started_at < IMMEDIATE_ERROR
 }
 
-/// What one failed call says of discovery.
+/// The class of one failed call, by what it indicates about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FailureMeaning {
+pub(super) enum FailureClass {
     /// The kernel refused the connection.
     Refused,
-    /// Discovery went down in this moment. The changes that it had before count anew, as they do not count as notified yet.
+    /// Discovery went down just now. The time until its earlier changes count as notified starts again,
+    /// because they do not count as notified yet.
     OutageBegins,
-    /// Discovery was presumed down before, since then.
+    /// Discovery was already presumed down.
     OutageContinues {
         /// The start of the outage.
         since: Micros,
     },
-    /// Discovery is found to be down since then; the changes that it had before do not count anew.
+    /// Discovery is down, as this call shows. The time until its earlier changes count as notified does not
+    /// start again.
     OutageFound {
         /// The start of the outage.
         since: Micros,
     },
-    /// An overload may have ended the call, or nothing is known of discovery.
+    /// An overload may have ended the call, or the state of discovery is unknown.
     MayBeOverload,
 }
 
-impl FailureMeaning {
-    /// What is presumed of discovery after the failure.
+impl FailureClass {
+    /// Returns the state of discovery that is presumed after the failure.
     pub(super) fn outage(self, now: Micros) -> Outage {
         match self {
-            FailureMeaning::Refused => Outage::Refused,
-            FailureMeaning::OutageBegins => Outage::Presumed { since: now },
-            FailureMeaning::OutageContinues { since } | FailureMeaning::OutageFound { since } => {
+            FailureClass::Refused => Outage::Refused,
+            FailureClass::OutageBegins => Outage::Presumed { since: now },
+            FailureClass::OutageContinues { since } | FailureClass::OutageFound { since } => {
                 Outage::Presumed { since }
             }
-            FailureMeaning::MayBeOverload => Outage::None,
+            FailureClass::MayBeOverload => Outage::None,
         }
     }
 }
 
 impl Lease {
-    /// What a failed call says, by how and when it ended and by what was known before.
-    pub(super) fn classify(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> FailureMeaning {
+    /// Classifies a failed call by how and when it ended and by the state of the lease before it.
+    pub(super) fn classify(&self, now: Micros, call: &DiscoveryCall, failure: CallFailure) -> FailureClass {
         if failure == CallFailure::ConnectionRefused {
-            return FailureMeaning::Refused;
+            return FailureClass::Refused;
         }
         let is_error = failure == CallFailure::ErrorResponse;
         let ended_at_once = ends_at_once(now, call);
         let is_at_limit = call.is_at_queue_limit(now);
-        // No overload ends a call at any other moment.
-        if is_error && !ended_at_once && !is_at_limit && self.is_proof_recent(now) {
-            return FailureMeaning::OutageBegins;
+        // An overload ends no call at any other time.
+        if is_error && !ended_at_once && !is_at_limit && self.is_confirmation_recent(now) {
+            return FailureClass::OutageBegins;
         }
         if let Outage::Presumed { since } = self.outage {
-            return FailureMeaning::OutageContinues { since };
+            return FailureClass::OutageContinues { since };
         }
         let may_be_overload = ended_at_once || (is_at_limit && !call.continues_watch);
         if is_error && self.is_confirmed() && !may_be_overload {
-            // A discovery that is down rejects calls at the queue limit, and was down when they were made.
+            // A call that is rejected at the queue limit was made when discovery was already down.
             let since = if is_at_limit { call.started_at } else { now };
-            return FailureMeaning::OutageFound { since };
+            return FailureClass::OutageFound { since };
         }
-        FailureMeaning::MayBeOverload
+        FailureClass::MayBeOverload
     }
 
-    /// Whether a change since the last proof does not count as notified yet.
-    fn is_proof_recent(&self, now: Micros) -> bool {
-        matches!(self.proof, ListProof::Confirmed { at } if now < at + NOTIFIED_AFTER_CALL)
+    /// Returns whether no change since the last confirmation counts as notified yet.
+    fn is_confirmation_recent(&self, now: Micros) -> bool {
+        matches!(self.confirmation, ListConfirmation::Confirmed { at } if now < at + NOTIFIED_AFTER_CALL)
     }
 }
--- a/crates/membership/src/lease/terms.rs
+++ b/crates/membership/src/lease/terms.rs
@@ -1,61 +1,64 @@
-//! The terms of a lease, and what it reports.
+//! The terms of a lease, and the inputs and results of the lease.
 
 use crate::time::Micros;
 
-/// What bounds the use of a list. All times are in microseconds.
+/// The terms that bound the use of a list. All times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms {
-    /// Once a drain counts as notified, forwarding to the endpoint must end within this.
+    /// The time from when a drain counts as notified until forwarding to the endpoint must have ended.
     pub drain_grace: Micros,
-    /// Forwarding ends this much sooner, for requests under way.
+    /// The time by which forwarding ends before `drain_grace` is over, to allow for requests under way.
     pub margin: Micros,
-    /// Forwarding resumes after this: by then draining endpoints have gone, and reject requests themselves.
+    /// The longest suspension of forwarding. By its end, draining endpoints have stopped or reject
+    /// requests themselves.
     pub max_suspension: Micros,
-    /// A discovery that ends a standing watch with an error is presumed down for this long: from outside, an outage and
-    /// an overload after it look the same.
+    /// The time for which discovery is presumed down after it ended an open watch with an error. A proxy
+    /// cannot distinguish an outage from an overload that follows it.
     pub presumed_outage: Micros,
 }
 
-/// How a call failed, and so whether discovery could be reached meanwhile.
+/// How a call failed. This determines whether discovery may have been reachable in the meantime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The kernel of discovery's machine refused the connection: nobody could reach discovery at that moment.
+    /// The kernel of the machine that runs discovery refused the connection: no proxy could reach discovery
+    /// at that time.
     ConnectionRefused,
-    /// Discovery answered with an error: it could be reached, and the connection stood until then.
+    /// Discovery responded with an error: it was reachable, and the connection was open until then.
     ErrorResponse,
-    /// Discovery accepted the connection, which then broke without a response: it may have been silent before.
+    /// Discovery accepted the connection, which then broke without a response. The connection may have been
+    /// dead for some time before.
     ConnectionLost,
-    /// No connection came about: discovery may be reachable for others, and for the next call.
+    /// No connection was established: discovery may be reachable for other proxies and for the next call.
     Unreachable,
 }
 
 /// The list that a process starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialList {
-    /// None.
+    /// There is no list.
     Absent,
-    /// One whose age nothing proves, as from a configuration.
+    /// A list of unknown age, for instance from a configuration.
     Unconfirmed,
 }
 
-/// Why forwarding is suspended.
+/// The cause of a suspension of forwarding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpiryCause {
     /// Discovery has not confirmed the list that the process started with.
     Unconfirmed,
     /// Calls to discovery failed.
     CallsFailed,
-    /// A response of discovery broke off, or did not come.
+    /// A response of discovery broke off, or was not received.
     ResponseMissing,
 }
 
-/// The period in which nothing new may be forwarded to any endpoint, unless a response comes.
+/// The period in which no new request may be forwarded to any endpoint, unless a response is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expiry {
-    /// Its first moment.
+    /// The first instant of the period, in microseconds.
     pub from: Micros,
-    /// The moment after its last.
+    /// The end of the period (exclusive), in microseconds.
     pub until: Micros,
-    /// What led to it.
+    /// The cause of the suspension.
     pub cause: ExpiryCause,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! Membership of a pool: when its discovery is polled for the list of endpoints, for how long a list may be relied on, and which
-//! endpoints operators have drained.
+//! Membership of a pool: when discovery is polled for the list of endpoints, for how long a list may be used,
+//! and which endpoints operators have drained.
 //!
-//! Pure: no I/O and no clock; times come in as microseconds, chance comes from a seed. [`DiscoveryWatch`] is the state machine of
-//! one proxy that watches one discovery, and owns the lease on its list; it does not look at the endpoints in it.
-//! When a watch that ended is started again is decided by the crate `decide` (its module `discovery`).
-//! [`Maintenance`] holds what operators set for endpoints beside it.
+//! The crate does no I/O and reads no clock: times are passed in as microseconds, and random numbers come
+//! from a seed. [`DiscoveryWatch`] is the state machine of one proxy that watches one discovery. It owns the
+//! lease on the list and does not read the endpoints in the list. The crate `decide` (module `discovery`)
+//! decides when a watch that ended is started again. [`Maintenance`] holds the drains that operators request,
+//! independently of discovery.
 #![warn(missing_docs)]
 
 mod call;
--- a/crates/membership/src/maintenance.rs
+++ b/crates/membership/src/maintenance.rs
@@ -1,33 +1,36 @@
-//! Which endpoints operators have drained for maintenance.
+//! The endpoints that operators have drained for maintenance.
 //!
-//! Discovery and operators are two sources of one registry, and the more restrictive state holds: a drained endpoint is not
-//! used, whatever discovery lists, until an operator restores it. No clock and no I/O; state that outlives a process, or is
-//! shared with another one, goes through [`Maintenance::encode`] and [`Maintenance::decode`].
+//! Discovery and operators both determine which endpoints are used, and the more restrictive state applies: a
+//! drained endpoint is not used, whatever discovery lists, until an operator restores it. The module does no
+//! I/O and reads no clock. State that outlives a process, or is shared with another process, is written with
+//! [`Maintenance::encode`] and read with [`Maintenance::decode`].
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 
-/// Most endpoints that are drained at once. One more is rejected; none that is drained returns by itself.
+/// The maximum number of drained endpoints. A further drain is rejected rather than restoring a drained
+/// endpoint.
 pub const MAX_DRAINED: usize = 1024;
-/// Most names of listed endpoints that are remembered beside the drained ones. The oldest is forgotten first.
+/// The maximum number of remembered names of listed endpoints, not counting the drained ones. The oldest name
+/// is removed first.
 pub const MAX_KNOWN_NAMES: usize = 8192;
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 320;
 
-/// The first line of the stored form, before the checksum.
+/// The beginning of the first line of the stored form, before the checksum.
 const MAGIC: &str = "amberlever-maintenance 1 ";
 
-/// Marks a drained endpoint in the stored form.
+/// The prefix of a drained endpoint's line in the stored form.
 const DRAINED_PREFIX: char = '-';
-/// Marks a known name in the stored form.
+/// The prefix of a known name's line in the stored form.
 const KNOWN_PREFIX: char = '+';
 
-/// Why an operator's request is rejected.
+/// The reason for which a request of an operator is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceRejection {
-    /// No list has ever had an endpoint of this name.
+    /// No list has ever contained an endpoint of this name.
     UnknownEndpoint,
-    /// [`MAX_DRAINED`] endpoints are drained.
+    /// [`MAX_DRAINED`] endpoints are already drained.
     TooManyDrained,
     /// Several pools have an endpoint of this name.
     AmbiguousName,
@@ -45,7 +48,7 @@
 
 impl std::error::Error for MaintenanceRejection {}
 
-/// Which endpoints are drained, and which names operators may use.
+/// The drained endpoints, and the names that operators may use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Maintenance {
     drained: BTreeSet<String>,
@@ -55,7 +58,7 @@
 }
 
 impl Maintenance {
-    /// Records that a list has an endpoint of this name. Returns whether the name is new.
+    /// Records that a list contains an endpoint of this name. Returns whether the name is new and valid.
     pub fn record_listed(&mut self, name: &str) -> bool {
         if self.known.contains(name) || !is_valid_name(name) {
             return false;
@@ -73,7 +76,7 @@
     /// Drains an endpoint. Draining it again changes nothing.
     ///
     /// # Errors
-    /// The name was never listed, or too many endpoints are drained.
+    /// Returns an error if the name was never listed, or if [`MAX_DRAINED`] endpoints are drained.
     pub fn drain(&mut self, name: &str) -> Result<(), MaintenanceRejection> {
         if !self.is_known(name) {
             return Err(MaintenanceRejection::UnknownEndpoint);
@@ -85,33 +88,33 @@
         Ok(())
     }
 
-    /// Restores an endpoint; one request is enough however often it was drained.
+    /// Restores an endpoint. One request is enough, however often the endpoint was drained.
     ///
     /// # Errors
-    /// The name was never listed.
+    /// Returns an error if the name was never listed.
     pub fn restore(&mut self, name: &str) -> Result<(), MaintenanceRejection> {
         if !self.is_known(name) {
             return Err(MaintenanceRejection::UnknownEndpoint);
         }
-        // The name stays known, also where it was forgotten while the endpoint was drained.
+        // The name stays known even if it was removed from the known names while the endpoint was drained.
         self.record_listed(name);
         self.drained.remove(name);
         Ok(())
     }
 
-    /// Whether an operator drained the endpoint.
+    /// Returns whether an operator drained the endpoint.
     #[must_use]
     pub fn is_drained(&self, name: &str) -> bool {
         self.drained.contains(name)
     }
 
-    /// The names of the drained endpoints.
+    /// Returns the names of the drained endpoints.
     pub fn drained(&self) -> impl Iterator<Item = &str> {
         self.drained.iter().map(String::as_str)
     }
 
-    /// Adopts the later state of another process: its drained endpoints, and its names beside the own ones. Returns the names
-    /// of the endpoints that this drains or restores.
+    /// Adopts the later state of another process: replaces the drained endpoints and adds the known names.
+    /// Returns the names of the endpoints that are drained or restored by this.
     pub fn adopt(&mut self, later: &Maintenance) -> Vec<String> {
         for name in &later.known_order {
             self.record_listed(name);
@@ -125,7 +128,8 @@
         self.known.contains(name) || self.drained.contains(name)
     }
 
-    /// The stored form: a line with a version and a checksum, then a line for each drained and each known name.
+    /// Returns the stored form: a line with a version and a checksum, then a line for each drained and each
+    /// known name.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut names = String::new();
@@ -138,7 +142,7 @@
         format!("{MAGIC}{:08x}\n{names}", crc32c::crc32c(names.as_bytes())).into_bytes()
     }
 
-    /// Reads the stored form; `None` where it is incomplete, damaged or of another version.
+    /// Reads the stored form. Returns `None` if it is incomplete, damaged or of another version.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Maintenance> {
         let (head, names) = std::str::from_utf8(bytes).ok()?.split_once('\n')?;
--- a/crates/membership/src/watch/backoff.rs
+++ b/crates/membership/src/watch/backoff.rs
@@ -1,4 +1,4 @@
-//! When a watch polls again after a call that brought nothing, and how long it lets discovery hold a call.
+//! When a watch polls again after a call without a response, and for how long discovery may hold a call.
 
 use std::ops::Range;
 
@@ -6,25 +6,28 @@
 use crate::call::{QUEUE_LIMIT, RESPONSE_GRACE};
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// The waits of a watch are drawn from this range, as wide as discovery takes to serve one call of every proxy, so that proxies
-/// that started together do not poll together.
+/// The range from which the waits of a watch are drawn. It is as wide as the time that discovery takes to
+/// serve one call of every proxy, so that proxies that started together do not poll together.
 const WATCH_WAIT: Range<Micros> = 2 * SECOND..10 * SECOND;
-/// The wait of a call that is to show whether a change was missed.
+/// The wait of a call that checks whether a change was missed.
 const DOUBT_WAIT: Micros = 250 * MILLISECOND;
-/// The wait of a call that confirms the list of a process that has just started: the shortest that the wire form allows.
+/// The wait of the call that confirms the list of a process that has just started: the shortest wait that the
+/// protocol can express.
 const CONFIRMING_WAIT: Micros = MILLISECOND;
-/// Upper bound of the backoff before the first retry. Each backoff is drawn from a quarter of its bound to all of it.
+/// The upper bound of the backoff before the first retry. Each backoff is drawn from a quarter of its upper
+/// bound up to the upper bound.
 const MAX_FIRST_BACKOFF: Micros = 200 * MILLISECOND;
-/// Upper bound before a further retry. Discovery's changes count as notified soon after, so it is short.
+/// The upper bound of the backoff before a further retry. It is short because changes at discovery soon count
+/// as notified.
 const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
-/// Upper bound where discovery rejected the call, since rejections cost an overloaded discovery work. The retry is in time
-/// for the lease all the same.
+/// The upper bound of the backoff after discovery rejected the call. It is longer because rejections cost an
+/// overloaded discovery work. The retry still completes before the lease expires.
 const MAX_OVERLOAD_BACKOFF: Micros = 8 * SECOND;
-/// Upper bound of the same kind while forwarding is suspended.
+/// The upper bound of the backoff after discovery rejected the call while forwarding is suspended.
 const MAX_OVERLOAD_BACKOFF_SUSPENDED: Micros = 4 * SECOND;
 
 impl DiscoveryWatch {
-    /// Draws how long discovery may hold the next call.
+    /// Draws the time for which discovery may hold the next call; 0 requests the full list.
     pub(super) fn draw_wait(&mut self) -> Micros {
         if !self.has_version {
             0
@@ -37,7 +40,7 @@
         }
     }
 
-    /// Plans another call for what one did not bring, unless one is planned, or in flight and not overdue.
+    /// Plans a retry, unless a call is already planned, or is in flight and not overdue.
     pub(super) fn plan_retry(&mut self, now: Micros) {
         if self.next_call_at.is_some() || self.calls.iter().any(|call| !call.is_overdue) {
             return;
@@ -47,9 +50,9 @@
         self.next_call_at = Some(now + self.rng.i64(longest / 4..=longest));
     }
 
-    /// The longest backoff before a retry, by how the last call ended.
+    /// Returns the upper bound of the backoff before a retry, by how the last call ended.
     fn longest_backoff(&self, now: Micros) -> Micros {
-        // An agent beside the proxy bears any number of calls.
+        // Frequent calls do not overload an agent beside the proxy.
         if self.policy.mode == DiscoveryMode::Pushed {
             return MAX_FIRST_BACKOFF;
         }
@@ -57,7 +60,7 @@
         if !self.lease.is_confirmed() && !self.has_version {
             return backoff.min(FIRST_CALL_SPREAD);
         }
-        // An outage may end at any moment, and the calls after it must be in time.
+        // An outage may end at any time, and a call must follow its end soon enough.
         if !self.was_rejected || self.lease.is_outage_presumed() {
             return backoff;
         }
--- a/crates/membership/src/watch/event.rs
+++ b/crates/membership/src/watch/event.rs
@@ -1,4 +1,4 @@
-//! The inputs of a watch, and the actions that it asks of its caller.
+//! The events that a watch handles, and the actions that it returns.
 
 use crate::call::CallId;
 use crate::lease::{CallFailure, LeaseTerms};
@@ -7,28 +7,29 @@
 /// How discovery provides lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// A service that responds to each call once there is a change or its wait is over.
+    /// Discovery is a service that responds to each call once there is a change or the wait of the call is
+    /// over.
     Polled,
-    /// Lists are pushed to an agent beside the proxy: it responds only where there is a change, and its silence means that
-    /// there is none.
+    /// Lists are pushed to an agent beside the proxy. The agent responds only if there is a change; its
+    /// silence means that there is none.
     Pushed,
 }
 
-/// How a watch behaves.
+/// The settings of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchPolicy {
     /// How discovery provides lists.
     pub mode: DiscoveryMode,
-    /// What bounds the use of a list; `None`: it is relied on without limit.
+    /// The terms that bound the use of a list. `None`: a list may be used without limit.
     pub lease: Option<LeaseTerms>,
 }
 
-/// What happened.
+/// An input of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The list is to be watched. A watch whose list has a lease starts by itself.
+    /// Starts the watch. A watch with lease terms starts without this event.
     StartWatch,
-    /// Discovery is at another address: calls in flight are closed, and the new address is polled.
+    /// Discovery moved to another address: calls in flight are closed, and the new address is polled.
     AddressChanged,
     /// The head of a response was received.
     ResponseStarted {
@@ -54,25 +55,26 @@
         /// How it ended.
         failure: CallFailure,
     },
-    /// The time of [`DiscoveryWatch::wake_at`](crate::DiscoveryWatch::wake_at) has come.
+    /// The time that [`DiscoveryWatch::wake_at`](crate::DiscoveryWatch::wake_at) returned is reached.
     TimerDue,
 }
 
-/// What to do.
+/// An output of a watch, to be carried out in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchAction {
-    /// Call discovery for what is newer than the list in hand.
+    /// Calls discovery for a list newer than the present one.
     Poll {
         /// The new call.
         call: CallId,
-        /// How long discovery may hold the call until there is a change, in microseconds; 0 requests the full list.
+        /// The time for which discovery may hold the call until there is a change, in microseconds; 0
+        /// requests the full list.
         wait: Micros,
     },
-    /// Close the connection of a call. No further event of the call is to be reported.
+    /// Closes the connection of a call. Further events of the call are ignored.
     CloseCall {
         /// The call.
         call: CallId,
     },
-    /// The watch has ended; it goes on with the next [`WatchEvent::StartWatch`].
+    /// The watch has ended. [`WatchEvent::StartWatch`] starts it again.
     WatchEnded,
 }
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -1,15 +1,17 @@
-//! One proxy's watch of discovery: when discovery is polled, which calls are in flight, and what to do when one fails, breaks off
-//! or stays without a response. For how long the list may be used meanwhile is up to its [lease](crate::lease).
+//! The watch of discovery by one proxy: when discovery is polled, which calls are in flight, and what follows
+//! when a call fails, breaks off or stays without a response. The [lease](crate::lease) determines for how
+//! long the list may be used in the meantime.
 //!
 //! A call can go wrong in two ways:
 //!
-//! - **It fails**: it is refused, reset, or answered with an error. Then it notified nothing; but changes that discovery had while
-//!   it [could be reached](CallFailure) count as notified six seconds later all the same.
-//! - **It may have notified a change that was not received**: its response broke off, cannot be parsed, or does not come although
-//!   the requested wait is over.
+//! - **The call fails**: it is refused, reset, or answered with an error. It then notified no change itself,
+//!   but changes that discovery had while it [was reachable](CallFailure) still count as notified six seconds
+//!   later.
+//! - **The call may have notified a change that was not received**: the response broke off, cannot be parsed,
+//!   or is missing although the requested wait is over.
 //!
-//! In both cases the watch polls again by itself. Where no terms bound the list, a failure ends the watch
-//! ([`WatchAction::WatchEnded`]), and its caller starts it again.
+//! In both cases the watch polls again without a further event. If no terms bound the list, a failure ends
+//! the watch ([`WatchAction::WatchEnded`]), and [`WatchEvent::StartWatch`] starts it again.
 
 mod backoff;
 mod event;
@@ -22,42 +24,44 @@
 use crate::lease::{CallFailure, Expiry, InitialList, Lease};
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// The next call after an unchanged response starts no sooner than this after the call before, against a discovery that does not
-/// hold calls. Well under [`WATCH_CONTINUES`].
+/// The minimum time between the starts of two calls if the response to the first contains no change. It
+/// limits the polling of a discovery that does not hold calls, and is well under [`WATCH_CONTINUES`].
 const MIN_CALL_INTERVAL: Micros = 100 * MILLISECOND;
-/// A call that starts this soon after a response continues the same watch (platform's rule).
+/// The time after a response within which the next call continues the same watch (rule of the platform).
 const WATCH_CONTINUES: Micros = 200 * MILLISECOND;
-/// The first call of a process without a list is drawn from this time, so that a fleet that starts at once does not poll at once.
+/// The period over which the first calls of processes without a list are spread at random, so that a fleet
+/// that starts together does not poll together.
 const FIRST_CALL_SPREAD: Micros = SECOND;
-/// Most calls in flight: one without a response, and one beside it.
+/// The maximum number of calls in flight: an overdue one, and its retry.
 const MAX_CALLS: usize = 2;
 
-/// The state of one proxy's watch.
+/// The watch of discovery by one proxy.
 pub struct DiscoveryWatch {
     policy: WatchPolicy,
     rng: Rng,
     last_call: u64,
     is_active: bool,
-    /// There is a list whose version discovery knows.
+    /// Whether there is a list whose version discovery recognises.
     has_version: bool,
     lease: Lease,
     /// The calls in flight, the oldest first.
     calls: Vec<DiscoveryCall>,
     next_call_at: Option<Micros>,
     last_response_at: Option<Micros>,
-    /// Retries in a row that brought nothing.
+    /// The number of retries since the last complete response.
     retries: usize,
-    /// The last call that failed was answered with an error.
+    /// Whether discovery responded with an error to the last call that failed.
     was_rejected: bool,
 }
 
 impl DiscoveryWatch {
-    /// The watch of a process that starts now, with this list in hand.
+    /// Creates the watch of a process that starts at `now` with the given list.
     #[must_use]
     pub fn new(policy: WatchPolicy, list: InitialList, now: Micros, seed: u64) -> DiscoveryWatch {
         let mut rng = Rng::with_seed(seed);
         let has_version = list != InitialList::Absent;
-        // A list of unknown age is of use only once it is confirmed; without one nothing can be served at all.
+        // A list of unknown age is confirmed at once. Without a list, the first call is spread over the
+        // fleet.
         let first_call_at = if has_version { now } else { now + rng.i64(0..FIRST_CALL_SPREAD) };
         let is_active = policy.lease.is_some();
         DiscoveryWatch {
@@ -75,7 +79,7 @@
         }
     }
 
-    /// The next moment at which it needs [`WatchEvent::TimerDue`].
+    /// Returns the next time at which the watch needs [`WatchEvent::TimerDue`]. `None` if no timer is set.
     #[must_use]
     pub fn wake_at(&self) -> Option<Micros> {
         let in_time = self.calls.iter().filter(|call| !call.is_overdue);
@@ -87,26 +91,26 @@
         self.calls.first().and_then(|call| self.lease.silence_confirms_at(call.started_at))
     }
 
-    /// The period in which nothing new may be forwarded to any endpoint, if there is one as things stand. It ends early once a
-    /// response has come.
+    /// Returns the period in which no new request may be forwarded to any endpoint, given the present state.
+    /// `None` if there is no such period. A response ends the period early.
     #[must_use]
     pub fn expiry(&self) -> Option<Expiry> {
         self.lease.expiry(&self.calls)
     }
 
-    /// Whether the list that the process started with still lacks its first proof.
+    /// Returns whether the list that the process started with is still unconfirmed.
     #[must_use]
     pub fn is_unconfirmed(&self) -> bool {
         self.lease.is_unconfirmed()
     }
 
-    /// Whether it has started, and has not ended since.
+    /// Returns whether the watch has started, and has not ended since.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// Takes in one event and appends the actions that follow.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: WatchEvent, actions: &mut Vec<WatchAction>) {
         match event {
             WatchEvent::StartWatch => self.on_start(now, actions),
@@ -126,7 +130,7 @@
             return self.poll_if_due(now, actions);
         }
         if !self.has_version && self.last_call == 0 {
-            // Nothing can be served before its response.
+            // No request can be served before the first response.
             self.is_active = true;
             self.next_call_at = Some(now + self.rng.i64(0..FIRST_CALL_SPREAD));
             return;
@@ -135,7 +139,7 @@
     }
 
     fn on_address_changed(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
-        // It may count its versions in its own way: only a full list tells the version.
+        // Versions may be numbered differently at the new address: only a full list gives a valid version.
         self.has_version = false;
         self.lease.change_address(now);
         self.close_all(actions);
@@ -156,7 +160,7 @@
         actions: &mut Vec<WatchAction>,
     ) {
         let Some(call) = self.take_call(id) else { return };
-        // An older call's response would bring the same list again, or an older one.
+        // The response to an older call would contain the same list or an older one.
         self.close_all(actions);
         self.lease.confirm(now);
         self.has_version = true;
@@ -175,7 +179,7 @@
     fn on_response_truncated(&mut self, now: Micros, id: CallId) {
         let Some(mut call) = self.take_call(id) else { return };
         call.response_started_at.get_or_insert(now);
-        self.lease.miss_response(call.notified_at());
+        self.lease.record_missing_response(call.notified_at());
         self.plan_retry(now);
     }
 
@@ -201,7 +205,7 @@
             let is_due = !call.is_overdue && call.overdue_at() <= now;
             let may_be_slow = self.policy.mode == DiscoveryMode::Polled && call.response_started_at.is_none();
             if is_due && !may_be_slow {
-                // The calls behind it move up.
+                // The next call now has this index.
                 self.close_overdue(index, now, actions);
                 continue;
             }
@@ -213,13 +217,13 @@
         self.poll_if_due(now, actions);
     }
 
-    /// Keeps an overdue call open beside its retry, since it may only be slow.
+    /// Marks a call as overdue and keeps it open during its retry, because it may only be slow.
     fn mark_overdue(&mut self, index: usize, now: Micros) {
         let call = &mut self.calls[index];
         call.is_overdue = true;
         let notified_at = call.notified_at();
         let is_first = !self.lease.is_in_doubt();
-        self.lease.miss_response(notified_at);
+        self.lease.record_missing_response(notified_at);
         if is_first {
             self.next_call_at = Some(now);
         } else {
@@ -231,14 +235,14 @@
         let call = self.calls.remove(index);
         actions.push(WatchAction::CloseCall { call: call.id });
         if call.response_started_at.is_some() {
-            self.lease.miss_response(call.notified_at());
+            self.lease.record_missing_response(call.notified_at());
             self.plan_retry(now);
         } else {
             self.retry_or_end(now, actions);
         }
     }
 
-    /// After a call that failed: the watch retries, or ends.
+    /// Plans a retry after a failed call, or ends the watch.
     fn retry_or_end(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
         let polls_by_itself = self.policy.lease.is_some() && self.policy.mode == DiscoveryMode::Polled;
         if self.lease.is_in_doubt() || (polls_by_itself && !self.has_version) {
--- a/crates/membership/tests/maintenance.rs
+++ b/crates/membership/tests/maintenance.rs
@@ -1,4 +1,5 @@
-//! Maintenance state against a model of plain sets; and its stored form against damage.
+//! Compares the maintenance state with a model of plain sets, and checks that a damaged stored form is
+//! detected.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +8,10 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Any order of lists, requests, takeovers and second processes.
+    /// Guards against a drain that is lost, or that affects an endpoint without a request, for any order of
+    /// listed endpoints, requests, process changes and requests to a second process.
     #[test]
-    fn the_drained_endpoints_follow_from_the_last_requests(steps in prop::collection::vec((0..6_u8, 0..9_u8), 0..200)) {
+    fn last_request_decides_whether_an_endpoint_is_drained(steps in prop::collection::vec((0..6_u8, 0..9_u8), 0..200)) {
         let mut state = Maintenance::default();
         let (mut listed, mut drained) = (BTreeSet::new(), BTreeSet::new());
         for (step, endpoint) in steps {
@@ -30,9 +32,9 @@
                     prop_assert_eq!(state.restore(&name), is_known.then_some(()).ok_or(MaintenanceRejection::UnknownEndpoint));
                     drained.remove(&name);
                 }
-                // Another process takes over.
+                // A successor process reads the stored state.
                 4 => state = Maintenance::decode(&state.encode()).expect("sound"),
-                // A process that runs beside it gets a later request.
+                // A second process receives a later request, and this process adopts its state.
                 _ => {
                     let mut other = Maintenance::decode(&state.encode()).expect("sound");
                     let is_drained = drained.contains(&name);
@@ -48,8 +50,10 @@
         }
     }
 
+    /// Guards against drains that are read from a truncated or corrupted file: a truncated file and any
+    /// flipped bit must be detected.
     #[test]
-    fn damage_is_detected(names in prop::collection::vec("[a-z0-9-]{1,12}", 1..20), position: prop::sample::Index, bit in 0..8_u8) {
+    fn damaged_maintenance_state_is_not_decoded(names in prop::collection::vec("[a-z0-9-]{1,12}", 1..20), position: prop::sample::Index, bit in 0..8_u8) {
         let mut state = Maintenance::default();
         for name in &names {
             state.record_listed(name);
@@ -60,14 +64,16 @@
         prop_assert_eq!(Maintenance::decode(&bytes[..position.index(bytes.len())]), None);
         let mut corrupted = bytes.clone();
         corrupted[position.index(bytes.len())] ^= 1 << bit;
-        // A hexadecimal digit of the checksum may be in either case.
+        // A flipped bit may only change the case of a hexadecimal digit of the checksum.
         let has_same_checksum = corrupted.eq_ignore_ascii_case(&bytes) && position.index(bytes.len()) < 40;
         prop_assert!(has_same_checksum || Maintenance::decode(&corrupted).is_none());
     }
 }
 
+/// Guards against state that grows without bound, and against a drained endpoint that becomes usable again
+/// because its name was removed from the known names.
 #[test]
-fn the_bounds_hold_and_no_drained_endpoint_is_restored_by_itself() {
+fn full_maintenance_state_rejects_drains_and_keeps_drained_endpoints() {
     let mut state = Maintenance::default();
     for endpoint in 0..=MAX_DRAINED {
         let name = format!("s-{endpoint}");
@@ -77,7 +83,7 @@
             if endpoint < MAX_DRAINED { Ok(()) } else { Err(MaintenanceRejection::TooManyDrained) }
         );
     }
-    assert_eq!(state.drain("s-0"), Ok(()), "again");
+    assert_eq!(state.drain("s-0"), Ok(()), "a repeated drain is accepted");
     for endpoint in 0..MAX_KNOWN_NAMES {
         state.record_listed(&format!("t-{endpoint}"));
     }
@@ -85,9 +91,9 @@
     assert_eq!(
         state.drain(&format!("s-{MAX_DRAINED}")),
         Err(MaintenanceRejection::UnknownEndpoint),
-        "the oldest name, and forgotten"
+        "the oldest name was removed"
     );
-    assert_eq!(state.restore("s-0"), Ok(()), "still known while it is drained");
-    assert!(!state.record_listed(""), "no name");
-    assert!(!state.record_listed("two\nlines"));
+    assert_eq!(state.restore("s-0"), Ok(()), "a drained endpoint stays known");
+    assert!(!state.record_listed(""), "an empty name is rejected");
+    assert!(!state.record_listed("two\nlines"), "a name of two lines is rejected");
 }
--- a/crates/membership/tests/notification_bound.rs
+++ b/crates/membership/tests/notification_bound.rs
@@ -1,4 +1,5 @@
-//! Whatever became of the calls, a change counts as notified six seconds after discovery had it and could be reached.
+//! Checks that no request is forwarded to a draining endpoint after the drain grace, whatever the outcomes of
+//! the calls: a drain counts as notified six seconds after discovery had it and was reachable.
 
 mod notification_simulation;
 
@@ -11,12 +12,14 @@
     QUEUE_LIMIT, SECOND,
 };
 
+/// Guards against requests to a draining endpoint when discovery is down around the time of the drain: the
+/// drain is missed, and counts as notified nevertheless.
 #[test]
-fn no_outage_during_a_drain_lets_requests_through() {
+fn drain_during_an_outage_stops_forwarding_in_time() {
     for outage_kind in OUTAGES {
         for length in [SECOND, 5 * SECOND, 8 * SECOND, 20 * SECOND] {
             for step in 0..60 {
-                // In the outage, in its last moment, just after, and long after.
+                // Drains during the outage, at its last instant, just after and long after it.
                 let (from, to) = (13 * SECOND, 13 * SECOND + length);
                 let drained_at = from - SECOND + (length + 10 * SECOND) * step / 60;
                 for drained_at in [drained_at, to - 1, to, to + 1] {
@@ -37,8 +40,10 @@
     }
 }
 
+/// Guards against requests to a draining endpoint when discovery is up but rejects, closes, truncates or
+/// delays calls around the time of the drain.
 #[test]
-fn no_kind_of_rejection_lets_requests_through() {
+fn drain_during_failing_calls_stops_forwarding_in_time() {
     let late = [1_499, 1_500, 1_501, 2_400, 3_900].map(|ms| CallOutcome::Late(ms * MILLISECOND));
     let outcomes = [
         CallOutcome::QueuedRejection,
@@ -51,7 +56,7 @@
     for outcome in outcomes {
         for seed in 0..120_u64 {
             let drained_at = 9 * SECOND + seed as Micros * 97 * MILLISECOND;
-            // Every second call; all for a while; all but one in four.
+            // The outcome of every second call; of all calls for a while; of three calls in four.
             type OutcomeSequence<'a> = Box<dyn FnMut(&mut Rng, usize, Micros) -> CallOutcome + 'a>;
             let sequences: [OutcomeSequence<'_>; 3] = [
                 Box::new(|_, n, _| if n % 2 == 0 { outcome } else { CallOutcome::Completed }),
@@ -74,7 +79,8 @@
                     drained_at,
                 );
                 if outcome == CallOutcome::QueuedRejection {
-                    // This cannot be told apart from an outage; what it lets through is counted for a fleet.
+                    // A proxy cannot distinguish this from an outage. The test of a fleet counts the requests
+                    // that are forwarded too late because of it.
                     world.presumed_outage = LEASE_TERMS.presumed_outage;
                 }
                 world.run(120 * SECOND, &mut sequence);
@@ -84,8 +90,10 @@
     }
 }
 
+/// Guards against requests to a draining endpoint after a sequence of outages and failing calls, and against
+/// polling in a tight loop.
 #[test]
-fn outages_and_rejections_in_any_order_let_no_request_through() {
+fn outages_and_failing_calls_in_any_order_stop_forwarding_in_time() {
     for seed in 0..3_000_u64 {
         let mut rng = Rng::with_seed(seed);
         let (mut outages, mut at) = (Vec::new(), 0);
@@ -96,8 +104,8 @@
         }
         let outage_kind = OUTAGES[rng.usize(0..OUTAGES.len())];
         let drained_at = rng.i64(0..50 * SECOND);
-        // A discovery that comes back and rejects calls cannot be told apart from one that is still down: what that lets
-        // through is counted for a fleet.
+        // A proxy cannot distinguish a discovery that is up again and rejects calls from one that is still
+        // down. The test of a fleet counts the requests that are forwarded too late because of it.
         let failure_percentage =
             if matches!(outage_kind, OutageKind::QueuedError | OutageKind::ImmediateError) {
                 0
@@ -123,19 +131,22 @@
             .poll_times
             .iter()
             .map(|a| world.poll_times.iter().filter(|b| (*a..*a + SECOND).contains(*b)).count());
-        assert!(calls_per_second.max() <= Some(12), "seed {seed}: polls in a tight loop");
+        assert!(calls_per_second.max() <= Some(12), "seed {seed}: polled in a tight loop");
     }
 }
 
+/// Guards against an outage of discovery that suspends forwarding without need: the suspension must stay
+/// within a bound for each kind and length of outage.
 #[test]
-fn an_outage_suspends_forwarding_no_longer_than_necessary() {
+fn outage_suspends_forwarding_within_its_bound() {
     let mut suspended_times = BTreeMap::new();
     for seed in 0..100 {
         for (outage_kind, length, limit) in [
-            // The kernel proves that nobody could reach it: nothing counts as notified.
+            // The kernel refuses connections, so no proxy could reach discovery, and nothing counts as
+            // notified.
             (OutageKind::ConnectionRefused, 8 * SECOND, 0),
             (OutageKind::ConnectionRefused, 200 * SECOND, 0),
-            // From outside, an outage and an overload look the same.
+            // A proxy cannot distinguish an outage from an overload.
             (OutageKind::QueuedError, 4 * SECOND, 5 * SECOND),
             (OutageKind::QueuedError, 8 * SECOND, 9 * SECOND),
             (OutageKind::QueuedError, 300 * SECOND, 40 * SECOND),
@@ -165,7 +176,7 @@
     for ((outage_kind, length), mut suspended_time) in suspended_times {
         suspended_time.sort_unstable();
         let seconds = |suspended_time: Micros| suspended_time as f64 / SECOND as f64;
-        // Few watches take its first error for a rejection of their call alone.
+        // Only a few watches classify the first error as a rejection of their own call.
         assert!(
             length > 8 || suspended_time[50] <= SECOND / 2,
             "{outage_kind} of {length} s: suspended {} in the median",
@@ -179,8 +190,10 @@
     }
 }
 
+/// Guards against a failing agent that is polled late after its recovery, or that suspends forwarding for
+/// longer than it fails.
 #[test]
-fn an_agent_that_responds_with_an_error_is_polled_at_once_and_not_relied_on() {
+fn failing_agent_is_polled_soon_after_recovery_and_suspends_forwarding_briefly() {
     for seed in 0..200 {
         for outage_kind in [OutageKind::ImmediateError, OutageKind::Closed] {
             let outages = vec![(5 * SECOND, 5 * SECOND + 40 * MILLISECOND * seed as Micros)];
@@ -196,7 +209,7 @@
             let polled_at = world.poll_times.iter().find(|at| **at >= outages[0].1).expect("polled again");
             assert!(
                 polled_at - outages[0].1 <= 205 * MILLISECOND,
-                "{outage_kind:?}: polled {} after its return",
+                "{outage_kind:?}: polled {} after its recovery",
                 polled_at - outages[0].1
             );
             let allowed =
@@ -207,7 +220,7 @@
                 world.suspended_time
             );
         }
-        // An agent that is absent has no change.
+        // An absent agent has no changes, so it suspends nothing.
         let mut world = World::new(
             PUSHED,
             InitialList::Unconfirmed,
@@ -221,8 +234,10 @@
     }
 }
 
+/// Guards against a process that starts without a list, cannot serve, and polls late after discovery
+/// recovers.
 #[test]
-fn a_first_list_is_polled_at_once_and_again_within_two_seconds() {
+fn missing_list_is_polled_within_a_second_and_soon_after_an_outage() {
     for seed in 0..200 {
         for outage_kind in OUTAGES {
             let mut world = World::new(
--- a/crates/membership/tests/notification_bound_fleet.rs
+++ b/crates/membership/tests/notification_bound_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet before one discovery of limited capacity: every proxy receives a drain before it counts as notified, and the calls
-//! stay within the capacity. Figures of forwarding past the grace are printed.
+//! Simulates a fleet of proxies and one discovery of limited capacity. Checks that every proxy receives a
+//! drain in time and that the number of calls is bounded. Prints how often requests were forwarded after the
+//! drain grace.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,20 +19,21 @@
     presumed_outage: 8 * SECOND,
 };
 const POLLED: WatchPolicy = WatchPolicy { mode: DiscoveryMode::Polled, lease: Some(LEASE_TERMS) };
-/// Changes that a reachable discovery had count as notified after this.
+/// The time from a change at a reachable discovery until the change counts as notified.
 const NOTIFIED_AFTER: Micros = 6 * SECOND;
-/// Discovery rejects calls that are queued for longer.
+/// The longest time that discovery queues a call before it rejects it.
 const QUEUE_LIMIT: Micros = 2 * SECOND;
 
-/// A fleet with one discovery that serves calls in turn, at a given rate, and rejects those that would queue for two seconds.
+/// A fleet and one discovery that serves calls in turn at a given rate and rejects those that would queue for
+/// longer than [`QUEUE_LIMIT`].
 struct Fleet {
     watches: Vec<DiscoveryWatch>,
     pending_events: BTreeMap<(Micros, u64), (usize, WatchEvent)>,
     scheduled_count: u64,
-    /// When discovery has served the calls that it accepted.
+    /// When discovery will have served all calls that it accepted.
     busy_until: Micros,
     call_cost: Micros,
-    /// The proxies start within this.
+    /// The period over which the starts of the proxies are spread.
     start_spread: Micros,
     outage: (Micros, Micros),
     drained_at: Micros,
@@ -118,7 +120,7 @@
         self.schedule(ends + MILLISECOND, proxy, WatchEvent::ResponseCompleted { call: id, changed });
     }
 
-    /// Runs an outage and a drain; returns how often requests were forwarded too late.
+    /// Runs an outage and a drain. Returns how often requests were forwarded after the drain grace.
     fn run(&mut self, end: Micros) -> usize {
         let mut late_forwards = 0;
         for proxy in 0..self.watches.len() {
@@ -169,7 +171,7 @@
                     WatchAction::CloseCall { call: id } => self.pending_events.retain(|_, (index, event)| {
                         *index != proxy || !matches!(event, WatchEvent::ResponseCompleted { call: other, .. } | WatchEvent::CallFailed { call: other, .. } if *other == id)
                     }),
-                    WatchAction::WatchEnded => unreachable!("it polls by itself"),
+                    WatchAction::WatchEnded => unreachable!("a watch with lease terms does not end"),
                 }
             }
         }
@@ -177,15 +179,17 @@
     }
 }
 
-/// When a process of a fleet starts, where all start within this time.
+/// Returns when a proxy of the fleet starts, given the period within which all start.
 fn start_of(proxy: usize, within: Micros) -> Micros {
     (proxy as Micros * 37 * MILLISECOND) % within
 }
 
+/// Guards against retries after an outage that overload discovery, so that proxies receive a drain too late.
 #[test]
-fn a_fleet_receives_a_drain_in_time_within_the_capacity_of_discovery() {
+fn fleet_receives_a_drain_during_an_outage_in_time_with_bounded_calls() {
     for proxies in [1_usize, 30, 350] {
-        // One call of every proxy in two to eight seconds; outages up to the longest that is presumed, and longer ones.
+        // Discovery serves one call of every proxy in two to eight seconds. The outages are shorter than, as
+        // long as and longer than the longest presumed outage.
         for (fleet_round, length) in [2, 4, 6, 8]
             .into_iter()
             .flat_map(|rounds| [2, 5, 8, 12].map(|length| (rounds * SECOND, length * SECOND)))
@@ -211,8 +215,8 @@
             }
             suspended_time.sort_unstable();
             println!(
-                "{proxies} proxies, a round in {} s, down for {} s: {:.1} calls a second in the 20 s from then, {max_calls} at most; \
-                 suspended {:.2} s in the mean, {:.2} s at most; {late_forwards} times forwarded past the grace",
+                "{proxies} proxies, a round in {} s, down for {} s: {:.1} calls per second in the 20 s from then, {max_calls} at most; \
+                 suspended {:.2} s on average, {:.2} s at most; {late_forwards} times forwarded after the grace",
                 fleet_round / SECOND,
                 length / SECOND,
                 call_count as f64 / 20.0 / runs as f64,
@@ -221,15 +225,17 @@
             );
             assert!(
                 late_forwards == 0 || fleet_round > 4 * SECOND,
-                "{proxies} proxies: forwarded past the grace"
+                "{proxies} proxies: forwarded after the grace"
             );
             assert!(max_calls <= 2 * proxies + 2, "{proxies} proxies: {max_calls} calls in a second");
         }
     }
 }
 
+/// Guards against a fleet that starts within a second and overloads discovery, so that proxies receive a
+/// drain too late.
 #[test]
-fn a_fleet_that_starts_at_once_receives_a_drain_in_time() {
+fn fleet_that_starts_together_receives_a_drain_in_time() {
     for proxies in [30_usize, 350] {
         for fleet_round in [2 * SECOND, 4 * SECOND, 6 * SECOND, 8 * SECOND] {
             let (mut suspended_time, mut late_forwards) = (Vec::new(), 0);
@@ -243,21 +249,23 @@
             }
             suspended_time.sort_unstable();
             println!(
-                "{proxies} proxies that start within a second, a round in {} s: {late_forwards} of {} times forwarded past the grace; suspended {:.2} s at most",
+                "{proxies} proxies that start within a second, a round in {} s: {late_forwards} of {} times forwarded after the grace; suspended {:.2} s at most",
                 fleet_round / SECOND,
                 suspended_time.len(),
                 suspended_time[suspended_time.len() - 1] as f64 / SECOND as f64
             );
             assert!(
                 late_forwards == 0 || fleet_round > 4 * SECOND,
-                "{proxies} proxies: forwarded past the grace"
+                "{proxies} proxies: forwarded after the grace"
             );
         }
     }
 }
 
+/// Guards against backoff that leaves discovery idle while processes without a list cannot serve: at least
+/// nine tenths of the calls that discovery can answer in ten seconds must give a list.
 #[test]
-fn a_hundred_processes_without_a_list_use_the_full_capacity_of_discovery() {
+fn processes_without_a_list_use_the_capacity_of_discovery() {
     for (calls_per_second, outage_length) in [(4, 0), (4, SECOND), (12, 0), (12, SECOND), (40, SECOND)] {
         let (mut ready_count, mut min_ready, mut ready_times) = (0, usize::MAX, Vec::new());
         for seed in 0..20_u64 {
@@ -273,18 +281,21 @@
             let in_time =
                 fleet.received_at.iter().filter(|at| at.is_some_and(|at| at <= 10 * SECOND)).count();
             (ready_count, min_ready) = (ready_count + in_time, min_ready.min(in_time));
-            ready_times.extend(fleet.received_at.iter().map(|at| at.expect("all have a list in the end")));
+            ready_times.extend(fleet.received_at.iter().map(|at| at.expect("all have a list at the end")));
         }
         ready_times.sort_unstable();
         let answerable = ((10 * SECOND - outage_length) * calls_per_second / SECOND).min(100) as usize;
         println!(
-            "{calls_per_second} calls a second, back after {} s: {} of 100 ready within 10 s, {min_ready} at least; discovery could answer {answerable}; \
+            "{calls_per_second} calls per second, up after {} s: {} of 100 ready within 10 s, {min_ready} at least; discovery could answer {answerable}; \
              the median after {:.1} s, the last after {:.1} s",
             outage_length / SECOND,
             ready_count / 20,
             ready_times[ready_times.len() / 2] as f64 / SECOND as f64,
             ready_times[ready_times.len() - 1] as f64 / SECOND as f64
         );
-        assert!(10 * min_ready >= 9 * answerable, "{calls_per_second} a second: {min_ready} of {answerable}");
+        assert!(
+            10 * min_ready >= 9 * answerable,
+            "{calls_per_second} calls per second: {min_ready} of {answerable}"
+        );
     }
 }
--- a/crates/membership/tests/notification_simulation/mod.rs
+++ b/crates/membership/tests/notification_simulation/mod.rs
@@ -1,7 +1,7 @@
-//! One proxy's watch and one discovery that fails, in simulated time, with an oracle of the platform's rule.
+//! Simulates the watch of one proxy and a discovery that fails, with an oracle of the platform's rule.
 //!
-//! The oracle knows when discovery is up and when the endpoint was drained, and nothing of the state of the watch. Requests are
-//! taken to be forwarded at every moment at which forwarding is not suspended.
+//! The oracle uses only the times of outages and of the drain, and no state of the watch. Requests are
+//! assumed to be forwarded whenever forwarding is not suspended.
 
 use std::collections::BTreeMap;
 
@@ -22,23 +22,23 @@
 };
 pub const POLLED: WatchPolicy = WatchPolicy { mode: DiscoveryMode::Polled, lease: Some(LEASE_TERMS) };
 pub const PUSHED: WatchPolicy = WatchPolicy { mode: DiscoveryMode::Pushed, lease: Some(LEASE_TERMS) };
-/// Changes that a reachable discovery had count as notified after this.
+/// The time from a change at a reachable discovery until the change counts as notified.
 pub const NOTIFIED_AFTER: Micros = 6 * SECOND;
-/// Discovery rejects calls that are queued for longer.
+/// The longest time that discovery queues a call before it rejects it.
 pub const QUEUE_LIMIT: Micros = 2 * SECOND;
 
 /// How calls end while discovery is down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageKind {
-    /// Nothing listens.
+    /// No process listens, so the kernel refuses connections.
     ConnectionRefused,
-    /// Queued for two seconds, and then an error.
+    /// Calls are queued for two seconds and end with an error.
     QueuedError,
-    /// An error at once.
+    /// Calls end with an error at once.
     ImmediateError,
-    /// Accepted and closed.
+    /// Connections are accepted and closed.
     Closed,
-    /// No connection comes about.
+    /// No connection is established.
     Unreachable,
 }
 
@@ -54,15 +54,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
     Completed,
-    /// Overload: an error after two seconds.
+    /// The call is rejected after two seconds in the queue, as in an overload.
     QueuedRejection,
     ImmediateRejection,
     Closed,
-    /// The connection comes about this late.
+    /// The connection is established this late.
     Late(Micros),
     Truncated,
 }
 
+/// One proxy and one discovery with outages; one endpoint drains.
 pub struct World {
     watch: DiscoveryWatch,
     rng: Rng,
@@ -74,11 +75,11 @@
     drained_at: Micros,
     pub drain_received: bool,
     brings_drain: BTreeMap<CallId, bool>,
-    /// The calls that discovery holds, and until when.
+    /// The calls that discovery holds, with the end of each hold.
     held_calls: BTreeMap<CallId, Micros>,
     pub poll_times: Vec<Micros>,
     pub suspended_time: Micros,
-    /// How long the watch presumes an outage.
+    /// The extra time after the drain counts as notified before the check applies.
     pub presumed_outage: Micros,
 }
 
@@ -113,7 +114,7 @@
         self.outages.iter().any(|(from, to)| (*from..*to).contains(&at))
     }
 
-    /// When the drain counts as notified, by the rule alone; each outage makes the time count anew.
+    /// Returns when the drain counts as notified by the platform's rule. Each outage restarts the time.
     fn notified_at(&self) -> Micros {
         let mut reached = self.drained_at;
         for (from, to) in &self.outages {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// From then on discovery holds the call until there is a change, or until it goes down.
+    /// Schedules the end of a call that discovery holds from `from` on, until there is a change or an outage.
     fn watch_from(&mut self, id: CallId, from: Micros, wait: Micros) {
         let wait_ends = from + wait;
         let ends = if self.drain_received || self.drained_at > wait_ends {
@@ -174,7 +175,8 @@
         };
         let outage_start = self.outages.iter().map(|outage| outage.0).find(|at| (from..=ends).contains(at));
         if let Some(outage_start) = outage_start {
-            // One that shuts down answers its watches with errors; one that crashes has its connections reset.
+            // A discovery that shuts down ends its watches with errors; one that crashes resets its
+            // connections.
             let sends_errors =
                 matches!(self.outage_kind, OutageKind::QueuedError | OutageKind::ImmediateError);
             let failure = if sends_errors { CallFailure::ErrorResponse } else { CallFailure::ConnectionLost };
@@ -226,14 +228,15 @@
                             !matches!(event, WatchEvent::ResponseStarted { call: other } | WatchEvent::ResponseCompleted { call: other, .. } | WatchEvent::ResponseTruncated { call: other } | WatchEvent::CallFailed { call: other, .. } if *other == id)
                         });
                     }
-                    // As the proxy does where lists are pushed.
+                    // The proxy starts the watch again like this if lists are pushed.
                     WatchAction::WatchEnded => self.schedule(at + 250 * MILLISECOND, WatchEvent::StartWatch),
                 }
             }
         }
     }
 
-    /// Checks the time until then, in which there is no event.
+    /// Checks the period from now to `to`, in which there is no event, for requests that are forwarded too
+    /// late.
     fn check_until(&mut self, to: Micros) {
         let expiry = self.watch.expiry().map(|expiry| (expiry.from, expiry.until));
         if let Some((from, until)) = expiry {
@@ -243,7 +246,7 @@
             return;
         }
         let from = self.now.max(self.notified_at() + self.presumed_outage + DRAIN_GRACE);
-        // Forwarding is suspended for this long and no longer.
+        // After the longest suspension, forwarding is allowed again.
         let to = to.min(
             expiry
                 .map_or(to, |(begin, end)| if end >= begin + LEASE_TERMS.max_suspension { end } else { to }),
--- a/crates/membership/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -1,4 +1,5 @@
-//! A watch against a discovery that misbehaves: nothing is forwarded after the bound, and polls are neither rare nor dense.
+//! Tests a watch with a discovery whose calls end in various ways: no request is forwarded after the bound of
+//! the lease, and the rate of polls stays within limits.
 
 mod watch_simulation;
 
@@ -9,9 +10,11 @@
     polled_policy, running, CallOutcome, World, DRAIN_GRACE, LEASE_TERMS, MILLISECOND, OUTCOMES, SECOND,
 };
 
+/// Guards against requests to a draining endpoint when the call at the time of the drain and its retries end
+/// in any two ways.
 #[test]
-fn no_call_outcome_during_a_drain_lets_requests_through_after_the_bound() {
-    // The call that is in flight at the drain has one outcome, and those after it another.
+fn any_two_call_outcomes_during_a_drain_stop_forwarding_at_the_bound() {
+    // The call in flight at the drain ends as `first`, and the calls in the 25 s after it as `later`.
     for first in OUTCOMES {
         for later in OUTCOMES {
             for step in 0..160 {
@@ -39,8 +42,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
+    /// Guards against requests to a draining endpoint, and against polling in a tight loop, after any
+    /// sequence of call outcomes.
     #[test]
-    fn nothing_is_forwarded_after_the_bound_in_any_order_of_outcomes(
+    fn call_outcomes_in_any_order_stop_forwarding_at_the_bound(
         seed: u64,
         drained_at in 0..30 * SECOND,
         outcomes in proptest::collection::vec(0..OUTCOMES.len(), 1..60),
@@ -51,7 +56,7 @@
         });
         prop_assert!(world.max_calls <= 2);
         prop_assert_eq!(world.received_version, 1);
-        // Whatever the outcomes, discovery is not polled in a tight loop.
+        // Discovery is not polled in a tight loop.
         for at in &world.polls {
             let calls_per_second = world.polls.iter().filter(|other| other.0 >= at.0 && other.0 < at.0 + SECOND).count();
             prop_assert!(calls_per_second <= 12, "{} calls in a second", calls_per_second);
@@ -59,8 +64,10 @@
     }
 }
 
+/// Guards against a suspension of forwarding after a single incomplete response: the retry must come before
+/// its changes count as notified.
 #[test]
-fn a_truncated_response_is_retried_before_forwarding_is_suspended() {
+fn incomplete_response_is_retried_before_forwarding_is_suspended() {
     for seed in 0..200 {
         for first in
             [CallOutcome::Truncated, CallOutcome::Stalled, CallOutcome::Malformed, CallOutcome::Silent]
@@ -78,16 +85,18 @@
             let (retried_at, wait) = world.polls[1];
             assert!(
                 !suspended && retried_at < world.notified_at.expect("notified"),
-                "{first:?}, seed {seed}: again at {retried_at}"
+                "{first:?}, seed {seed}: retried at {retried_at}"
             );
-            assert!(wait <= 250 * MILLISECOND, "a long wait would show late whether anything was missed");
+            assert!(wait <= 250 * MILLISECOND, "a long wait would delay the check for a missed change");
         }
     }
 }
 
+/// Guards against a suspension of forwarding when no change can have been notified: connections are refused,
+/// no lease terms are set, or a pushed agent is silent.
 #[test]
-fn an_outage_of_discovery_does_not_suspend_forwarding() {
-    // Nobody can reach it, so nothing counts as notified, for however long.
+fn outage_without_a_possible_notification_does_not_suspend_forwarding() {
+    // No proxy can reach discovery, so nothing counts as notified, however long the outage lasts.
     let mut world = World::new(polled_policy(), 7, 300 * SECOND);
     let mut rng = Rng::with_seed(7);
     world.run(120 * SECOND, &mut rng, &mut |_, at| {
@@ -103,8 +112,11 @@
         world.watch.expiry()
     );
     let calls = world.polls.iter().filter(|(at, _)| *at > 20 * SECOND).count();
-    assert!((50..=200).contains(&calls), "it is polled steadily, and in no tight loop: {calls}");
-    // Standalone mode: nothing bounds the time of a drain.
+    assert!(
+        (50..=200).contains(&calls),
+        "discovery is polled steadily, but not in a tight loop: {calls} calls"
+    );
+    // Standalone mode: no terms bound the use of the list.
     for outcome in [CallOutcome::ConnectionRefused, CallOutcome::QueuedRejection] {
         let mut world = World::new(WatchPolicy { mode: DiscoveryMode::Polled, lease: None }, 7, 300 * SECOND);
         world.run(120 * SECOND, &mut rng, &mut |_, at| {
@@ -114,18 +126,19 @@
                 outcome
             }
         });
-        assert!(world.watch.expiry().is_none(), "{outcome:?}: the list is relied on");
-        assert!(world.watch_ends.len() > 10, "{outcome:?}: polling again is up to the balancer");
+        assert!(world.watch.expiry().is_none(), "{outcome:?}: the list stays in use");
+        assert!(world.watch_ends.len() > 10, "{outcome:?}: the watch ends, and the balancer starts it again");
     }
-    // Lists that are pushed: the silence of an agent means that nothing has changed.
+    // Pushed lists: the silence of an agent means that nothing has changed.
     let pushed = WatchPolicy { mode: DiscoveryMode::Pushed, lease: Some(LEASE_TERMS) };
     let mut world = World::new(pushed, 7, 300 * SECOND);
     world.run(120 * SECOND, &mut Rng::with_seed(7), &mut |_, _| CallOutcome::Silent);
     assert!(world.watch.expiry().is_none() && world.watch_ends.len() > 10);
 }
 
+/// Guards against an endless suspension, and against frequent retries, when every response is truncated.
 #[test]
-fn forwarding_is_suspended_for_a_bounded_time() {
+fn missing_responses_suspend_forwarding_for_a_bounded_time() {
     let mut world = World::new(polled_policy(), 3, 2 * SECOND);
     world.run(200 * SECOND, &mut Rng::with_seed(3), &mut |_, _| CallOutcome::Truncated);
     let Expiry { from, until, .. } = world.watch.expiry().expect("suspended");
@@ -134,14 +147,15 @@
         from <= notified_at + DRAIN_GRACE - 100 * MILLISECOND && until == from + LEASE_TERMS.max_suspension,
         "{from} to {until}, notified at {notified_at}"
     );
-    // Retries are rare by then.
+    // Retries are infrequent by then.
     let late_calls = world.polls.iter().filter(|(at, _)| *at > 100 * SECOND).count();
     assert!((15..90).contains(&late_calls), "{late_calls} calls in 100 s");
 }
 
+/// Guards against a fleet that retries at the same time because its proxies started together.
 #[test]
 fn proxies_that_started_together_retry_at_different_times() {
-    // Forty proxies, and a discovery that does not respond to their first calls.
+    // Discovery does not respond to the first calls of forty proxies.
     let mut retried_at: Vec<Micros> = (0..40)
         .map(|seed| {
             let mut world = World::new(polled_policy(), seed, 300 * SECOND);
@@ -164,8 +178,10 @@
     assert!(max_in_a_second < Some(20), "{max_in_a_second:?} of 40 retry within a second");
 }
 
+/// Guards against a list of the old address that stays in use: the version at the new address is unknown, so
+/// the full list must be requested at once.
 #[test]
-fn a_changed_address_is_polled_for_the_full_list_at_once() {
+fn changed_address_is_polled_for_the_full_list_at_once() {
     let mut watch = running(polled_policy(), 1);
     let mut actions = Vec::new();
     watch.handle(0, WatchEvent::StartWatch, &mut actions);
@@ -173,10 +189,10 @@
     let WatchAction::Poll { call: first, .. } = actions[0] else { panic!("{actions:?}") };
     let WatchAction::Poll { call: second, wait: 0 } = actions[2] else { panic!("{actions:?}") };
     assert_eq!(actions[1], WatchAction::CloseCall { call: first });
-    // Reports of calls to the old address are ignored.
+    // Events of calls to the old address are ignored.
     actions.clear();
     watch.handle(SECOND, WatchEvent::ResponseTruncated { call: first }, &mut actions);
-    let expiry = watch.expiry().expect("a list never lacks a bound");
+    let expiry = watch.expiry().expect("every list with lease terms has a bound");
     assert!(actions.is_empty() && expiry.from >= SECOND + 6 * SECOND, "{expiry:?}");
     watch.handle(SECOND, WatchEvent::ResponseCompleted { call: second, changed: true }, &mut actions);
     assert!(matches!(actions[..], [WatchAction::Poll { wait, .. }] if wait >= 3 * SECOND), "{actions:?}");
--- a/crates/membership/tests/watch_simulation/mod.rs
+++ b/crates/membership/tests/watch_simulation/mod.rs
@@ -1,7 +1,8 @@
-//! One proxy's watch and a discovery that misbehaves, in simulated time.
+//! Simulates the watch of one proxy and a discovery whose calls end in various ways.
 //!
-//! The stand-in follows the platform's rule: a change that it begins to write counts as notified two seconds after the wait of its
-//! call ended, whether it arrives or not. The test checks what is forwarded against that, not against the state of the watch.
+//! The simulated discovery follows the platform's rule: a change that it begins to write counts as notified
+//! two seconds after the wait of its call ended, received or not. Forwarding is checked against that rule,
+//! not against the state of the watch.
 
 use std::collections::BTreeMap;
 
@@ -26,15 +27,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
     Completed,
-    /// Its head is received, and then the connection breaks.
+    /// The head of the response is received, and then the connection breaks.
     Truncated,
-    /// Its head is received, and nothing more.
+    /// The head of the response is received, and nothing after it.
     Stalled,
     Malformed,
     Silent,
-    /// Refused at once.
+    /// The connection is refused at once.
     ConnectionRefused,
-    /// Queued for two seconds, and then rejected.
+    /// The call is queued for two seconds and then rejected.
     QueuedRejection,
 }
 
@@ -48,22 +49,23 @@
     CallOutcome::QueuedRejection,
 ];
 
-/// One proxy and one discovery, whose list changes at one moment: an endpoint drains.
+/// One proxy and one discovery whose list changes once: an endpoint drains.
 pub struct World {
     pub watch: DiscoveryWatch,
     pub now: Micros,
-    /// Scheduled events, in the order of their times.
+    /// The scheduled events, ordered by time.
     pending_events: BTreeMap<(Micros, u64), WatchEvent>,
     scheduled_count: u64,
     drained_at: Micros,
-    /// The version of the list in hand: 1 with the drain.
+    /// The version of the received list: 0 without the drain, 1 with it.
     pub received_version: u64,
-    /// The version that each call in flight will bring.
+    /// The version of the list that each call in flight will return.
     version_by_call: BTreeMap<CallId, u64>,
     /// When the drain counts as notified.
     pub notified_at: Option<Micros>,
-    /// From when on a change may have been notified since the last complete response.
+    /// When a change since the last complete response may count as notified.
     in_doubt_from: Option<Micros>,
+    /// The time and the wait of each poll.
     pub polls: Vec<(Micros, Micros)>,
     pub watch_ends: Vec<Micros>,
     pub max_calls: usize,
@@ -96,7 +98,7 @@
         self.notified_at = Some(self.notified_at.map_or(at, |notified_at| notified_at.min(at)));
     }
 
-    /// Schedules the events of a call that ends in this way.
+    /// Schedules the events of a call with this outcome.
     fn call(&mut self, id: CallId, wait: Micros, outcome: CallOutcome) {
         self.polls.push((self.now, wait));
         let held_until =
@@ -143,13 +145,13 @@
             CallOutcome::Truncated | CallOutcome::Malformed | CallOutcome::Stalled if has_change => {
                 self.notify(notified_by)
             }
-            // Silence can be known only when the wait is over.
+            // A missing response is detected only when the wait is over.
             CallOutcome::Silent if has_change => self.notify(self.now + wait + 2 * SECOND),
             _ => {}
         }
     }
 
-    /// Runs until `end`; `outcome` says how each call ends, by its number and time.
+    /// Runs until `end`. `outcome` returns how a call ends, given the number and the time of the call.
     pub fn run(&mut self, end: Micros, rng: &mut Rng, outcome: &mut dyn FnMut(usize, Micros) -> CallOutcome) {
         self.schedule(0, WatchEvent::StartWatch);
         let mut calls_in_flight = 0_usize;
@@ -159,7 +161,7 @@
             let event = self.pending_events.first_key_value().map(|(&(at, _), _)| at);
             let wake = self.watch.wake_at().map(|at| at.max(self.now));
             let Some(at) = event.into_iter().chain(wake).min() else { break };
-            // Requests come all the time: is any forwarded that must not be?
+            // Requests are assumed to arrive at all times.
             self.check_no_late_forward(self.now, at.min(end));
             self.now = at;
             let event = match event {
@@ -199,7 +201,7 @@
                     }
                     WatchAction::WatchEnded => {
                         self.watch_ends.push(at);
-                        // As the balancer does.
+                        // The balancer starts the watch again like this.
                         let pause = rng.i64(1..=SECOND);
                         self.schedule(at + pause, WatchEvent::StartWatch);
                     }
@@ -208,11 +210,11 @@
         }
     }
 
-    /// Checks a time without events: was anything forwarded to the draining endpoint too late?
+    /// Checks a period without events for requests that are forwarded to the draining endpoint too late.
     fn check_no_late_forward(&self, from: Micros, to: Micros) {
         let Some(notified_at) = self.notified_at.filter(|_| self.received_version == 0) else { return };
         let forwarding_ends = notified_at + DRAIN_GRACE;
-        // After that the list is relied on again, whatever comes.
+        // After the longest suspension, the list is used again in any case.
         let last = self.in_doubt_from.map_or(Micros::MAX, |doubt| {
             doubt + DRAIN_GRACE - DRAIN_MARGIN + LEASE_TERMS.max_suspension - SECOND / 2
         });
@@ -228,7 +230,7 @@
     }
 }
 
-/// A watch whose list was confirmed a second before the run starts.
+/// Creates a watch whose list was confirmed one second before the run starts.
 pub fn running(policy: WatchPolicy, seed: u64) -> DiscoveryWatch {
     let mut watch = DiscoveryWatch::new(policy, InitialList::Unconfirmed, -SECOND, seed);
     let mut actions = Vec::new();
