--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -4,70 +4,72 @@
 
 use crate::Micros;
 
-/// What a table may store.
+/// The limits of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableLimits {
-    /// Keys, in progress or completed.
+    /// The maximum number of keys, in progress or completed.
     pub max_keys: usize,
-    /// Bytes of responses, as the callers of [`IdempotencyTable::complete`] state them.
+    /// The maximum total size of responses, in bytes as passed to [`IdempotencyTable::complete`].
     pub max_response_bytes: usize,
 }
 
 impl Default for TableLimits {
-    /// 65,536 keys and 16 MiB of responses.
+    /// Returns limits of 65,536 keys and 16 MiB of responses.
     fn default() -> Self {
         TableLimits { max_keys: 1 << 16, max_response_bytes: 16 << 20 }
     }
 }
 
-/// What a table stores at present.
+/// The present usage of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableUsage {
-    /// Keys, in progress or completed.
+    /// The number of keys, in progress or completed.
     pub keys: usize,
-    /// Bytes of responses.
+    /// The total size of responses, in bytes.
     pub response_bytes: usize,
 }
 
 /// The result of [`IdempotencyTable::reserve`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReserveOutcome<R> {
-    /// The key is new and now reserved: the request may be executed, and has to be completed or released.
+    /// The key is new and now reserved: the request may be executed, and must be completed or released.
     Reserved(ReservationId),
     /// A request with the key is in progress.
     InProgress,
     /// A request with the key was served, with this response.
     Completed(R),
-    /// A request with the key was served, and its response is no longer stored.
+    /// A request with the key was served, but its response is no longer stored.
     ResponseEvicted,
-    /// There is no room for another key.
+    /// The table holds [`TableLimits::max_keys`] keys, and this key is not one of them.
     TableFull {
-        /// When there may be room, from now; 0 if that is unknown.
+        /// The time until a key expires, in microseconds; 0 if it is unknown because all keys are in
+        /// progress.
         retry_after: Micros,
     },
 }
 
-/// The reservation of a key by a request in progress.
+/// The identifier of the reservation of a key by a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReservationId(u64);
 
-/// A response, and the bytes that it counts for.
+/// A response, and its size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredResponse<R> {
     /// The response.
     pub response: R,
-    /// Its size in bytes.
+    /// The size that counts against [`TableLimits::max_response_bytes`], in bytes.
     pub bytes: usize,
 }
 
-/// A key; those of different classes are different.
+/// A key within a class. The same key in another class is a different key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ScopedKey {
     class: Box<str>,
     key: Box<str>,
 }
 
-/// The end of a completed key's retention. Ordered by time; the reservation tells apart those of the same time.
+/// The end of the retention of a completed key, ordered by time. The reservation distinguishes ends at the
+/// same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Micros,
@@ -80,7 +82,7 @@
     Completed { response: Option<StoredResponse<R>> },
 }
 
-/// The table of keys, with responses of type `R`.
+/// A table of idempotency keys, with responses of type `R`.
 #[derive(Debug)]
 pub struct IdempotencyTable<R> {
     limits: TableLimits,
@@ -88,13 +90,13 @@
     entries: HashMap<ScopedKey, Entry<R>>,
     in_progress: HashMap<ReservationId, ScopedKey>,
     completed: BTreeMap<Expiry, ScopedKey>,
-    /// Those of `completed` whose response is stored.
+    /// The entries of `completed` whose response is stored.
     with_response: BTreeMap<Expiry, ScopedKey>,
     response_bytes: usize,
 }
 
 impl<R: Clone> IdempotencyTable<R> {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(limits: TableLimits) -> IdempotencyTable<R> {
         IdempotencyTable {
@@ -108,19 +110,20 @@
         }
     }
 
-    /// Changes the limits. Keys over the new limit stay until they expire; responses over it are evicted at once.
+    /// Changes the limits. Keys over the new limit stay until they expire; responses over the new limit are
+    /// evicted at once.
     pub fn set_limits(&mut self, limits: TableLimits) {
         self.limits = limits;
         self.evict_responses();
     }
 
-    /// What is stored, including what has expired since the last call that took a time.
+    /// Returns the present usage. It includes entries that have expired since the last call with a time.
     #[must_use]
     pub fn usage(&self) -> TableUsage {
         TableUsage { keys: self.entries.len(), response_bytes: self.response_bytes }
     }
 
-    /// Reserves the key for a request of this class, or tells what is known of it.
+    /// Reserves the key for a request of this class, or returns the state of the key.
     pub fn reserve(&mut self, now: Micros, class: &str, key: &str) -> ReserveOutcome<R> {
         self.remove_expired(now);
         let scoped_key = ScopedKey { class: class.into(), key: key.into() };
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Completes a request that was served. Its key is known for `retention` from now on. No effect on a reservation
-    /// that has ended.
+    /// Completes a request that was served, and retains its key for `retention` microseconds from `now`. Has
+    /// no effect if the reservation has ended.
     pub fn complete(
         &mut self,
         now: Micros,
@@ -159,8 +162,8 @@
         self.remove_expired(now);
     }
 
-    /// Releases the key of a request that was not served, or whose result is unknown. No effect on a reservation that
-    /// has ended.
+    /// Releases the key of a request that was not served, or whose result is unknown. Has no effect if the
+    /// reservation has ended.
     pub fn release(&mut self, reservation: ReservationId) {
         if let Some(scoped_key) = self.in_progress.remove(&reservation) {
             self.entries.remove(&scoped_key);
@@ -175,14 +178,14 @@
         reservation
     }
 
-    /// When the next completed key expires, from now; 0 where all keys are in progress.
+    /// Returns the time from `now` until the next completed key expires; 0 if all keys are in progress.
     fn time_to_next_expiry(&self, now: Micros) -> Micros {
         let next_expiry = self.completed.first_key_value();
         next_expiry.map_or(0, |(expiry, _)| (expiry.at - now).max(0))
     }
 
-    /// Evicts the responses that expire next until the rest is within the limit: they have the least time left in which
-    /// they can be asked for.
+    /// Evicts the responses that expire next until the rest is within the limit. These responses have the
+    /// least time left in which they can be requested.
     fn evict_responses(&mut self) {
         while self.response_bytes > self.limits.max_response_bytes {
             let Some((_, scoped_key)) = self.with_response.pop_first() else { break };
--- a/crates/idempotency/tests/properties.rs
+++ b/crates/idempotency/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The table under simulated time, over many seeds, against a plain model without limits.
+//! Compares the table with a plain model without limits, in simulated time and for many seeds.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// The table beside the model.
+/// The table and its model.
 struct Run {
     seed: u64,
     random: fastrand::Rng,
@@ -87,17 +87,19 @@
             (ReserveOutcome::InProgress, Some(ModelEntry::InProgress))
             | (ReserveOutcome::ResponseEvicted, Some(ModelEntry::Completed { .. })) => {}
             (ReserveOutcome::Completed(given), Some(ModelEntry::Completed { response, .. })) => {
-                assert_eq!(given, *response, "seed {seed}: the response of another request");
+                assert_eq!(given, *response, "seed {seed}: response of another request");
             }
-            // Only an unknown key is rejected, and only at the limit.
+            // A key is rejected only if it is unknown and the table is full.
             (ReserveOutcome::TableFull { .. }, None) => {
                 assert_eq!(self.table.usage().keys, self.limits.max_keys, "seed {seed}");
             }
-            (outcome, _) => panic!("seed {seed}, {now}: {key} comes to {outcome:?}"),
+            (outcome, _) => panic!("seed {seed}, time {now}: unexpected outcome for {key}: {outcome:?}"),
         }
     }
 }
 
+/// Guards against a key that is executed twice, or that gets the response of another request, in any order of
+/// requests, completions and releases at small limits.
 #[test]
 fn no_key_is_executed_while_it_is_in_progress_or_within_its_retention() {
     for seed in 0..300 {
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -1,4 +1,4 @@
-//! The life of a key in the table, and the table at its limits.
+//! Tests the states of a key, and the table at its limits.
 
 use idempotency::{IdempotencyTable, ReservationId, ReserveOutcome, StoredResponse, TableLimits, TableUsage};
 
@@ -11,8 +11,9 @@
     StoredResponse { response, bytes }
 }
 
+/// Guards against a key that skips a state, and against an ended reservation that affects a later one.
 #[test]
-fn a_key_is_in_progress_then_completed_then_expired() {
+fn key_is_in_progress_then_completed_then_expired() {
     let mut table = IdempotencyTable::new(TableLimits::default());
     let first = reservation(&table.reserve(0, "report", "k"));
     assert_eq!(table.reserve(1, "report", "k"), ReserveOutcome::InProgress);
@@ -22,7 +23,7 @@
     assert_eq!(table.reserve(59, "report", "k"), ReserveOutcome::Completed(7));
     let second = reservation(&table.reserve(60, "report", "k"));
     assert_ne!(second, first);
-    // A late end of the first has no effect.
+    // The end of the first reservation has no effect on the second.
     table.complete(61, first, response(8, 100), 50);
     table.release(first);
     assert_eq!(table.reserve(61, "report", "k"), ReserveOutcome::InProgress);
@@ -31,15 +32,17 @@
     assert_eq!(table.usage(), TableUsage { keys: 0, response_bytes: 0 });
 }
 
+/// Guards against a key that is removed before its retention ends, and so executed twice, because the table
+/// is full.
 #[test]
-fn no_key_is_executed_twice_at_the_limits() {
+fn full_table_evicts_responses_and_rejects_new_keys() {
     let mut table = IdempotencyTable::new(TableLimits { max_keys: 2, max_response_bytes: 100 });
     let a = reservation(&table.reserve(0, "c", "a"));
     let b = reservation(&table.reserve(0, "c", "b"));
     assert_eq!(table.reserve(0, "c", "c"), ReserveOutcome::TableFull { retry_after: 0 });
     table.complete(0, a, response(1, 80), 1_000);
     table.complete(5, b, response(2, 80), 1_000);
-    // The older response was evicted for the younger one; its key is still known.
+    // The older response was evicted for the newer one, but its key is retained.
     assert_eq!(table.reserve(6, "c", "a"), ReserveOutcome::ResponseEvicted);
     assert_eq!(table.reserve(6, "c", "b"), ReserveOutcome::Completed(2));
     assert_eq!(table.reserve(6, "c", "c"), ReserveOutcome::TableFull { retry_after: 994 });
@@ -49,7 +52,7 @@
     assert_eq!(
         table.reserve(1_001, "c", "c"),
         ReserveOutcome::ResponseEvicted,
-        "larger than all responses may be"
+        "a response above the limit is not stored"
     );
     assert_eq!(table.usage(), TableUsage { keys: 2, response_bytes: 80 });
 }
--- a/crates/shutdown/src/connection.rs
+++ b/crates/shutdown/src/connection.rs
@@ -1,38 +1,38 @@
-//! The connections of clients during a shutdown.
+//! The state of a client's connection, and the action for it during a shutdown.
 
 use crate::{Micros, MILLISECOND};
 
-/// A client is expected to send its first request within this time of connecting.
+/// The time after connecting within which a client is expected to send its first request.
 const FIRST_REQUEST_TIMEOUT: Micros = 250 * MILLISECOND;
 
-/// What is known of a client's connection.
+/// The state of a client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState {
-    /// A request on it has no response yet.
+    /// Whether a request on the connection has no response yet.
     pub has_open_request: bool,
-    /// It has had a request.
+    /// Whether a request was received on the connection.
     pub has_had_request: bool,
-    /// A part of its next request was received.
+    /// Whether a part of the next request was received.
     pub has_partial_request: bool,
-    /// The time of its start or its last response.
+    /// The time of the last response, or of the start of the connection before the first response.
     pub last_used_at: Micros,
 }
 
 impl ConnectionState {
-    /// Whether it was opened just now, so that its first request is on its way.
+    /// Returns whether the connection was opened so recently that the first request is probably on its way.
     #[must_use]
     pub fn is_new(&self, now: Micros) -> bool {
         !self.has_had_request && now < self.last_used_at + FIRST_REQUEST_TIMEOUT
     }
 }
 
-/// What to do with a connection.
+/// The action for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// It stays open.
+    /// The connection stays open.
     Keep,
-    /// It is closed with the response to the request that is on it or on its way.
+    /// The connection is closed after the response to the present request or to the request on its way.
     CloseAfterResponse,
-    /// It is closed.
+    /// The connection is closed at once.
     Close,
 }
--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -1,8 +1,9 @@
-//! Graceful shutdown of a process: until when it accepts connections and requests, how long a request may still take, which
-//! connections are closed when, and when the process may exit.
+//! Graceful shutdown of a process: until when connections and requests are accepted, how long a request may
+//! still take, when connections are closed, and when the process may exit.
 //!
-//! Pure: no I/O and no clock; times are microseconds on a monotonic clock. One [`Shutdown`] belongs to one listener. Tiers of
-//! one or two proxies, larger tiers, and a proxy that shares its listening socket with its successor are cases of the same machine.
+//! The crate does no I/O and reads no clock; times are microseconds on a monotonic clock. One [`Shutdown`]
+//! belongs to one listener. The same state machine covers tiers of one or two proxies, larger tiers, and a
+//! proxy that shares its listening socket with its successor.
 //!
 //! ```text
 //! begin  accepts and serves        closes idle connections     only open responses
--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -1,12 +1,14 @@
-//! The state of a shutdown.
+//! The state machine of a shutdown.
 
 use crate::{ConnectionAction, ConnectionState, Micros, ShutdownPolicy, MILLISECOND};
 
-/// A request that comes later still has this long, enough to be rejected with a response.
+/// The minimum time for a request, however late it is received. It is enough to reject the request with a
+/// response.
 const MIN_REQUEST_TIME: Micros = 50 * MILLISECOND;
-/// A partial request is awaited for this long once nothing more is accepted, where no kill ends that sooner.
+/// The time after the end of acceptance for which the rest of a partial request is awaited if there is no
+/// kill deadline.
 const PARTIAL_REQUEST_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// The part of a lateness that is kept at the next observation.
+/// The fraction of the recorded lateness that remains at the next observation.
 const LATENESS_DECAY: f64 = 0.95;
 
 /// The shutdown of one listener.
@@ -14,53 +16,56 @@
 pub struct Shutdown {
     policy: ShutdownPolicy,
     began_at: Option<Micros>,
-    /// How late the process lately was with what was due, at most.
+    /// The maximum lateness of the process; it decays with each observation.
     lateness: Micros,
 }
 
 impl Shutdown {
-    /// A shutdown that has not begun.
+    /// Creates a shutdown that has not begun.
     #[must_use]
     pub fn new(policy: ShutdownPolicy) -> Shutdown {
         Shutdown { policy, began_at: None, lateness: 0 }
     }
 
-    /// A client waits for this long, in microseconds. Where the platform says when it kills, that does not move the kill.
+    /// Records the timeout of a client, in microseconds. It has no effect if the platform sets a kill
+    /// deadline.
     pub fn observe_client_timeout(&mut self, timeout: Micros) {
         if !self.policy.has_kill_deadline {
             self.policy.longest_client_timeout = self.policy.longest_client_timeout.max(timeout);
         }
     }
 
-    /// The process was this late with what was due, in microseconds.
+    /// Records by how much the process was late with a due event, in microseconds.
     pub fn observe_lateness(&mut self, lateness: Micros) {
         self.lateness = lateness.max((self.lateness as f64 * LATENESS_DECAY) as Micros);
     }
 
-    /// Begins the shutdown. Beginning it again changes nothing.
+    /// Begins the shutdown. A second call has no effect.
     pub fn begin(&mut self, now: Micros) {
         self.began_at.get_or_insert(now);
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.began_at.is_some()
     }
 
-    /// From the begin of the shutdown until no more requests are accepted, in microseconds.
+    /// Returns the time from the beginning of the shutdown until requests are no longer accepted, in
+    /// microseconds.
     #[must_use]
     pub fn accept_time(&self) -> Micros {
         self.policy.accept_time()
     }
 
-    /// When no more requests are accepted, once the shutdown has begun.
+    /// Returns when requests are no longer accepted. `None` before the shutdown begins.
     #[must_use]
     pub fn accepts_until(&self) -> Option<Micros> {
         Some(self.began_at? + self.accept_time())
     }
 
-    /// When open requests fail, and partial ones are given up. Only the latter where nothing kills the process.
+    /// Returns when open requests fail and partial ones are dropped. Without a kill deadline only partial
+    /// requests are affected. `None` before the shutdown begins.
     #[must_use]
     pub fn responses_due_at(&self) -> Option<Micros> {
         let began_at = self.began_at?;
@@ -72,19 +77,20 @@
         })
     }
 
-    /// Whether new connections are accepted.
+    /// Returns whether new connections are accepted.
     #[must_use]
     pub fn accepts_connections(&self, now: Micros) -> bool {
         self.accepts_until().is_none_or(|until| now < until && !self.policy.shares_listener)
     }
 
-    /// Whether the time of open requests is up.
+    /// Returns whether open requests must end now. Always false without a kill deadline.
     #[must_use]
     pub fn is_time_up(&self, now: Micros) -> bool {
         self.policy.has_kill_deadline && self.responses_due_at().is_some_and(|due_at| due_at <= now)
     }
 
-    /// The time that a request may take which is received now, and whose client waits for this long, in microseconds.
+    /// Returns the time that a request received at `now` may take, given the timeout of its client, in
+    /// microseconds.
     #[must_use]
     pub fn request_time(&self, now: Micros, client_timeout: Micros) -> Micros {
         let Some(began_at) = self.began_at else { return client_timeout };
@@ -92,20 +98,20 @@
         client_timeout.min(remaining.max(MIN_REQUEST_TIME))
     }
 
-    /// What to do with a connection.
+    /// Returns the action for a connection.
     #[must_use]
     pub fn connection_action(&self, now: Micros, connection: &ConnectionState) -> ConnectionAction {
         let times = self.accepts_until().zip(self.responses_due_at());
         let Some((accepts_until, responses_due_at)) = times else { return ConnectionAction::Keep };
         if now < accepts_until {
-            // Clients are to move to a successor at the same address as soon as they can.
+            // Clients should move to the successor at the same address as soon as possible.
             return if self.policy.shares_listener {
                 ConnectionAction::CloseAfterResponse
             } else {
                 ConnectionAction::Keep
             };
         }
-        // A connection whose request is on its way, or partly received, is not closed without a response.
+        // A connection is not closed without a response if its request is on its way or partly received.
         let awaits_request = connection.has_partial_request || connection.is_new(now);
         if connection.has_open_request || (awaits_request && now < responses_due_at) {
             ConnectionAction::CloseAfterResponse
@@ -114,8 +120,9 @@
         }
     }
 
-    /// Whether the process may exit with this many connections, of which this many have open requests. A request that is open past
-    /// the last responses has one on its way that cannot be sped up: the process waits for its end, or for the kill.
+    /// Returns whether the process may exit, given the number of open connections and the number of those
+    /// with an open request. If a request is still open after responses were due, its response is being sent
+    /// and cannot be sped up: the process waits until it ends, or until the kill.
     #[must_use]
     pub fn may_exit(&self, now: Micros, open: usize, with_open_request: usize) -> bool {
         let is_past = |time: Option<Micros>| time.is_some_and(|time| time <= now);
--- a/crates/shutdown/tests/shutdown.rs
+++ b/crates/shutdown/tests/shutdown.rs
@@ -1,6 +1,5 @@
-//! Thousands of shutdowns in simulated time: clients that reconnect at once, send in parts, are silent or new; endpoints that hang
-//! or respond; a kill at the earliest moment that the platform allows. The test checks that each accepted request has one complete
-//! response in time and before the kill, and that the process exits by itself only once that is so.
+//! Runs thousands of shutdowns in simulated time and checks that each accepted request gets one complete
+//! response, in time and before the kill, and that the process exits only after that.
 
 mod shutdown_simulation;
 
@@ -20,6 +19,8 @@
     }
 }
 
+/// Guards against requests that are accepted during a shutdown and lost, because they are open at the kill or
+/// answered too late.
 #[test]
 fn every_accepted_request_has_a_response_in_time_and_before_the_kill() {
     let (mut accepted_requests, mut closed_unserved, mut new) = (0, 0, 0);
@@ -41,15 +42,16 @@
         new += result.new_connections;
     }
     assert!(accepted_requests > 50_000, "{accepted_requests}");
-    // The platform tolerates one in 200.
+    // The platform tolerates one in 200 new connections.
     assert!(
         closed_unserved * 200 < new,
         "{closed_unserved} of {new} new connections were closed without a response"
     );
 }
 
+/// Guards against requests that are open at the kill because a busy process detects deadlines late.
 #[test]
-fn a_late_process_reserves_more_time_for_its_last_responses() {
+fn late_process_reserves_more_time_for_its_last_responses() {
     let world = World {
         policy: policy(1000 * MILLISECOND, false, false),
         hang_ratio: 1.0,
@@ -62,8 +64,10 @@
     }
 }
 
+/// Guards against a connection that is closed over a request, and against idle connections or late requests
+/// that delay the exit.
 #[test]
-fn connections_are_closed_by_their_state_and_the_time() {
+fn connection_action_follows_from_its_state_and_the_time() {
     let mut shutdown = Shutdown::new(policy(1000 * MILLISECOND, false, false));
     let idle = ConnectionState {
         has_open_request: false,
@@ -96,17 +100,18 @@
             && shutdown.may_exit(responses_due, 1, 0)
             && shutdown.may_exit(accepts_until, 0, 0)
     );
-    assert!(!shutdown.may_exit(accepts_until - 1, 0, 0), "clients that connect find an open port");
-    // A late request has the remaining time, and enough to be rejected.
+    assert!(!shutdown.may_exit(accepts_until - 1, 0, 0), "the port stays open for new clients");
+    // A late request gets the remaining time, but at least enough to be rejected.
     assert_eq!(shutdown.request_time(11_000 * MILLISECOND, 900 * MILLISECOND), 500 * MILLISECOND);
     assert_eq!(shutdown.request_time(11_000 * MILLISECOND, 20 * MILLISECOND), 20 * MILLISECOND);
     assert_eq!(shutdown.request_time(11_650 * MILLISECOND, 900 * MILLISECOND), 50 * MILLISECOND);
 }
 
+/// Guards against open requests that are dropped although no kill deadline exists.
 #[test]
-fn a_process_that_is_not_killed_waits_for_its_open_requests() {
+fn process_without_kill_deadline_waits_for_open_requests() {
     let mut shutdown = Shutdown::new(ShutdownPolicy { has_kill_deadline: false, ..policy(0, false, false) });
-    // The timeouts of clients are all that is known.
+    // Without a kill deadline, times follow from the observed timeouts of clients.
     shutdown.observe_client_timeout(60_000 * MILLISECOND);
     shutdown.begin(0);
     assert_eq!(shutdown.accept_time(), 2_500 * MILLISECOND);
--- a/crates/shutdown/tests/shutdown_simulation/mod.rs
+++ b/crates/shutdown/tests/shutdown_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Shutdowns in simulated time: clients that reconnect at once, send in parts, are silent or new; endpoints that hang or respond; a
-//! kill at the earliest moment that the platform allows.
+//! Simulates shutdowns: clients that reconnect at once, send requests in parts, send no request, or have just
+//! connected; endpoints that hang or respond; and a kill at the earliest time that the platform allows.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -8,22 +8,22 @@
 use shutdown::{ConnectionAction, ConnectionState, Micros, Shutdown, ShutdownPolicy};
 
 pub const MILLISECOND: Micros = 1_000;
-/// A request is lost whose response is later than this after its deadline.
+/// The time after its deadline at which a request without a response counts as lost.
 const SLACK: Micros = 50 * MILLISECOND;
-/// Clients that connect before the kill.
+/// The number of clients that connect before the kill.
 const CLIENTS: usize = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A client connects.
     ClientConnects,
-    /// Its connection is accepted.
+    /// The connection of a client is accepted.
     Accepted,
-    /// A part of a request is received on a connection; `bool`: the last part.
+    /// A part of a request is received on a connection; the flag marks the last part.
     RequestReceived(usize, bool),
-    /// The response of an endpoint to a request.
+    /// An endpoint responds to a request, given by connection and request.
     EndpointResponds(usize, usize),
-    /// The time of a request is up.
+    /// The time of a request, given by connection and request, has expired.
     RequestTimeout(usize, usize),
     Check,
     ShutdownBegins,
@@ -34,7 +34,7 @@
     last_used_at: Micros,
     has_had_request: bool,
     has_partial_request: bool,
-    /// The request on it, and by when its response is due.
+    /// The open request, and when its response is due.
     open_request: Option<(usize, Micros)>,
     closing: bool,
 }
@@ -50,27 +50,28 @@
     }
 }
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct World {
     pub policy: ShutdownPolicy,
     /// The fraction of requests that hang.
     pub hang_ratio: f64,
-    /// How long the process may be busy with something else when an event is due.
+    /// The maximum time by which the process handles an event late.
     pub max_lateness: Micros,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Default, Debug)]
 pub struct Outcome {
     pub accepted_requests: usize,
+    /// A description of each lost request.
     pub lost: Vec<String>,
     pub new_connections: usize,
     /// New connections that were closed without a response.
     pub closed_unserved: usize,
 }
 
-/// Simulates a shutdown until the process exits, or is killed.
+/// Simulates a shutdown until the process exits or is killed.
 pub fn run(world: World, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(world, seed);
     simulation.run();
@@ -160,12 +161,12 @@
     }
 
     fn on_connect(&mut self, due: Micros, now: Micros) {
-        // The load balancer in front notices the shutdown after 0.4 s at the latest.
+        // The load balancer in front of the proxy detects the shutdown after at most 0.4 s.
         if due > self.began_at + 400 * MILLISECOND || !self.shutdown.accepts_connections(now) {
             return;
         }
         if due == now && self.rng.f64() < 0.3 {
-            // It stays in the backlog until the listener is closed.
+            // The connection stays in the backlog until the listener is closed.
             self.schedule(self.began_at + self.shutdown.accept_time(), Event::Accepted);
             return;
         }
@@ -183,7 +184,7 @@
         };
         self.connections.insert(self.last_connection, connection);
         self.outcome.new_connections += 1;
-        // One in ten is silent.
+        // One client in ten sends no request.
         if self.rng.f64() < 0.9 {
             self.schedule_request(now, self.last_connection, 5 * MILLISECOND);
         }
@@ -201,12 +202,12 @@
         connection.has_had_request = true;
         let longest_timeout = self.world.policy.longest_client_timeout;
         let client_timeout = self.rng.i64(longest_timeout / 3..=longest_timeout);
-        // Some announce more than the settings allow.
+        // Some clients announce a longer timeout than the settings allow.
         let announced_timeout = if self.rng.f64() < 0.05 { client_timeout * 20 } else { client_timeout };
         self.shutdown.observe_client_timeout(announced_timeout);
         let request_time = self.shutdown.request_time(now, announced_timeout);
         if self.shutdown.is_time_up(now) {
-            // Rejected at once: it cannot be answered in time.
+            // The request is rejected at once because it cannot be answered in time.
             connection.has_partial_request = false;
             connection.last_used_at = now;
             return;
@@ -236,7 +237,7 @@
         self.schedule(now + interval, Event::Check);
     }
 
-    /// The connections with an open request, and that request.
+    /// Returns the connections with an open request, each with that request.
     fn open_requests(&self) -> Vec<(usize, usize)> {
         let open = |(id, connection): (&usize, &OpenConnection)| Some((*id, connection.open_request?.0));
         self.connections.iter().filter_map(open).collect()
@@ -280,7 +281,7 @@
         if connection.closing {
             self.connections.remove(&id);
         } else {
-            // Many send another request at once.
+            // Half of the clients send another request at once.
             let within = if self.rng.bool() { MILLISECOND } else { 700 * MILLISECOND };
             self.schedule_request(now, id, within);
         }
