--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -27,8 +27,8 @@
         Shutdown { policy, began_at: None, lateness: 0 }
     }
 
-    /// Records the timeout of a client, in microseconds. It has no effect if the platform sets a kill
-    /// deadline.
+    /// Records the timeout of a client, in microseconds. With a kill deadline it has no effect, because
+    /// client timeouts do not move the kill.
     pub fn observe_client_timeout(&mut self, timeout: Micros) {
         if !self.policy.has_kill_deadline {
             self.policy.longest_client_timeout = self.policy.longest_client_timeout.max(timeout);
