--- a/crates/limit/benches/admit.rs
+++ b/crates/limit/benches/admit.rs
@@ -1,4 +1,5 @@
-//! What the limiter costs a request, by the number of tenants; ten of them send requests in turn.
+//! Measures the cost of the limiter per request, by the number of tenants. At most ten tenants send requests,
+//! in turn.
 
 use limit::{Capacity, Limiter, Limits};
 
--- a/crates/limit/src/fair_share.rs
+++ b/crates/limit/src/fair_share.rs
@@ -3,9 +3,9 @@
 /// The demand of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// What it would use.
+    /// The amount that the tenant would use, in the unit of the capacity.
     pub amount: f64,
-    /// Above 0.
+    /// The weight of the tenant, above 0.
     pub weight: f64,
 }
 
@@ -15,11 +15,12 @@
     }
 }
 
-/// Divides `capacity` by progressive filling: each gets its demand, or as much for its weight as all others whose demand
-/// is not met. Returns the shares in the order of `demands`; capacity beyond all demand is left over.
+/// Divides `capacity` by progressive filling: each tenant gets its demand, or the same amount per weight as
+/// all others whose demand is not met. Returns the shares in the order of `demands`. Capacity beyond the
+/// total demand is not assigned.
 #[must_use]
 pub fn max_min_fair_shares(capacity: f64, demands: &[Demand]) -> Vec<f64> {
-    // The least demand for its weight is met first.
+    // The smallest demand per weight is met first.
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by(|a, b| demands[*a].amount_by_weight().total_cmp(&demands[*b].amount_by_weight()));
     let mut remaining_weight: f64 = demands.iter().map(|demand| demand.weight).sum();
--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The limiter: all tenants, and the capacity that they share.
+//! The limiter of all tenants and of the capacity that they share.
 
 use crate::fair_share::max_min_fair_shares;
 use crate::quota::Quota;
@@ -6,40 +6,40 @@
 use crate::tenant_table::{TenantId, TenantTable};
 use crate::{Capacity, Demand, Limits, Micros, RejectReason, Rejection, Usage, IDLE_TIMEOUT, SHARE_PERIOD};
 
-/// An admitted request, to be returned with [`Limiter::release`].
+/// The permit of an admitted request, to be returned with [`Limiter::release`].
 #[derive(Debug)]
 #[must_use]
 pub struct Permit {
     tenant: TenantId,
     body_bytes: u64,
-    /// The attempts that the request may have; None if they are not limited.
+    /// The maximum number of attempts of the request; `None` if it is not limited.
     pub max_attempts: Option<usize>,
 }
 
-/// What the requests of all tenants hold.
+/// The resources that the requests of all tenants hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourcesInUse {
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u64,
-    /// Bytes of request bodies, as announced.
+    /// The total size of request bodies, in bytes as announced.
     pub body_bytes: u64,
 }
 
-/// Admits the requests of all tenants.
+/// Admits or rejects the requests of all tenants.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     capacity: Capacity,
     tenants: TenantTable,
-    /// Tenants with recent requests or requests in flight.
+    /// The tenants with recent requests or requests in flight.
     active: Vec<TenantId>,
-    /// The weight of all tenants.
+    /// The sum of the weights of all tenants, active or not.
     total_weight: f64,
     quotas: Quotas,
     period_start: Micros,
 }
 
 impl Limiter {
-    /// A limiter without tenants.
+    /// Creates a limiter without tenants.
     #[must_use]
     pub fn new(capacity: Capacity) -> Limiter {
         Limiter {
@@ -57,7 +57,7 @@
 
     // ---- Tenants ----
 
-    /// Adds a tenant. It takes over nothing from an earlier one of the same name.
+    /// Adds a tenant. It inherits nothing from a removed tenant of the same name.
     pub fn add_tenant(&mut self, now: Micros, limits: Limits) -> TenantId {
         let tenant = Tenant::new(now, limits);
         self.total_weight += tenant.weight();
@@ -66,7 +66,7 @@
         id
     }
 
-    /// Sets other limits of a tenant; requests in flight and acquired quota are unaffected.
+    /// Changes the limits of a tenant. Requests in flight and acquired quota are unaffected.
     pub fn set_limits(&mut self, now: Micros, id: TenantId, limits: Limits) {
         let Some(tenant) = self.tenants.get_mut(id).filter(|tenant| tenant.limits != limits) else { return };
         let previous_weight = tenant.weight();
@@ -75,7 +75,7 @@
         self.set_guaranteed_quotas();
     }
 
-    /// Removes a tenant. What it still holds is returned as its requests end.
+    /// Removes a tenant. The resources that it still holds are released when its requests end.
     pub fn remove_tenant(&mut self, id: TenantId) {
         let Some(mut tenant) = self.tenants.remove(id) else { return };
         tenant.set_active(&mut self.quotas, false);
@@ -90,13 +90,13 @@
         }
     }
 
-    /// What a tenant has used. None after it has been removed.
+    /// Returns the usage of a tenant; `None` if it has been removed.
     #[must_use]
     pub fn usage(&self, id: TenantId) -> Option<Usage> {
         self.tenants.get(id).map(Tenant::usage)
     }
 
-    /// What the requests of all tenants hold now.
+    /// Returns the resources that the requests of all tenants hold now.
     #[must_use]
     pub fn in_use(&self) -> ResourcesInUse {
         ResourcesInUse { in_flight: self.quotas.in_flight.used(), body_bytes: self.quotas.body_bytes.used() }
@@ -104,11 +104,11 @@
 
     // ---- Requests ----
 
-    /// Admits a request. `priority_rank` is the priority of its class within the tenant, from 0 to 1; `body_bytes` the
-    /// announced length of its body.
+    /// Admits a request. `priority_rank` is the priority of its class within the tenant, from 0 (lowest) to
+    /// 1; `body_bytes` is the announced length of its body.
     ///
     /// # Errors
-    /// The tenant is over a limit, or has been removed.
+    /// Returns a rejection if the tenant is over a limit or has been removed.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -122,7 +122,7 @@
         // A removed tenant has no share of the capacity.
         let unknown_tenant = Rejection { reason: RejectReason::Share, retry_after: 0 };
         let tenant = self.tenants.get_mut(id).ok_or(unknown_tenant)?;
-        tenant.note_request(now);
+        tenant.record_request(now);
         if !tenant.active {
             self.active.push(id);
             tenant.set_active(&mut self.quotas, true);
@@ -136,7 +136,7 @@
         Ok(Permit { tenant: id, body_bytes, max_attempts: tenant.max_attempts(now) })
     }
 
-    /// Returns the permit of a request that has ended after so many attempts.
+    /// Releases the permit of a request that has ended after the given number of attempts.
     pub fn release(&mut self, now: Micros, permit: Permit, attempts: usize) {
         let Permit { tenant: id, body_bytes: acquired_bytes, .. } = permit;
         let Quotas { in_flight, body_bytes } = &mut self.quotas;
@@ -153,16 +153,16 @@
         }
     }
 
-    /// Counts a downstream connection as this tenant's.
+    /// Counts a new downstream connection of a tenant.
     ///
     /// # Errors
-    /// The tenant has as many connections as it may, or has been removed.
+    /// Returns a rejection if the tenant is at its limit of connections or has been removed.
     pub fn connect(&mut self, id: TenantId) -> Result<(), Rejection> {
         let unknown_tenant = Rejection { reason: RejectReason::Connections, retry_after: 0 };
         self.tenants.get_mut(id).ok_or(unknown_tenant)?.connect()
     }
 
-    /// A connection of this tenant has been closed.
+    /// Counts a closed downstream connection of a tenant.
     pub fn disconnect(&mut self, id: TenantId) {
         if let Some(tenant) = self.tenants.get_mut(id) {
             tenant.disconnect();
@@ -171,7 +171,7 @@
 
     // ---- Fair shares ----
 
-    /// Ends a period: computes the shares of the next one from the demand. Inactive tenants cost nothing.
+    /// Begins a period and computes its shares from the demand in the last one. Inactive tenants add no work.
     fn begin_period(&mut self, now: Micros) {
         let seconds = ((now - self.period_start) as f64 / 1e6).max(1e-6);
         self.period_start = now;
@@ -203,7 +203,8 @@
     }
 }
 
-/// Fair shares, and by weight the capacity beyond all demand: for tenants whose demand grows within the period.
+/// Returns the fair shares, each with a fraction of the capacity beyond the total demand by weight. The
+/// surplus serves tenants whose demand grows within the period.
 fn shares_with_surplus(capacity: f64, demands: &[Demand]) -> Vec<f64> {
     let mut shares = max_min_fair_shares(capacity, demands);
     let surplus = (capacity - shares.iter().sum::<f64>()).max(0.0);
--- a/crates/limit/src/limits.rs
+++ b/crates/limit/src/limits.rs
@@ -3,30 +3,32 @@
 /// The capacity of the whole process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Requests a second; infinite if unlimited.
+    /// The maximum rate of requests, in requests per second; infinity if unlimited.
     pub requests_per_s: f64,
-    /// Requests in flight.
+    /// The maximum number of requests in flight.
     pub in_flight: u64,
-    /// Bytes of request bodies by their announced lengths; a body without one counts as the caller states.
+    /// The maximum total size of request bodies in bytes, by announced length. A body without an announced
+    /// length counts with the length that is passed to [`Limiter::admit`](crate::Limiter::admit).
     pub body_bytes: u64,
 }
 
-/// A tenant's own limits; infinity or the largest number if unlimited.
+/// The limits of one tenant. Infinity, or the maximum of an integer, means unlimited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// The weight of its fair share against other tenants; at least 1.
     pub weight: u32,
-    /// Requests a second.
+    /// The maximum rate of requests, in requests per second.
     pub requests_per_s: f64,
-    /// Requests admitted at once after a pause.
+    /// The maximum number of requests admitted at once after a pause.
     pub burst: f64,
-    /// Requests in flight.
+    /// The maximum number of requests in flight.
     pub in_flight: u64,
-    /// Downstream connections.
+    /// The maximum number of downstream connections.
     pub connections: u64,
-    /// Bytes of request bodies by their announced lengths; a body without one counts as the caller states.
+    /// The maximum total size of request bodies in bytes, by announced length. A body without an announced
+    /// length counts with the length that is passed to [`Limiter::admit`](crate::Limiter::admit).
     pub body_bytes: u64,
-    /// Attempts beyond the first, a second.
+    /// The maximum rate of attempts beyond the first, in attempts per second.
     pub retries_per_s: f64,
 }
 
--- a/crates/limit/src/quota.rs
+++ b/crates/limit/src/quota.rs
@@ -1,6 +1,8 @@
-//! A resource that requests hold until they end, with a guaranteed part for each tenant and the rest to borrow.
+//! A resource that requests hold until they end. Each tenant has a guaranteed amount and may borrow from the
+//! rest.
 
-/// This fraction of the resource is never borrowed: an inactive tenant must find some of it when it returns.
+/// The divisor of the resource that gives the amount that is never borrowed, so that an inactive tenant can
+/// acquire some when it becomes active.
 const IDLE_RESERVE_DIVISOR: u64 = 16;
 
 /// The resource of the whole process.
@@ -8,16 +10,16 @@
 pub(crate) struct Quota {
     pub total: u64,
     used: u64,
-    /// What active tenants have not used of their guaranteed parts.
+    /// The sum of the unused guaranteed amounts of active tenants.
     reserved: u64,
 }
 
-/// A tenant's part of the resource.
+/// The use of the resource by one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TenantQuota {
     pub used: u64,
     pub guaranteed: u64,
-    /// Only the guaranteed parts of active tenants are reserved.
+    /// Whether the tenant is active. Only the guaranteed amounts of active tenants are reserved.
     pub active: bool,
 }
 
@@ -40,14 +42,14 @@
         self.used
     }
 
-    /// Changes a tenant's part, and what is reserved for it.
+    /// Changes the quota of a tenant, and updates the reserved amount accordingly.
     pub fn update(&mut self, tenant: &mut TenantQuota, change: impl FnOnce(&mut TenantQuota)) {
         self.reserved -= tenant.reserved();
         change(tenant);
         self.reserved += tenant.reserved();
     }
 
-    /// Whether a tenant may use this much more.
+    /// Returns whether a tenant may acquire this amount.
     pub fn can_acquire(&self, tenant: &TenantQuota, amount: u64) -> bool {
         let free = self.total.saturating_sub(self.used);
         if tenant.used + amount <= tenant.guaranteed {
@@ -63,7 +65,7 @@
         self.used += amount;
     }
 
-    /// Returns what was acquired. `tenant` is None if it has been removed meanwhile.
+    /// Releases an acquired amount. `tenant` is `None` if the tenant has been removed in the meantime.
     pub fn release(&mut self, tenant: Option<&mut TenantQuota>, amount: u64) {
         if let Some(tenant) = tenant {
             self.update(tenant, |tenant| tenant.used = tenant.used.saturating_sub(amount));
--- a/crates/limit/src/rejection.rs
+++ b/crates/limit/src/rejection.rs
@@ -1,26 +1,26 @@
-//! Why a request or a connection is rejected.
+//! The rejection of a request or a connection, and its reason.
 
 use std::fmt;
 
 use crate::Micros;
 
-/// The limit that rejects a request.
+/// The limit that causes a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// The tenant's requests a second.
+    /// The limit of the tenant on requests per second.
     Rate,
-    /// The tenant's fair share of the process, while other tenants use theirs.
+    /// The fair share of the tenant in the request rate of the process, while other tenants use theirs.
     Share,
-    /// Requests in flight.
+    /// The limit or quota of requests in flight.
     InFlight,
-    /// Downstream connections.
+    /// The limit on downstream connections.
     Connections,
-    /// Bytes of buffered bodies.
+    /// The limit or quota of bytes of buffered bodies.
     Bodies,
 }
 
 impl RejectReason {
-    /// All reasons, in the order in which they are declared.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [RejectReason; 5] = [
         RejectReason::Rate,
         RejectReason::Share,
@@ -29,7 +29,7 @@
         RejectReason::Bodies,
     ];
 
-    /// The name in responses and statistics.
+    /// Returns the name of the reason in responses and statistics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,12 +42,12 @@
     }
 }
 
-/// A rejected request, which may be retried safely.
+/// The rejection of a request or a connection. A rejected request may be retried safely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The limit that was exceeded.
     pub reason: RejectReason,
-    /// The time in microseconds after which a retry may be admitted; 0 if that is not known.
+    /// The time after which a retry may be admitted, in microseconds; 0 if it is unknown.
     pub retry_after: Micros,
 }
 
--- a/crates/limit/src/tenant.rs
+++ b/crates/limit/src/tenant.rs
@@ -3,13 +3,14 @@
 use crate::quota::{Quota, TenantQuota};
 use crate::{Capacity, Demand, Limits, Micros, RejectReason, Rejection, TokenBucket, Usage};
 
-/// Credit of its fair share that a tenant may accumulate, in seconds of the share.
+/// The maximum credit from its fair share that a tenant may accumulate, in seconds of the share.
 const CREDIT_SECONDS: f64 = 0.2;
-/// The least credit, in requests: with less, small shares would reject by chance.
+/// The minimum of the maximum credit, in requests. With less, small shares would reject requests that arrive
+/// close together by chance.
 const MIN_CREDIT_REQUESTS: f64 = 4.0;
-/// The part of the credit that a request of the lowest priority must leave unused.
+/// The fraction of the credit that a request of the lowest priority must leave unused.
 const LOW_PRIORITY_RESERVE: f64 = 0.5;
-/// Retries that a tenant may accumulate, in seconds of its rate.
+/// The maximum number of retries that a tenant may accumulate, in seconds of its rate of retries.
 const RETRY_BURST_SECONDS: f64 = 1.0;
 
 /// The resources of the process that requests hold until they end.
@@ -24,14 +25,14 @@
     pub limits: Limits,
     rate: TokenBucket,
     retries: TokenBucket,
-    /// What the tenant has not used of its fair share.
+    /// The unused credit from the fair share, in requests.
     credit: TokenBucket,
-    /// Its fair share, in requests a second.
+    /// The fair share, in requests per second.
     share: f64,
-    /// Requests of the current period, admitted or not.
+    /// The number of requests in the current period, admitted or not.
     requests_in_period: u64,
     last_request: Micros,
-    /// It has had requests recently or has some in flight.
+    /// Whether the tenant has had requests recently or has some in flight.
     pub active: bool,
     pub in_flight: TenantQuota,
     pub body_bytes: TenantQuota,
@@ -61,7 +62,7 @@
         f64::from(self.limits.weight.max(1))
     }
 
-    /// Sets other limits; what it holds stays.
+    /// Changes the limits. Acquired resources are unaffected.
     pub fn set_limits(&mut self, now: Micros, limits: Limits) {
         let previous = std::mem::replace(&mut self.limits, limits);
         // The bucket of an unlimited rate has no finite number of tokens to continue with.
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Sets its guaranteed quotas by its part of the weight of all tenants.
+    /// Sets the guaranteed quotas in proportion to the weight of the tenant among all tenants.
     pub fn set_guaranteed_quotas(&mut self, quotas: &mut Quotas, total_weight: f64) {
-        let part = self.weight() / total_weight.max(1.0);
-        let guaranteed = |total: u64, limit: u64| ((total as f64 * part) as u64).min(limit);
+        let fraction = self.weight() / total_weight.max(1.0);
+        let guaranteed = |total: u64, limit: u64| ((total as f64 * fraction) as u64).min(limit);
         let in_flight = guaranteed(quotas.in_flight.total, self.limits.in_flight);
         let body_bytes = guaranteed(quotas.body_bytes.total, self.limits.body_bytes);
         quotas.in_flight.update(&mut self.in_flight, |quota| quota.guaranteed = in_flight);
@@ -95,23 +96,23 @@
 
     // ---- Fair share ----
 
-    /// The share of the process that it has at any time.
+    /// Returns the share of the request rate that the tenant has at any time, in requests per second.
     fn guaranteed_share(&self, capacity: &Capacity, total_weight: f64) -> f64 {
         capacity.requests_per_s * self.weight() / total_weight.max(1.0)
     }
 
-    /// Gives a tenant that has become active its guaranteed share.
+    /// Sets the share of a tenant that has become active to its guaranteed share.
     pub fn reset_share(&mut self, capacity: &Capacity, total_weight: f64) {
         self.share = self.guaranteed_share(capacity, total_weight);
     }
 
-    /// What it would use, by its requests in the period that has ended, which took this long.
+    /// Returns the demand of the tenant, from its requests in the ended period of `period_seconds`.
     pub fn demand(&self, period_seconds: f64) -> Demand {
         let requests_per_s = self.requests_in_period as f64 / period_seconds;
         Demand { amount: requests_per_s.min(self.limits.requests_per_s), weight: self.weight() }
     }
 
-    /// Starts a period with another share.
+    /// Begins a period with a new share, which is at least the guaranteed share.
     pub fn begin_period(&mut self, now: Micros, share: f64, capacity: &Capacity, total_weight: f64) {
         self.credit.refill(now, self.share, max_credit(self.share));
         self.share = share.max(self.guaranteed_share(capacity, total_weight));
@@ -120,13 +121,13 @@
 
     // ---- Requests ----
 
-    pub fn note_request(&mut self, now: Micros) {
+    pub fn record_request(&mut self, now: Micros) {
         self.last_request = now;
         self.requests_in_period += 1;
     }
 
-    /// Checks a request against all limits, quotas first: they are the cheapest to check, and the ones that a client can
-    /// do something about.
+    /// Checks a request against all limits. Quotas come first: they are the cheapest to check, and a client
+    /// can reduce its use of them.
     pub fn check(
         &mut self,
         now: Micros,
@@ -175,7 +176,7 @@
         Ok(())
     }
 
-    /// Counts a request that was admitted.
+    /// Counts an admitted request and acquires its resources.
     pub fn admit(&mut self, body_bytes: u64, quotas: &mut Quotas) {
         self.rate.take(1.0);
         self.credit.take(1.0);
@@ -189,7 +190,8 @@
         self.usage.rejected[reason] += 1;
     }
 
-    /// The attempts that a request may have: one where no retry is left. None if retries are unlimited or left.
+    /// Returns the maximum number of attempts of a request: one if no retry is left; `None` if retries are
+    /// unlimited or left.
     pub fn max_attempts(&mut self, now: Micros) -> Option<usize> {
         let rate = self.limits.retries_per_s;
         let has_retry = rate.is_infinite() || self.retries.refill(now, rate, retry_burst(rate)) >= 1.0;
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Counts the retries of a request that has ended after so many attempts.
+    /// Counts the retries of a request that has ended after the given number of attempts.
     pub fn count_retries(&mut self, now: Micros, attempts: usize) {
         let retries = attempts.saturating_sub(1);
         let rate = self.limits.retries_per_s;
@@ -236,7 +238,8 @@
     }
 }
 
-/// The most retries that a tenant may accumulate: one at least, unless it has none at all.
+/// Returns the maximum number of retries that a tenant may accumulate: at least one, or 0 if its rate of
+/// retries is 0.
 fn retry_burst(retries_per_s: f64) -> f64 {
     if retries_per_s > 0.0 {
         (retries_per_s * RETRY_BURST_SECONDS).max(1.0)
@@ -245,7 +248,7 @@
     }
 }
 
-/// The most credit that a tenant with this share may accumulate, in requests.
+/// Returns the maximum credit that a tenant with this share may accumulate, in requests.
 fn max_credit(share: f64) -> f64 {
     (share * CREDIT_SECONDS).max(MIN_CREDIT_REQUESTS)
 }
--- a/crates/limit/src/tenant_table.rs
+++ b/crates/limit/src/tenant_table.rs
@@ -1,8 +1,8 @@
-//! Tenants by id, with ids that are never reused.
+//! The table of tenants by id. Ids are never reused.
 
 use crate::tenant::Tenant;
 
-/// Identifies a tenant; never used again for another one.
+/// The identifier of a tenant, which is never reused for another tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TenantId {
     slot: u32,
@@ -11,12 +11,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Slot {
-    /// Counts the tenants that this slot has held.
+    /// The number of tenants that this slot has held.
     incarnation: u32,
     tenant: Option<Box<Tenant>>,
 }
 
-/// Tenants in slots, which are reused under another incarnation.
+/// A table of slots for tenants. A slot is reused with another incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TenantTable {
     slots: Vec<Slot>,
--- a/crates/limit/src/token_bucket.rs
+++ b/crates/limit/src/token_bucket.rs
@@ -2,12 +2,13 @@
 
 use crate::Micros;
 
-/// The longest wait that is stated for a rate above 0, in microseconds: some 30 years, exact as an `f64`.
+/// The maximum wait that is returned for a rate above 0, in microseconds: about 30 years, exact as an `f64`.
 const MAX_WAIT_MICROS: f64 = 1e15;
-/// The wait where no token is ever refilled, in microseconds; sums with times of the clock stay in range.
+/// The wait that is returned for a rate of 0, in microseconds. Its sum with a time of the clock does not
+/// overflow.
 const NEVER: Micros = Micros::MAX / 4;
 
-/// Tokens that are refilled at a steady rate, up to a depth.
+/// A token bucket: tokens are refilled at a steady rate, up to a depth.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -15,14 +16,14 @@
 }
 
 impl TokenBucket {
-    /// A full bucket of this depth.
+    /// Creates a full bucket of this depth.
     #[must_use]
     pub fn full(now: Micros, depth: f64) -> TokenBucket {
         TokenBucket { tokens: depth, refilled_at: now }
     }
 
-    /// Refills at `rate` tokens a second up to `depth` and returns the tokens available; negative after more were taken
-    /// than there were.
+    /// Refills the bucket at `rate` tokens per second up to `depth`, and returns the available tokens. The
+    /// result is negative if more tokens were taken than were available.
     pub fn refill(&mut self, now: Micros, rate: f64, depth: f64) -> f64 {
         let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(now);
@@ -35,7 +36,8 @@
         self.tokens -= tokens;
     }
 
-    /// The time in microseconds until this many tokens are available at `rate` tokens a second; one that never comes at 0.
+    /// Returns the time until the given number of tokens is available at `rate` tokens per second, in
+    /// microseconds. At a rate of 0 it is a time that is never reached.
     #[must_use]
     pub fn time_until(&self, tokens: f64, rate: f64) -> Micros {
         let missing = (tokens - self.tokens).max(0.0);
--- a/crates/limit/src/usage.rs
+++ b/crates/limit/src/usage.rs
@@ -1,15 +1,15 @@
-//! What a tenant has used.
+//! The usage of a tenant.
 
 use std::ops::{Index, IndexMut};
 
 use crate::RejectReason;
 
-/// Rejections by reason.
+/// The number of rejections by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts([u64; RejectReason::ALL.len()]);
 
 impl RejectionCounts {
-    /// The number of all rejections.
+    /// Returns the total number of rejections.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
@@ -17,7 +17,7 @@
 }
 
 impl From<[u64; RejectReason::ALL.len()]> for RejectionCounts {
-    /// The counts in the order of [`RejectReason::ALL`].
+    /// Converts counts in the order of [`RejectReason::ALL`].
     fn from(counts: [u64; RejectReason::ALL.len()]) -> Self {
         RejectionCounts(counts)
     }
@@ -37,19 +37,19 @@
     }
 }
 
-/// What a tenant has used since it was added, and what it uses now.
+/// The usage of a tenant: counts since it was added, and its present use of resources.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests admitted.
+    /// The number of admitted requests.
     pub admitted: u64,
-    /// Requests and connections rejected.
+    /// The number of rejected requests and connections, by reason.
     pub rejected: RejectionCounts,
-    /// Attempts beyond the first.
+    /// The number of attempts beyond the first.
     pub retries: u64,
-    /// Requests in flight now.
+    /// The present number of requests in flight.
     pub in_flight: u64,
-    /// Connections now.
+    /// The present number of connections.
     pub connections: u64,
-    /// Bytes of request bodies now, as announced.
+    /// The present total size of request bodies, in bytes as announced.
     pub body_bytes: u64,
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! A version store in a folder.
+//! A version store on disk.
 
 use std::fs;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -12,7 +12,7 @@
 const VERSIONS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("versions");
 const VALUES: TableDefinition<'_, &str, &str> = TableDefinition::new("values");
 const DATABASE: &str = "state.redb";
-/// The newest versions are copied to these files in turn.
+/// The files to which new versions are copied, alternately.
 const RECENT: [&str; 2] = ["recent-0", "recent-1"];
 
 /// A version store in a folder.
@@ -21,13 +21,13 @@
     database: Database,
 }
 
-/// A store that has been opened.
+/// The result of opening a store.
 pub struct OpenedStore {
     /// The store.
     pub disk: DiskStore,
-    /// The newest intact version, if there is any.
+    /// The newest intact version. `None` if there is none.
     pub newest: Option<Record>,
-    /// What was found damaged, a line for each.
+    /// A line for each damaged or recovered part of the store.
     pub warnings: Vec<String>,
 }
 
@@ -35,28 +35,32 @@
     StoreError(source.to_string())
 }
 
-/// Turns a panic over a damaged database into an error.
+/// Converts a panic of the database library over damaged data into an error.
 fn catch_damage<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|_| Err(StoreError("the store is damaged".to_owned())))
 }
 
 impl DiskStore {
-    /// Opens a folder, or creates it. Damage leads to warnings and never to an error.
+    /// Opens the store in a folder, or creates it. Damage causes warnings, not errors.
     ///
     /// # Errors
-    /// The folder cannot be used at all.
+    /// Returns an error if the folder cannot be created, read or written.
     pub fn open(folder: &Path) -> Result<OpenedStore, StoreError> {
         fs::create_dir_all(folder).map_err(|error| store_error(format!("{}: {error}", folder.display())))?;
         let mut warnings = Vec::new();
         let (database, versions) = open_or_replace(&folder.join(DATABASE), &mut warnings)?;
         let mut disk = DiskStore { folder: folder.to_owned(), database };
         let damaged = versions.iter().filter(|version| version.record.is_none());
-        warnings
-            .extend(damaged.map(|version| format!("version {} is damaged and passed over", version.number)));
+        warnings.extend(
+            damaged.map(|version| {
+                format!("version {} in the database is damaged and is skipped", version.number)
+            }),
+        );
         let stored = versions.into_iter().rev().find_map(|version| version.record);
         let newest = newest_of_copies(folder, stored, &mut warnings);
-        // A copy that is newer than the database goes into it again.
+        // A copy that is newer than the newest intact version in the database is stored in the database
+        // again.
         if let Some(record) = newest.as_ref().filter(|newest| disk.get(newest.number).is_none()) {
             warnings.push(format!("version {} was found beside the store", record.number));
             disk.append(record)?;
@@ -76,23 +80,27 @@
 /// A version in the database.
 struct StoredVersion {
     number: u64,
-    /// None where it is damaged.
+    /// The content of the version; `None` if it is damaged.
     record: Option<Record>,
 }
 
-/// Opens the database with all its versions. A damaged one is renamed, and replaced by an empty one.
+/// Opens the database and reads all versions. A damaged database is renamed and replaced by an empty one.
 fn open_or_replace(
     path: &Path,
     warnings: &mut Vec<String>,
 ) -> Result<(Database, Vec<StoredVersion>), StoreError> {
-    // Panics over damage become warnings below, and are not printed.
+    // Panics over damage are reported as warnings below, so the panic hook must not print them.
     let panic_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     let opened = catch_damage(|| open_checked(path));
     std::panic::set_hook(panic_hook);
     opened.or_else(|error| {
         let aside = set_aside(path)?;
-        warnings.push(format!("{}: {error}; set aside as {}", path.display(), aside.display()));
+        warnings.push(format!(
+            "the database {} cannot be opened ({error}): set aside as {}, replaced by an empty one",
+            path.display(),
+            aside.display()
+        ));
         let database = Database::create(path).map_err(store_error)?;
         Ok((database, Vec::new()))
     })
@@ -101,13 +109,13 @@
 fn open_checked(path: &Path) -> Result<(Database, Vec<StoredVersion>), StoreError> {
     let mut database = Database::create(path).map_err(store_error)?;
     if !database.check_integrity().map_err(store_error)? {
-        return Err(StoreError("its checksums do not hold".to_owned()));
+        return Err(StoreError("checksum mismatch".to_owned()));
     }
     let versions = stored_versions(&database)?;
     Ok((database, versions))
 }
 
-/// All versions of a database in order.
+/// Reads all versions of a database, ordered by number.
 fn stored_versions(database: &Database) -> Result<Vec<StoredVersion>, StoreError> {
     let transaction = database.begin_read().map_err(store_error)?;
     let Ok(table) = transaction.open_table(VERSIONS) else { return Ok(Vec::new()) };
@@ -121,7 +129,7 @@
     Ok(versions)
 }
 
-/// The newest of the stored version and the copies beside the database.
+/// Returns the newest of the stored version and the copies beside the database.
 fn newest_of_copies(folder: &Path, stored: Option<Record>, warnings: &mut Vec<String>) -> Option<Record> {
     let mut newest = stored;
     for name in RECENT {
@@ -132,12 +140,13 @@
                 newest = Some(record);
             }
             Some(_) => {}
-            None => warnings.push(format!("{} is damaged and passed over", path.display())),
+            None => warnings.push(format!("the copy {} is damaged and is skipped", path.display())),
         }
     }
     newest
 }
 
+/// Renames a damaged database to the first free name with the extension `damaged-N`, and returns that name.
 fn set_aside(path: &Path) -> Result<PathBuf, StoreError> {
     let mut names = (1..).map(|number| path.with_extension(format!("damaged-{number}")));
     let aside = names.find(|name| !name.exists());
@@ -160,7 +169,7 @@
             }
             transaction.commit().map_err(store_error)
         })?;
-        // The version is stored already; its copy only serves recovery.
+        // The version is already stored. The copy is only for recovery, so its failure is not an error.
         let _ = self.write(RECENT[(record.number % 2) as usize], &bytes);
         Ok(())
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
 //! A store of numbered versions on disk.
 //!
-//! [`VersionStore`] is the interface; [`DiskStore`] implements it with an embedded transactional database (redb: one file,
-//! copy on write, atomic commits). The two newest versions are also copied to files of their own, so that damage to the
-//! database loses history alone: at the start the newest version with a valid checksum serves, wherever it is found.
+//! [`VersionStore`] is the interface; [`DiskStore`] implements it with an embedded transactional database
+//! (redb: one file, copy on write, atomic commits). The two newest versions are also copied to separate
+//! files, so that damage to the database loses only older versions: at the start the newest version with a
+//! valid checksum is used, from the database or from a copy.
 #![warn(missing_docs)]
 
 mod disk;
@@ -11,7 +12,7 @@
 pub use disk::{DiskStore, OpenedStore};
 pub use record::Record;
 
-/// Why something could not be stored or read, in a line.
+/// The reason for which a version or value could not be stored or read, as one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
@@ -23,29 +24,29 @@
 
 impl std::error::Error for StoreError {}
 
-/// Versions, numbered from 1, and a few small values by name.
+/// A store of versions, numbered from 1, and of a few small values by name.
 pub trait VersionStore: Send {
-    /// Stores a version, durably when this returns.
+    /// Stores a version. It is durable when this returns.
     ///
     /// # Errors
-    /// It was not stored; the newest version is the previous one.
+    /// Returns an error if the version was not stored. The newest version is then the previous one.
     fn append(&mut self, record: &Record) -> Result<(), StoreError>;
 
-    /// The version of a number, if it is stored and intact.
+    /// Returns the version with this number. `None` if it is not stored or is damaged.
     fn get(&self, number: u64) -> Option<Record>;
 
-    /// At most `max` of the newest versions, newest first, without their bodies.
+    /// Returns at most `max` of the newest versions, newest first, without their bodies.
     fn list(&self, max: usize) -> Vec<Record>;
 
     /// Stores a value under a name.
     ///
     /// # Errors
-    /// It was not stored.
+    /// Returns an error if the value was not stored.
     fn put(&mut self, name: &str, value: &str) -> Result<(), StoreError>;
 
-    /// The value of a name.
+    /// Returns the value stored under a name. `None` if there is none or the store is damaged.
     fn value(&self, name: &str) -> Option<String>;
 }
 
-/// The number of versions that are retained; older ones are removed.
+/// The number of retained versions. Older versions are removed.
 pub const RETAINED_VERSIONS: u64 = 1_000;
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -7,21 +7,21 @@
 
 const MAGIC: &[u8; 4] = b"ALV1";
 const HEADER_BYTES: usize = 16;
-/// The largest body that is decoded.
+/// The maximum size of the JSON that is decoded, in bytes.
 const MAX_JSON_BYTES: usize = 256 << 20;
 
-/// A version: its author, time, reason and content.
+/// A version with its author, time, reason and content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Counts from 1.
+    /// The number of the version, counted from 1.
     pub number: u64,
-    /// In Unix milliseconds.
+    /// The time of creation, in milliseconds since 1970.
     pub at_ms: u64,
-    /// The name of the token that made it.
+    /// The name of the token with which the version was created.
     pub who: String,
-    /// The reason that its author gave.
+    /// The reason given by the author.
     pub why: String,
-    /// Its content.
+    /// The content of the version.
     pub body: String,
 }
 
@@ -38,7 +38,7 @@
         bytes
     }
 
-    /// Decodes a version; None where any byte differs from what was encoded.
+    /// Decodes a version. Returns `None` if any byte differs from the encoded form.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         let (header, json) = bytes.split_at_checked(HEADER_BYTES)?;
--- a/crates/store/src/record/tests.rs
+++ b/crates/store/src/record/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Guards against a damaged version that is decoded as an intact one.
 #[test]
 fn flipped_bits_and_truncation_are_detected() {
     let record = Record { number: 7, at_ms: 5, who: "a".into(), why: "b".into(), body: "{}".into() };
