--- a/crates/atomic-file/src/folder.rs
+++ b/crates/atomic-file/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system, which one process holds.
+//! A folder of the file system that at most one process locks.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read, Write};
@@ -6,15 +6,15 @@
 
 use crate::{FileStorage, MAX_FILE_BYTES};
 
-/// The file that a process locks for as long as it holds the folder.
+/// The name of the file that a process locks while it holds the folder.
 const LOCK_NAME: &str = "lock";
 
-/// Why a folder cannot be opened.
+/// The reason for which a folder cannot be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// Another process holds it.
+    /// Another process holds the lock of the folder.
     InUse,
-    /// The operating system's error.
+    /// The operating system returned this error.
     Io(io::Error),
 }
 
@@ -29,28 +29,28 @@
 
 impl std::error::Error for OpenError {}
 
-/// A folder of the file system.
+/// A folder of the file system, with or without a lock.
 pub struct Folder {
     path: PathBuf,
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// An existing folder, without a lock: the caller holds it by other means, or only reads.
+    /// Returns an existing folder without a lock, for reading or if the folder is protected by other means.
     #[must_use]
     pub fn without_lock(path: &Path) -> Folder {
         Folder { path: path.to_owned(), _lock: None }
     }
 
-    /// Creates the folder where it is missing, and locks it for this process.
+    /// Creates the folder if it is missing, and locks it for this process.
     ///
     /// # Errors
-    /// Another process holds it, or it cannot be created or locked.
+    /// Returns an error if another process holds the lock, or if the folder cannot be created or locked.
     pub fn open(path: &Path) -> Result<Folder, OpenError> {
         fs::create_dir_all(path).map_err(OpenError::Io)?;
         let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK_NAME));
         let lock = lock.map_err(OpenError::Io)?;
-        // The operating system releases the lock when the process ends, in whatever way.
+        // The operating system releases the lock when the process ends, even by a kill.
         match lock.try_lock() {
             Ok(()) => Ok(Folder { path: path.to_owned(), _lock: Some(lock) }),
             Err(TryLockError::WouldBlock) => Err(OpenError::InUse),
@@ -68,10 +68,13 @@
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        // A larger file was not written by a store.
+        // A store does not write larger files.
         File::open(self.path.join(name))?.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "too large"));
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                format!("larger than the limit of {MAX_FILE_BYTES} bytes"),
+            ));
         }
         Ok(bytes)
     }
--- a/crates/atomic-file/src/storage.rs
+++ b/crates/atomic-file/src/storage.rs
@@ -1,15 +1,16 @@
-//! The operations on files that a store needs.
+//! The file operations that a store requires.
 
 use std::io;
 
-/// The files of one folder. [`Folder`](crate::Folder) is the real one; tests have others that fail.
+/// The files of one folder. [`Folder`](crate::Folder) implements it for the file system; tests implement it
+/// with simulated failures.
 pub trait FileStorage {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
-    /// The operating system's error; so for all operations.
+    /// Returns the error of the operating system, as all operations do.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// The content of a file.
+    /// Returns the content of a file.
     ///
     /// # Errors
     /// See [`FileStorage::list`].
@@ -24,7 +25,7 @@
     /// # Errors
     /// See [`FileStorage::list`].
     fn sync(&self, name: &str) -> io::Result<()>;
-    /// Renames a file. It may be undone until the folder is synced.
+    /// Renames a file. A crash may undo the renaming until the folder is synced.
     ///
     /// # Errors
     /// See [`FileStorage::list`].
@@ -40,11 +41,11 @@
     /// See [`FileStorage::list`].
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Replaces the file of this name, if there is one, by way of a temporary name. The new file is durable once the folder is
-    /// synced.
+    /// Creates or replaces the file `name` by writing `temporary` and renaming it. The new file is durable
+    /// once the folder is synced.
     ///
     /// # Errors
-    /// See [`FileStorage::list`]; then the file of this name is unchanged.
+    /// See [`FileStorage::list`]. On an error the file `name` is unchanged.
     fn replace(&self, temporary: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.write(temporary, bytes)?;
         self.sync(temporary)?;
--- a/crates/atomic-file/src/store.rs
+++ b/crates/atomic-file/src/store.rs
@@ -1,15 +1,15 @@
-//! Numbered files of a folder, of which the newest valid one counts.
+//! A store of numbered files in a folder, of which the newest valid one is used.
 
 use std::collections::BTreeSet;
 use std::io;
 
 use crate::{FileStorage, MAX_FILE_BYTES};
 
-/// The name of a file that is being written.
+/// The name of a file while it is written.
 const TEMPORARY_NAME: &str = "new.tmp";
-/// A file's name is its number, of this many digits, and this suffix.
+/// The number of digits in the name of a file. The name consists of the number of the file and [`SUFFIX`].
 const NUMBER_DIGITS: usize = 20;
-/// From the former name of learned state, knowledge.
+/// The suffix of the name of a file, from knowledge, the former name of learned state.
 const SUFFIX: &str = ".known";
 
 fn file_name(number: u64) -> String {
@@ -26,10 +26,11 @@
     }
 }
 
-/// The newest valid file of a folder that another process may hold, as [`AtomicFileStore::newest_valid`]. It changes nothing.
+/// Returns the newest file that can be read and that `decode` accepts, as [`AtomicFileStore::newest_valid`]
+/// does. It changes no file, so another process may hold the folder.
 ///
 /// # Errors
-/// The folder cannot be listed.
+/// Returns an error if the folder cannot be listed.
 pub fn newest_valid<T>(
     storage: &impl FileStorage,
     decode: impl FnMut(&[u8]) -> Option<T>,
@@ -47,7 +48,7 @@
     contents.into_iter().find_map(|bytes| decode(&bytes))
 }
 
-/// Stores files in a folder, and finds the newest valid one.
+/// A store of numbered files in a folder.
 pub struct AtomicFileStore<S> {
     storage: S,
     max_files: usize,
@@ -55,37 +56,41 @@
 }
 
 impl<S: FileStorage> AtomicFileStore<S> {
-    /// Opens a folder with its files, of which it keeps `max_files`, at least one.
+    /// Opens a folder. The newest `max_files` files are retained, at least one.
     ///
     /// # Errors
-    /// The folder cannot be listed.
+    /// Returns an error if the folder cannot be listed.
     pub fn open(storage: S, max_files: usize) -> io::Result<AtomicFileStore<S>> {
         let names = storage.list()?;
         if names.iter().any(|name| name == TEMPORARY_NAME) {
-            // A process ended while it wrote this. If it cannot be removed, the next write replaces it.
+            // A process ended while it wrote this file. If the file cannot be removed, the next write
+            // replaces it.
             let _ = storage.remove(TEMPORARY_NAME);
         }
         let numbers = names.iter().filter_map(|name| file_number(name)).collect();
         Ok(AtomicFileStore { storage, max_files: max_files.max(1), numbers })
     }
 
-    /// The newest file that can be read, and that `decode` accepts.
+    /// Returns the newest file that can be read and that `decode` accepts. `None` if there is no such file.
     pub fn newest_valid<T>(&self, decode: impl FnMut(&[u8]) -> Option<T>) -> Option<T> {
         newest_of(&self.storage, &self.numbers, decode)
     }
 
-    /// Stores the newest file.
+    /// Stores a new file, which becomes the newest one.
     ///
     /// # Errors
-    /// The file is not stored, may not be durable, or exceeds [`MAX_FILE_BYTES`]; older files are unchanged.
+    /// Returns an error if the file exceeds [`MAX_FILE_BYTES`], is not stored, or may not be durable. Older
+    /// files are then unchanged.
     pub fn put(&mut self, bytes: &[u8]) -> io::Result<()> {
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "too large to be kept"));
+            let message =
+                format!("{} bytes to store, larger than the limit of {MAX_FILE_BYTES}", bytes.len());
+            return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
         }
         let number = self.numbers.last().map_or(1, |newest| newest.saturating_add(1));
         let replaced = self.storage.replace(TEMPORARY_NAME, &file_name(number), bytes);
         if replaced.is_err() {
-            // A full disk gets back the space of a partial file.
+            // Removing the partial file frees its space on a full disk.
             let _ = self.storage.remove(TEMPORARY_NAME);
             return replaced;
         }
@@ -98,7 +103,7 @@
     fn remove_oldest(&mut self) {
         while self.numbers.len() > self.max_files {
             let Some(oldest) = self.numbers.pop_first() else { break };
-            // One that cannot be removed is tried again after the next opening.
+            // The removal of a file that cannot be removed is retried after the folder is opened again.
             let _ = self.storage.remove(&file_name(oldest));
         }
     }
--- a/crates/atomic-file/tests/kills.rs
+++ b/crates/atomic-file/tests/kills.rs
@@ -1,4 +1,5 @@
-//! Real processes in a real folder: killed while writing, two at once, a folder that cannot be written.
+//! Tests of a store on the file system: processes that are killed while writing, two locks on one folder, and
+//! a path that is not a folder.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -6,7 +7,7 @@
 
 use atomic_file::{AtomicFileStore, Folder, OpenError};
 
-const CHILD_FOLDER_VARIABLE: &str = "KEEP_CHILD_FOLDER";
+const CHILD_FOLDER_VARIABLE: &str = "ATOMIC_FILE_CHILD_FOLDER";
 const KILL_COUNT: usize = 500;
 
 fn content(number: u32) -> Vec<u8> {
@@ -19,12 +20,14 @@
 }
 
 fn folder(name: &str) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("keep-{name}-{}", std::process::id()));
+    let path =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("atomic-file-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-/// Not a test of its own: writes forever, when another test starts it.
+/// Helper process of another test: writes files until it is killed. Without the environment variable it does
+/// nothing.
 #[test]
 fn child_that_writes() {
     let Some(path) = std::env::var_os(CHILD_FOLDER_VARIABLE) else { return };
@@ -32,11 +35,12 @@
     let from = store.newest_valid(decode).expect("a valid file");
     for number in from + 1.. {
         store.put(&content(number)).expect("stored");
-        // The harness has begun a line.
+        // The test harness has already written a part of the line.
         println!("\n{number}");
     }
 }
 
+/// Guards against a kill during a write that damages the newest file or loses an acknowledged one.
 #[test]
 fn kills_while_writing_leave_valid_files() {
     let path = folder("kills");
@@ -71,8 +75,9 @@
     assert!(files <= 5, "{files} files are left");
 }
 
+/// Guards against two processes that write to the same folder.
 #[test]
-fn two_processes_cannot_open_the_same_folder() {
+fn second_lock_on_a_folder_is_rejected() {
     let path = folder("two");
     let first = Folder::open(&path).expect("free");
     assert!(matches!(Folder::open(&path), Err(OpenError::InUse)));
--- a/crates/atomic-file/tests/power.rs
+++ b/crates/atomic-file/tests/power.rs
@@ -1,4 +1,5 @@
-//! A disk that loses power: what was not synced is dropped, torn or reordered, at every operation.
+//! Tests of a store on a simulated disk that loses power at any operation: changes that were not synced are
+//! dropped, torn or reordered.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,9 +8,10 @@
 
 use atomic_file::{AtomicFileStore, FileStorage};
 
-/// The index of the content of each file, by name.
+/// The index of the content of each file in [`Disk::contents`], by name.
 type Names = BTreeMap<String, usize>;
 
+/// A change of a name that a crash may undo.
 enum Change {
     Named(String, usize),
     Removed(String),
@@ -17,15 +19,16 @@
 
 #[derive(Default)]
 struct Disk {
-    /// As the running system sees it.
+    /// The files as the running system sees them.
     names: Names,
     contents: Vec<Vec<u8>>,
-    /// What is durable.
+    /// The names that are durable.
     synced_names: Names,
+    /// The durable content for each content. `None` if it was never synced.
     synced: Vec<Option<Vec<u8>>>,
     /// Changes of names since the folder was synced.
     unsynced_changes: Vec<Change>,
-    /// Operations until the power loss.
+    /// The number of operations until the power loss.
     operations_left: usize,
     is_full: bool,
 }
@@ -38,7 +41,7 @@
         SimulatedStorage(Rc::new(RefCell::new(Disk { operations_left: usize::MAX, ..Disk::default() })))
     }
 
-    /// Counts an operation; an error once there is no power.
+    /// Counts an operation. Returns an error after the power loss.
     fn count_operation(&self) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         match disk.operations_left.checked_sub(1) {
@@ -50,11 +53,11 @@
         }
     }
 
-    /// What is left after a power loss, at random.
+    /// Returns a disk with a random possible state after a power loss.
     fn crash(&self, random: &mut fastrand::Rng) -> SimulatedStorage {
         let disk = self.0.borrow();
         let mut names = disk.synced_names.clone();
-        // Each change of a name may be durable or not, in any order.
+        // Each change of a name is durable or not, and the changes take effect in any order.
         let mut changes: Vec<&Change> = disk.unsynced_changes.iter().filter(|_| random.bool()).collect();
         if random.bool() {
             random.shuffle(&mut changes);
@@ -67,7 +70,7 @@
         }
         let content_after_crash = |content: usize, random: &mut fastrand::Rng| match &disk.synced[content] {
             Some(bytes) => bytes.clone(),
-            // Never synced: a part of it, with holes, or nothing.
+            // Content that was never synced is truncated, partly zero, or empty.
             None => {
                 let mut bytes = disk.contents[content].clone();
                 bytes.truncate(random.usize(..=bytes.len()));
@@ -109,8 +112,8 @@
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let power = self.count_operation();
         let mut disk = self.0.borrow_mut();
-        let part = if power.is_err() || disk.is_full { bytes.len() / 2 } else { bytes.len() };
-        disk.contents.push(bytes[..part].to_vec());
+        let written = if power.is_err() || disk.is_full { bytes.len() / 2 } else { bytes.len() };
+        disk.contents.push(bytes[..written].to_vec());
         disk.synced.push(None);
         let content = disk.contents.len() - 1;
         disk.names.insert(name.to_owned(), content);
@@ -156,7 +159,7 @@
     }
 }
 
-/// A content with a checksum.
+/// Returns the content of a file: 300 equal bytes and a checksum.
 fn content_of(number: u8) -> Vec<u8> {
     let mut bytes = vec![number + 1; 300];
     bytes.push(bytes.iter().fold(0, |sum: u8, byte| sum.wrapping_add(*byte)));
@@ -170,8 +173,10 @@
         .then(|| body[0] - 1)
 }
 
+/// Guards against a power loss during a write that loses the previous file too, or leaves a torn file as the
+/// newest.
 #[test]
-fn a_power_loss_at_any_operation_leaves_the_previous_or_the_new_file() {
+fn power_loss_at_any_operation_leaves_the_previous_or_the_new_file() {
     let mut random = fastrand::Rng::with_seed(11);
     let mut losses_during_put = 0;
     for max_files in 1..4 {
@@ -194,12 +199,12 @@
                 let after_crash = storage.crash(&mut random);
                 let mut store = AtomicFileStore::open(after_crash.clone(), max_files).expect("power is back");
                 let newest = store.newest_valid(decode);
-                // The last that was acknowledged, or the one that was being written.
+                // The newest file is the last acknowledged one, or the one that was being written.
                 assert!(
                     newest == acknowledged || newest == attempted,
                     "{operations_left} operations, {max_files} files: {newest:?}, not {acknowledged:?} or {attempted:?}"
                 );
-                // The store can be written again.
+                // The store accepts another file.
                 store.put(&content_of(100)).expect("stored");
                 assert_eq!(
                     AtomicFileStore::open(after_crash, max_files).expect("opened").newest_valid(decode),
@@ -211,8 +216,9 @@
     assert!(losses_during_put > 1_000, "{losses_during_put} power losses during a put");
 }
 
+/// Guards against a full disk that loses older files or keeps partial ones.
 #[test]
-fn a_full_disk_costs_only_the_new_file() {
+fn full_disk_loses_only_the_new_file() {
     let storage = SimulatedStorage::new();
     let mut store = AtomicFileStore::open(storage.clone(), 2).expect("opened");
     (0..3).for_each(|number| store.put(&content_of(number)).expect("stored"));
@@ -222,12 +228,13 @@
         assert_eq!((store.newest_valid(decode), storage.0.borrow().names.len()), (Some(2), 2));
     }
     storage.0.borrow_mut().is_full = false;
-    store.put(&content_of(10)).expect("there is room again");
+    store.put(&content_of(10)).expect("the disk has space again");
     assert_eq!((store.newest_valid(decode), storage.0.borrow().names.len()), (Some(10), 2));
 }
 
+/// Guards against a damaged newest file that hides the valid ones before it.
 #[test]
-fn a_damaged_file_does_not_affect_the_others() {
+fn damaged_newest_file_falls_back_to_the_previous_file() {
     let storage = SimulatedStorage::new();
     let mut store = AtomicFileStore::open(storage.clone(), 3).expect("opened");
     (0..3).for_each(|number| store.put(&content_of(number)).expect("stored"));
--- a/crates/learned-state/src/decode.rs
+++ b/crates/learned-state/src/decode.rs
@@ -1,4 +1,4 @@
-//! Bytes as a snapshot, as far as they are undamaged.
+//! Decoding of the undamaged sections of a snapshot.
 
 use std::fmt;
 
@@ -8,47 +8,49 @@
 };
 use crate::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
-/// Why nothing can be decoded.
+/// The reason for which no section can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The bytes do not begin as learned state does.
+    /// The bytes do not begin with the magic bytes of learned state.
     NotLearnedState,
-    /// The head is damaged.
+    /// The head is truncated, or its checksum does not match.
     DamagedHead,
-    /// The format has this version, which this one cannot read.
+    /// This crate cannot read the given version of the format.
     UnsupportedVersion(u16),
-    /// There are more than [`MAX_FILE_BYTES`].
+    /// The size is above [`MAX_FILE_BYTES`].
     TooLarge,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::NotLearnedState => f.write_str("not a file of what was learned"),
-            DecodeError::DamagedHead => f.write_str("its head is damaged"),
-            DecodeError::UnsupportedVersion(version) => write!(f, "version {version} is too new"),
-            DecodeError::TooLarge => write!(f, "larger than {MAX_FILE_BYTES} bytes"),
+            DecodeError::NotLearnedState => f.write_str("not a learned-state file: wrong magic bytes"),
+            DecodeError::DamagedHead => f.write_str("the head of the file is truncated or damaged"),
+            DecodeError::UnsupportedVersion(version) => {
+                write!(f, "format version {version} is too new: this program reads version {VERSION}")
+            }
+            DecodeError::TooLarge => write!(f, "larger than the limit of {MAX_FILE_BYTES} bytes"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// What was not decoded.
+/// Counts of the sections that were not decoded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedSections {
-    /// Sections that are damaged, or whose pool is.
+    /// The number of sections that are damaged, or whose pool section is damaged.
     pub damaged: usize,
-    /// Sections of a kind that this version does not know.
+    /// The number of sections of an unknown kind, or of pools above the maximum number of pools.
     pub unknown: usize,
-    /// The bytes end within a section.
+    /// Whether the bytes end within a section.
     pub truncated: bool,
 }
 
 /// Decodes all sections that are undamaged.
 ///
 /// # Errors
-/// The head cannot be read.
+/// Returns an error if the head cannot be read, or if the bytes exceed [`MAX_FILE_BYTES`].
 pub fn decode(bytes: &[u8]) -> Result<(LearnedSnapshot, SkippedSections), DecodeError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(DecodeError::TooLarge);
@@ -83,7 +85,7 @@
     Ok(())
 }
 
-/// A section as it was framed.
+/// A section as delimited by its head.
 struct Section<'a> {
     kind: u16,
     content: &'a [u8],
@@ -94,14 +96,15 @@
 struct Decoder {
     snapshot: LearnedSnapshot,
     skipped: SkippedSections,
-    /// The last pool section was decoded, so that sections of endpoints belong to the last pool.
+    /// Whether the last pool section was decoded, so that endpoints sections belong to the last pool.
     has_pool: bool,
 }
 
 impl Decoder {
     fn add(&mut self, section: &Section<'_>) {
         if section.is_damaged {
-            // Its kind and length may be what is damaged: the next section is where they say, or nowhere.
+            // The kind and the length may themselves be damaged. Reading continues after the given length,
+            // since no other position of the next section is known.
             self.skipped.damaged += 1;
             return;
         }
@@ -142,7 +145,7 @@
     }
 }
 
-/// The bytes that are left to read. Every method gives `None` where they are too few, or not of its form.
+/// The bytes that remain to be read. Every method returns `None` if they are too few or malformed.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -176,7 +179,7 @@
         self.array().map(f64::from_le_bytes)
     }
 
-    /// A number that may be missing, which is written as NaN.
+    /// Reads an optional number, which is encoded as NaN if missing.
     fn optional_f64(&mut self) -> Option<Option<f64>> {
         let number = self.f64()?;
         Some((!number.is_nan()).then_some(number))
@@ -211,7 +214,7 @@
         Some(NamedMean { name: self.name()?, mean: self.mean()? })
     }
 
-    /// A list with its count. Memory is taken only for entries that are there.
+    /// Reads a list with its count. Memory is allocated only for entries that are present.
     fn list<T>(&mut self, mut entry: impl FnMut(&mut Self) -> Option<T>) -> Option<Vec<T>> {
         let count = usize::from(self.u16()?);
         if count > MAX_LIST_ENTRIES {
@@ -220,7 +223,7 @@
         (0..count).map(|_| entry(self)).collect()
     }
 
-    /// A pool without its endpoints. Later versions may append fields.
+    /// Reads a pool without its endpoints. Later versions may append fields.
     fn pool(&mut self) -> Option<PoolRecord> {
         let name = self.name()?;
         let classes = self.list(Reader::name)?;
@@ -240,7 +243,8 @@
         })
     }
 
-    /// The endpoints of the pool of this name; `None` where they are of another pool, whose own section was lost.
+    /// Reads the endpoints of the pool of this name. Returns `None` if they belong to another pool, whose
+    /// section was lost.
     fn endpoints(&mut self, pool: &str, class_count: usize) -> Option<Vec<StoredEndpoint>> {
         if self.u32()? != crc32c::crc32c(pool.as_bytes()) {
             return None;
--- a/crates/learned-state/src/encode.rs
+++ b/crates/learned-state/src/encode.rs
@@ -1,4 +1,4 @@
-//! A snapshot as bytes.
+//! Encoding of a snapshot.
 
 use crate::format::{
     section_checksum, SectionKind, CHECKSUM_LENGTH, ENDPOINTS_PER_SECTION, MAGIC, MAX_ENDPOINTS,
@@ -6,10 +6,10 @@
 };
 use crate::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
-/// The start time of an endpoint for which it is unknown.
+/// The encoded start time of an endpoint whose start time is unknown.
 const UNKNOWN_START: i64 = -1;
 
-/// Encodes a snapshot. What exceeds a bound is left out.
+/// Encodes a snapshot. Entries beyond a bound of the format are omitted.
 #[must_use]
 pub fn encode(snapshot: &LearnedSnapshot) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -20,8 +20,10 @@
     for pool in snapshot.pools.iter().take(MAX_POOLS) {
         write_section(&mut bytes, SectionKind::Pool, |content| write_pool(content, pool));
         let endpoints = &pool.endpoints[..pool.endpoints.len().min(MAX_ENDPOINTS)];
-        for part in endpoints.chunks(ENDPOINTS_PER_SECTION) {
-            write_section(&mut bytes, SectionKind::Endpoints, |content| write_endpoints(content, pool, part));
+        for chunk in endpoints.chunks(ENDPOINTS_PER_SECTION) {
+            write_section(&mut bytes, SectionKind::Endpoints, |content| {
+                write_endpoints(content, pool, chunk)
+            });
         }
     }
     bytes
@@ -35,7 +37,7 @@
     bytes.extend(checksum.to_le_bytes());
 }
 
-/// Writes a section; its length and checksum are filled in behind its content.
+/// Writes a section. The length and the checksum are filled in after the content is written.
 fn write_section(bytes: &mut Vec<u8>, kind: SectionKind, write_content: impl FnOnce(&mut Vec<u8>)) {
     let head_start = bytes.len();
     let checksum_start = head_start + SECTION_HEAD_LENGTH;
@@ -94,7 +96,7 @@
     content.extend_from_slice(name);
 }
 
-/// A name, cut at the last character that fits.
+/// Returns the bytes of a name, truncated after the last character within [`MAX_NAME_BYTES`].
 fn bounded(name: &str) -> &[u8] {
     let mut end = name.len().min(MAX_NAME_BYTES);
     while !name.is_char_boundary(end) {
@@ -109,7 +111,7 @@
     content.extend(mean.age.to_le_bytes());
 }
 
-/// Writes a mean for each class, empty ones for those that are missing.
+/// Writes a mean for each class; a missing mean is written as an empty one.
 fn write_means(content: &mut Vec<u8>, means: &[StoredMean], class_count: usize) {
     for class in 0..class_count {
         write_mean(content, means.get(class).copied().unwrap_or_default());
--- a/crates/learned-state/src/format.rs
+++ b/crates/learned-state/src/format.rs
@@ -1,33 +1,33 @@
-//! Constants of the binary form.
+//! Constants of the binary form, and the kinds of sections.
 
 /// The version that [`encode`](crate::encode()) writes.
 pub const VERSION: u16 = 1;
 /// The largest file that is read, in bytes.
 pub const MAX_FILE_BYTES: usize = 64 << 20;
 
-/// The oldest version whose readers can read what is written.
+/// The oldest version whose readers can read the output of [`encode`](crate::encode()).
 pub(crate) const OLDEST_READER_VERSION: u16 = 1;
-/// The first bytes of a file; `kno` is from the former name of learned state, knowledge.
+/// The first bytes of a file. `kno` stands for knowledge, the former name of learned state.
 pub(crate) const MAGIC: &[u8; 8] = b"amberkno";
-/// The bytes of a file's head before its checksum.
+/// The length of the head of a file without its checksum, in bytes.
 pub(crate) const HEAD_LENGTH: usize = 12;
-/// The kind and length of a section, in bytes; its checksum follows.
+/// The length of the head of a section (kind and length), in bytes. The checksum follows it.
 pub(crate) const SECTION_HEAD_LENGTH: usize = 6;
-/// The checksum of a section, in bytes.
+/// The length of the checksum of a section, in bytes.
 pub(crate) const CHECKSUM_LENGTH: usize = 4;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 256;
-/// Most pools of a snapshot.
+/// The maximum number of pools in a snapshot.
 pub(crate) const MAX_POOLS: usize = 10_000;
-/// Most endpoints of a pool.
+/// The maximum number of endpoints in a pool.
 pub(crate) const MAX_ENDPOINTS: usize = 100_000;
-/// Most entries of a list: the classes, machine kinds or zones of a pool.
+/// The maximum number of entries in a list: the classes, machine kinds or zones of a pool.
 pub(crate) const MAX_LIST_ENTRIES: usize = 1_024;
-/// Endpoints in a section: this many are lost with one that is damaged.
+/// The maximum number of endpoints in a section. A damaged section loses at most this many.
 pub(crate) const ENDPOINTS_PER_SECTION: usize = 512;
 
-/// What a section holds.
+/// The kind of content of a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SectionKind {
     Pool,
@@ -36,7 +36,7 @@
 }
 
 impl SectionKind {
-    /// The number in the head of a section.
+    /// Returns the number of the kind in the head of a section.
     pub fn number(self) -> u16 {
         match self {
             SectionKind::Pool => 1,
@@ -45,14 +45,14 @@
         }
     }
 
-    /// The kind of this number, unless it is unknown.
+    /// Returns the kind with this number. `None` if the number is unknown.
     pub fn of(number: u16) -> Option<SectionKind> {
         let kinds = [SectionKind::Pool, SectionKind::Endpoints, SectionKind::Time];
         kinds.into_iter().find(|kind| kind.number() == number)
     }
 }
 
-/// The checksum of a section: of its head, and of its content.
+/// Returns the checksum of a section, over its head and content.
 pub(crate) fn section_checksum(head: &[u8], content: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(head), content)
 }
--- a/crates/learned-state/src/lib.rs
+++ b/crates/learned-state/src/lib.rs
@@ -1,12 +1,13 @@
 //! Learned state as it is stored on disk and sent to peers: a [`LearnedSnapshot`], and its binary form.
 //!
-//! Pure: no clock, no I/O. Ages are durations, so that clocks need not agree. A file is a head and sections, each with its length
-//! and a CRC-32C: a damaged section is skipped alone, one of an unknown kind is skipped, and what exceeds a bound is not read. The
-//! contents are not validated beyond that; the balancer does so when it imports them.
+//! The crate does no I/O and reads no clock. Ages are durations, so that the clocks of two machines need not
+//! be synchronised. A file is a head and sections, each with a length and a CRC-32C: a damaged section or one
+//! of an unknown kind is skipped without the others, and data beyond a bound is not read. The contents are
+//! not validated further; the balancer validates them on import.
 //!
 //! # The format, version 1
 //!
-//! All numbers are little-endian. A file is the head, and then sections to its end.
+//! All numbers are little-endian. A file consists of the head and of sections up to the end of the file.
 //!
 //! | head | bytes |
 //! | --- | --- |
@@ -22,18 +23,21 @@
 //! | CRC-32C of kind, length and content | 4 |
 //! | content | |
 //!
-//! A **pool** section begins the state of a pool; the sections of endpoints behind it belong to it. It holds, in order: the pool's
-//! name; the classes' names; for each class a mean (the latency of a good response); a mean over all classes; machine kinds and
-//! zones, each a name and a mean; how long the balancer had run (u64, microseconds); the threshold per endpoint, the cursor
-//! position and the baseline latency (f64, NaN for none). An **endpoints** section holds the CRC-32C of its pool's name, and a list
-//! of up to 512 of: name; start time in milliseconds since 1970 or -1 (i64); consecutive failures (u32); for how long it is still
-//! ejected (u64, microseconds); slow start tokens (f64); for each class a mean.
+//! A **pool** section begins the state of a pool; the endpoints sections after it belong to that pool. It
+//! holds, in order: the name of the pool; the list of the names of the classes; for each class a mean (the
+//! latency of a good response); a mean over all classes; the lists of machine kinds and of zones, each entry
+//! a name and a mean; the uptime of the balancer (u64, microseconds); the threshold per endpoint, the cursor
+//! position and the baseline latency (f64, NaN for none).
 //!
-//! A **time** section holds when the snapshot was written, in milliseconds since 1970 (u64). A file has one at its beginning, and a
-//! snapshot that is sent over a connection has none. Readers before it was added skip it.
+//! An **endpoints** section holds the CRC-32C of the name of the pool, and a list of up to 512 endpoints,
+//! each with: name; start time in milliseconds since 1970, or -1 if unknown (i64); consecutive failures
+//! (u32); remaining time of ejection (u64, microseconds); slow start tokens (f64); a mean for each class.
 //!
-//! A name is a length (u16, 256 at most) and UTF-8; a list a count (u16) and its entries; a mean is its sum and weight (f64) and
-//! age (u64, microseconds).
+//! A **time** section holds the time of writing in milliseconds since 1970 (u64). A file has one at its
+//! beginning; a snapshot that is sent over a connection has none. Readers that predate this section skip it.
+//!
+//! A name is a length (u16, at most 256) and UTF-8; a list is a count (u16) and its entries; a mean is a sum
+//! and a weight (f64) and an age (u64, microseconds).
 #![warn(missing_docs)]
 
 mod decode;
--- a/crates/learned-state/tests/format.rs
+++ b/crates/learned-state/tests/format.rs
@@ -1,4 +1,5 @@
-//! The format: what is encoded is decoded, damage costs one section, versions are compatible, and no bytes cause a panic or take memory.
+//! Tests the binary form: an encoded snapshot decodes to itself, damage loses one section, versions are
+//! compatible, and no input causes a panic or large allocations.
 
 use learned_state::{
     decode, encode, DecodeError, LearnedSnapshot, NamedMean, PoolRecord, SkippedSections, StoredEndpoint,
@@ -49,26 +50,30 @@
     LearnedSnapshot { written_ms, pools: (0..pools).map(|_| pool(random)).collect() }
 }
 
+/// Guards against fields that are lost or reordered between encoding and decoding.
 #[test]
-fn an_encoded_snapshot_is_decoded() {
+fn encoded_snapshot_decodes_to_itself() {
     for seed in 0..100 {
         let original = snapshot(seed, (seed % 5) as usize, (seed * 37 % 1500) as usize);
         assert_eq!(decode(&encode(&original)), Ok((original, SkippedSections::default())), "seed {seed}");
     }
 }
 
+/// Guards against old state that counts as recent because a clock was changed between writing and reading.
 #[test]
-fn a_clock_that_was_set_makes_a_snapshot_of_maximum_age() {
+fn unknown_future_or_ancient_write_time_gives_the_maximum_age() {
     let written = |written_ms| LearnedSnapshot { written_ms, pools: Vec::new() };
     let now = 1_700_000_000_000;
     assert_eq!(written(Some(now - 2500)).age(now), 2_500_000);
-    for strange in [None, Some(now + 1), Some(u64::MAX), Some(0)] {
-        assert_eq!(written(strange).age(now), MAX_AGE, "{strange:?}");
+    for written_ms in [None, Some(now + 1), Some(u64::MAX), Some(0)] {
+        assert_eq!(written(written_ms).age(now), MAX_AGE, "{written_ms:?}");
     }
 }
 
+/// Guards against endpoints that are skipped because the checksum of the pool name covers the name before
+/// truncation.
 #[test]
-fn a_long_pool_name_is_cut_and_its_endpoints_still_belong_to_it() {
+fn long_pool_name_is_truncated_and_its_endpoints_stay_in_the_pool() {
     let mut original = snapshot(7, 1, 3);
     original.pools[0].name = "ü".repeat(200);
     let (decoded, skipped) = decode(&encode(&original)).expect("good");
@@ -78,8 +83,9 @@
     );
 }
 
+/// Guards against one flipped bit that goes undetected or loses other sections.
 #[test]
-fn a_flipped_bit_costs_its_section() {
+fn flipped_bit_loses_only_its_section_or_pool() {
     let original = snapshot(1, 3, 700);
     let encoded = encode(&original);
     let mut random = fastrand::Rng::with_seed(2);
@@ -88,11 +94,11 @@
         let position = random.usize(..bytes.len());
         bytes[position] ^= 1 << random.u8(..8);
         match decode(&bytes) {
-            // Only in the head.
+            // Only a flipped bit in the head makes the whole file unreadable.
             Err(fault) => assert!(position < 16, "{position}: {fault}"),
             Ok((decoded, skipped)) => {
-                assert!(skipped != SkippedSections::default(), "{position}: not seen");
-                // What is decoded is what was encoded: complete pools, and some sections of endpoints of each.
+                assert!(skipped != SkippedSections::default(), "{position}: not detected");
+                // Decoded pools equal the encoded ones, with some of their endpoints sections.
                 for pool in &decoded.pools {
                     let written = original
                         .pools
@@ -108,7 +114,8 @@
                         "{position}"
                     );
                 }
-                // A flipped length may hide what follows; anything else costs one section, or a pool.
+                // A flipped bit in a length may hide the following sections; any other loses one section or
+                // one pool.
                 let endpoints: usize = decoded.pools.iter().map(|pool| pool.endpoints.len()).sum();
                 let length = skipped.truncated || skipped.damaged > 2;
                 assert!(length || endpoints >= 2 * 700, "{position}: {skipped:?}, {endpoints} endpoints");
@@ -117,7 +124,8 @@
     }
 }
 
-/// The section of a pool is lost, and its endpoints must not become those of another pool.
+/// Guards against endpoints that are assigned to the previous pool because the section of their own pool is
+/// lost.
 #[test]
 fn endpoints_of_a_lost_pool_are_skipped() {
     let mut original = snapshot(6, 2, 20);
@@ -126,14 +134,15 @@
         pool.endpoints.iter_mut().for_each(|endpoint| endpoint.latency_by_class.clear());
     }
     let mut bytes = encode(&original);
-    let position = bytes.windows(6).position(|window| window == b"second").expect("it is there");
+    let position = bytes.windows(6).position(|window| window == b"second").expect("the name is in the file");
     bytes[position] ^= 1;
     let (decoded, skipped) = decode(&bytes).expect("a good head");
     assert_eq!((decoded.pools, skipped.damaged), (vec![original.pools[0].clone()], 2));
 }
 
+/// Guards against a truncated file that loses its complete sections too.
 #[test]
-fn a_truncated_file_gives_its_complete_sections() {
+fn truncated_file_decodes_to_its_complete_sections() {
     let original = snapshot(3, 2, 600);
     let encoded = encode(&original);
     let mut max_endpoints = 0;
@@ -143,13 +152,13 @@
             continue;
         };
         let endpoints: usize = decoded.pools.iter().map(|pool| pool.endpoints.len()).sum();
-        assert!(endpoints >= max_endpoints, "more bytes, fewer endpoints");
+        assert!(endpoints >= max_endpoints, "a longer file gives fewer endpoints");
         max_endpoints = endpoints;
     }
     assert!(max_endpoints >= 512 + 600, "{max_endpoints}");
 }
 
-/// A section as any version writes it.
+/// Encodes a section in the form that all versions share.
 fn section(kind: u16, content: &[u8]) -> Vec<u8> {
     let mut out = [&kind.to_le_bytes()[..], &(content.len() as u32).to_le_bytes()].concat();
     let sum = crc32c::crc32c_append(crc32c::crc32c(&out), content);
@@ -158,18 +167,21 @@
     out
 }
 
-fn head(version: u16, readable: u16) -> Vec<u8> {
-    let mut out = [&b"amberkno"[..], &version.to_le_bytes(), &readable.to_le_bytes()].concat();
+/// Encodes the head of a file of this version, readable from version `oldest_reader` on.
+fn head(version: u16, oldest_reader: u16) -> Vec<u8> {
+    let mut out = [&b"amberkno"[..], &version.to_le_bytes(), &oldest_reader.to_le_bytes()].concat();
     let sum = crc32c::crc32c(&out);
     out.extend(sum.to_le_bytes());
     out
 }
 
+/// Guards against a file that cannot be read after a downgrade: unknown sections are skipped, and only a
+/// version that excludes this reader is rejected.
 #[test]
-fn a_newer_version_is_decoded_as_far_as_it_is_known() {
+fn newer_version_is_decoded_without_its_unknown_sections() {
     let original = snapshot(4, 1, 3);
     let mut bytes = head(2, 1);
-    bytes.extend(section(900, b"what nobody here knows"));
+    bytes.extend(section(900, b"content of a later version"));
     bytes.extend(&encode(&original)[16..]);
     assert_eq!(decode(&bytes), Ok((original, SkippedSections { unknown: 1, ..SkippedSections::default() })));
     assert_eq!(decode(&head(3, 2)), Err(DecodeError::UnsupportedVersion(3)));
@@ -179,9 +191,10 @@
     assert_eq!(decode(b"something else"), Err(DecodeError::NotLearnedState));
 }
 
-/// A file of version 1, made from its description by other means: later versions decode it to the same.
+/// Guards against a change of the format that makes stored files unreadable. The file of version 1 was made
+/// from the description of the format, not with [`encode`].
 #[test]
-fn a_file_of_version_1_stays_readable() {
+fn file_of_version_1_stays_readable() {
     let stored = include_bytes!("version-1.bin");
     let endpoint = |name: &str, started_ms| StoredEndpoint {
         name: name.to_owned(),
@@ -213,15 +226,16 @@
             endpoints: vec![endpoint("pairing-1", Some(1_790_000_000_000)), endpoint("pairing-2", None)],
         }],
     };
-    assert_eq!(encode(&original), stored, "version 1 is written otherwise than it was");
+    assert_eq!(encode(&original), stored, "the encoding of version 1 has changed");
     assert_eq!(decode(stored), Ok((original, SkippedSections::default())));
 }
 
 proptest! {
+    /// Guards against a panic over a damaged or malicious file.
     #[test]
-    fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), kind in 0_u16..4) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), kind in 0_u16..4) {
         let _ = decode(&bytes);
-        // With valid checksums, so that all of it is decoded.
+        // The checksums are valid, so that the contents are decoded.
         let mut sound = head(1, 1);
         sound.extend(section(1, &encode(&snapshot(5, 1, 0))[26..]));
         sound.extend(section(kind, &bytes));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -181,7 +181,7 @@
     // What is none is told in a line.
     let (code, _, fault) = run(&["show", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")]);
     assert_eq!((code, fault.lines().count()), (Some(2), 1));
-    assert!(fault.contains("not a file of what was learned"), "{fault}");
+    assert!(fault.contains("not a learned-state file"), "{fault}");
 }
 
 #[test]
