--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -10,9 +10,9 @@
 //! - **The limits of one tenant**: requests per second with a burst ([`TokenBucket`]), requests in flight,
 //!   connections, bytes of bodies, and retries per second.
 //! - **The request rate of the process** is divided by weighted max-min fairness (progressive filling,
-//!   Bertsekas and Gallager, "Data Networks", section 6.5.2) according to the demand in the last period. Unused
-//!   shares are lent to other tenants. A tenant that becomes active has its guaranteed share at once and its
-//!   fair share after one period ([`SHARE_PERIOD`]).
+//!   Bertsekas and Gallager, "Data Networks", section 6.5.2) according to the demand in the last period.
+//!   Unused shares are lent to other tenants. A tenant that becomes active has its guaranteed share at once
+//!   and its fair share after one period ([`SHARE_PERIOD`]).
 //! - **Quotas** (requests in flight, bytes of bodies) cannot be reclaimed before the requests end. Beyond its
 //!   guaranteed quota a tenant may borrow only what remains free if every active tenant uses its whole
 //!   guaranteed quota.
