--- a/crates/proxy/src/driver/attempt_history.rs
+++ b/crates/proxy/src/driver/attempt_history.rs
@@ -1,4 +1,4 @@
-//! What the ends of a request's attempts prove. Pure: no I/O, no clock.
+//! The attempts of a request and whether any of them may have been executed. Does no I/O and reads no clock.
 
 use decide::Outcome;
 
@@ -9,7 +9,7 @@
 pub struct AttemptHistory {
     attempts: Vec<AttemptRecord>,
     last_timed_out: bool,
-    /// An attempt ended in a way that does not prove that nothing was executed.
+    /// Whether an attempt ended with an outcome that doesn't rule out its execution.
     may_have_run: bool,
 }
 
@@ -22,24 +22,25 @@
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunningAttempt {
-    /// Its number, from 0.
+    /// The number of the attempt within its request, from 0.
     pub number: usize,
-    /// Where and when it was sent.
+    /// The endpoint of the attempt and the time when it was started.
     pub target: AttemptTarget,
 }
 
 impl AttemptHistory {
-    /// The number of attempts so far, and so the number of the next.
+    /// The number of attempts so far, which is also the number of the next attempt.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Records an attempt that starts.
+    /// Records the start of an attempt.
     pub fn start(&mut self, target: AttemptTarget) {
         self.attempts.push(AttemptRecord { target, is_running: true });
     }
 
-    /// Records the end of an attempt, and returns its target. None if there is no such attempt or it had ended.
+    /// Records the end of an attempt and returns its target. Returns `None` if there is no such attempt or it
+    /// had already ended.
     pub fn end(&mut self, number: usize, outcome: Outcome) -> Option<AttemptTarget> {
         let attempt = self.attempts.get_mut(number).filter(|attempt| attempt.is_running)?;
         attempt.is_running = false;
@@ -62,12 +63,12 @@
             .map(|(number, attempt)| RunningAttempt { number, target: attempt.target })
     }
 
-    /// Whether no attempt can have been executed: none runs, and the ends of all prove it.
+    /// Whether no attempt can have been executed: none is running, and every outcome rules out execution.
     pub fn never_ran(&self) -> bool {
         !self.may_have_run && self.running().next().is_none()
     }
 
-    /// Whether the last attempt that ended ran out of time.
+    /// Whether the attempt that ended last timed out.
     pub fn last_timed_out(&self) -> bool {
         self.last_timed_out
     }
--- a/crates/proxy/src/driver/attempt_task.rs
+++ b/crates/proxy/src/driver/attempt_task.rs
@@ -1,4 +1,4 @@
-//! The task that makes an attempt.
+//! The task that runs an attempt.
 
 use std::rc::Rc;
 
@@ -9,14 +9,14 @@
 use crate::inbox::{AttemptId, DriverHandle, DriverInput};
 use crate::upstream::{AttemptRequest, UpstreamPool, WriteStarted};
 
-/// A task that makes an attempt and reports its end.
+/// A task that runs an attempt and reports its result.
 pub struct AttemptTask {
     abort: AbortHandle,
     write_started: WriteStarted,
 }
 
 impl AttemptTask {
-    /// Aborts it, and returns the outcome of the attempt.
+    /// Aborts the task and returns the outcome of the attempt.
     pub fn cancel(&self) -> Outcome {
         self.abort.abort();
         if self.write_started.get() {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Starts an attempt. Its result is sent to `driver`; its connection is kept for reuse.
+/// Starts an attempt. The result is sent to `driver`; the connection is kept for reuse.
 pub fn spawn(
     attempt: AttemptId,
     request: AttemptRequest,
@@ -45,8 +45,9 @@
     AttemptTask { abort: task.abort_handle(), write_started }
 }
 
-/// Reports a result for an attempt also if its task panics: the request may have been executed then. Where the task is
-/// aborted the driver has recorded the end before, and ignores this one.
+/// Reports a result for an attempt even if its task panics; the result is then [`Outcome::Reset`], because
+/// the request may have been executed. If the task is aborted, the driver has already recorded the end and
+/// ignores this result.
 pub(super) struct ResultGuard {
     driver: DriverHandle,
     attempt: AttemptId,
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,8 +1,10 @@
-//! The one owner of the decisions: turns inputs from I/O tasks into events, and carries out the actions.
+//! The driver of a pool: owns the balancer, converts inputs from I/O tasks into events for it, and carries
+//! out the actions that it returns.
 //!
-//! I/O tasks send inputs through a [`DriverHandle`]. The driver takes them one at a time and in order, so events never
-//! nest and nothing here needs a lock. Of each request it keeps who is owed the response and which attempts run
-//! (`open_request`); what the ends of attempts prove is worked out without I/O (`attempt_history`).
+//! I/O tasks send inputs through a [`DriverHandle`]. The driver handles them one at a time and in order, so
+//! events never nest and no lock is needed. For each request without a final response it keeps the channel
+//! for that response and the running attempts (`open_request`); whether a request may have been executed is
+//! derived from the outcomes of its attempts (`attempt_history`).
 
 mod attempt_history;
 mod attempt_task;
@@ -27,12 +29,12 @@
 use crate::log::log_line;
 use crate::upstream::UpstreamPool;
 
-/// Runs the decisions of one pool.
+/// Runs the balancer of one pool.
 pub struct Driver {
     clock: Clock,
     settings: Settings,
     balancer: Balancer,
-    /// The seed of `balancer`, which also tells its timers from those of an earlier one.
+    /// The seed of `balancer`, which also distinguishes its timers from those of an earlier balancer.
     balancer_seed: u64,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     upstream_pool: Rc<UpstreamPool>,
@@ -40,12 +42,13 @@
     poll_discovery: Rc<Notify>,
     handle: DriverHandle,
     inputs: mpsc::UnboundedReceiver<DriverInput>,
-    /// Inputs that follow from the one being handled; they precede those of `inputs`.
+    /// Inputs caused by the input being handled; they are handled before those of `inputs`.
     follow_ups: VecDeque<DriverInput>,
 }
 
 impl Driver {
-    /// A driver whose decisions draw from `seed`. `poll_discovery` is notified when they want the endpoint list polled.
+    /// Creates a driver whose balancer draws random numbers from `seed`. `poll_discovery` is notified when
+    /// the balancer requests a poll of the endpoint list.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// A handle to send it inputs through.
+    /// Returns a handle that sends inputs to this driver.
     pub fn handle(&self) -> DriverHandle {
         self.handle.clone()
     }
@@ -87,17 +90,17 @@
 
     /// Handles an input, and replaces the balancer if it panics.
     fn handle_input_or_replace_balancer(&mut self, input: DriverInput) {
-        // A new balancer that panics on the cached endpoints does not get them again.
+        // A new balancer that panics on the cached list would panic on it forever, so it isn't sent again.
         let is_cached_list = matches!(input, DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. });
         if catch_unwind(AssertUnwindSafe(|| self.handle_input(input))).is_err() {
             self.replace_balancer(!is_cached_list);
         }
     }
 
-    /// Fails all open requests and continues with a new balancer, as a panic may have left the state of the old one
-    /// half changed.
+    /// Fails all open requests and continues with a new balancer, because a panic may have left the old one
+    /// in an inconsistent state.
     fn replace_balancer(&mut self, with_cached_list: bool) {
-        log_line(format_args!("the decisions panicked: failing what is open and starting anew"));
+        log_line(format_args!("balancer panicked: failing all open requests and starting a new balancer"));
         self.follow_ups.clear();
         for request in std::mem::take(&mut self.open_requests).into_values() {
             request.fail();
@@ -132,7 +135,7 @@
             DriverInput::ImportLearnedState(states) => {
                 self.balancer.import_learned_state(self.clock.now(), &states);
             }
-            // Whoever asks may have gone.
+            // Sending fails if the receiver was dropped while it waited, which is harmless.
             DriverInput::ExportLearnedState(reply) => {
                 let _ = reply.send(self.balancer.learned_state(self.clock.now()));
             }
@@ -161,7 +164,8 @@
         }
     }
 
-    /// Reports the end of an attempt; a cancelled one has been reported already.
+    /// Reports the end of an attempt to the balancer. A cancelled attempt has been reported before and is
+    /// ignored.
     fn on_attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult) {
         let AttemptResult { outcome, load_report, response } = result;
         let Some(request) = self.open_requests.get_mut(&attempt.request) else { return };
@@ -170,7 +174,7 @@
         if let Some(response) = response {
             self.respond(attempt.request, FinalResponse::Served(response));
         } else if request.is_client_disconnected() {
-            // Its own input has not arrived yet, and no further attempt may start.
+            // The input `ClientDisconnected` has not arrived yet, and no further attempt may start.
             self.on_client_disconnected(attempt.request);
         }
         self.report_attempt(attempt, target, AttemptReport { outcome, is_final, load: load_report });
@@ -204,7 +208,7 @@
         });
     }
 
-    /// Hands an event to the decisions and carries out their actions in order.
+    /// Passes an event to the balancer and carries out the resulting actions in order.
     fn decide(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.clock.now(), event, &mut actions);
@@ -253,7 +257,7 @@
         request.record_attempt(AttemptTarget { endpoint, started_at }, task);
     }
 
-    /// Cancels one attempt of a request that goes on.
+    /// Cancels one attempt of a request that stays open.
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         let Some(request) = self.open_requests.get(&attempt.request) else { return };
         if let Some(outcome) = request.cancel_attempt(attempt.number) {
@@ -261,7 +265,8 @@
         }
     }
 
-    /// Cancels the attempts of a request that is over. The decisions still get an outcome for each.
+    /// Cancels the attempts of a request that is no longer open. The balancer still receives an outcome for
+    /// each.
     fn cancel_attempts(&mut self, id: RequestId, request: &OpenRequest) {
         for running in request.running_attempts() {
             if let Some(outcome) = request.cancel_attempt(running.number) {
@@ -292,7 +297,7 @@
         });
     }
 
-    /// Gives a request its final response; no further attempt is started for it.
+    /// Sends the final response of a request; no further attempt is started for it.
     fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(mut request) = self.open_requests.remove(&id) else { return };
         request.respond(response);
@@ -300,10 +305,10 @@
     }
 }
 
-/// What the decisions learn from the end of an attempt, beside which it was.
+/// The end of an attempt as it is reported to the balancer.
 struct AttemptReport {
     outcome: Outcome,
-    /// Its request has its final response.
+    /// Whether the request has its final response.
     is_final: bool,
     load: Option<LoadReport>,
 }
--- a/crates/proxy/src/driver/open_request.rs
+++ b/crates/proxy/src/driver/open_request.rs
@@ -1,4 +1,4 @@
-//! A request that is owed its final response, with the tasks of its attempts.
+//! A request without its final response, and the tasks of its attempts.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 pub struct OpenRequest {
     message: Rc<UpstreamRequest>,
     disconnect_probe: DisconnectProbe,
-    /// None once the response was sent.
+    /// `None` once the response has been sent.
     response: Option<oneshot::Sender<FinalResponse>>,
     attempt_counter: AttemptCounter,
     history: AttemptHistory,
@@ -26,7 +26,7 @@
 }
 
 impl OpenRequest {
-    /// A request that has no attempts yet.
+    /// Creates a request that has no attempts yet.
     pub fn new(
         message: Rc<UpstreamRequest>,
         disconnect_probe: DisconnectProbe,
@@ -43,22 +43,23 @@
         }
     }
 
-    /// Its body, if that is streamed.
+    /// The body of the request, if it is streamed.
     pub fn streamed_body(&self) -> Option<&Rc<StreamingBody>> {
         self.message.body().streaming()
     }
 
-    /// Whether its client has closed the connection, also where that input has not arrived yet.
+    /// Whether the client has closed the connection, even if the input `ClientDisconnected` has not arrived
+    /// yet.
     pub fn is_client_disconnected(&self) -> bool {
         self.disconnect_probe.is_disconnected()
     }
 
-    /// The number of its attempts so far.
+    /// The number of attempts so far.
     pub fn attempt_count(&self) -> usize {
         self.history.len()
     }
 
-    /// The next attempt.
+    /// Builds the next attempt.
     pub fn attempt_request(&self, endpoint: EndpointId, deadline: Instant) -> AttemptRequest {
         let client_timeout = self.message.extensions().get::<ClientTimeout>();
         AttemptRequest {
@@ -78,7 +79,8 @@
         self.tasks.push(task);
     }
 
-    /// Records the end of an attempt, and returns its target. None if there is no such attempt or it had ended.
+    /// Records the end of an attempt and returns its target. Returns `None` if there is no such attempt or it
+    /// had already ended.
     pub fn end_attempt(&mut self, number: usize, outcome: Outcome) -> Option<AttemptTarget> {
         self.history.end(number, outcome)
     }
@@ -88,7 +90,8 @@
         self.history.running()
     }
 
-    /// Cancels an attempt that has not ended, and returns its outcome; the caller records its end.
+    /// Cancels an attempt and returns its outcome, or `None` if it is not running. Does not record the end:
+    /// that is left to [`OpenRequest::end_attempt`].
     pub fn cancel_attempt(&self, number: usize) -> Option<Outcome> {
         let task = self.tasks.get(number).filter(|_| self.history.is_running(number))?;
         Some(task.cancel())
@@ -99,7 +102,7 @@
         self.history.never_ran()
     }
 
-    /// The response where the decisions fail the request.
+    /// The response when the balancer fails the request.
     pub fn failure_response(&self) -> FinalResponse {
         if self.history.last_timed_out() {
             FinalResponse::TimedOut
@@ -111,12 +114,12 @@
     /// Sends the final response.
     pub fn respond(&mut self, response: FinalResponse) {
         if let Some(sender) = self.response.take() {
-            // The client may have disconnected in this very moment.
+            // Sending fails if the client has just disconnected, which is harmless.
             let _ = sender.send(response);
         }
     }
 
-    /// Aborts its attempts without recording their ends, and fails it.
+    /// Aborts the running attempts without recording their ends, and responds with [`FinalResponse::Failed`].
     pub fn fail(mut self) {
         for attempt in self.history.running() {
             self.tasks[attempt.number].cancel();
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the driver, and of what the ends of attempts prove.
+//! Tests of the driver and of the attempt history.
 
 use std::future::Future;
 use std::time::Duration;
@@ -31,8 +31,10 @@
     Driver::new(settings, 7, Clock::new(), Rc::new(UpstreamPool::new(transport, 9)), None, Rc::default())
 }
 
+/// A panic of the balancer must not leave requests without a response, lose the endpoint list, or let a timer
+/// of the old balancer start a second round of timers in the new one.
 #[test]
-fn open_requests_fail_at_once_when_the_decisions_panic() {
+fn balancer_panic_fails_open_requests_and_restores_the_endpoint_list() {
     block_on_local(async {
         let mut driver = driver();
         let (response, receiver) = oneshot::channel();
@@ -45,12 +47,12 @@
         let Some(list @ DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. }) =
             driver.follow_ups.pop_front()
         else {
-            panic!("no list")
+            panic!("no endpoint list is queued for the new balancer")
         };
-        // The new balancer starts its own timers, and those of the old one are ignored.
+        // The new balancer starts its own timers; a timer of the old balancer is ignored.
         driver.handle_input(list);
         let Some(DriverInput::Timer { balancer_seed, token }) = driver.inputs.recv().await else {
-            panic!("no timer")
+            panic!("the new balancer started no timer")
         };
         assert_ne!(balancer_seed, old_seed);
         driver.handle_input(DriverInput::Timer { balancer_seed: old_seed, token });
@@ -60,8 +62,10 @@
     });
 }
 
+/// A panic in the task of an attempt must still report an outcome, and one that doesn't rule out execution:
+/// otherwise the request never ends, or is retried after it was executed.
 #[test]
-fn an_attempt_whose_task_panics_may_have_run() {
+fn panic_in_attempt_task_reports_reset() {
     block_on_local(async {
         let mut driver = driver();
         let expected = AttemptId { request: RequestId(1), number: 2 };
@@ -72,7 +76,7 @@
         });
         assert!(task.await.is_err());
         let Some(DriverInput::AttemptEnded { attempt, result }) = driver.inputs.recv().await else {
-            panic!("no outcome")
+            panic!("the guard reported no outcome")
         };
         assert_eq!(attempt, expected);
         assert_eq!(result.outcome, Outcome::Reset);
@@ -83,12 +87,14 @@
     AttemptTarget { endpoint: EndpointId(endpoint), started_at: 10 }
 }
 
+/// A request counts as never executed only if no attempt is running and every outcome rules out execution. A
+/// later attempt that was rejected must not hide an earlier one that may have been executed.
 #[test]
-fn a_request_never_ran_only_if_every_attempt_ended_and_proves_it() {
+fn never_ran_requires_every_attempt_to_rule_out_execution() {
     let mut history = AttemptHistory::default();
     assert!(history.never_ran());
     history.start(target(1));
-    assert!(!history.never_ran(), "it runs");
+    assert!(!history.never_ran(), "the attempt is still running");
     assert_eq!(history.end(0, Outcome::ConnectFailed), Some(target(1)));
     assert!(history.never_ran());
     history.start(target(2));
@@ -96,24 +102,27 @@
     assert!(!history.never_ran());
     history.start(target(3));
     assert_eq!(history.end(2, Outcome::Rejected), Some(target(3)));
-    assert!(!history.never_ran(), "an earlier attempt may have run");
+    assert!(!history.never_ran(), "an earlier attempt may have been executed");
 }
 
+/// The end of an attempt can be recorded by its cancellation and again by its task. The second report must be
+/// ignored.
 #[test]
-fn an_attempt_ends_once() {
+fn second_end_of_an_attempt_is_ignored() {
     let mut history = AttemptHistory::default();
     history.start(target(1));
     history.start(target(2));
     assert_eq!(history.end(0, Outcome::NotSent), Some(target(1)));
-    assert_eq!(history.end(0, Outcome::Reset), None, "it had ended");
-    assert_eq!(history.end(2, Outcome::Reset), None, "there is none");
+    assert_eq!(history.end(0, Outcome::Reset), None, "the attempt had already ended");
+    assert_eq!(history.end(2, Outcome::Reset), None, "there is no attempt with this number");
     assert!(!history.is_running(0) && history.is_running(1));
     let running: Vec<RunningAttempt> = history.running().collect();
     assert_eq!(running, [RunningAttempt { number: 1, target: target(2) }]);
     assert_eq!(history.end(1, Outcome::NotSent), Some(target(2)));
-    assert!(history.never_ran(), "the late end of the first has no effect");
+    assert!(history.never_ran(), "the second end of the first attempt has no effect");
 }
 
+/// The final response is a timeout only if the attempt that ended last timed out, not an earlier one.
 #[test]
 fn last_timed_out_reflects_the_latest_ended_attempt() {
     let mut history = AttemptHistory::default();
--- a/crates/proxy/src/upstream/attempt_error.rs
+++ b/crates/proxy/src/upstream/attempt_error.rs
@@ -1,4 +1,4 @@
-//! Why an attempt brought no response, and what that proves.
+//! The reasons why an attempt got no response, and the outcome that each of them is reported as.
 
 use decide::Outcome;
 use hyper::StatusCode;
@@ -6,23 +6,23 @@
 use super::connect::ConnectError;
 use crate::exchange::AttemptResult;
 
-/// Why an attempt or a health check brought no response.
+/// The reason why an attempt or a health check got no usable response.
 #[derive(Debug)]
 pub enum AttemptError {
-    /// It was given up before anything was written.
+    /// The attempt was given up before anything was written.
     NotSent(NotSentReason),
-    /// There is no connection.
+    /// No connection could be obtained.
     Connect(ConnectError),
-    /// The connection closed before an HTTP request's first byte, or a JSON-RPC call's last byte, was written: nothing was
-    /// executed. On a reused connection the attempt is repeated on another one.
+    /// The connection closed before the first byte of an HTTP request, or the last byte of a JSON-RPC call,
+    /// was written, so nothing was executed. On a reused connection the attempt is repeated on another one.
     ClosedBeforeWrite,
-    /// The streamed body of the request was cut, so the endpoint has not got its last byte.
+    /// The streamed body of the request ended early, so the endpoint has not received its last byte.
     IncompleteRequest,
     /// The connection closed after the request was written, at least in part.
     ConnectionLost,
-    /// The body of the response broke off.
+    /// The connection closed before the end of the response body.
     IncompleteResponse,
-    /// The endpoint declares that it has not processed the request.
+    /// The endpoint declared that it has not processed the request.
     Rejected,
     /// The endpoint answered with another status than 200.
     Status(StatusCode),
@@ -32,27 +32,27 @@
     Timeout,
 }
 
-/// Why an attempt was given up before anything was written.
+/// The reason why an attempt was given up before anything was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
     /// The endpoint list has expired.
     ListExpired,
-    /// The endpoint has been draining for too long, or was removed.
+    /// The drain grace of the endpoint is over or almost over, or the endpoint has been forgotten.
     EndpointDrained,
     /// The client has closed its connection.
     ClientDisconnected,
-    /// The deadline passed.
+    /// The deadline of the attempt passed.
     DeadlineExceeded,
     /// Health checks are not made over JSON-RPC.
     Unsupported,
 }
 
 impl AttemptError {
-    /// What it proves, to the decisions.
+    /// The outcome that is reported to the balancer.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptError::NotSent(_) | AttemptError::IncompleteRequest => Outcome::NotSent,
-            // The reason lies with this process, and says nothing about the endpoint.
+            // The cause lies in this process, so nothing can be inferred about the endpoint.
             AttemptError::Connect(ConnectError::UnknownEndpoint | ConnectError::SocketsExhausted) => {
                 Outcome::NotSent
             }
@@ -89,17 +89,23 @@
 impl std::fmt::Display for AttemptError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AttemptError::NotSent(reason) => write!(f, "nothing was sent: {reason}"),
-            AttemptError::Connect(_) => f.write_str("there is no connection"),
+            AttemptError::NotSent(reason) => write!(f, "request not sent: {reason}"),
+            AttemptError::Connect(_) => f.write_str("no connection to the endpoint"),
             AttemptError::ClosedBeforeWrite => {
                 f.write_str("the connection closed before the request was written")
             }
-            AttemptError::IncompleteRequest => f.write_str("the request was not written in full"),
-            AttemptError::ConnectionLost => f.write_str("the connection closed without a response"),
-            AttemptError::IncompleteResponse => f.write_str("the response broke off"),
+            AttemptError::IncompleteRequest => {
+                f.write_str("the request body ended before its last byte was written")
+            }
+            AttemptError::ConnectionLost => f.write_str("the connection closed before the response"),
+            AttemptError::IncompleteResponse => {
+                f.write_str("the connection closed before the end of the response body")
+            }
             AttemptError::Rejected => f.write_str("the endpoint rejected the request"),
-            AttemptError::Status(status) => write!(f, "the endpoint answered with status {status}"),
-            AttemptError::RpcError(code) => write!(f, "the endpoint answered with error {code}"),
+            AttemptError::Status(status) => {
+                write!(f, "the endpoint responded with status {status}, expected 200")
+            }
+            AttemptError::RpcError(code) => write!(f, "the endpoint responded with JSON-RPC error {code}"),
             AttemptError::Timeout => f.write_str("the attempt timed out"),
         }
     }
@@ -109,10 +115,12 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             NotSentReason::ListExpired => "the endpoint list has expired",
-            NotSentReason::EndpointDrained => "the endpoint is drained",
+            NotSentReason::EndpointDrained => {
+                "the drain grace of the endpoint is over or the endpoint was removed"
+            }
             NotSentReason::ClientDisconnected => "the client has disconnected",
             NotSentReason::DeadlineExceeded => "the deadline has passed",
-            NotSentReason::Unsupported => "the protocol has no health check",
+            NotSentReason::Unsupported => "JSON-RPC has no health check",
         })
     }
 }
--- a/crates/proxy/src/upstream/connect.rs
+++ b/crates/proxy/src/upstream/connect.rs
@@ -13,29 +13,29 @@
 use super::UpstreamPool;
 use crate::socket::Socket;
 
-/// Why there is no connection.
+/// The reason why no connection could be obtained.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// The endpoint has been forgotten.
+    /// The endpoint is not in the endpoint table: it was removed and its drain grace is over.
     UnknownEndpoint,
-    /// This process may open no more sockets, and no connection is idle.
+    /// The pool is at its limit of sockets, and no idle connection can be closed to free one.
     SocketsExhausted,
-    /// The endpoint did not accept within the connect timeout.
+    /// The endpoint did not accept the connection within the connect timeout.
     Timeout,
-    /// The connection was refused or broke off.
+    /// Connecting failed with an I/O error, for example because the endpoint refused it.
     Io(io::Error),
-    /// HTTP could not be set up on it.
+    /// The HTTP handshake on the connection failed.
     Handshake(hyper::Error),
 }
 
 impl std::fmt::Display for ConnectError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            ConnectError::UnknownEndpoint => "the endpoint is not known any more",
-            ConnectError::SocketsExhausted => "all sockets are in use",
-            ConnectError::Timeout => "connecting timed out",
-            ConnectError::Io(_) => "connecting failed",
-            ConnectError::Handshake(_) => "the connection could not be set up",
+            ConnectError::UnknownEndpoint => "the endpoint was removed from the endpoint list",
+            ConnectError::SocketsExhausted => "all sockets of the pool are in use",
+            ConnectError::Timeout => "connecting to the endpoint timed out",
+            ConnectError::Io(_) => "connecting to the endpoint failed",
+            ConnectError::Handshake(_) => "the HTTP handshake failed",
         })
     }
 }
@@ -50,17 +50,18 @@
     }
 }
 
-/// A connection that is being made. Dropping it notifies those who wait, however connecting ended.
+/// A connection that is being established. Dropping it wakes all waiting tasks, whether connecting succeeded
+/// or not.
 #[derive(Default)]
 pub struct PendingConnect {
     ended: Rc<Notify>,
 }
 
 impl PendingConnect {
-    /// Waits until it is dropped.
+    /// Waits until the last reference of the connecting task is dropped.
     async fn wait(self: Rc<Self>) {
         let ended = Rc::clone(&self.ended);
-        // Not kept alive by those who wait.
+        // A waiting task must not keep `self` alive, because dropping it is the signal.
         drop(self);
         ended.notified().await;
     }
@@ -74,13 +75,14 @@
 
 /// A connection for an attempt.
 pub struct AcquiredConnection<C> {
-    /// The connection.
+    /// The connection to send on.
     pub connection: C,
-    /// Another request was sent on it before, so that it may just have closed.
+    /// Whether another request was sent on it before, in which case it may just have been closed by the
+    /// endpoint.
     pub is_reused: bool,
 }
 
-/// An idle connection, or a new one.
+/// Returns an idle HTTP connection or establishes a new one.
 pub async fn acquire_http(
     pool: &UpstreamPool,
     endpoint: EndpointId,
@@ -97,14 +99,14 @@
     pool.endpoints.borrow_mut().connections_mut(endpoint)?.take_http(max_idle)
 }
 
-/// A new connection for HTTP.
+/// Establishes a new HTTP connection.
 pub async fn connect_http(pool: &UpstreamPool, endpoint: EndpointId) -> Result<HttpConnection, ConnectError> {
     let socket = connect(pool, endpoint).await?;
     HttpConnection::handshake(socket).await.map_err(ConnectError::Handshake)
 }
 
-/// A connection for JSON-RPC with capacity for another call, or a new one. Calls that come while a connection is being
-/// made wait for it, and make their own if it has no capacity left for them.
+/// Returns a JSON-RPC connection with capacity for another call, or establishes a new one. Calls that arrive
+/// while a connection is being established wait for it, and establish their own if it has no capacity left.
 pub async fn acquire_rpc(
     pool: &UpstreamPool,
     endpoint: EndpointId,
@@ -149,7 +151,7 @@
     pool.endpoints.borrow().get(endpoint)?.connections.pending_rpc()
 }
 
-/// A new socket to the endpoint. At the limit of sockets an idle connection is closed for it.
+/// Connects a new socket to the endpoint. At the limit of sockets, an idle connection is closed first.
 async fn connect(pool: &UpstreamPool, endpoint: EndpointId) -> Result<Socket, ConnectError> {
     let address = pool.endpoints.borrow().get(endpoint).map(|endpoint| endpoint.address);
     let address = address.ok_or(ConnectError::UnknownEndpoint)?;
--- a/crates/proxy/src/upstream/connections.rs
+++ b/crates/proxy/src/upstream/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to one endpoint: idle ones for HTTP, and those for JSON-RPC, each of which carries many calls.
+//! The connections to one endpoint: idle HTTP connections, and JSON-RPC connections, each of which carries
+//! many calls.
 
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -15,7 +16,7 @@
     /// The most recently used one is last.
     idle_http: Vec<IdleHttpConnection>,
     rpc: Vec<Rc<RpcConnection>>,
-    /// The connection for JSON-RPC that is being made.
+    /// The JSON-RPC connection that is being established, if any.
     pending_rpc: Weak<PendingConnect>,
 }
 
@@ -24,7 +25,8 @@
     idle_since: Instant,
 }
 
-/// A connection for JSON-RPC without calls. Ordered by the time since when.
+/// A JSON-RPC connection without calls. Ordered by the time since when it is idle, the longest idle one
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRpcConnection {
     idle_since: Instant,
@@ -32,13 +34,14 @@
 }
 
 impl EndpointConnections {
-    /// Closes idle connections, and the others once the calls on them have ended.
+    /// Closes the idle connections at once, and the other ones when the calls on them have ended.
     pub fn close_all(&mut self) {
         self.idle_http.clear();
         self.rpc.clear();
     }
 
-    /// Closes the connections that have been idle for longer than this, and those that are no longer usable.
+    /// Closes the connections that have been idle for `max_idle` or longer, and those that are no longer
+    /// usable.
     pub fn close_idle_longer_than(&mut self, max_idle: Duration) {
         self.idle_http.retain(|idle| idle.idle_since.elapsed() < max_idle && idle.connection.is_ready());
         self.rpc.retain(|connection| !connection.is_expired(max_idle));
@@ -51,7 +54,8 @@
         self.idle_http.push(IdleHttpConnection { connection, idle_since: Instant::now() });
     }
 
-    /// Takes the usable connection that was used most recently, and closes those that it passes over.
+    /// Takes the most recently used connection that is still usable. The unusable ones that it skips are
+    /// closed.
     pub fn take_http(&mut self, max_idle: Duration) -> Option<HttpConnection> {
         while let Some(idle) = self.idle_http.pop() {
             if idle.idle_since.elapsed() < max_idle && idle.connection.is_usable() {
@@ -61,12 +65,12 @@
         None
     }
 
-    /// For how long the connection has been idle that has been so the longest.
+    /// The idle time of the HTTP connection that has been idle the longest; `None` if there is none.
     pub fn longest_http_idle_time(&self) -> Option<Duration> {
         self.idle_http.first().map(|idle| idle.idle_since.elapsed())
     }
 
-    /// Closes that one.
+    /// Closes the HTTP connection that has been idle the longest.
     pub fn close_longest_idle_http(&mut self) {
         if !self.idle_http.is_empty() {
             self.idle_http.remove(0);
@@ -80,24 +84,24 @@
         self.rpc.push(connection);
     }
 
-    /// A connection on which another call may be sent.
+    /// Returns a connection on which another call may be sent.
     pub fn rpc_with_capacity(&self) -> Option<Rc<RpcConnection>> {
         self.rpc.iter().find(|connection| connection.has_capacity()).cloned()
     }
 
-    /// The connection that is being made, if any.
+    /// The JSON-RPC connection that is being established, if any.
     pub fn pending_rpc(&self) -> Option<Rc<PendingConnect>> {
         self.pending_rpc.upgrade()
     }
 
-    /// Records that this connection is being made, unless another one is.
+    /// Records that a JSON-RPC connection is being established, unless another one already is.
     pub fn set_pending_rpc(&mut self, pending: &Rc<PendingConnect>) {
         if self.pending_rpc.strong_count() == 0 {
             self.pending_rpc = Rc::downgrade(pending);
         }
     }
 
-    /// The connection that has been without calls the longest.
+    /// The JSON-RPC connection that has been without calls the longest.
     pub fn longest_idle_rpc(&self) -> Option<IdleRpcConnection> {
         let connections = self.rpc.iter().enumerate();
         let idle = connections.filter_map(|(index, connection)| {
@@ -106,7 +110,7 @@
         idle.min()
     }
 
-    /// Closes this one.
+    /// Closes a JSON-RPC connection.
     pub fn close_rpc(&mut self, connection: IdleRpcConnection) {
         self.rpc.remove(connection.index);
     }
--- a/crates/proxy/src/upstream/endpoint_table.rs
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a pool by id: entry of the endpoint list, address, connections.
+//! The endpoints of a pool by id, each with its entry of the endpoint list, its address and its connections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use super::http_connection::HttpConnection;
 use super::rpc_connection::RpcConnection;
 
-/// The endpoints of a pool. Removed ones stay until [`EndpointTable::forget_removed`].
+/// The endpoints of a pool. Removed endpoints stay until [`EndpointTable::forget_removed`].
 #[derive(Default)]
 pub struct EndpointTable {
     endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
 }
 
-/// An endpoint.
+/// An endpoint with its connections.
 pub struct TrackedEndpoint {
     entry: Endpoint,
-    /// Where it accepts connections.
+    /// The address on which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// When it was found to be draining or removed.
+    /// When this process first saw the endpoint as draining or removed; `None` while it is neither.
     pub draining_since: Option<Instant>,
     /// The connections to it.
     pub connections: EndpointConnections,
@@ -37,7 +37,7 @@
 
     fn update(&mut self, entry: &Endpoint, address: SocketAddr) {
         if self.address != address || self.entry.up_since != entry.up_since {
-            // Another process, or another path to it.
+            // It is another process, or is reached at another address, so the old connections are useless.
             self.connections.close_all();
         }
         self.address = address;
@@ -69,13 +69,13 @@
 }
 
 impl EndpointTable {
-    /// Takes in an entry of the endpoint list.
+    /// Adds or updates an endpoint from its entry in the endpoint list.
     pub fn update(&mut self, entry: &Endpoint, address: SocketAddr) {
         let endpoint = self.endpoints.entry(entry.id);
         endpoint.or_insert_with(|| TrackedEndpoint::new(entry.clone(), address)).update(entry, address);
     }
 
-    /// Marks the endpoints as removed that are not listed.
+    /// Marks all endpoints that are not listed as removed.
     pub fn mark_unlisted_removed(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         for (id, endpoint) in &mut self.endpoints {
             if !is_listed(*id) {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Forgets the removed endpoints whose drain grace is over. Those that replace them come under new ids, so the table
-    /// would grow without bound.
+    /// Forgets the removed endpoints whose drain grace is over. Their replacements have new ids, so without
+    /// this the table would grow without bound.
     pub fn forget_removed(&mut self, drain_grace: Duration) {
         self.endpoints.retain(|_, endpoint| !endpoint.is_removed() || !endpoint.is_grace_over(drain_grace));
     }
@@ -95,12 +95,12 @@
         self.endpoints.get(&id)
     }
 
-    /// The connections to this endpoint.
+    /// The connections to the endpoint with this id.
     pub fn connections_mut(&mut self, id: EndpointId) -> Option<&mut EndpointConnections> {
         self.endpoints.get_mut(&id).map(|endpoint| &mut endpoint.connections)
     }
 
-    /// Visits each endpoint, also removed ones.
+    /// Visits each endpoint, including removed ones.
     pub fn for_each(&self, mut visit: impl FnMut(&Endpoint, SocketAddr)) {
         for endpoint in self.endpoints.values() {
             visit(&endpoint.entry, endpoint.address);
@@ -113,14 +113,14 @@
         listed.map(|endpoint| endpoint.entry.clone()).collect()
     }
 
-    /// Keeps an idle connection, unless the endpoint is draining.
+    /// Keeps an idle HTTP connection, unless the endpoint is draining.
     pub fn add_idle_http(&mut self, id: EndpointId, connection: HttpConnection) {
         if let Some(connections) = self.connections_unless_draining(id) {
             connections.add_idle_http(connection);
         }
     }
 
-    /// Keeps a connection for many calls, unless the endpoint is draining.
+    /// Keeps a JSON-RPC connection, unless the endpoint is draining.
     pub fn add_rpc(&mut self, id: EndpointId, connection: Rc<RpcConnection>) {
         if let Some(connections) = self.connections_unless_draining(id) {
             connections.add_rpc(connection);
@@ -132,27 +132,27 @@
         Some(&mut endpoint.connections)
     }
 
-    /// Closes the connections that have been idle for longer than this.
+    /// Closes the connections that have been idle for `max_idle` or longer.
     pub fn close_idle_longer_than(&mut self, max_idle: Duration) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.connections.close_idle_longer_than(max_idle);
         }
     }
 
-    /// Closes all connections as soon as no request needs them.
+    /// Closes all connections, those with calls in flight when these have ended.
     pub fn close_all_connections(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.connections.close_all();
         }
     }
 
-    /// Closes one idle connection, of HTTP if there is any. False if no connection is idle.
+    /// Closes one idle connection, preferably an HTTP one. Returns false if no connection is idle.
     pub fn close_idle_connection(&mut self) -> bool {
         self.close_idle_http() || self.close_idle_rpc()
     }
 
-    /// Of each endpoint's longest idle connection, closes the one that has been idle for the shortest time. Not the longest
-    /// idle connection of all.
+    /// Among the longest idle HTTP connections of all endpoints, closes the one with the shortest idle time.
+    /// This is not the longest idle connection of the pool.
     fn close_idle_http(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_http_idle_time()?, all)));
@@ -161,7 +161,7 @@
         true
     }
 
-    /// Closes the connection that has been without calls the longest.
+    /// Closes the JSON-RPC connection of the pool that has been without calls the longest.
     fn close_idle_rpc(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_idle_rpc()?, all)));
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! A health check: asks an endpoint for its load over HTTP, on a connection of its own.
+//! The health check of an endpoint: requests its load over HTTP on a separate connection.
 
 use std::time::Duration;
 
@@ -15,10 +15,11 @@
 use crate::body::MessageBody;
 use crate::exchange::{AttemptResult, UpstreamRequest, MAX_BUFFERED_BODY_BYTES};
 
-/// How long a health check may take once it is connected.
+/// The timeout of a health check, counted from when its connection is established.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Checks an endpoint. [`Outcome::NotSent`] over JSON-RPC, which has no call for it.
+/// Checks the health of an endpoint. The outcome is [`Outcome::NotSent`] over JSON-RPC, which has no health
+/// check.
 pub async fn run(pool: &UpstreamPool, endpoint: EndpointId) -> AttemptResult {
     if pool.rpc.is_some() {
         return AttemptError::NotSent(NotSentReason::Unsupported).into();
@@ -35,14 +36,14 @@
     }
 }
 
-/// What an endpoint answered.
+/// The response to a health check.
 struct Health {
     status: StatusCode,
     load_report: Option<LoadReport>,
 }
 
-/// The rule for the statuses of health checks: a 503 alone is a rejection, whereas an attempt's response has to say that
-/// the request was not processed.
+/// Classifies the status of a health check. A 503 is a rejection by itself, whereas the response to an
+/// attempt also needs the header `x-not-processed`.
 impl From<Health> for AttemptResult {
     fn from(health: Health) -> Self {
         let outcome = match health.status {
--- a/crates/proxy/src/upstream/http_attempt.rs
+++ b/crates/proxy/src/upstream/http_attempt.rs
@@ -16,7 +16,7 @@
 use super::{http_response, AttemptEnd, AttemptRequest, UpstreamPool};
 use crate::exchange::{UpstreamRequest, TIMEOUT_HEADER};
 
-/// Makes an attempt, within its deadline and its client's timeout.
+/// Runs an attempt within its deadline and the timeout of its client.
 pub async fn run(pool: &Rc<UpstreamPool>, request: &AttemptRequest) -> AttemptEnd {
     let end = tokio::select! {
         end = timeout_at(request.deadline, exchange(pool, request)) => end.ok(),
@@ -25,8 +25,8 @@
     end.unwrap_or_else(|| timeout_error(request).into())
 }
 
-/// Waits until the client of a streamed request gives up, from the last byte that it sent. Forever where the deadline
-/// alone counts.
+/// Waits until the client of a streamed request stops waiting, counted from the last byte that it sent. Never
+/// returns if the request is not streamed or has no client timeout, because then only the deadline applies.
 async fn client_timeout(request: &AttemptRequest) {
     match (request.message.body().streaming(), request.client_timeout) {
         (Some(body), Some(timeout)) => {
@@ -37,10 +37,10 @@
     }
 }
 
-/// What running out of time proves.
+/// The error of an attempt that timed out.
 fn timeout_error(request: &AttemptRequest) -> AttemptError {
     if !request.write_started.get() {
-        // The time went into connecting.
+        // The time was spent on connecting.
         return NotSentReason::DeadlineExceeded.into();
     }
     if is_body_incomplete(&request.message) {
@@ -49,13 +49,14 @@
     AttemptError::Timeout
 }
 
-/// Whether the body is streamed and its last byte has not been sent: an endpoint executes nothing before that.
+/// Whether the body is streamed and its last byte has not been read for sending. An endpoint executes nothing
+/// before it has received that byte.
 fn is_body_incomplete(message: &UpstreamRequest) -> bool {
     message.body().streaming().is_some_and(|body| body.completed_at().is_none())
 }
 
-/// Connects, sends the request and reads the response. Where a reused connection has closed before anything was written
-/// it tries another one.
+/// Connects, sends the request and reads the response. If a reused connection has closed before anything was
+/// written, tries another one.
 async fn exchange(pool: &Rc<UpstreamPool>, request: &AttemptRequest) -> AttemptEnd {
     loop {
         if let Err(reason) = check_before_connect(pool, request) {
@@ -112,8 +113,8 @@
     message
 }
 
-/// Counts the attempt at the first write of its last part: of all of a buffered request, or after the end of a streamed
-/// body.
+/// Counts the attempt at the first write of a buffered request, or at the first write after the end of a
+/// streamed body.
 fn count_when_written(pool: &UpstreamPool, request: &AttemptRequest, connection: &HttpConnection) {
     match request.message.body().streaming() {
         None => connection.socket.write_counter().count_next_write(&pool.attempts_written),
@@ -125,14 +126,15 @@
     }
 }
 
-/// What a connection proves that closed without a response. `is_written` if the kernel has taken a byte of the request.
+/// The error of an attempt whose connection closed without a response. `is_written` is whether the kernel has
+/// accepted a byte of the request.
 fn classify_send_error(
     request: &AttemptRequest,
     mut error: hyper::client::conn::TrySendError<UpstreamRequest>,
     is_written: bool,
 ) -> AttemptError {
     if request.message.body().streaming().is_some_and(|body| body.is_read_started()) {
-        // What was read of the body is gone, so it cannot be sent on another connection.
+        // The part of the body that was read is consumed, so it cannot be sent on another connection.
         return if is_body_incomplete(&request.message) {
             AttemptError::IncompleteRequest
         } else {
--- a/crates/proxy/src/upstream/http_connection.rs
+++ b/crates/proxy/src/upstream/http_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint over HTTP/1.1: one request at a time.
+//! An HTTP/1.1 connection to an endpoint, which carries one request at a time.
 
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -8,7 +8,7 @@
 use crate::exchange::MAX_HEAD_BYTES;
 use crate::socket::{Socket, UnreadInput};
 
-/// The connection. Dropping it closes it.
+/// An HTTP/1.1 connection to an endpoint. Dropping it closes the connection.
 pub struct HttpConnection {
     pub(super) sender: SendRequest<MessageBody>,
     pub(super) socket: Socket,
@@ -16,26 +16,27 @@
 }
 
 impl HttpConnection {
-    /// Prepares a socket for requests.
+    /// Performs the HTTP handshake on a socket and starts the task that drives the connection.
     pub(super) async fn handshake(socket: Socket) -> Result<HttpConnection, hyper::Error> {
         let io = TokioIo::new(socket.clone());
         let (sender, connection) = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await?;
-        // Its errors also end the request on it, and are handled there.
+        // An error of the connection also ends the request on it, and is handled with the request.
         let task = spawn_local(connection).abort_handle();
         Ok(HttpConnection { sender, socket, task })
     }
 
-    /// Whether a request may be sent, as far as the connection's task knows.
+    /// Whether a request may be sent, by the state of the connection's task.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether a request may be sent. Asks the kernel, which knows of a closure before the connection's task does.
+    /// Whether a request may be sent. Also checks the socket, which shows a close by the endpoint before the
+    /// connection's task has handled it.
     pub(super) fn is_usable(&self) -> bool {
         self.is_ready() && self.socket.unread_input() == UnreadInput::Empty
     }
 
-    /// Waits until the response before was read. False if the connection closes.
+    /// Waits until the previous response has been read. Returns false if the connection closes.
     pub(super) async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/proxy/src/upstream/http_response.rs
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -1,4 +1,4 @@
-//! The response to an attempt over HTTP: reading it, and classifying the outcome.
+//! Reads the response to an HTTP attempt and classifies its outcome.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,12 +17,14 @@
 use crate::body::{self, BodyError, BufferOutcome, MessageBody, StreamedResponseLimit, StreamingBody};
 use crate::exchange::{remove_hop_by_hop, AttemptResult, UpstreamResponse, MAX_BUFFERED_BODY_BYTES};
 
-/// The response header by which an endpoint declares that it has not processed the request.
+/// The response header with which an endpoint declares that it has not processed the request; its value is
+/// `1`.
 const NOT_PROCESSED_HEADER: &str = "x-not-processed";
-/// How long a response is buffered that may be streamed: until then it can be retried if it breaks off.
+/// The time for which a response that may be streamed is buffered first. A connection that closes within this
+/// time can still be retried.
 const RESPONSE_BUFFER_TIME: Duration = Duration::from_millis(100);
 
-/// Reads a response, in full or up to where it is streamed.
+/// Reads a response: in full, or up to the point from which it is streamed.
 pub async fn read(
     pool: &Rc<UpstreamPool>,
     request: &AttemptRequest,
@@ -51,14 +53,16 @@
     values.find_map(|value| pool.load_reports.parse(value.as_bytes()))
 }
 
-/// The most bytes of the response, if it may be streamed. Small ones are buffered, so that they can be retried.
+/// The maximum size of the response body in bytes, or `None` if the response may not be streamed. Small
+/// responses are buffered so that they can be retried.
 fn max_streamed_bytes(request: &AttemptRequest, status: StatusCode, body: &Incoming) -> Option<u64> {
     let StreamedResponseLimit(max_bytes) = request.message.extensions().get()?;
     let is_streamed = status == StatusCode::OK && !body::must_complete_within_deadline(body);
     is_streamed.then_some(*max_bytes)
 }
 
-/// Reads the body in full; where it may be streamed, only as far as it comes in time.
+/// Reads the body in full. If it may be streamed, reads only what arrives within [`RESPONSE_BUFFER_TIME`] and
+/// fits the buffer.
 async fn buffer(body: Incoming, may_be_streamed: bool) -> Result<BufferOutcome, BodyError> {
     if may_be_streamed {
         let until = Instant::now() + RESPONSE_BUFFER_TIME;
@@ -68,8 +72,8 @@
     body.map(|body| BufferOutcome::Complete(body.to_bytes())).map_err(|_| BodyError::Interrupted)
 }
 
-/// Keeps the connection until the last byte of the body, and then for the next request. Dropped with an unread body, it
-/// is closed.
+/// Keeps the connection open until the last byte of the body, and then for the next request. If the body is
+/// dropped before its end, the connection is closed.
 fn reuse_at_end(
     pool: &Rc<UpstreamPool>,
     request: &AttemptRequest,
@@ -83,7 +87,7 @@
     });
 }
 
-/// The response, or why it is none. `body` is none if it broke off.
+/// Classifies a response. `body` is `None` if the connection closed before its end.
 fn classify(head: Parts, body: Option<MessageBody>) -> Result<UpstreamResponse, AttemptError> {
     match head.status {
         StatusCode::OK => {
--- a/crates/proxy/src/upstream/list_expiry.rs
+++ b/crates/proxy/src/upstream/list_expiry.rs
@@ -1,4 +1,5 @@
-//! The expiry of the endpoint list: while the list is too old, nothing is sent, as endpoints may have been replaced.
+//! The expiry of the endpoint list. While the list is too old nothing is sent, because endpoints may have
+//! been replaced.
 
 use std::cell::Cell;
 
@@ -7,14 +8,14 @@
 
 use crate::log::log_line;
 
-/// The time in which the endpoint list is too old to send to any endpoint.
+/// The period in which the endpoint list is too old to send to any endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ListExpiry {
-    /// Its begin.
+    /// The start of the period, inclusive.
     pub from: Instant,
-    /// Its end, exclusive.
+    /// The end of the period, exclusive.
     pub until: Instant,
-    /// Why the list was not confirmed.
+    /// The reason why the list was not confirmed in time.
     pub cause: ExpiryCause,
 }
 
@@ -24,40 +25,44 @@
     }
 }
 
-/// Checks for expiry, and logs when it begins to have an effect and when that ends.
+/// Checks whether the list has expired, and logs when that first stops an attempt and when it is over.
 #[derive(Default)]
 pub struct ListExpiryCheck {
     expiry: Cell<Option<ListExpiry>>,
-    /// An attempt was not sent because of it, and that was logged.
+    /// Whether it was logged that an attempt was not sent because of the current expiry.
     has_logged: Cell<bool>,
 }
 
 impl ListExpiryCheck {
-    /// Sets the time of expiry; none where the list does not expire.
+    /// Sets the period of expiry; `None` if the list does not expire.
     pub fn set(&self, expiry: Option<ListExpiry>) {
         self.expiry.set(expiry);
         let is_current = expiry.is_none_or(|expiry| Instant::now() < expiry.from);
         if is_current && self.has_logged.replace(false) {
-            log_line(format_args!("sending again: the list is up to date"));
+            log_line(format_args!("endpoint list confirmed: sending requests again"));
         }
     }
 
-    /// Whether the list has expired. Call it only when there is something to send, as it logs.
+    /// Whether the list has expired. Must be called only when there is an attempt to send, because it logs
+    /// that the
+    /// attempt is not sent.
     pub fn is_expired(&self) -> bool {
         let now = Instant::now();
         let Some(expiry) = self.expiry.get().filter(|expiry| expiry.contains(now)) else { return false };
         if !self.has_logged.replace(true) {
-            log_line(format_args!("sending nothing: {}", log_text(expiry.cause)));
+            log_line(format_args!("endpoint list expired: {}: sending no requests", log_text(expiry.cause)));
         }
         true
     }
 }
 
-/// The cause in the words of the log.
+/// The cause of an expiry as it is logged.
 fn log_text(cause: ExpiryCause) -> &'static str {
     match cause {
         ExpiryCause::Unconfirmed => "discovery has not confirmed the list that this process started with",
-        ExpiryCause::CallsFailed => "calls to discovery failed, and it may have told others of a drain",
-        ExpiryCause::ResponseMissing => "discovery may have told of a drain that was not heard",
+        ExpiryCause::CallsFailed => "calls to discovery failed, and other proxies may have received a drain",
+        ExpiryCause::ResponseMissing => {
+            "a response of discovery was not received, and it may have contained a drain"
+        }
     }
 }
--- a/crates/proxy/src/upstream/load_report.rs
+++ b/crates/proxy/src/upstream/load_report.rs
@@ -1,4 +1,5 @@
-//! The load reports of endpoints: JSON objects of numbers, in a response header or in the body of a health check.
+//! The load reports of endpoints: JSON objects with numeric values, in a response header or in the body of
+//! the response to a health check.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -8,17 +9,18 @@
 
 use crate::log::log_line;
 
-/// The largest plausible value of a field. A larger one would keep requests from a healthy endpoint.
+/// The largest plausible value of a field. A larger value would keep all requests away from a healthy
+/// endpoint.
 const MAX_VALUE: f64 = 1e6;
 
-/// Parses load reports, and logs the first malformed one.
+/// Parses load reports and logs the first malformed one.
 #[derive(Default)]
 pub struct LoadReportParser {
     has_logged_malformed: Cell<bool>,
 }
 
 impl LoadReportParser {
-    /// Parses a report. None if it is malformed or has an implausible value.
+    /// Parses a report. Returns `None` if it is malformed or has a value outside of 0 to [`MAX_VALUE`].
     pub fn parse(&self, json: &[u8]) -> Option<LoadReport> {
         let Some(values) = parse_values(json) else {
             self.log_malformed(json);
@@ -34,7 +36,7 @@
     fn log_malformed(&self, json: &[u8]) {
         if !self.has_logged_malformed.replace(true) {
             let text = String::from_utf8_lossy(json);
-            log_line(format_args!("passing over a malformed load report: {text:?}"));
+            log_line(format_args!("ignoring malformed load report, further ones are not logged: {text:?}"));
         }
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,18 +1,18 @@
 //! The upstream side: the endpoints of a pool, the connections to them, and attempts of requests.
 //!
-//! The driver's decisions choose the endpoint. An attempt then goes through these phases, over HTTP in `http_attempt`
+//! The balancer chooses the endpoint. An attempt then goes through these phases, over HTTP in `http_attempt`
 //! and over JSON-RPC in `rpc_attempt`:
 //!
 //! 1. take a connection: an idle one (`connections`) or a new one (`connect`);
-//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline (`send_checks`); over HTTP, list
-//!    and client are checked before connecting as well;
+//! 2. check that sending is still allowed: endpoint list, drain grace, client, deadline (`send_checks`); over
+//!    HTTP, the list and the client are checked before connecting as well;
 //! 3. send the request, and retry on another connection if a reused one had just closed;
 //! 4. read the response;
-//! 5. classify the outcome: `attempt_error` says what a failure of an attempt proves. The status of a health check's
-//!    response is classified in `health_check`.
+//! 5. classify the outcome: `attempt_error` maps each failure of an attempt to an outcome. The status of a
+//!    health check's response is classified in `health_check`.
 //!
-//! What bounds it: the number of sockets (`socket_limit`), the idle time of connections, and the drain grace, after
-//! which an endpoint that was removed is forgotten.
+//! The resources of a pool are bounded by the number of sockets (`socket_limit`), the idle time of
+//! connections, and the drain grace, after which a removed endpoint is forgotten.
 
 mod attempt_error;
 mod connect;
@@ -51,15 +51,16 @@
 use self::socket_limit::SocketLimit;
 use crate::exchange::{AttemptResult, DisconnectProbe, UpstreamRequest};
 
-/// The part of the endpoints' keep-alive time for which an idle connection is kept: short of the whole, so that no
-/// request crosses the endpoint's closing.
-const IDLE_PART_OF_KEEPALIVE: f64 = 0.75;
-/// The last part of the drain grace in which no attempt is started any more.
+/// The fraction of the endpoints' keep-alive time for which an idle connection is kept. Less than 1, so that
+/// no request is sent while the endpoint closes the connection.
+const IDLE_FRACTION_OF_KEEPALIVE: f64 = 0.75;
+/// The time before the end of the drain grace in which nothing more is sent to a draining endpoint.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(150);
-/// The number of evictions of idle connections in the time for which these are kept.
+/// The number of evictions of idle connections within the time for which an idle connection is kept.
 const EVICTIONS_PER_IDLE_TIME: u32 = 10;
-/// The bounds of the pause between two evictions.
+/// The shortest pause between two evictions.
 const MIN_EVICTION_PAUSE: Duration = Duration::from_millis(10);
+/// The longest pause between two evictions.
 const MAX_EVICTION_PAUSE: Duration = Duration::from_secs(1);
 
 /// The response header with the endpoint's load report.
@@ -69,19 +70,22 @@
 pub struct AttemptRequest {
     /// The endpoint to send to.
     pub endpoint: EndpointId,
-    /// The request.
+    /// The request to send.
     pub message: Rc<UpstreamRequest>,
-    /// Tells whether the client that it is for has disconnected.
+    /// Reports whether the client of the request has disconnected.
     pub disconnect_probe: DisconnectProbe,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// How long the client waits from the last byte of its request, where its body is streamed.
+    /// How long the client waits for the response, from the last byte of its request. Applies only if the
+    /// body is
+    /// streamed; `None` if the client set no timeout.
     pub client_timeout: Option<Duration>,
-    /// Whether the request may have reached the endpoint.
+    /// Whether a byte of the request may have been sent.
     pub write_started: WriteStarted,
 }
 
-/// Whether an attempt has been handed over for writing, so that a byte of it may have been sent. Copies share the state.
+/// A flag that is set when an attempt is passed to its connection for writing, after which a byte of it may
+/// have been sent. Clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct WriteStarted(Rc<Cell<bool>>);
 
@@ -98,9 +102,9 @@
 
 /// The end of an attempt.
 pub struct AttemptEnd {
-    /// Its result.
+    /// The result of the attempt.
     pub result: AttemptResult,
-    /// Its connection, if that may serve again; see [`UpstreamPool::reuse`].
+    /// The connection of the attempt, if it may be reused; see [`UpstreamPool::reuse`].
     pub reusable_connection: Option<HttpConnection>,
 }
 
@@ -113,21 +117,22 @@
 /// The endpoints of a pool with their connections.
 pub struct UpstreamPool {
     transport: Transport,
-    /// Set where the endpoints speak JSON-RPC; the others speak HTTP.
+    /// The settings of JSON-RPC; `None` if the endpoints use HTTP.
     rpc: Option<RpcSettings>,
     endpoints: RefCell<EndpointTable>,
     sockets: SocketLimit,
     list_expiry: ListExpiryCheck,
     load_reports: LoadReportParser,
-    /// No configuration has this pool any more.
+    /// Whether the pool is no longer part of the configuration.
     is_retired: Cell<bool>,
-    /// Counts HTTP attempts at the first write of the request's last part, and JSON-RPC calls that ended other than
-    /// `NotWritten`; calls that timed out or were abandoned are not counted.
+    /// Counts HTTP attempts at the first write of a buffered request, or at the first write after the end of
+    /// a streamed body, and JSON-RPC calls that ended other than `NotWritten`. Calls that timed out or were
+    /// abandoned are not counted.
     attempts_written: Counter,
 }
 
 impl UpstreamPool {
-    /// A pool without endpoints, which speaks HTTP and opens at most `max_sockets` connections.
+    /// Creates a pool without endpoints that uses HTTP and opens at most `max_sockets` connections.
     pub fn new(transport: Transport, max_sockets: usize) -> UpstreamPool {
         UpstreamPool {
             transport,
@@ -141,14 +146,15 @@
         }
     }
 
-    /// Counts the attempts that are written with this counter: HTTP ones at the first write of the request's last part,
-    /// JSON-RPC calls once they have ended.
+    /// Sets the counter of the attempts that were written: HTTP attempts are counted at the first write of a
+    /// buffered request, or at the first write after the end of a streamed body, and JSON-RPC calls when they
+    /// have ended.
     pub fn with_attempt_counter(mut self, attempts_written: Counter) -> UpstreamPool {
         self.attempts_written = attempts_written;
         self
     }
 
-    /// Speaks JSON-RPC to the endpoints.
+    /// Uses JSON-RPC with the endpoints.
     pub fn with_rpc(mut self, settings: RpcSettings) -> UpstreamPool {
         self.rpc = Some(settings);
         self
@@ -156,17 +162,17 @@
 
     // ---- The endpoint list ----
 
-    /// Takes in an entry of the endpoint list, and the address to connect to.
+    /// Adds or updates an endpoint from its entry in the endpoint list and the address to connect to.
     pub fn update_endpoint(&self, entry: &Endpoint, address: SocketAddr) {
         self.endpoints.borrow_mut().update(entry, address);
     }
 
-    /// Takes in a complete endpoint list: all endpoints that are not listed are removed.
+    /// Marks all endpoints that are not listed as removed. To be called with a complete endpoint list.
     pub fn mark_unlisted_removed(&self, is_listed: impl Fn(EndpointId) -> bool) {
         self.endpoints.borrow_mut().mark_unlisted_removed(is_listed);
     }
 
-    /// Visits each endpoint that is known, also removed ones, with its address.
+    /// Visits each endpoint with its address, including removed ones that have not been forgotten.
     pub fn for_each_endpoint(&self, visit: impl FnMut(&Endpoint, SocketAddr)) {
         self.endpoints.borrow().for_each(visit);
     }
@@ -176,17 +182,19 @@
         self.endpoints.borrow().listed()
     }
 
-    /// Sets the time in which the endpoint list is too old to send to any endpoint.
+    /// Sets the period in which the endpoint list is too old to send to any endpoint; `None` if it does not
+    /// expire.
     pub fn set_list_expiry(&self, expiry: Option<ListExpiry>) {
         self.list_expiry.set(expiry);
     }
 
     // ---- Connections ----
 
-    /// Changes the limit of sockets; idle connections over it are closed.
+    /// Changes the limit of sockets. Idle connections in excess of it are closed.
     pub fn set_max_sockets(&self, max_sockets: usize) {
         self.sockets.set_max(max_sockets);
-        // A closed connection is counted until its task has been dropped, so the excess is counted once, before.
+        // A closed connection counts until its task has been dropped, so the excess is read once, before the
+        // loop.
         for _ in 0..self.sockets.excess() {
             if !self.endpoints.borrow_mut().close_idle_connection() {
                 break;
@@ -194,13 +202,14 @@
         }
     }
 
-    /// Closes idle connections, and keeps none any longer than its request needs it.
+    /// Closes the idle connections, and from then on closes each other connection when its requests have
+    /// ended.
     pub fn retire(&self) {
         self.is_retired.set(true);
         self.endpoints.borrow_mut().close_all_connections();
     }
 
-    /// Keeps a connection for the next request, once it is free for one.
+    /// Keeps a connection for the next request, as soon as it is ready for one.
     pub async fn reuse(&self, endpoint: EndpointId, connection: Option<HttpConnection>) {
         let Some(mut connection) = connection else { return };
         if connection.wait_until_ready().await && !self.is_retired.get() {
@@ -208,8 +217,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and forgets removed endpoints after the drain grace, for as
-    /// long as it is polled.
+    /// Closes connections that have been idle for too long, and forgets removed endpoints after the drain
+    /// grace. Runs for as long as it is polled.
     pub async fn evict_idle(&self) {
         let max_idle = self.max_idle();
         let pause = max_idle / EVICTIONS_PER_IDLE_TIME;
@@ -224,7 +233,7 @@
 
     // ---- Attempts ----
 
-    /// Makes an attempt.
+    /// Runs an attempt.
     pub async fn attempt(self: &Rc<Self>, request: &AttemptRequest) -> AttemptEnd {
         match &self.rpc {
             Some(settings) => rpc_attempt::run(self, settings, request).await,
@@ -232,7 +241,7 @@
         }
     }
 
-    /// Checks the health of an endpoint, and asks it for its load.
+    /// Checks the health of an endpoint and requests its load.
     pub async fn health_check(&self, endpoint: EndpointId) -> AttemptResult {
         health_check::run(self, endpoint).await
     }
@@ -245,9 +254,9 @@
         duration(self.transport.connect_timeout)
     }
 
-    /// How long an idle connection is kept.
+    /// The time for which an idle connection is kept.
     fn max_idle(&self) -> Duration {
-        Duration::from_micros((self.transport.keepalive as f64 * IDLE_PART_OF_KEEPALIVE) as u64)
+        Duration::from_micros((self.transport.keepalive as f64 * IDLE_FRACTION_OF_KEEPALIVE) as u64)
     }
 }
 
--- a/crates/proxy/src/upstream/rpc_attempt.rs
+++ b/crates/proxy/src/upstream/rpc_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt as a call over JSON-RPC.
+//! An attempt over JSON-RPC.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::exchange::{AttemptResult, UpstreamResponse};
 use crate::rpc_mapping;
 
-/// Makes an attempt, within its deadline.
+/// Runs an attempt within its deadline.
 pub async fn run(pool: &UpstreamPool, settings: &RpcSettings, request: &AttemptRequest) -> AttemptEnd {
     let progress = CallBytesWritten::default();
     let ended = timeout_at(request.deadline, exchange(pool, settings, request, &progress)).await;
@@ -27,7 +27,7 @@
     }
 }
 
-/// What running out of time proves.
+/// The error of an attempt that timed out.
 fn timeout_error(progress: &CallBytesWritten) -> AttemptError {
     if progress.bytes() == 0 {
         NotSentReason::DeadlineExceeded.into()
@@ -36,8 +36,8 @@
     }
 }
 
-/// Connects, sends the call and waits for its result. Where a reused connection has closed before the call was written
-/// it tries another one.
+/// Connects, sends the call and waits for its result. If a reused connection has closed before the call was
+/// written, tries another one.
 async fn exchange(
     pool: &UpstreamPool,
     settings: &RpcSettings,
@@ -78,7 +78,7 @@
     })
 }
 
-/// The response, or what its absence proves.
+/// Converts the result of a call to a response or an error of the attempt.
 fn classify(result: CallResult) -> Result<UpstreamResponse, AttemptError> {
     match result {
         CallResult::Result(result) => {
--- a/crates/proxy/src/upstream/rpc_connection/call.rs
+++ b/crates/proxy/src/upstream/rpc_connection/call.rs
@@ -1,4 +1,4 @@
-//! A call in flight.
+//! A call in flight on a JSON-RPC connection.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,34 +11,36 @@
 use super::state::{OutgoingFrame, PendingCall};
 use super::RpcConnection;
 
-/// An endpoint that has sent nothing at all for so long, while a call waited that was then abandoned, gets its next calls
-/// on another connection.
+/// If a call is abandoned after this time and the connection has received nothing since the call was started,
+/// the next calls use another connection.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a call ended.
+/// The end of a call.
 #[derive(Debug)]
 pub enum CallResult {
-    /// The endpoint answered with this result.
+    /// The endpoint responded with this result.
     Result(Box<RawValue>),
-    /// The endpoint answered with an error object of this code.
+    /// The endpoint responded with an error object that has this code.
     Error(i64),
     /// The connection closed before the call was written in full, so it was not executed.
     NotWritten,
-    /// The connection closed after that, or the response is malformed: it may have been executed.
+    /// The connection closed after the call was written in full, or the response is unusable. The call may
+    /// have been
+    /// executed.
     Unknown,
 }
 
-/// The bytes of a call that the kernel has taken for sending. Copies share the count.
+/// The number of bytes of a call that the kernel has accepted for sending. Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct CallBytesWritten(Rc<Cell<usize>>);
 
 impl CallBytesWritten {
-    /// The bytes so far.
+    /// The number of bytes so far.
     pub fn bytes(&self) -> usize {
         self.0.get()
     }
 
-    /// Starts over, for another connection.
+    /// Resets the count to 0 when the call is sent on another connection.
     pub fn reset(&self) {
         self.0.set(0);
     }
@@ -48,7 +50,8 @@
     }
 }
 
-/// A call in flight. Dropping it abandons the call: it is withdrawn if nothing of it was written, and cancelled otherwise.
+/// A call in flight. Dropping it abandons the call, which is withdrawn from the queue if nothing of it was
+/// written, and cancelled by a notification otherwise.
 pub struct InFlightCall {
     connection: Rc<RpcConnection>,
     id: String,
@@ -58,7 +61,7 @@
 }
 
 impl InFlightCall {
-    /// Queues a call on a connection.
+    /// Queues a call on a connection. `message` builds the call from its id, which is encoded as JSON.
     pub(super) fn start(
         connection: Rc<RpcConnection>,
         progress: CallBytesWritten,
@@ -90,7 +93,7 @@
         let state = &self.connection.state;
         state.mark_used();
         if !state.forget_call(&self.id) {
-            // It has its result.
+            // The call has ended.
             return;
         }
         if self.progress.bytes() == 0 {
--- a/crates/proxy/src/upstream/rpc_connection/mod.rs
+++ b/crates/proxy/src/upstream/rpc_connection/mod.rs
@@ -1,7 +1,8 @@
-//! A connection to an endpoint that speaks JSON-RPC: many calls at once, each with a result of its own.
+//! A JSON-RPC connection to an endpoint, which carries many calls at once.
 //!
-//! A task (`task`) writes and reads; the calls (`call`) share the state of the connection (`state`) with it. Bounded
-//! by [`RpcSettings::max_concurrent_calls`]; twice as many frames may wait to be written.
+//! A task (`task`) writes and reads; it shares the state of the connection (`state`) with the calls (`call`).
+//! At most [`RpcSettings::max_concurrent_calls`] calls are in flight, and at most twice as many frames are
+//! queued for writing.
 
 mod call;
 mod state;
@@ -21,25 +22,25 @@
 use self::state::ConnectionState;
 use crate::socket::Socket;
 
-/// How the endpoints of a pool speak JSON-RPC.
+/// The JSON-RPC settings of a pool.
 #[derive(Clone, Debug)]
 pub struct RpcSettings {
-    /// How messages are delimited.
+    /// The framing that delimits messages.
     pub framing: Framing,
-    /// The most calls in flight on a connection.
+    /// The maximum number of calls in flight on a connection.
     pub max_concurrent_calls: usize,
-    /// The method of the notification that cancels a call, if there is one.
+    /// The method of the notification that cancels a call. `None` if the endpoints support no cancellation.
     pub cancel_method: Option<String>,
 }
 
-/// The connection. Dropping it closes it; calls in flight keep it open.
+/// A JSON-RPC connection. Dropping the last reference closes it; each call in flight holds one.
 pub struct RpcConnection {
     state: Rc<ConnectionState>,
     task: AbortHandle,
 }
 
 impl RpcConnection {
-    /// Starts a task that speaks JSON-RPC on this socket.
+    /// Starts a task that writes and reads JSON-RPC messages on a socket.
     pub fn new(socket: Socket, settings: RpcSettings) -> RpcConnection {
         let state = Rc::new(ConnectionState::new(settings));
         let task = spawn_local(task::run(Rc::clone(&state), socket)).abort_handle();
@@ -51,23 +52,23 @@
         self.state.has_capacity()
     }
 
-    /// Whether it takes further calls at all.
+    /// Whether the connection accepts further calls, apart from its capacity.
     pub fn is_usable(&self) -> bool {
         !self.state.is_closed()
     }
 
-    /// Since when there has been no call; none while there is one.
+    /// The time since when there has been no call; `None` while there is one.
     pub fn idle_since(&self) -> Option<Instant> {
         self.state.idle_since()
     }
 
-    /// Whether it is no longer usable, or has been idle for so long.
+    /// Whether the connection is no longer usable, or has been idle for `max_idle` or longer.
     pub fn is_expired(&self, max_idle: Duration) -> bool {
         !self.is_usable() || self.idle_since().is_some_and(|since| since.elapsed() >= max_idle)
     }
 
-    /// Queues a call for writing. `progress` counts the bytes that the kernel has taken; `message` makes the call from its
-    /// id, which is JSON.
+    /// Queues a call for writing. `progress` counts the bytes that the kernel has accepted; `message` builds
+    /// the call from its id, which is encoded as JSON.
     pub fn send(
         self: &Rc<Self>,
         progress: CallBytesWritten,
--- a/crates/proxy/src/upstream/rpc_connection/state.rs
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -1,4 +1,4 @@
-//! The state of a connection: pending calls, frames to write, and what was received.
+//! The state of a JSON-RPC connection: pending calls, frames to write, and the times of use and receipt.
 
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -20,31 +20,32 @@
 use crate::exchange::MAX_BUFFERED_BODY_BYTES;
 use crate::socket::Socket;
 
-/// The largest frame: the largest result and what surrounds it.
+/// The largest frame in bytes: the largest result and the message that encloses it.
 const MAX_FRAME_BYTES: usize = MAX_BUFFERED_BODY_BYTES + (4 << 10);
-/// The frames that may wait to be written, for each call that may be in flight: the call and its cancellation.
+/// The number of frames that may be queued for each call that may be in flight: the call and its
+/// cancellation.
 const QUEUED_FRAMES_PER_CALL: usize = 2;
 
-/// The state that a connection's task and its calls share.
+/// The state that the task of a connection shares with the calls on it.
 pub struct ConnectionState {
     settings: RpcSettings,
     pending_calls: RefCell<HashMap<String, PendingCall>>,
     queue: RefCell<VecDeque<OutgoingFrame>>,
     queue_extended: Notify,
-    /// It takes no further calls.
+    /// Whether the connection accepts no further calls.
     is_closed: Cell<bool>,
     last_received: Cell<Instant>,
     last_used: Cell<Instant>,
     call_ids: CallIdGenerator,
 }
 
-/// A call that waits for its response.
+/// A call without a response.
 pub struct PendingCall {
-    /// Takes the result.
+    /// The channel to which the result is sent.
     pub result: oneshot::Sender<CallResult>,
-    /// How much of it was written.
+    /// The number of bytes of the call that were written.
     pub progress: CallBytesWritten,
-    /// The bytes after which an endpoint may execute it.
+    /// The number of written bytes from which on an endpoint may execute the call.
     pub message_len: usize,
 }
 
@@ -54,27 +55,27 @@
     }
 
     fn end(self, result: CallResult) {
-        // Nobody waits any more for an abandoned call.
+        // Sending fails if the call was abandoned, which is harmless.
         let _ = self.result.send(result);
     }
 }
 
-/// A frame that is to be written.
+/// A frame to write.
 pub struct OutgoingFrame {
-    /// The call in it; none for a notification.
+    /// The id of the call in the frame; `None` for a notification.
     pub call_id: Option<String>,
-    /// Its bytes.
+    /// The encoded frame.
     pub frame: Bytes,
-    /// How much of it was written.
+    /// The number of bytes of the frame that were written.
     pub progress: CallBytesWritten,
 }
 
 /// Whether a connection can still be read after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadState {
-    /// The next message may follow.
+    /// Further messages can be read.
     Open,
-    /// What was received cannot be trusted.
+    /// The message violates the protocol, so the connection must be closed.
     Invalid,
 }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /// How messages are delimited.
+    /// The framing that delimits messages.
     pub fn framing(&self) -> Framing {
         self.settings.framing
     }
@@ -128,22 +129,22 @@
         self.queue.borrow().len() < QUEUED_FRAMES_PER_CALL * self.settings.max_concurrent_calls
     }
 
-    /// Whether it takes no further calls.
+    /// Whether the connection accepts no further calls.
     pub fn is_closed(&self) -> bool {
         self.is_closed.get()
     }
 
-    /// Takes no further calls; those in flight go on.
+    /// Accepts no further calls. Calls in flight continue.
     pub fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Since when there has been no call; none while there is one.
+    /// The time since when there has been no call; `None` while there is one.
     pub fn idle_since(&self) -> Option<Instant> {
         self.pending_calls.borrow().is_empty().then(|| self.last_used.get())
     }
 
-    /// Records that it is in use now.
+    /// Sets the time of the last use to now.
     pub fn mark_used(&self) {
         self.last_used.set(Instant::now());
     }
@@ -155,7 +156,7 @@
 
     // ---- Calls ----
 
-    /// An id that no pending call has.
+    /// Generates an id that no pending call has.
     pub fn new_call_id(&self) -> String {
         loop {
             let id = self.call_ids.next();
@@ -165,13 +166,14 @@
         }
     }
 
-    /// A message in its frame.
+    /// Encodes a message as a frame.
     pub fn frame(&self, message: &[u8]) -> Bytes {
         jsonrpc::encode_frame(self.settings.framing, message).into()
     }
 
-    /// The bytes of a frame of this length after which an endpoint may execute the call. A lenient one takes a line without
-    /// its end for a complete message.
+    /// The number of bytes of a frame after which an endpoint may execute the call. With [`Framing::Line`]
+    /// this excludes the line end, because a lenient endpoint accepts a line without its end as a complete
+    /// message.
     pub fn message_len(&self, frame_len: usize) -> usize {
         match self.settings.framing {
             Framing::Line => frame_len - 1,
@@ -185,22 +187,22 @@
         self.enqueue(frame);
         self.mark_used();
         if self.is_closed() {
-            // It closed in this very moment, and its task will not come to this call.
+            // The connection has closed, so its task will not handle this call.
             self.end_all_calls();
         }
     }
 
-    /// Forgets a call, whose response is then ignored. False if it has ended.
+    /// Forgets a call, whose response is then ignored. Returns false if the call has already ended.
     pub fn forget_call(&self, id: &str) -> bool {
         self.pending_calls.borrow_mut().remove(id).is_some()
     }
 
-    /// Removes the frame of a call from the queue. Only for a call of which nothing was written.
+    /// Removes the frame of a call from the queue. Must be called only if nothing of the call was written.
     pub fn withdraw_frame(&self, id: &str) {
         self.queue.borrow_mut().retain(|frame| frame.call_id.as_deref() != Some(id));
     }
 
-    /// Queues the notification that cancels a call, if there is one and the queue has capacity.
+    /// Queues the notification that cancels a call, if the endpoint supports it and the queue has capacity.
     pub fn send_cancellation(&self, id: &str) {
         let Some(method) = &self.settings.cancel_method else { return };
         if !self.has_queue_capacity() {
@@ -217,7 +219,7 @@
         self.queue_extended.notify_one();
     }
 
-    /// Ends all calls: the connection has closed.
+    /// Ends all calls because the connection has closed.
     pub fn end_all_calls(&self) {
         self.close();
         for (_, call) in self.pending_calls.borrow_mut().drain() {
@@ -229,17 +231,18 @@
 
     // ---- Writing ----
 
-    /// Whether there is something to write.
+    /// Whether any frame is queued.
     pub fn has_queued_frames(&self) -> bool {
         !self.queue.borrow().is_empty()
     }
 
-    /// Waits until something is queued.
+    /// Waits until a frame is queued.
     pub async fn queue_extended(&self) {
         self.queue_extended.notified().await;
     }
 
-    /// Writes a part of the first frame. The queue is only read while writing, so that a call can be withdrawn until then.
+    /// Writes some bytes of the first frame. A frame leaves the queue only when all of it is written, so that
+    /// a call can be withdrawn until its first byte is written.
     pub fn poll_write(&self, socket: &mut Socket, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut queue = self.queue.borrow_mut();
         let Some(first) = queue.front() else { return Poll::Pending };
@@ -254,7 +257,7 @@
 
     // ---- Reading ----
 
-    /// Takes in a message from the endpoint.
+    /// Handles a message from the endpoint.
     pub fn on_message(&self, frame: &[u8]) -> ReadState {
         self.last_received.set(Instant::now());
         let entries = match jsonrpc::parse(frame, &message_limits()) {
@@ -273,7 +276,7 @@
     fn on_entry(&self, entry: Result<Message<'_>, InvalidMessage<'_>>) -> ReadState {
         match entry {
             Ok(Message::Response(response)) => self.on_response(&response),
-            // Endpoints call nothing, and their notifications have no receiver.
+            // Calls and notifications from endpoints are ignored.
             Ok(Message::Call(_)) => ReadState::Open,
             Err(invalid) => {
                 if let Some(call) = invalid.id.and_then(|id| self.take_call(id)) {
@@ -285,10 +288,10 @@
     }
 
     fn on_response(&self, response: &Response<'_>) -> ReadState {
-        // Without a call it was abandoned, or never was.
+        // A response without a pending call is ignored: the call was abandoned or never sent.
         let Some(call) = self.take_call(response.id) else { return ReadState::Open };
         if !call.is_written() {
-            // The endpoint cannot have read the call that it answers.
+            // The endpoint cannot have received this call in full, so the response is not valid.
             call.end(CallResult::Unknown);
             return ReadState::Invalid;
         }
@@ -305,7 +308,7 @@
 fn call_result(response: &Response<'_>) -> CallResult {
     match response.outcome {
         Ok(result) if result.get().len() <= MAX_BUFFERED_BODY_BYTES => CallResult::Result(result.to_owned()),
-        // As over HTTP: it was executed, and its response cannot be used.
+        // The call was executed but its response is too large to use, as with HTTP.
         Ok(_) => CallResult::Unknown,
         Err(_) => CallResult::Error(response.error().map_or(code::INTERNAL_ERROR, |(code, _)| code)),
     }
--- a/crates/proxy/src/upstream/rpc_connection/task.rs
+++ b/crates/proxy/src/upstream/rpc_connection/task.rs
@@ -1,4 +1,4 @@
-//! The task of a connection: writes and reads until it closes.
+//! The task of a JSON-RPC connection, which writes and reads until the connection closes.
 
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use super::state::{message_limits, ConnectionState, ReadState};
 use crate::socket::Socket;
 
-/// Ends all calls when the task ends, also when it is aborted.
+/// Ends all calls when the task ends, even if it is aborted.
 struct CloseGuard(Rc<ConnectionState>);
 
 impl Drop for CloseGuard {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Writes and reads until the connection closes, and then ends the calls on it.
+/// Writes and reads until the connection closes, then ends the calls on it.
 pub async fn run(state: Rc<ConnectionState>, socket: Socket) {
     let guard = CloseGuard(state);
     let state = &guard.0;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes in the messages that have been received in full.
+/// Handles the messages that have been received in full.
 fn take_messages(decoder: &mut FrameDecoder, state: &ConnectionState) -> ReadState {
     loop {
         match decoder.next_frame() {
--- a/crates/proxy/src/upstream/rpc_connection/tests.rs
+++ b/crates/proxy/src/upstream/rpc_connection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a connection whose endpoint stops reading.
+//! Tests of a JSON-RPC connection whose endpoint stops reading.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
     RpcSettings { framing, max_concurrent_calls: 100, cancel_method: Some("$/cancel".to_owned()) }
 }
 
-/// A connection whose writes stop after some kilobytes that the endpoint does not read, and the endpoint's side of it.
+/// Returns a connection whose writes block after some kilobytes that the endpoint has not read, and the
+/// endpoint's side of it.
 async fn connection_with_small_buffers(framing: Framing) -> (Rc<RpcConnection>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
@@ -41,13 +42,16 @@
 async fn wait_until(condition: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(30);
     while !condition() {
-        assert!(Instant::now() < deadline, "it does not come to pass");
+        assert!(Instant::now() < deadline, "the condition was not met within 30 s");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
+/// When a connection is lost, only a call that was written in full may have been executed. Reporting the
+/// others as executed prevents their retry; reporting the first as not executed allows it to be executed
+/// twice.
 #[test]
-fn calls_on_a_lost_connection_end_by_how_much_was_written() {
+fn lost_connection_ends_calls_by_bytes_written() {
     for framing in [Framing::Line, Framing::ContentLength] {
         block_on_local(async move {
             let (connection, mut endpoint) = connection_with_small_buffers(framing).await;
@@ -61,18 +65,23 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(partial_progress.bytes() < 400_000 && unsent_progress.bytes() == 0);
             drop(endpoint);
-            assert!(matches!(written_call.result().await, CallResult::Unknown), "it may have run");
-            assert!(matches!(partial_call.result().await, CallResult::NotWritten), "half of it is no call");
+            assert!(matches!(written_call.result().await, CallResult::Unknown), "it may have been executed");
+            assert!(
+                matches!(partial_call.result().await, CallResult::NotWritten),
+                "a call that was not written in full cannot be executed"
+            );
             assert!(matches!(unsent_call.result().await, CallResult::NotWritten));
             assert!(!connection.is_usable());
-            // So does a call that is sent after the loss.
+            // A call that is sent after the loss ends in the same way.
             assert!(matches!(call(&connection, 10).0.result().await, CallResult::NotWritten));
         });
     }
 }
 
+/// An endpoint that responds to a call before it was written in full violates the protocol. The connection
+/// must not be used any further, and that call counts as possibly executed.
 #[test]
-fn a_response_to_a_partly_written_call_ends_the_connection() {
+fn response_to_partly_written_call_closes_connection() {
     block_on_local(async {
         let (connection, mut endpoint) = connection_with_small_buffers(Framing::Line).await;
         let (partial_call, partial_progress) = call(&connection, 400_000);
@@ -87,21 +96,23 @@
         endpoint.write_all(early_response.as_bytes()).await.expect("written");
         assert!(
             matches!(partial_call.result().await, CallResult::Unknown),
-            "whoever answers may have run something"
+            "an endpoint that responds may have executed something"
         );
         assert!(matches!(later_call.result().await, CallResult::NotWritten));
     });
 }
 
+/// An abandoned call must not reach the endpoint if nothing of it was written. If a part was written, the
+/// rest must follow, because the messages after it could not be parsed otherwise, and then the cancellation.
 #[test]
-fn an_abandoned_call_is_withdrawn_or_cancelled() {
+fn abandoned_call_is_withdrawn_if_unsent_and_cancelled_otherwise() {
     block_on_local(async {
         let (connection, mut endpoint) = connection_with_small_buffers(Framing::Line).await;
         let (first_call, first_progress) = call(&connection, 100_000);
         wait_until(|| first_progress.bytes() > 0).await;
         let (second_call, second_progress) = call(&connection, 10);
         let (third_call, _) = call(&connection, 20);
-        // Nothing of the second call was written; of the first a part was, so the rest must follow.
+        // Nothing of the second call was written. A part of the first was written, so its rest must follow.
         drop(second_call);
         drop(first_call);
         assert_eq!(second_progress.bytes(), 0);
@@ -117,13 +128,18 @@
             "{}",
             lines.len()
         );
-        assert_eq!(lines[1].matches('x').count(), 20, "the third, not the second");
+        assert_eq!(
+            lines[1].matches('x').count(),
+            20,
+            "the second line is the third call, not the second one"
+        );
         let id = lines[0].split("\"id\":").nth(1).and_then(|r| r.split(',').next()).expect("an id");
         assert!(lines[2].contains(id), "{}", lines[2]);
         drop(third_call);
     });
 }
 
+/// An endpoint that can guess the ids of other calls can respond to calls that it has not received.
 #[test]
 fn call_ids_are_unique_and_not_sequential() {
     block_on_local(async {
@@ -133,6 +149,9 @@
             .collect();
         assert_eq!(ids.len(), 1_000);
         let ids: Vec<u64> = ids.into_iter().collect();
-        assert!(ids.windows(2).all(|pair| pair[1] - pair[0] > 1_000), "the next is to be guessed");
+        assert!(
+            ids.windows(2).all(|pair| pair[1] - pair[0] > 1_000),
+            "two ids are so close that one can be guessed from the other"
+        );
     });
 }
--- a/crates/proxy/src/upstream/send_checks.rs
+++ b/crates/proxy/src/upstream/send_checks.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt may go on: checked before anything is written, and over HTTP before connecting as well. JSON-RPC has
-//! no check before connecting.
+//! The checks whether an attempt may continue: before anything is written, and over HTTP also before
+//! connecting. JSON-RPC has no check before connecting.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use super::attempt_error::NotSentReason;
 use super::{AttemptRequest, UpstreamPool, DRAIN_MARGIN};
 
-/// Checks that a connection may be made for the attempt, as connections cost the endpoint work.
+/// Checks whether a connection may be established for the attempt, because connections cost the endpoint
+/// work.
 pub fn check_before_connect(pool: &UpstreamPool, request: &AttemptRequest) -> Result<(), NotSentReason> {
     if pool.list_expiry.is_expired() {
         return Err(NotSentReason::ListExpired);
@@ -20,7 +21,8 @@
     Ok(())
 }
 
-/// Checks that the attempt may be written, and returns the time left for it. Connecting may have taken long.
+/// Checks whether the attempt may be written, and returns the time until its deadline. Repeats the checks
+/// made before connecting, because connecting may have taken long.
 pub fn check_before_write(pool: &UpstreamPool, request: &AttemptRequest) -> Result<Duration, NotSentReason> {
     let time_left = request.deadline.saturating_duration_since(Instant::now());
     if time_left.is_zero() {
@@ -38,7 +40,7 @@
     Ok(time_left)
 }
 
-/// Whether the endpoint has been draining for so long that nothing may be sent to it, or has been forgotten.
+/// Whether the endpoint has been forgotten, or has less than [`DRAIN_MARGIN`] left of its drain grace.
 fn is_past_send_cutoff(pool: &UpstreamPool, endpoint: EndpointId) -> bool {
     let endpoints = pool.endpoints.borrow();
     let Some(endpoint) = endpoints.get(endpoint) else { return true };
--- a/crates/proxy/src/upstream/socket_limit.rs
+++ b/crates/proxy/src/upstream/socket_limit.rs
@@ -14,12 +14,12 @@
 }
 
 impl SocketLimit {
-    /// A limit of so many sockets.
+    /// Creates a limit of `max` sockets.
     pub fn new(max: usize) -> SocketLimit {
         SocketLimit { max: Cell::new(max), open: Rc::default(), has_logged_exhaustion: Cell::new(false) }
     }
 
-    /// Changes the limit; open sockets over it stay.
+    /// Changes the limit. Open sockets in excess of it stay open.
     pub fn set_max(&self, max: usize) {
         self.max.set(max);
     }
@@ -29,20 +29,21 @@
         self.open.get().saturating_sub(self.max.get())
     }
 
-    /// Whether no further socket may be opened.
+    /// Whether the limit is reached, so that no further socket may be opened.
     pub fn is_reached(&self) -> bool {
         self.open.get() >= self.max.get()
     }
 
-    /// Counts a socket for as long as its slot lives.
+    /// Counts a socket as open until the returned guard is dropped.
     pub fn open(&self) -> DescriptorGuard {
         DescriptorGuard::new(&self.open)
     }
 
-    /// Logs, once, that the limit kept an attempt from being sent.
+    /// Logs that an attempt was not sent because of the limit. Logs only the first time.
     pub fn log_exhaustion(&self) {
         if !self.has_logged_exhaustion.replace(true) {
-            log_line(format_args!("all {} sockets for backends are in use", self.max.get()));
+            let max = self.max.get();
+            log_line(format_args!("all {max} sockets to endpoints are in use: not sending the attempt"));
         }
     }
 }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the upstream side that need its private parts.
+//! Tests of the upstream side that need access to private items.
 
 use decide::{EndpointState, Outcome};
 use hyper::StatusCode;
@@ -9,6 +9,7 @@
 use super::connect::ConnectError;
 use super::*;
 
+/// A load report with an implausible value would keep all requests away from a healthy endpoint.
 #[test]
 fn implausible_load_reports_are_ignored() {
     let transport = Transport { keepalive: 0, connect_timeout: 0, drain_grace: 0 };
@@ -25,8 +26,10 @@
     ids
 }
 
+/// Replacements of endpoints have new ids, so the endpoint table grows without bound if removed endpoints are
+/// kept. Draining endpoints are still listed and must stay.
 #[test]
-fn a_removed_endpoint_is_forgotten_after_its_drain_grace() {
+fn removed_endpoint_is_forgotten_after_drain_grace() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let transport = Transport { keepalive: 100_000, connect_timeout: 0, drain_grace: 50_000 };
@@ -39,7 +42,7 @@
         }
         pool.update_endpoint(&entry(300, EndpointState::Draining), address);
         pool.update_endpoint(&entry(301, EndpointState::Ready), address);
-        assert_eq!(known_ids(&pool).len(), 302, "none before its time");
+        assert_eq!(known_ids(&pool).len(), 302, "no endpoint is forgotten before its drain grace is over");
         let few_left = async {
             while known_ids(&pool).len() > 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -47,14 +50,16 @@
         };
         tokio::select! {
             done = timeout(Duration::from_secs(30), few_left) => assert!(done.is_ok()),
-            () = pool.evict_idle() => unreachable!("it goes on"),
+            () = pool.evict_idle() => unreachable!("evict_idle never returns"),
         }
         assert_eq!(known_ids(&pool), [300, 301]);
     });
 }
 
+/// The outcome decides whether an attempt is retried and whether its endpoint is blamed. An error that leaves
+/// open whether the request was executed must not map to an outcome that rules it out.
 #[test]
-fn an_outcome_says_no_more_than_the_error_proves() {
+fn attempt_error_maps_to_outcome() {
     let refused = || std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
     let errors = [
         (AttemptError::NotSent(NotSentReason::ListExpired), Outcome::NotSent),
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -496,7 +496,7 @@
     for _ in 0..4 {
         discovery.push(PollResponse::List(list(2, false, &[])));
     }
-    proxy.wait_for_log("sending again");
+    proxy.wait_for_log("sending requests again");
     assert_eq!(proxy.request(&write("id-last", 9000, "x")).status(), 200);
     // The endpoint received all requests before, and none in between.
     let received = |_| backend.request().1.header("X-Request-ID").map(str::to_owned);
