--- a/crates/proxy/src/body/buffering.rs
+++ b/crates/proxy/src/body/buffering.rs
@@ -1,4 +1,4 @@
-//! Reads a body into memory, up to a size and a deadline.
+//! Reads a body into memory, up to a maximum size and a deadline.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,15 +7,15 @@
 
 use super::BodyError;
 
-/// How far a body was buffered.
+/// The part of a body that was buffered.
 pub enum BufferOutcome {
-    /// All of it.
+    /// The body was buffered in full.
     Complete(Bytes),
-    /// It is larger than the limit, or the deadline passed.
+    /// The body is larger than the limit, or the deadline passed.
     Partial {
-        /// What was read.
+        /// The bytes that were read.
         prefix: Bytes,
-        /// What is still to be read.
+        /// The part of the body that is still to be read.
         rest: Incoming,
     },
 }
@@ -23,7 +23,7 @@
 /// Buffers a body up to `max_bytes` and until `deadline`.
 ///
 /// # Errors
-/// The sender ended it early.
+/// [`BodyError::Interrupted`] if the sender ended the body early.
 pub async fn buffer(
     mut body: Incoming,
     max_bytes: usize,
@@ -44,11 +44,11 @@
     Ok(BufferOutcome::Partial { prefix: buffer.into_bytes(), rest: body })
 }
 
-/// Pieces of a body. Most bodies are one piece, which is not copied.
+/// The chunks of a body. Most bodies are a single chunk, which is not copied.
 #[derive(Default)]
 struct Buffer {
     first: Bytes,
-    /// All pieces, once there is more than one.
+    /// The concatenation of all chunks; empty while there is at most one.
     joined: BytesMut,
 }
 
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -1,8 +1,9 @@
 //! Message bodies: buffered and replayable, or streamed from one connection to another.
 //!
-//! A streamed body holds no more than what hyper reads ahead and has a single reader; flow control of the two connections
-//! is its only buffer bound. Sizes are in bytes. Each transfer has a stall timeout and a maximum size; a request
-//! body has a minimum rate as well, a response of unknown length a bounded wait past its deadline.
+//! A streamed body buffers no more than what hyper reads ahead and has a single reader; the buffer is bounded
+//! only by the flow control of the two connections. Each transfer has a stall timeout and a maximum size in
+//! bytes. In addition, a request body has a minimum rate, and a response body of unknown length has a bounded
+//! wait past the deadline of its request.
 
 mod buffering;
 mod streaming;
@@ -20,59 +21,63 @@
 
 /// The largest body that is streamed on the platform, in bytes.
 pub const MAX_STREAMED_BODY_BYTES: u64 = config::MOST_BODY_BYTES;
-/// The slowest transfer that is not cut off, in bytes a second: half of what clients are promised.
+/// The minimum rate of a transfer in bytes per second; a slower transfer is aborted. This is half of the rate
+/// that clients are promised.
 const MIN_BYTES_PER_SECOND: u64 = 32 << 10;
-/// Time that each transfer has in addition, for its start and for pauses.
+/// The time that each transfer has in addition to the minimum rate, for its start and for pauses.
 const TRANSFER_GRACE: Duration = Duration::from_secs(3);
-/// A peer that sends or reads nothing of a body for this long has stalled.
+/// The time after which a transfer is considered stalled if the peer sends or reads nothing of the body.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bodies up to this size have to be complete by the deadline of their request; of larger ones the first bytes have to
-/// be there.
+/// The largest body, in bytes, that must be complete by the deadline of its request. Of a larger body, only
+/// the first bytes must have arrived by then.
 const MAX_BODY_WITHIN_DEADLINE_BYTES: u64 = config::WHOLE_BODY_BYTES;
 
-/// The longest time that the transfer of a body of `bytes` may take.
+/// The maximum duration of the transfer of a body of this size.
 pub fn max_transfer_time(bytes: u64) -> Duration {
     TRANSFER_GRACE + Duration::from_millis(bytes.saturating_mul(1000) / MIN_BYTES_PER_SECOND)
 }
 
-/// Whether this body is known to have to be complete by the deadline of its request, so that streaming it gains nothing.
+/// Whether a body is known to be so small that it must be complete by the deadline of its request, so that
+/// streaming it has no benefit. See [`MAX_BODY_WITHIN_DEADLINE_BYTES`].
 pub fn must_complete_within_deadline(body: &Incoming) -> bool {
     body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_BODY_WITHIN_DEADLINE_BYTES)
 }
 
-/// Marks a request whose response may be streamed, with the largest response body in bytes.
+/// The maximum size in bytes of a response body that is streamed. An extension of a request whose response
+/// may be streamed.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamedResponseLimit(pub u64);
 
-/// Why a body is incomplete.
+/// The reason why a body is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// The sender ended it early.
+    /// The sender ended the body early.
     Interrupted,
     /// The transfer was too slow or stalled.
     TimedOut,
-    /// It is larger than its limit.
+    /// The body is larger than its limit.
     TooLarge,
 }
 
 impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            BodyError::Interrupted => "the body broke off",
-            BodyError::TimedOut => "the body came too slowly",
-            BodyError::TooLarge => "the body is too large",
+            BodyError::Interrupted => "the body ended early",
+            BodyError::TimedOut => "the transfer of the body was too slow or stalled",
+            BodyError::TooLarge => "the body is larger than its limit",
         })
     }
 }
 
 impl std::error::Error for BodyError {}
 
-/// The body of a request or a response. Clones of a streamed one share it: the first reader consumes it.
+/// The body of a request or a response. Clones of a streamed body share the stream, which the first reader
+/// consumes.
 #[derive(Clone)]
 pub enum MessageBody {
-    /// All of it, in memory; None where it is empty or was read.
+    /// The whole body in memory; `None` if it is empty or has been read.
     Buffered(Option<Bytes>),
-    /// Still arriving.
+    /// A body that is still arriving.
     Streaming(Rc<StreamingBody>),
 }
 
@@ -89,7 +94,7 @@
 }
 
 impl MessageBody {
-    /// All of its bytes; None where it is streamed.
+    /// The bytes of a buffered body; `None` if the body is streamed.
     pub fn buffered(&self) -> Option<Bytes> {
         match self {
             MessageBody::Buffered(body) => Some(body.clone().unwrap_or_default()),
@@ -97,7 +102,7 @@
         }
     }
 
-    /// The stream; None where it is buffered.
+    /// The stream of a streamed body; `None` if the body is buffered.
     pub fn streaming(&self) -> Option<&Rc<StreamingBody>> {
         match self {
             MessageBody::Buffered(_) => None,
--- a/crates/proxy/src/body/streaming.rs
+++ b/crates/proxy/src/body/streaming.rs
@@ -1,8 +1,9 @@
-//! A body that is passed on while it arrives.
+//! A body that is forwarded while it arrives.
 //!
-//! A request body is read to its end whatever becomes of the request, since a client may read no response before it has
-//! sent all of its body. A response body of unknown length is bounded by the deadline of its request: past it, only bodies
-//! that arrive at `MIN_BYTES_PER_SECOND` or faster go on, until more than `MAX_BODY_WITHIN_DEADLINE_BYTES` have arrived.
+//! A request body is read to its end whatever the result of the request, because some clients read no
+//! response before they have sent the whole body. A response body of unknown length is bounded by the
+//! deadline of its request: past the deadline, only a body that arrives at `MIN_BYTES_PER_SECOND` or faster
+//! continues, until more than `MAX_BODY_WITHIN_DEADLINE_BYTES` have arrived.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -20,21 +21,21 @@
     max_transfer_time, BodyError, MAX_BODY_WITHIN_DEADLINE_BYTES, MIN_BYTES_PER_SECOND, STALL_TIMEOUT,
 };
 
-/// Called when a body is complete; dropped uncalled where it ends early.
+/// A callback that is called when a body is complete, and dropped without a call if the body ends early.
 type CompletionCallback = Box<dyn FnOnce()>;
 
-/// A body that is passed on while it arrives.
+/// A body that is forwarded while it arrives.
 pub struct StreamingBody {
-    /// None once it is being discarded.
+    /// The body of the incoming message; `None` once the rest of it is being discarded.
     incoming: RefCell<Option<Incoming>>,
-    /// What was read before streaming began.
+    /// The bytes that were read before streaming began.
     prefix: Cell<Option<Bytes>>,
     size: SizeHint,
     bytes_read: Cell<u64>,
     max_bytes: u64,
-    /// The end of the longest transfer; None for a response, which waits for its reader.
+    /// The time by which the transfer must be complete; `None` for a response, which waits for its reader.
     transfer_deadline: Option<Instant>,
-    /// The deadline of the request; only of a response of unknown length.
+    /// The deadline of the request; `None` except for a response of unknown length.
     request_deadline: Option<Instant>,
     sender_wait: Cell<SenderWait>,
     stall_timer: RefCell<Pin<Box<Sleep>>>,
@@ -42,16 +43,16 @@
     completed_at: Cell<Option<Instant>>,
     completed: Notify,
     on_complete: RefCell<Vec<CompletionCallback>>,
-    /// Read to its end even where its reader is dropped.
+    /// Whether the body is read to its end even if its reader is dropped.
     is_drained_on_drop: bool,
 }
 
-/// How long the sender of a body has been waited for.
+/// The time spent waiting for the sender of a body.
 #[derive(Clone, Copy, Default)]
 struct SenderWait {
-    /// Waits that are over, summed.
+    /// The sum of the waits that have ended.
     finished: Duration,
-    /// The start of the current wait.
+    /// The start of the current wait, if any.
     since: Option<Instant>,
 }
 
@@ -66,17 +67,18 @@
     }
 }
 
-/// How long the sender of a response of unknown length may be waited for in total once the request's deadline has passed,
-/// where `bytes_read` have arrived; None where the deadline was met by the first bytes. Without it a response that never
-/// ends would keep a stopping proxy open.
+/// The maximum total time spent waiting for the sender of a response of unknown length, once the deadline of
+/// the request has passed and `bytes_read` have arrived. `None` if more than
+/// [`MAX_BODY_WITHIN_DEADLINE_BYTES`] have arrived, so that the deadline was met by the first bytes. Without
+/// this bound, a response that never ends would keep a proxy that is shutting down from ending.
 fn max_sender_wait(bytes_read: u64) -> Option<Duration> {
     let is_bounded = bytes_read <= MAX_BODY_WITHIN_DEADLINE_BYTES;
     is_bounded.then(|| Duration::from_millis(bytes_read * 1000 / MIN_BYTES_PER_SECOND))
 }
 
 impl StreamingBody {
-    /// A request's body of at most `max_bytes`, of which `prefix` has been read. It is read to its end even where its
-    /// reader is dropped.
+    /// Creates the body of a request of at most `max_bytes`, of which `prefix` has been read. It is read to
+    /// its end even if its reader is dropped.
     pub fn for_request(rest: Incoming, prefix: Bytes, max_bytes: u64) -> StreamingBody {
         let max_time = max_transfer_time(rest.size_hint().exact().unwrap_or(max_bytes));
         let mut body = StreamingBody::new(rest, prefix, max_bytes);
@@ -85,7 +87,7 @@
         body
     }
 
-    /// A response's body of at most `max_bytes`, of which `prefix` has been read.
+    /// Creates the body of a response of at most `max_bytes`, of which `prefix` has been read.
     pub fn for_response(
         rest: Incoming,
         prefix: Bytes,
@@ -121,22 +123,22 @@
         }
     }
 
-    /// Whether its reader has polled it.
+    /// Whether the reader has polled the body.
     pub fn is_read_started(&self) -> bool {
         self.is_read_started.get()
     }
 
-    /// When its last byte was read, if it was.
+    /// The time when the last byte was read; `None` if it has not been read.
     pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
-    /// Its size in bytes, where that is known.
+    /// The size of the body in bytes, as far as it is known.
     pub fn size_hint(&self) -> SizeHint {
         self.size
     }
 
-    /// Waits until its last byte has been read, and returns when that was.
+    /// Waits until the last byte has been read, and returns the time of that.
     pub async fn wait_complete(&self) -> Instant {
         loop {
             let completed = self.completed.notified();
@@ -147,12 +149,12 @@
         }
     }
 
-    /// Calls `callback` once its last byte has been read; drops it uncalled where that never happens.
+    /// Calls `callback` once the last byte has been read. Drops it without a call if that never happens.
     pub fn on_complete(&self, callback: impl FnOnce() + 'static) {
         self.on_complete.borrow_mut().push(Box::new(callback));
     }
 
-    /// The next frame for its reader.
+    /// Polls the next frame for the reader.
     pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.is_read_started.set(true);
         if let Some(prefix) = self.prefix.take() {
@@ -169,7 +171,8 @@
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
 
-    /// The next piece that is not empty. Trailers belong to one connection, and end the body.
+    /// Polls the next chunk that is not empty. Trailers apply to a single connection, so they are dropped and
+    /// end the body.
     fn poll_data(
         &self,
         incoming: &mut Incoming,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Completes once the sender has been waited for too long.
+    /// Becomes ready when the wait for the sender has been too long.
     fn poll_stalled(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut timer = self.stall_timer.borrow_mut();
         let limit = self.sender_wait_limit(Instant::now());
@@ -212,7 +215,8 @@
         timer.as_mut().poll(context)
     }
 
-    /// Starts or continues a wait for the sender, and says until when it may last if the request's deadline bounds it.
+    /// Starts or continues a wait for the sender. Returns the time at which the wait must end, or `None` if
+    /// it is not bounded by the deadline of the request.
     fn sender_wait_limit(&self, now: Instant) -> Option<Instant> {
         let wait = self.sender_wait.get().started(now);
         self.sender_wait.set(wait);
@@ -224,7 +228,8 @@
     /// Counts bytes that were read, and restarts the stall timeout.
     ///
     /// # Errors
-    /// The body is too large, or the transfer took too long.
+    /// [`BodyError::TooLarge`] if the body exceeds its limit, [`BodyError::TimedOut`] if the transfer
+    /// deadline has passed.
     fn count_read(&self, bytes: u64) -> Result<(), BodyError> {
         self.bytes_read.set(self.bytes_read.get() + bytes);
         if self.bytes_read.get() > self.max_bytes {
@@ -249,7 +254,7 @@
         self.completed.notify_waiters();
     }
 
-    /// Reads and drops the rest of a body, until `deadline` at most.
+    /// Reads and discards the rest of a body, until `deadline` at most.
     async fn discard(mut rest: Incoming, deadline: Instant) {
         let read_all = async {
             while let Some(Ok(_)) = poll_fn(|context| Pin::new(&mut rest).poll_frame(context)).await {}
@@ -263,7 +268,7 @@
         if !self.is_drained_on_drop || self.completed_at.get().is_some() {
             return;
         }
-        // Closing over bytes that still arrive resets the connection, and the client loses its response.
+        // Closing the connection while bytes still arrive resets it, and the client loses its response.
         if let Some(rest) = self.incoming.take() {
             let deadline = self.transfer_deadline.unwrap_or_else(Instant::now);
             spawn_local(StreamingBody::discard(rest, deadline));
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,7 +1,7 @@
-//! The types that pass between the downstream side (connections of clients) and the upstream side (attempts against
-//! endpoints): a request, the result of one attempt, the final response.
+//! The types exchanged between the downstream side (connections of clients) and the upstream side (attempts
+//! at endpoints): a request, the result of one attempt, the final response.
 //!
-//! Nothing here does I/O or decides anything.
+//! This module does no I/O and makes no decisions.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,19 +15,19 @@
 
 use crate::body::MessageBody;
 
-/// The largest body that is buffered, and so can be sent again by a retry; a larger one is streamed where the route
-/// allows it, and rejected elsewhere.
+/// The largest body that is buffered, in bytes. A buffered body can be sent again by a retry; a larger body
+/// is streamed if the route allows it, and rejected otherwise.
 pub const MAX_BUFFERED_BODY_BYTES: usize = config::WHOLE_BODY_BYTES as usize;
-/// The largest head of a message; roughly what an HTTP connection takes of the memory.
+/// The largest head of a message, in bytes. This is roughly the memory that an HTTP connection uses.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The header with the id of a request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// The header with the idempotency key of a request.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// The header with the time that remains for a request, in milliseconds.
+/// The header with the remaining time of a request, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
 
-/// A request in the form in which it is sent to an endpoint.
+/// A request as it is sent to an endpoint.
 pub type UpstreamRequest = Request<MessageBody>;
 
 /// How long the client waits for the response, from the last byte of its request. An extension of an
@@ -40,30 +40,33 @@
 pub struct RpcCall {
     /// The method to call.
     pub method: Arc<str>,
-    /// The `params` as the client sent them, where it called by JSON-RPC.
+    /// The `params` as the client sent them over JSON-RPC; `None` if it sent none, or if the request came
+    /// over HTTP.
     pub params: Option<Bytes>,
-    /// The client sent it over HTTP, so that its HTTP method and path carry information.
+    /// Whether the client sent the request over HTTP, in which case its HTTP method and path carry
+    /// information.
     pub received_over_http: bool,
 }
 
-/// Tells whether the client that waits for a response has disconnected.
+/// Reports whether the client that waits for a response has disconnected.
 #[derive(Clone, Default)]
 pub struct DisconnectProbe(Option<Rc<dyn Fn() -> bool>>);
 
 impl DisconnectProbe {
-    /// A probe that calls `is_disconnected`; the default one never reports a disconnect.
+    /// Creates a probe that calls `is_disconnected`. The default probe never reports a disconnect.
     pub fn new(is_disconnected: impl Fn() -> bool + 'static) -> DisconnectProbe {
         DisconnectProbe(Some(Rc::new(is_disconnected)))
     }
 
-    /// Whether the client has closed the connection or its sending side. No attempt is started for it then.
+    /// Whether the client has closed the connection or its sending side. If so, no further attempt is
+    /// started.
     pub fn is_disconnected(&self) -> bool {
         self.0.as_ref().is_some_and(|is_disconnected| is_disconnected())
     }
 }
 
-/// Counts the attempts that were started for a request over all pools. Copies share the count, so that it can still be
-/// read after the client has disconnected.
+/// Counts the attempts that were started for a request over all pools. Clones share the count, so that it can
+/// still be read after the client has disconnected.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounter(Rc<Cell<usize>>);
 
@@ -73,7 +76,7 @@
         self.0.get()
     }
 
-    /// Counts an attempt that starts now.
+    /// Counts the start of an attempt.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
@@ -82,16 +85,16 @@
 /// The response of an endpoint, without hop-by-hop headers.
 #[derive(Clone, Debug)]
 pub struct UpstreamResponse {
-    /// Its headers; the status is always 200.
+    /// The headers of the response, whose status is always 200.
     pub headers: HeaderMap,
-    /// Its body, buffered or streamed.
+    /// The body of the response, buffered or streamed.
     pub body: MessageBody,
 }
 
-/// Whether an endpoint can have executed an attempt of a request.
+/// Whether an endpoint may have executed an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No attempt can have been executed, so that a retry in another pool is harmless as well.
+    /// No attempt can have been executed, so a retry in another pool is safe as well.
     RuledOut,
     /// An attempt may have been executed.
     Possible,
@@ -102,26 +105,27 @@
 pub enum FinalResponse {
     /// The response of an endpoint.
     Served(UpstreamResponse),
-    /// Shed by the decisions; a retry by the client is harmless.
+    /// The balancer rejected the request. A retry by the client is safe.
     Rejected {
-        /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`](crate::router::NO_RETRY_AFTER).
+        /// The time after which to retry, in microseconds from now, or
+        /// [`NO_RETRY_AFTER`](crate::router::NO_RETRY_AFTER).
         retry_after: Micros,
-        /// Whether an attempt can have been executed.
+        /// Whether an attempt may have been executed.
         execution: Execution,
     },
-    /// No response, and the request may have been executed.
+    /// There is no response, and the request may have been executed.
     Failed,
-    /// As [`FinalResponse::Failed`], because the time ran out.
+    /// There is no response because an attempt timed out, and the request may have been executed.
     TimedOut,
 }
 
 /// The result of an attempt or of a health check.
 pub struct AttemptResult {
-    /// How it ended.
+    /// The outcome of the attempt or health check.
     pub outcome: Outcome,
-    /// The load that the endpoint reported with it.
+    /// The load that the endpoint reported, if any.
     pub load_report: Option<LoadReport>,
-    /// The response; only with an attempt's [`Outcome::Ok`].
+    /// The response of an attempt whose outcome is [`Outcome::Ok`]; `None` otherwise.
     pub response: Option<UpstreamResponse>,
 }
 
@@ -131,7 +135,7 @@
     }
 }
 
-/// Removes the headers that concern one connection only, and those that hyper writes itself.
+/// Removes the headers that apply to a single connection, and those that hyper writes itself.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,5 +1,6 @@
-//! Passes learned state from a process to the one that takes over: a file in the folder that both share. It is imported as any
-//! saved state, with regard to its age and to the endpoints that are still the same processes.
+//! Passes learned state from a process to the one that takes over, in a file in the folder that both share.
+//! It is imported like any saved state: weighted by its age, and only for endpoints that are still the same
+//! processes.
 
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -17,19 +18,20 @@
 use crate::membership::RegisteredEndpoints;
 
 const FILE_NAME: &str = "amberlever.learned";
-/// The name of a file that is being written.
+/// The name of the file while it is being written.
 const TEMPORARY_NAME: &str = "amberlever.learned.new";
-/// The name of the one pool of the platform mode.
+/// The name of the single pool of the platform mode in the file.
 const POOL_NAME: &str = "platform";
-/// How often the file is written: the next process may start at any moment.
+/// The interval at which the file is written, because the next process may start at any time.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
-/// The first write comes after this: before, little is learned that the previous process did not know.
+/// The delay of the first write. Earlier, the state contains little that was not imported from the previous
+/// process.
 const FIRST_WRITE_DELAY: Duration = Duration::from_secs(3);
-/// The largest file that is read, in bytes. Writing has no bound: what is larger is written, and the next process starts
-/// without it.
+/// The maximum size of a file that is read, in bytes. Writing has no bound: a larger file is written, and the
+/// next process starts without it.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Imports the state that the previous process left in this folder, if any.
+/// Imports the state that the previous process wrote to the folder, if any.
 pub fn import(
     folder: &Path,
     endpoints: &RegisteredEndpoints,
@@ -43,13 +45,14 @@
     }
     let Ok(bytes) = fs::read(&path) else { return };
     let Some(saved) = SavedState::decode(&bytes).and_then(|state| state.pool(POOL_NAME)) else {
-        log_line(format_args!("knowledge: passing over {}: not as it was written", path.display()));
+        log_line(format_args!("learned state: ignoring invalid file {}", path.display()));
         return;
     };
     endpoints.import_learned_state(saved, clock, names, driver);
 }
 
-/// Writes the state for the next process, until this one begins to shut down: from then on the next one knows more.
+/// Writes the state for the next process until this process begins to shut down. From then on the next
+/// process has more recent state.
 pub async fn export(
     folder: &Path,
     endpoints: &RegisteredEndpoints,
@@ -67,7 +70,10 @@
             if let Err(error) = write(folder, &snapshot) {
                 if !fault_logged {
                     fault_logged = true;
-                    log_line(format_args!("knowledge: the next process will learn anew: {error}"));
+                    let folder = folder.display();
+                    log_line(format_args!(
+                        "learned state: cannot write to {folder}: {error}: next process starts without it"
+                    ));
                 }
             }
         }
@@ -75,7 +81,8 @@
     }
 }
 
-/// Replaces the file. It is not synced: it is for a process that follows on this machine.
+/// Replaces the file. The file is not synced to disk, because it is meant for a later process while the
+/// machine is up.
 fn write(folder: &Path, snapshot: &LearnedSnapshot) -> io::Result<()> {
     let temporary = folder.join(TEMPORARY_NAME);
     fs::write(&temporary, learned_state::encode(snapshot))?;
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -9,13 +9,13 @@
 
 use crate::exchange::{AttemptCounter, AttemptResult, DisconnectProbe, FinalResponse, UpstreamRequest};
 
-/// Something that happened, as it waits for its turn.
+/// An input of the driver.
 pub enum DriverInput {
-    /// A watch event of the endpoint list.
+    /// The endpoint list was updated.
     EndpointUpdate { scope: UpdateScope, endpoints: Vec<Endpoint> },
     /// A request arrived.
     Request(SubmittedRequest),
-    /// The last byte of a request's body arrived.
+    /// The last byte of the body of a request arrived.
     BodyReceived(RequestId),
     /// An attempt ended.
     AttemptEnded { attempt: AttemptId, result: AttemptResult },
@@ -29,47 +29,47 @@
     GossipReceived { from: u32, payload: Vec<u8> },
     /// A health check ended.
     HealthCheckEnded { target: AttemptTarget, result: AttemptResult },
-    /// The learned state of other proxies, or of an earlier process.
+    /// Learned state of other proxies or of an earlier process is to be imported.
     ImportLearnedState(Vec<LearnedState>),
-    /// Asks for the learned state.
+    /// Requests the learned state.
     ExportLearnedState(oneshot::Sender<LearnedState>),
-    /// Asks for the number of listed endpoints that are ejected.
+    /// Requests the number of listed endpoints that are ejected.
     EjectedCount(oneshot::Sender<usize>),
 }
 
-/// A request that is owed a final response.
+/// A request that waits for its final response.
 pub struct SubmittedRequest {
-    /// What the decisions need of it.
+    /// The properties of the request that the balancer uses.
     pub decision_input: NewRequest,
     /// The request as it is sent upstream.
     pub message: Rc<UpstreamRequest>,
-    /// Tells whether the client that waits for the response has disconnected.
+    /// Reports whether the client that waits for the response has disconnected.
     pub disconnect_probe: DisconnectProbe,
-    /// Counts its attempts.
+    /// Counts the attempts of the request.
     pub attempts: AttemptCounter,
-    /// Takes the response.
+    /// The channel to which the final response is sent.
     pub response: oneshot::Sender<FinalResponse>,
 }
 
-/// One attempt of a request.
+/// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// The number of the attempt, from 0 in each pool.
+    /// The number of the attempt within its request, from 0 in each pool.
     pub number: usize,
 }
 
-/// Where and when an attempt or a health check was sent.
+/// The endpoint and the start time of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// The endpoint.
+    /// The endpoint that the attempt or health check is sent to.
     pub endpoint: EndpointId,
-    /// When it was started, on the clock of the decisions.
+    /// The start time on the clock of the balancer, in microseconds.
     pub started_at: Micros,
 }
 
-/// Sends inputs to a driver. Copies share the counter of request ids.
+/// Sends inputs to a driver. Clones share the counter of request ids.
 #[derive(Clone)]
 pub struct DriverHandle {
     inputs: mpsc::UnboundedSender<DriverInput>,
@@ -77,14 +77,14 @@
 }
 
 impl DriverHandle {
-    /// A handle, and the receiver of what is sent through it.
+    /// Creates a handle and the receiver of the inputs that are sent through it.
     pub fn new() -> (DriverHandle, mpsc::UnboundedReceiver<DriverInput>) {
         let (inputs, receiver) = mpsc::unbounded_channel();
         let handle = DriverHandle { inputs, last_id: Rc::default() };
         (handle, receiver)
     }
 
-    /// Submits a request. A receiver that closes without a response means that the request failed.
+    /// Submits a request. If the returned receiver closes without a response, the request has failed.
     pub fn submit(
         &self,
         mut decision_input: NewRequest,
@@ -106,34 +106,35 @@
         (id, receiver)
     }
 
-    /// The client of this request disconnected: it is owed no response, and no attempt is started for it any more.
+    /// Reports that the client of a request has disconnected. The request gets no response and no further
+    /// attempt.
     pub fn client_disconnected(&self, id: RequestId) {
         self.send(DriverInput::ClientDisconnected(id));
     }
 
-    /// A watch event of the endpoint list.
+    /// Reports an update of the endpoint list.
     pub fn endpoint_update(&self, scope: UpdateScope, endpoints: Vec<Endpoint>) {
         self.send(DriverInput::EndpointUpdate { scope, endpoints });
     }
 
-    /// A gossip message from the peer of this rank.
+    /// Reports a gossip message from the peer of rank `from`.
     pub fn gossip_received(&self, from: u32, payload: Vec<u8>) {
         self.send(DriverInput::GossipReceived { from, payload });
     }
 
-    /// The learned state of other proxies, or of an earlier process.
+    /// Imports learned state of other proxies or of an earlier process.
     pub fn import_learned_state(&self, states: Vec<LearnedState>) {
         self.send(DriverInput::ImportLearnedState(states));
     }
 
-    /// The learned state; none if the decisions panic over it.
+    /// Returns the learned state, or `None` if the balancer panics while it is exported.
     pub async fn learned_state(&self) -> Option<LearnedState> {
         let (sender, receiver) = oneshot::channel();
         self.send(DriverInput::ExportLearnedState(sender));
         receiver.await.ok()
     }
 
-    /// The number of listed endpoints that the decisions have ejected.
+    /// Returns the number of listed endpoints that the balancer has ejected, or 0 if the balancer panics.
     pub async fn ejected_count(&self) -> usize {
         let (sender, receiver) = oneshot::channel();
         self.send(DriverInput::EjectedCount(sender));
@@ -141,7 +142,7 @@
     }
 
     pub(crate) fn send(&self, input: DriverInput) {
-        // The driver ends only with the process.
+        // Sending fails only after the driver has ended, when no input matters any more.
         let _ = self.inputs.send(input);
     }
 }
--- a/crates/proxy/src/learned_state/names/mod.rs
+++ b/crates/proxy/src/learned_state/names/mod.rs
@@ -1,5 +1,5 @@
-//! Maps the learned state of a balancer, which knows endpoints, classes, zones and machine kinds by index, to records under names,
-//! and back. Pure.
+//! Converts the learned state of a balancer, which identifies endpoints, classes, zones and machine kinds by
+//! index, to records by name, and back. Does no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,7 @@
 use decide::{EndpointId, Micros};
 use learned_state::{NamedMean, PoolRecord, StoredEndpoint, MAX_AGE};
 
-/// Maps the names in learned state to the indexes of a balancer.
+/// The names in learned state and the corresponding indexes of a balancer.
 pub struct LearnedNames<'a> {
     /// The names of classes, zones and machine kinds.
     pub name_table: &'a NameTable,
@@ -19,7 +19,7 @@
     pub endpoint_ids: BTreeMap<&'a str, EndpointId>,
 }
 
-/// A duration as it is stored; 0 where it is negative.
+/// Converts a duration to its stored form, which is 0 for a negative duration.
 fn to_stored_duration(duration: Micros) -> learned_state::Micros {
     u64::try_from(duration).unwrap_or(0)
 }
@@ -36,7 +36,8 @@
     learned::DecayedMean { sum: mean.sum, weight: mean.weight, age: from_stored_duration(mean.age) }
 }
 
-/// The learned state of a pool's balancer under names. `started_ms` turns the uptime of an endpoint into the time of its start, in
+/// Converts the learned state of a pool's balancer to a record by names. Endpoints, zones and machine kinds
+/// without a name are left out. `started_ms` converts the uptime of an endpoint to its start time, in
 /// milliseconds since 1970.
 pub fn to_pool_record(
     pool: &str,
@@ -83,8 +84,8 @@
     means.iter().filter_map(named).collect()
 }
 
-/// A record of the given age, for a balancer that uses indexes. What is unknown by name is left out. `uptime` turns the start of an
-/// endpoint, in milliseconds since 1970, into the time since then.
+/// Converts a record of the given age to the learned state of a balancer. Entries with unknown names are left
+/// out. `uptime` converts the start time of an endpoint, in milliseconds since 1970, to the time since then.
 pub fn to_learned_state(
     record: &PoolRecord,
     age: learned_state::Micros,
@@ -102,7 +103,7 @@
             classes: class_order.apply(&endpoint.latency_by_class),
             consecutive_failures: endpoint.consecutive_failures,
             ejected_for: from_stored_duration(endpoint.ejected_for),
-            // A budget that several balancers hold at once would be spent more than once.
+            // Tokens that several balancers hold at once would be spent more than once.
             slow_start_tokens: 0.0,
         })
     };
@@ -128,7 +129,7 @@
     means.iter().filter_map(indexed).collect()
 }
 
-/// Where each class of a balancer is found in a record.
+/// The position of each class of a balancer in a record; `None` for a class that the record does not have.
 struct ClassOrder {
     position_by_class: Vec<Option<usize>>,
 }
@@ -139,7 +140,9 @@
         ClassOrder { position_by_class: names.classes.iter().map(position).collect() }
     }
 
-    /// The means of a record in the order of the balancer's classes; empty ones for new classes.
+    /// The means of a record in the order of the balancer's classes, with empty means for classes that the
+    /// record does not
+    /// have.
     fn apply(&self, means: &[learned_state::StoredMean]) -> Vec<learned::DecayedMean> {
         let mean_at = |position: &Option<usize>| position.and_then(|position| means.get(position));
         let learned_mean = |position| mean_at(position).map(from_stored_mean).unwrap_or_default();
--- a/crates/proxy/src/learned_state/names/tests.rs
+++ b/crates/proxy/src/learned_state/names/tests.rs
@@ -1,4 +1,4 @@
-//! Learned state is mapped by name.
+//! Tests of the conversion of learned state by name.
 
 use super::*;
 
@@ -11,8 +11,10 @@
     NameTable::new(owned(classes), owned(zones), vec!["std".to_owned()])
 }
 
+/// The next process may order classes, zones and endpoints differently. Mapping learned state by index
+/// instead of by name would assign it to the wrong class or endpoint.
 #[test]
-fn means_are_mapped_by_name_to_other_indexes() {
+fn learned_state_is_mapped_by_name_to_other_indexes() {
     let names_before = names(&["read", "write"], &["north", "south"]);
     let ids = BTreeMap::from([("a", EndpointId(1)), ("b", EndpointId(2))]);
     let endpoint = |id, uptime| learned::LearnedEndpoint {
@@ -40,7 +42,7 @@
         to_pool_record("p", &learned, &learned_names, |uptime| Some(1_000_000 - uptime as u64 / 1000));
     assert_eq!(record.endpoints.len(), 2, "an endpoint without a name is left out");
     assert_eq!(record.endpoints[0].started_ms, Some(940_000));
-    // Classes changed places and one is new, one zone is unknown, and so is one endpoint.
+    // The classes are in another order and one is new; one zone and one endpoint are unknown.
     let names_after = names(&["new", "write", "read"], &["south"]);
     let ids = BTreeMap::from([("a", EndpointId(5)), ("c", EndpointId(2))]);
     let imported = to_learned_state(
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -1,4 +1,4 @@
-//! Writes learned state to a folder, on a thread of its own, so that a slow disk delays no request.
+//! Writes learned state to a folder in a separate thread, so that a slow disk delays no request.
 
 use std::fmt;
 use std::io;
@@ -16,12 +16,13 @@
 use super::timestamped;
 use crate::log::log_line;
 
-/// The last write is awaited for this long, so that a disk that hangs does not delay the shutdown.
+/// The maximum time to submit the last write, and then to wait for its end. It is bounded so that a disk that
+/// hangs does not delay the shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the last write is submitted again while the thread is busy.
+/// The interval at which the last write is submitted again while the thread is busy.
 const RESUBMIT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a snapshot is not written.
+/// The reason why a snapshot is not written.
 #[derive(Debug)]
 enum StateWriteError {
     /// The folder cannot be opened.
@@ -54,38 +55,39 @@
 /// A snapshot to write.
 struct WriteJob {
     snapshot: LearnedSnapshot,
-    /// Notified when it is written, or failed.
+    /// Notified when the write has succeeded or failed; `None` if nothing waits for it.
     done: Option<oneshot::Sender<()>>,
 }
 
-/// Writes learned state. Its thread ends with it.
+/// A handle of the thread that writes learned state. The thread ends when the handle is dropped.
 pub struct StateWriter {
     jobs: mpsc::SyncSender<WriteJob>,
     interval: Duration,
 }
 
 impl StateWriter {
-    /// Starts the thread, which opens the folder as soon as that can be had.
+    /// Starts the thread, which opens the folder. If that fails it tries again at each write.
     pub fn start(settings: &LearnedStateSettings) -> StateWriter {
         let (jobs, job_receiver) = mpsc::sync_channel(1);
         let writer = FolderWriter::new(settings.folder.clone(), settings.files);
         let thread = thread::Builder::new().name("memory".to_owned());
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
-            log_line(format_args!("knowledge: not kept: {error}"));
+            log_line(format_args!("learned state: cannot start the writer thread: {error}: not writing it"));
         }
         StateWriter { jobs, interval: settings.every }
     }
 
-    /// Writes the state at every interval, for as long as it is polled.
+    /// Writes the state once per interval, for as long as it is polled.
     pub async fn write_periodically(&self, state: impl AsyncFn() -> LearnedSnapshot) {
         loop {
             tokio::time::sleep(self.interval).await;
-            // A snapshot that still waits is recent enough: a slow disk gets no second one.
+            // If the previous snapshot is still queued it is recent enough, so a slow disk gets no second
+            // one.
             let _ = self.jobs.try_send(WriteJob { snapshot: timestamped(state().await), done: None });
         }
     }
 
-    /// Writes for the last time.
+    /// Writes the state for the last time, and waits for the end of the write up to [`LAST_WRITE_TIMEOUT`].
     pub async fn write_last(&self, snapshot: LearnedSnapshot) {
         let (done, written) = oneshot::channel();
         let mut job = WriteJob { snapshot: timestamped(snapshot), done: Some(done) };
@@ -101,7 +103,7 @@
     }
 }
 
-/// What the thread owns.
+/// The state of the writer thread.
 struct FolderWriter {
     folder: PathBuf,
     max_files: usize,
@@ -139,16 +141,18 @@
         Ok(self.store.insert(store))
     }
 
-    /// Logs a fault once, and that it is over.
+    /// Logs a fault when it first occurs, and when it is over.
     fn log(&mut self, result: Result<(), StateWriteError>) {
         let folder = self.folder.display();
         match result.map_err(|error| error.to_string()) {
             Err(fault) if self.logged_fault.as_ref() != Some(&fault) => {
-                log_line(format_args!("knowledge: not kept in {folder}: {fault}"));
+                log_line(format_args!(
+                    "learned state: cannot write to {folder}: {fault}: retrying periodically"
+                ));
                 self.logged_fault = Some(fault);
             }
             Ok(()) if self.logged_fault.is_some() => {
-                log_line(format_args!("knowledge: kept in {folder} again"));
+                log_line(format_args!("learned state: writing to {folder} again"));
                 self.logged_fault = None;
             }
             _ => {}
--- a/crates/proxy/src/maintenance/file.rs
+++ b/crates/proxy/src/maintenance/file.rs
@@ -7,16 +7,16 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The largest file that is read, in bytes.
+/// The maximum size of a file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
 const FILE_NAME: &str = "amberlever.maintenance";
-/// The name of a file that is being written.
+/// The name of the file while it is being written.
 const TEMPORARY_NAME: &str = "amberlever.maintenance.new";
 const LOCK_NAME: &str = "amberlever.maintenance.lock";
 
-/// Tells one content of the file from another. Every process replaces the file by a rename, which gives it another
-/// inode; its size is not compared.
+/// Identifies a content of the file. Every process replaces the file by a rename, which gives it another
+/// inode, so the size is not compared.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct MaintenanceFileFingerprint {
     inode: u64,
@@ -30,36 +30,36 @@
     }
 }
 
-/// What a check of the file finds.
+/// The result of a check of the file.
 pub(super) enum FileChange {
-    /// There is no file, or it has the content that was read or written last.
+    /// There is no file, or the content is the one that was read or written last.
     Unchanged,
-    /// Other content that cannot be read, or is larger than [`MAX_FILE_BYTES`].
+    /// The content has changed, and cannot be read or is larger than [`MAX_FILE_BYTES`].
     Unreadable,
-    /// Other content.
+    /// The content has changed.
     Content(Vec<u8>),
 }
 
-/// The file, and which content of it was read or written last.
+/// The maintenance file of a folder.
 pub(super) struct MaintenanceFile {
     folder: PathBuf,
-    /// Of the content that was read or written last.
+    /// The fingerprint of the content that was read or written last; `None` before the first read.
     fingerprint: Cell<Option<MaintenanceFileFingerprint>>,
 }
 
 impl MaintenanceFile {
-    /// The file in this folder, not read yet.
+    /// Refers to the file in a folder without reading it.
     pub fn new(folder: PathBuf) -> MaintenanceFile {
         MaintenanceFile { folder, fingerprint: Cell::new(None) }
     }
 
-    /// Where it is.
+    /// The path of the file.
     pub fn path(&self) -> PathBuf {
         self.folder.join(FILE_NAME)
     }
 
-    /// Locks the file for a change, so that changes that two processes make at once are both kept; `None` where it cannot be
-    /// locked.
+    /// Locks the file for a change, so that concurrent changes by two processes are both kept. Returns `None`
+    /// if it cannot be locked.
     pub fn lock(&self) -> Option<File> {
         let path = self.folder.join(LOCK_NAME);
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path).ok()?;
@@ -67,7 +67,7 @@
         Some(lock)
     }
 
-    /// Reads the content, where it is not the one that was read or written last.
+    /// Reads the content if it is not the one that was read or written last.
     pub fn read_if_changed(&self) -> FileChange {
         let path = self.path();
         let fingerprint = MaintenanceFileFingerprint::of(&path);
@@ -82,7 +82,9 @@
         fs::read(&path).map_or(FileChange::Unreadable, FileChange::Content)
     }
 
-    /// Replaces the content. It is not synced: it is for processes that follow on this machine.
+    /// Replaces the content. The file is not synced to disk, because it is meant for later processes while
+    /// the machine is
+    /// up.
     ///
     /// # Errors
     /// The file cannot be written or renamed.
--- a/crates/proxy/src/maintenance/mod.rs
+++ b/crates/proxy/src/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Which endpoints operators have drained: on its way to the endpoint registries, and in a file that outlives the process and is
-//! shared with the process that takes over.
+//! The maintenance state: which endpoints operators have drained. Changes are passed on to the endpoint
+//! registries, and stored in a file that outlives the process and is shared with the process that takes over.
 
 mod file;
 
@@ -15,19 +15,22 @@
 use crate::membership::RegistryObserver;
 use file::{FileChange, MaintenanceFile};
 
-/// How often the file is checked, since another process may have written it. Well within the grace of a drain.
+/// The interval at which the file is checked, because another process may have written it. Well within the
+/// drain grace.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The maintenance store as one pool sees it, with the prefix of its endpoint names.
+/// The maintenance state of one pool: the store, and the prefix of the pool's endpoints in the operators'
+/// names.
 #[derive(Clone)]
 pub struct PoolMaintenance {
     pub store: Rc<MaintenanceStore>,
-    /// Precedes the names of its endpoints, where there are several pools.
+    /// The prefix of the pool's endpoints in the operators' names: `POOL` or `TENANT/POOL`. `None` in the
+    /// platform mode, which has a single pool.
     pub pool: Option<String>,
 }
 
 impl PoolMaintenance {
-    /// Records that a list has this endpoint; returns whether it is drained.
+    /// Records that an endpoint is listed. Returns whether operators drained it.
     pub fn record_listed(&self, name: &str) -> bool {
         self.store.record_listed(&self.operator_name(name))
     }
@@ -37,12 +40,14 @@
         self.store.is_drained(&self.operator_name(name))
     }
 
-    /// What operators call an endpoint.
+    /// The operators' name of an endpoint: its name in the pool after the prefix and `/`, or alone if there
+    /// is no prefix.
     pub fn operator_name(&self, name: &str) -> String {
         self.pool.as_ref().map_or_else(|| name.to_owned(), |pool| format!("{pool}/{name}"))
     }
 
-    /// The endpoint that operators call this, if it would be one of this pool.
+    /// The name within this pool of the endpoint with this operators' name; `None` if the name belongs to
+    /// another pool.
     pub fn endpoint_name<'a>(&self, operator_name: &'a str) -> Option<&'a str> {
         match &self.pool {
             Some(pool) => operator_name.strip_prefix(pool.as_str())?.strip_prefix('/'),
@@ -51,18 +56,19 @@
     }
 }
 
-/// The maintenance state of this process, and its file.
+/// The maintenance state of this process and the file in which it is stored.
 pub struct MaintenanceStore {
     state: RefCell<Maintenance>,
     file: Option<MaintenanceFile>,
-    /// Names are known that the file does not have.
+    /// Whether endpoints were listed whose names the file does not contain.
     is_unsaved: Cell<bool>,
     write_fault_logged: Cell<bool>,
     observers: RefCell<Vec<Weak<dyn RegistryObserver>>>,
 }
 
 impl MaintenanceStore {
-    /// Reads the file in this folder, if there is one.
+    /// Creates the store and reads the file in the folder, if there is one. Without a folder the state is not
+    /// stored.
     pub fn new(folder: Option<PathBuf>) -> MaintenanceStore {
         let store = MaintenanceStore {
             state: RefCell::default(),
@@ -74,19 +80,19 @@
         store.read_changes();
         let drained = store.state.borrow().drained().count();
         if drained > 0 {
-            log_line(format_args!("maintenance: {drained} backends are out by hand, from before"));
+            log_line(format_args!("maintenance: {drained} endpoints were drained in an earlier process"));
         }
         store
     }
 
-    /// Notifies the observer of endpoints that are drained or restored, for as long as it exists.
+    /// Subscribes an observer to drains and restores of endpoints, for as long as the observer exists.
     pub fn subscribe(&self, observer: Weak<dyn RegistryObserver>) {
         let mut observers = self.observers.borrow_mut();
         observers.retain(|known| known.strong_count() > 0);
         observers.push(observer);
     }
 
-    /// Records that a list has this endpoint; returns whether it is drained.
+    /// Records that an endpoint with this operators' name is listed. Returns whether operators drained it.
     pub fn record_listed(&self, name: &str) -> bool {
         let mut state = self.state.borrow_mut();
         if state.record_listed(name) {
@@ -136,7 +142,9 @@
         }
     }
 
-    /// Adopts what another process writes, and saves the names that lists had, for as long as it is polled.
+    /// Adopts changes of the file by another process, and saves the names of newly listed endpoints, for as
+    /// long as it is
+    /// polled.
     pub async fn follow(&self) {
         let Some(file) = &self.file else { return };
         loop {
@@ -151,7 +159,7 @@
         }
     }
 
-    /// Adopts the file, where it is not the one that was read or written last.
+    /// Adopts the content of the file if it is not the one that was read or written last.
     fn read_changes(&self) {
         let Some(file) = &self.file else { return };
         let later = match file.read_if_changed() {
@@ -166,7 +174,7 @@
             }
             None => {
                 let path = file.path();
-                log_line(format_args!("maintenance: passing over {}: not as it was written", path.display()));
+                log_line(format_args!("maintenance: ignoring invalid file {}", path.display()));
             }
         }
     }
@@ -176,7 +184,11 @@
         let Some(file) = &self.file else { return };
         if let Err(error) = file.write(&self.state.borrow().encode()) {
             if !self.write_fault_logged.replace(true) {
-                log_line(format_args!("what is out by hand will not outlive this process: {error}"));
+                let path = file.path();
+                log_line(format_args!(
+                    "maintenance: cannot write {}: {error}: drains will be lost when this process ends",
+                    path.display()
+                ));
             }
         }
     }
--- a/crates/proxy/src/membership/discovery/call.rs
+++ b/crates/proxy/src/membership/discovery/call.rs
@@ -20,25 +20,26 @@
 use crate::membership::MAX_LIST_BYTES;
 use crate::socket::Socket;
 
-/// A connection that takes longer is given up: the handshake survives two lost packets, and the watch makes another call sooner.
+/// The time after which connecting is given up. It is long enough for two lost packets of the handshake; the
+/// watch makes another call sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What a call reports. All but [`CallProgress::ResponseStarted`] end the call.
+/// A report of a call. Every report except [`CallProgress::ResponseStarted`] ends the call.
 pub(super) enum CallProgress {
     /// The head of a response was received.
     ResponseStarted,
     /// A list was received.
     ResponseCompleted {
-        /// The list.
+        /// The endpoint list.
         list: ParsedEndpointList,
-        /// The connection that it came over, for the next call.
+        /// The connection of the call, for reuse by the next call.
         connection: Connection,
     },
-    /// The response cannot be parsed: why.
+    /// The response cannot be parsed, for the given reason.
     ResponseMalformed(String),
-    /// The response broke off.
+    /// The connection closed before the end of the response.
     ResponseTruncated,
-    /// There was no response.
+    /// The call failed before a usable response.
     Failed(CallFailure),
 }
 
@@ -48,7 +49,7 @@
     _task: JoinSet<hyper::Result<()>>,
 }
 
-/// What became of a request.
+/// The result of sending a request.
 enum SendOutcome {
     Response(Response<Incoming>),
     /// The connection was closed before any of the request was sent.
@@ -84,7 +85,7 @@
     }
 }
 
-/// Makes a call, and calls `on_response_started` when its response starts.
+/// Makes a call to discovery. Calls `on_response_started` when the head of the response has been received.
 pub(super) async fn call(
     address: SocketAddr,
     path: &str,
@@ -106,7 +107,7 @@
     read_list(response, connection).await
 }
 
-/// Sends over the idle connection, and over a new one if discovery has closed that.
+/// Sends a request over the idle connection, or over a new one if there is none or discovery has closed it.
 async fn send(
     address: SocketAddr,
     request: Request<Empty<Bytes>>,
--- a/crates/proxy/src/membership/discovery/calls.rs
+++ b/crates/proxy/src/membership/discovery/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to discovery that are in flight, each a task of its own.
+//! The calls to discovery that are in flight, each in a separate task.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use super::call::{call, CallProgress, Connection};
 use crate::panic_guard::catch_panic;
 
-/// The calls in flight.
+/// The calls to discovery that are in flight.
 pub(super) struct Calls {
     tasks: JoinSet<()>,
     handles: BTreeMap<CallId, AbortHandle>,
@@ -21,7 +21,7 @@
 }
 
 impl Calls {
-    /// None.
+    /// Creates an empty set of calls.
     pub fn new() -> Calls {
         let (progress_sender, progress) = mpsc::unbounded_channel();
         Calls { tasks: JoinSet::new(), handles: BTreeMap::new(), progress_sender, progress, idle: None }
@@ -33,7 +33,7 @@
         let idle = self.idle.take();
         let task = self.tasks.spawn_local(async move {
             let report = |progress| {
-                // The receiver may have gone with its pool.
+                // Sending fails if the pool and with it the receiver was dropped, which is harmless.
                 let _ = sender.send((id, progress));
             };
             let on_response_started = || report(CallProgress::ResponseStarted);
@@ -43,7 +43,7 @@
         self.handles.insert(id, task);
     }
 
-    /// The next report of a call.
+    /// Waits for the next report of any call.
     pub async fn next_progress(&mut self) -> Option<(CallId, CallProgress)> {
         self.progress.recv().await
     }
@@ -53,7 +53,7 @@
         self.handles.contains_key(&id)
     }
 
-    /// Closes a call in flight.
+    /// Aborts a call in flight.
     pub fn close(&mut self, id: CallId) {
         if let Some(task) = self.handles.remove(&id) {
             task.abort();
--- a/crates/proxy/src/membership/discovery/mod.rs
+++ b/crates/proxy/src/membership/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery over HTTP: makes the calls that the [`DiscoveryWatch`] of `membership` asks for, and applies the lists that they
-//! bring.
+//! The HTTP client of discovery: makes the calls that the [`DiscoveryWatch`] of `membership` requests, and
+//! applies the endpoint lists in the responses.
 
 mod call;
 mod calls;
@@ -21,25 +21,26 @@
 use call::CallProgress;
 use calls::Calls;
 
-/// Pause before a watch is started again where lists are pushed, and the balancer does not poll.
+/// The pause before a watch that ended is started again, if lists are pushed and the balancer requests no
+/// polls.
 const PUSHED_RESTART_DELAY: Duration = Duration::from_millis(250);
-/// A process whose list discovery does not confirm reports ready after this, so that callers are rejected rather than left without
-/// a proxy. Well within the ten seconds that a restart may take.
+/// The time after which a process reports ready even if discovery has not confirmed its list, so that clients
+/// are rejected instead of finding no proxy. Well within the ten seconds that a restart may take.
 const READY_UNCONFIRMED_AFTER: Duration = Duration::from_secs(5);
 
 /// Keeps the endpoint list of a pool up to date.
 pub struct Discovery {
-    /// Its address; changes when the configuration is read again.
+    /// The address of discovery, which may change when the configuration is reloaded.
     pub address: watch::Receiver<SocketAddr>,
-    /// Where lists are applied.
+    /// The registry to which lists are applied.
     pub registry: EndpointRegistry,
-    /// Notified when the balancer asks for the list; `None` where lists are pushed.
+    /// Notified when the balancer requests a poll of the list; `None` if lists are pushed.
     pub poll_requested: Option<Rc<Notify>>,
-    /// How discovery is watched.
+    /// The mode and the lease of the watch.
     pub policy: WatchPolicy,
-    /// Seeds the draws of the watch.
+    /// The seed of the random numbers of the watch.
     pub seed: u64,
-    /// A malformed list has been logged.
+    /// Whether a malformed list has been logged.
     pub malformed_list_logged: bool,
 }
 
@@ -49,11 +50,11 @@
     calls: Calls,
     address: watch::Receiver<SocketAddr>,
     initial_list: InitialList,
-    /// The process reports ready at this time at the latest.
+    /// The latest time at which the process reports ready.
     ready_at: Instant,
 }
 
-/// What a session waits for.
+/// An input that a session waits for.
 enum Input {
     Progress(CallId, CallProgress),
     AddressChanged,
@@ -62,8 +63,8 @@
 }
 
 impl Discovery {
-    /// Applies the list as last known, if any, and then watches discovery. The balancer is notified when a watch ends, and starts
-    /// the next one.
+    /// Applies the last known list, if any, and then watches discovery. The balancer is notified when a watch
+    /// ends, and requests the next one.
     pub async fn run(mut self, known: Option<ParsedEndpointList>) {
         let initial_list = self.apply_known(known);
         let clock = self.registry.clock;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Waits until a watch that has ended is to be started again.
+    /// Waits until a watch that has ended is to be started again. Never returns while a watch is active.
     async fn poll_request(&self, watch: &DiscoveryWatch) {
         match &self.poll_requested {
             _ if watch.is_active() => pending().await,
@@ -131,7 +132,7 @@
         match input {
             Input::Progress(id, progress) => self.on_progress(id, progress, calls),
             Input::AddressChanged => {
-                // The new one may count its versions in its own way.
+                // Discovery at the new address may number its versions differently.
                 self.registry.version = None;
                 calls.close_idle();
                 Some(WatchEvent::AddressChanged)
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Passes on until when requests may be forwarded by the list. A process that started with a list reports ready once that is
-    /// confirmed, or after [`READY_UNCONFIRMED_AFTER`].
+    /// Applies the period in which the list is expired to the upstream pool. A process that started with a
+    /// list reports ready when the list is confirmed, or after [`READY_UNCONFIRMED_AFTER`].
     fn apply_lease(&self, session: &Session) {
         let clock = self.registry.clock;
         let expiry = session.watch.expiry().map(|expiry| ListExpiry {
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Takes in the report of a call; `None` where the call has just been closed.
+    /// Converts the report of a call to an event of the watch; `None` if the call has been closed in the
+    /// meantime.
     fn on_progress(&mut self, id: CallId, progress: CallProgress, calls: &mut Calls) -> Option<WatchEvent> {
         if !calls.contains(id) {
             return None;
@@ -193,7 +195,7 @@
         })
     }
 
-    /// Applies a list; returns whether it has a change.
+    /// Applies a list. Returns whether it contains a change.
     fn apply(&mut self, parsed: ParsedEndpointList) -> bool {
         let is_full = parsed.list.is_full;
         let has_change = is_full || !parsed.list.endpoints.is_empty();
@@ -205,7 +207,7 @@
     fn log_malformed_list(&mut self, fault: &str) {
         if !self.malformed_list_logged {
             self.malformed_list_logged = true;
-            log_line(format_args!("passing over a malformed list of backends: {fault}"));
+            log_line(format_args!("ignoring malformed endpoint list from discovery: {fault}"));
         }
     }
 
@@ -217,7 +219,7 @@
     }
 }
 
-/// Waits for another address; forever once there will be none.
+/// Waits until the address changes. Never returns once the sender has been dropped.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         pending::<()>().await;
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -1,8 +1,9 @@
-//! A watched file with a list in discovery's form, replaced by a rename or written in place.
+//! A watched file with an endpoint list in the format of discovery, replaced by a rename or written in place.
 //!
-//! The file is checked at short intervals rather than through the kernel's notices: those differ by file system, are lost under
-//! load, and miss a folder that is mounted anew. A list that cannot be read, or is not a full list, changes nothing: truncated
-//! JSON cannot be parsed, so a half-written list is never taken for a short one.
+//! The file is checked at short intervals instead of with the kernel's file notifications, because those
+//! differ by file system, are lost under load, and miss a folder that is mounted again. A list that cannot be
+//! read, or is not a full list, changes nothing. Truncated JSON cannot be parsed, so a half-written list is
+//! never mistaken for a short one.
 
 use std::fmt;
 use std::fs;
@@ -18,17 +19,17 @@
 use crate::log::log_line;
 use crate::membership::{EndpointRegistry, MAX_LIST_BYTES};
 
-/// How often the file is checked.
+/// The interval at which the file is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a file is not applied.
+/// The reason why a file is not applied.
 #[derive(Debug)]
 enum ListFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     Io(io::Error),
-    /// It is larger than [`MAX_LIST_BYTES`].
+    /// The file is larger than [`MAX_LIST_BYTES`].
     TooLarge { bytes: u64 },
-    /// It is not a full list.
+    /// The content is not a valid full list.
     Invalid(String),
 }
 
@@ -36,7 +37,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ListFileError::Io(error) => error.fmt(f),
-            ListFileError::TooLarge { bytes } => write!(f, "{bytes} bytes are too many for a list"),
+            ListFileError::TooLarge { bytes } => {
+                write!(f, "the file has {bytes} bytes, at most {MAX_LIST_BYTES} are allowed")
+            }
             ListFileError::Invalid(fault) => f.write_str(fault),
         }
     }
@@ -48,7 +51,7 @@
     }
 }
 
-/// Tells one content of the file from another, also where it was written in place.
+/// Identifies a content of the file, so that a change is detected even if the file is written in place.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ListFileFingerprint {
     inode: u64,
@@ -69,23 +72,23 @@
     }
 }
 
-/// Watches a file for as long as it is polled.
+/// Watches a file that lists the endpoints of a pool.
 pub struct FileWatch {
     pool: String,
     path: PathBuf,
     registry: EndpointRegistry,
-    /// Of the content that was read last.
+    /// The fingerprint of the content that was read last.
     fingerprint: Option<ListFileFingerprint>,
     logged_fault: Option<String>,
 }
 
 impl FileWatch {
-    /// Watches a file that lists the endpoints of this pool.
+    /// Creates a watch of the file that lists the endpoints of this pool.
     pub fn new(pool: String, path: PathBuf, registry: EndpointRegistry) -> FileWatch {
         FileWatch { pool, path, registry, fingerprint: None, logged_fault: None }
     }
 
-    /// Applies the file whenever it changes.
+    /// Applies the file whenever it changes, for as long as it is polled.
     pub async fn run(mut self) {
         loop {
             self.check();
@@ -108,11 +111,11 @@
         self.fingerprint = fingerprint;
     }
 
-    /// A fault that persists is logged once.
+    /// Logs a fault, but a fault that persists only once.
     fn log_fault(&mut self, fault: String) {
         if self.logged_fault.as_ref() != Some(&fault) {
             let (pool, path) = (&self.pool, self.path.display());
-            log_line(format_args!("pool `{pool}`: keeping the list as it was: {path}: {fault}"));
+            log_line(format_args!("pool `{pool}`: cannot apply {path}: {fault}: keeping the previous list"));
         }
         self.logged_fault = Some(fault);
     }
@@ -124,10 +127,11 @@
         }
         let text = fs::read_to_string(&self.path)?;
         let list = parse_full_list(&text).map_err(ListFileError::Invalid)?;
-        // Checked as a whole, and applied in the form in which it came.
+        // All entries are validated first; the list is then applied in its original form.
         let endpoint_count = list.clone().into_endpoints().map_err(ListFileError::Invalid)?.len();
         self.registry.apply(list, UpdateScope::Full);
-        log_line(format_args!("pool `{}`: {endpoint_count} nodes from {}", self.pool, self.path.display()));
+        let (pool, path) = (&self.pool, self.path.display());
+        log_line(format_args!("pool `{pool}`: applied {endpoint_count} endpoints from {path}"));
         Ok(())
     }
 }
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The sources of a pool's endpoints: discovery's protocol, or a watched file. Each source feeds an [`EndpointRegistry`], which
-//! passes lists on to the balancer and the connections.
+//! The sources of a pool's endpoints: discovery, or a watched file. Each source applies its lists to an
+//! [`EndpointRegistry`], which passes them on to the balancer and the upstream pool.
 
 mod discovery;
 mod file;
@@ -9,5 +9,5 @@
 pub use file::FileWatch;
 pub use registry::{EndpointRegistry, MaintenanceApplier, RegisteredEndpoints, RegistryObserver};
 
-/// The largest list that is read, in bytes.
+/// The maximum size of a list, in bytes.
 const MAX_LIST_BYTES: usize = 8 << 20;
--- a/crates/proxy/src/membership/registry/maintenance_applier.rs
+++ b/crates/proxy/src/membership/registry/maintenance_applier.rs
@@ -1,4 +1,4 @@
-//! Applies operators' drains to a running pool, and reports its gauges.
+//! Applies drains by operators to a running pool, and reports its gauges.
 
 use std::rc::Rc;
 
@@ -10,13 +10,13 @@
 use crate::metrics::{Labels, PoolGauges};
 use crate::upstream::UpstreamPool;
 
-/// Notified of changes that operators make.
+/// An observer of changes that operators make to the maintenance state.
 pub trait RegistryObserver {
-    /// The endpoint that operators call this was drained or restored.
+    /// Called when the endpoint with this operators' name was drained or restored.
     fn maintenance_changed(&self, operator_name: &str);
 }
 
-/// Applies to the balancer and the connections of a pool what operators drain or restore.
+/// Applies drains and restores by operators to the balancer and the upstream pool.
 pub struct MaintenanceApplier {
     pub endpoints: Rc<RegisteredEndpoints>,
     pub driver: DriverHandle,
@@ -25,7 +25,7 @@
 }
 
 impl MaintenanceApplier {
-    /// The gauges of the pool, under these labels.
+    /// The gauges of the pool with these labels.
     pub async fn gauges(&self, labels: Labels) -> PoolGauges {
         let ejected = self.driver.ejected_count().await;
         let counts = self.endpoints.counts(&self.maintenance);
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -1,5 +1,6 @@
-//! The registry of a pool's endpoints: applies lists, whatever their source, and passes them on to the balancer and the
-//! connections. Where operators drained an endpoint, that restricts what is listed.
+//! The registry of a pool's endpoints: applies lists from any source and passes them on to the balancer and
+//! the upstream pool. An endpoint that operators drained is passed on as draining even if it is listed as
+//! ready.
 
 mod maintenance_applier;
 mod registered;
@@ -23,27 +24,28 @@
 use crate::upstream::UpstreamPool;
 use registered::ListedAddress;
 
-/// Applies lists, and passes them on to the balancer and the connections.
+/// Applies endpoint lists and passes them on to the balancer and the upstream pool.
 pub struct EndpointRegistry {
     pub clock: Clock,
     pub names: Rc<RefCell<NameTable>>,
     pub driver: DriverHandle,
     pub upstreams: Rc<UpstreamPool>,
-    /// The process may report ready: a list was confirmed, or the list of the configuration has stayed unconfirmed
-    /// for `READY_UNCONFIRMED_AFTER`.
+    /// Whether the process may report ready: a list was confirmed, or the list of the configuration has
+    /// stayed unconfirmed for `READY_UNCONFIRMED_AFTER`.
     pub ready: Rc<Cell<bool>>,
-    /// When the source was last heard from.
+    /// The time when the source last responded.
     pub last_contact: Rc<Cell<Instant>>,
-    /// The version of the list.
+    /// The version of the list that was applied last; `None` before the first list and after a change of
+    /// address.
     pub version: Option<u64>,
     pub endpoints: Rc<RegisteredEndpoints>,
-    /// What operators drained, where there is an address for operators.
+    /// The drains by operators; `None` if the process has no operators' address.
     pub maintenance: Option<PoolMaintenance>,
-    /// A malformed entry has been logged.
+    /// Whether a malformed entry has been logged.
     malformed_entry_logged: bool,
 }
 
-/// The more restrictive of the state that is listed, and that which operators set.
+/// The endpoint with the more restrictive of its listed state and the state set by operators.
 fn most_restrictive(mut endpoint: Endpoint, is_drained: bool) -> Endpoint {
     if is_drained && endpoint.state == EndpointState::Ready {
         endpoint.state = EndpointState::Draining;
@@ -52,7 +54,7 @@
 }
 
 impl EndpointRegistry {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new(
         clock: Clock,
         names: Rc<RefCell<NameTable>>,
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Applies a list of discovery, as far as it can be parsed. An endpoint whose entry cannot be parsed may be draining, so it
-    /// gets no new requests.
+    /// Applies the entries of a list from discovery that can be parsed. An endpoint whose entry cannot be
+    /// parsed may be draining, so it gets no new requests.
     pub fn apply_parsed(&mut self, parsed: ParsedEndpointList, scope: UpdateScope) {
         if let Some(fault) = &parsed.fault {
             self.log_malformed_entry(fault);
@@ -83,7 +85,7 @@
         self.apply_entries(parsed.list, &parsed.unreadable, scope);
     }
 
-    /// Applies a list, before any further request is forwarded.
+    /// Applies a list before any further request is forwarded.
     pub fn apply(&mut self, list: EndpointList, scope: UpdateScope) {
         self.apply_entries(list, &BTreeSet::new(), scope);
     }
@@ -101,7 +103,7 @@
         }
         self.endpoints.forget_removed();
         self.driver.endpoint_update(scope, endpoints);
-        // A list that came with the configuration is unconfirmed.
+        // A cached list comes with the configuration and is unconfirmed.
         if scope != UpdateScope::Cached {
             self.ready.set(true);
         }
@@ -121,7 +123,9 @@
         endpoint
     }
 
-    /// The endpoint as it was listed last, draining.
+    /// Marks an endpoint with an unreadable entry as draining, otherwise as it was listed last. Returns
+    /// `None` if it was
+    /// not listed before.
     fn drain_unreadable(&self, name: &str) -> Option<Endpoint> {
         let ListedAddress { mut endpoint, address } = self.endpoints.last_listed(name)?;
         endpoint.state = EndpointState::Draining;
@@ -149,7 +153,9 @@
     fn log_malformed_entry(&mut self, fault: &str) {
         if !self.malformed_entry_logged {
             self.malformed_entry_logged = true;
-            log_line(format_args!("passing over a malformed entry in the list of backends: {fault}"));
+            log_line(format_args!(
+                "ignoring malformed entry of the endpoint list, draining its endpoint: {fault}"
+            ));
         }
     }
 }
--- a/crates/proxy/src/membership/registry/registered.rs
+++ b/crates/proxy/src/membership/registry/registered.rs
@@ -1,4 +1,5 @@
-//! The endpoints of a pool by name: their ids, what was listed of them last, and the learned state that waits for a list.
+//! The endpoints of a pool by name, with their ids and last listed entries, and the learned state that is
+//! imported with the first list.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,31 +18,32 @@
 use crate::learned_state::SavedPool;
 use crate::maintenance::PoolMaintenance;
 
-/// The name and id of a removed endpoint are kept for this long: by then no connection to it is open, so that another endpoint
-/// that is assigned its id is not taken for it.
+/// The time for which the name and the id of a removed endpoint are kept. After it no connection to the
+/// endpoint is open, so another endpoint that is assigned the same id is not mistaken for it.
 const REMOVED_NAME_RETENTION: Duration = Duration::from_secs(60);
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// What is known of an endpoint.
+/// An endpoint that is or was listed.
 struct RegisteredEndpoint {
     id: EndpointId,
-    /// When it was listed as removed, or missing from a full list.
+    /// The time when the endpoint was listed as removed or was missing from a full list; `None` while it is
+    /// listed.
     removed_at: Option<Instant>,
     last_listed: Option<ListedAddress>,
 }
 
-/// An endpoint as it was listed, and where it listens.
+/// An endpoint as it was listed, with the address on which it listens.
 #[derive(Clone)]
 pub(super) struct ListedAddress {
     pub endpoint: Endpoint,
     pub address: SocketAddr,
 }
 
-/// How many endpoints are listed.
+/// The numbers of endpoints of a pool.
 pub(super) struct EndpointCounts {
     pub listed: usize,
-    /// Of these, the ones that operators drained.
+    /// The number of listed endpoints that operators drained.
     pub drained: usize,
 }
 
@@ -50,13 +52,13 @@
 pub struct RegisteredEndpoints {
     by_name: RefCell<BTreeMap<String, RegisteredEndpoint>>,
     used_ids: RefCell<BTreeSet<EndpointId>>,
-    /// Learned state to import once there is a list.
+    /// Learned state that is imported when there is a list.
     pending_state: RefCell<Option<SavedPool>>,
     update_count: Cell<u64>,
 }
 
 impl RegisteredEndpoints {
-    /// How many lists were applied.
+    /// The number of lists that were applied.
     pub fn update_count(&self) -> u64 {
         self.update_count.get()
     }
@@ -72,12 +74,12 @@
         EndpointCounts { listed: listed.count(), drained: drained.count() }
     }
 
-    /// Whether an endpoint of this name is listed.
+    /// Whether an endpoint with this name is listed.
     pub fn contains(&self, name: &str) -> bool {
         self.by_name.borrow().get(name).is_some_and(|endpoint| endpoint.removed_at.is_none())
     }
 
-    /// The endpoint of this name as it was listed last, unless it is removed.
+    /// The endpoint with this name as it was listed last; `None` if it is removed or was never listed.
     pub(super) fn last_listed(&self, name: &str) -> Option<ListedAddress> {
         let by_name = self.by_name.borrow();
         by_name.get(name).filter(|endpoint| endpoint.removed_at.is_none())?.last_listed.clone()
@@ -89,8 +91,8 @@
         }
     }
 
-    /// The id of a listed endpoint, assigned when it is listed first. It is the same at every proxy, since all of them take their
-    /// subsets from one order of ids.
+    /// The id of a listed endpoint, which is assigned when it is first listed. It is derived from the name,
+    /// so that it is the same in every proxy: all proxies take their subsets from one order of ids.
     pub(super) fn id(&self, name: &str, state: ListedState) -> EndpointId {
         let removed_at = matches!(state, ListedState::Deleted).then(Instant::now);
         let mut by_name = self.by_name.borrow_mut();
@@ -103,7 +105,7 @@
         id
     }
 
-    /// The FNV-1a hash of the name, or the next number that is not in use.
+    /// The FNV-1a hash of the name, or the next higher id that is not in use.
     fn unused_id(&self, name: &str) -> EndpointId {
         let hash = name
             .bytes()
@@ -116,7 +118,7 @@
         id
     }
 
-    /// Marks all endpoints as removed but these.
+    /// Marks all endpoints except the listed ones as removed.
     pub(super) fn remove_all_but(&self, listed: &BTreeSet<EndpointId>) {
         for endpoint in self.by_name.borrow_mut().values_mut() {
             if !listed.contains(&endpoint.id) {
@@ -125,7 +127,9 @@
         }
     }
 
-    /// Forgets endpoints that were removed long ago: replaced ones come under ever new names.
+    /// Forgets endpoints that were removed more than [`REMOVED_NAME_RETENTION`] ago. Replacements have new
+    /// names, so without
+    /// this the table would grow without bound.
     pub(super) fn forget_removed(&self) {
         let mut used_ids = self.used_ids.borrow_mut();
         self.by_name.borrow_mut().retain(|_, endpoint| {
@@ -134,7 +138,7 @@
         });
     }
 
-    /// Imports learned state, at once where there is a list.
+    /// Imports learned state: at once if there is a list, otherwise with the first list.
     pub fn import_learned_state(
         &self,
         saved: SavedPool,
@@ -146,7 +150,7 @@
         self.import_pending_state(clock, names, driver);
     }
 
-    /// Imports the learned state that waits for a list, if there is one by now.
+    /// Imports the pending learned state if there is a list.
     pub(super) fn import_pending_state(&self, clock: Clock, names: &NameTable, driver: &DriverHandle) {
         let by_name = self.by_name.borrow();
         if by_name.is_empty() {
@@ -162,7 +166,7 @@
         driver.import_learned_state(vec![learned]);
     }
 
-    /// The learned state of a balancer, under names.
+    /// Converts the learned state of a balancer to a record by names.
     pub fn export_learned_state(
         &self,
         pool: &str,
--- a/crates/proxy/src/pool/endpoint_list.rs
+++ b/crates/proxy/src/pool/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! Endpoints listed in the configuration, in the form in which discovery lists them.
+//! Converts the endpoints that are listed in the configuration to the form in which discovery lists them.
 
 use config::{EndpointList, EndpointSpec, EndpointState, ListedEndpoint, ListedState};
 
-/// The endpoint list of a pool whose configuration lists its endpoints.
+/// Converts the endpoints of a pool in the configuration to a full endpoint list.
 pub(super) fn from_config(nodes: &[EndpointSpec]) -> EndpointList {
     EndpointList { version: 0, is_full: true, endpoints: nodes.iter().map(listed_endpoint).collect() }
 }
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -1,6 +1,7 @@
-//! A pool of endpoints: its load balancing decisions, its upstream connections and its endpoint list.
+//! A pool of endpoints with its balancer, its upstream connections and its endpoint list.
 //!
-//! Used by the standalone and the hosted mode. [`start`] assembles a pool; dropping it aborts its tasks.
+//! Used by the standalone and the hosted mode. [`start`] assembles a pool; dropping the pool aborts its
+//! tasks.
 
 mod endpoint_list;
 mod staleness;
@@ -26,17 +27,17 @@
 
 use tasks::TaskSet;
 
-/// What all pools of a process are started with.
+/// The context that is shared by all pools of a process.
 #[derive(Clone, Copy)]
 pub struct PoolContext<'a> {
     pub clock: Clock,
-    /// Seeds the random numbers of the decisions.
+    /// The seed of the random numbers of the balancer.
     pub seed: u64,
-    /// Set where the process has an operators' address.
+    /// `None` if the process has no operators' address.
     pub operators: Option<&'a OperatorContext>,
 }
 
-/// A running pool. Nothing of it may be in flight when it is dropped.
+/// A running pool. It must not be dropped while requests are in flight in it.
 pub struct Pool {
     _tasks: TaskSet,
     pub name: String,
@@ -46,14 +47,15 @@
     names: Rc<RefCell<NameTable>>,
     endpoints: Rc<RegisteredEndpoints>,
     ready: Rc<Cell<bool>>,
-    /// When the source of the endpoint list last answered.
+    /// The time when the source of the endpoint list last responded.
     last_contact: Rc<Cell<Instant>>,
-    /// Set where the configuration itself lists the endpoints.
+    /// The registry of the endpoints that are listed in the configuration; `None` if the list has another
+    /// source.
     static_registry: Option<RefCell<EndpointRegistry>>,
     operator_view: Option<OperatorView>,
 }
 
-/// What operators see and change of a pool. The applier is subscribed to the maintenance store while the pool
+/// The operators' view of a pool. The applier is subscribed to the maintenance store for as long as the pool
 /// exists.
 struct OperatorView {
     applier: Rc<MaintenanceApplier>,
@@ -61,7 +63,7 @@
 }
 
 impl Pool {
-    /// Applies another configuration that carries this pool over.
+    /// Applies a new configuration that keeps this pool, at `index`.
     pub fn reconfigure(&self, config: &Config, index: usize, max_connections: usize) {
         self.upstreams.set_max_sockets(max_connections);
         if let (Some(registry), Source::List(nodes)) = (&self.static_registry, &config.pools[index].source) {
@@ -69,35 +71,35 @@
         }
     }
 
-    /// Imports the state that another process learned.
+    /// Imports the learned state of another process.
     pub fn import_learned_state(&self, saved: SavedPool) {
         self.endpoints.import_learned_state(saved, self.clock, &self.names.borrow(), &self.driver);
     }
 
-    /// The state learned so far. None where the decisions do not answer.
+    /// Returns the learned state, or `None` if the balancer panics while it is exported.
     pub async fn learned_state(&self) -> Option<learned_state::PoolRecord> {
         let learned = self.driver.learned_state().await?;
         Some(self.endpoints.export_learned_state(&self.name, &learned, self.clock, &self.names.borrow()))
     }
 
-    /// The name by which operators refer to this endpoint, if the pool lists it.
+    /// The operators' name of an endpoint; `None` if the pool does not list the endpoint.
     pub fn operator_name(&self, endpoint: &str) -> Option<String> {
         let view = self.operator_view.as_ref().filter(|_| self.endpoints.contains(endpoint))?;
         Some(view.applier.maintenance.operator_name(endpoint))
     }
 
-    /// The gauges of this pool. None where the process has no operators' address.
+    /// The gauges of this pool; `None` if the process has no operators' address.
     pub async fn gauges(&self) -> Option<PoolGauges> {
         let view = self.operator_view.as_ref()?;
         Some(view.applier.gauges(view.labels.clone()).await)
     }
 
-    /// The number of endpoint lists received.
+    /// The number of endpoint lists that were applied.
     pub fn list_count(&self) -> u64 {
         self.endpoints.update_count()
     }
 
-    /// The endpoints as the announcer of addresses needs them. `slow_start_duration` in microseconds.
+    /// The endpoints as the BGP announcer uses them. `slow_start_duration` is in microseconds.
     pub fn announced_endpoints(&self, slow_start_duration: Micros) -> bgp::PoolEndpointList {
         let now = self.clock.now();
         let mut endpoints = Vec::new();
@@ -115,17 +117,20 @@
         bgp::PoolEndpointList { received: self.ready.get(), source_silent_for, endpoints }
     }
 
-    /// No configuration has this pool any more: closes idle connections, requests in flight complete.
+    /// Retires the pool when it is no longer part of the configuration: closes idle connections. Requests in
+    /// flight
+    /// complete.
     pub fn retire(&self) {
         self.upstreams.retire();
     }
 
-    /// Whether an endpoint list has been received.
+    /// Whether the pool has a usable endpoint list.
     pub fn is_ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// The filter of a route, with the pool's own indexes for zones and machine kinds.
+    /// Converts the endpoint scope of a route to a filter with this pool's indexes of zones and machine
+    /// kinds.
     pub fn endpoint_filter(&self, scope: &EndpointScope) -> EndpointFilter {
         let mut names = self.names.borrow_mut();
         EndpointFilter {
--- a/crates/proxy/src/pool/staleness.rs
+++ b/crates/proxy/src/pool/staleness.rs
@@ -1,4 +1,4 @@
-//! Warnings about an endpoint list whose source does not answer. The list stays in use.
+//! Warnings about an endpoint list whose source does not respond. The list stays in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,12 +8,13 @@
 
 use crate::log::log_line;
 
-/// The first warning is logged at this age of the list, further ones whenever the age has doubled.
+/// The age of the list at which the first warning is logged. Further ones are logged each time the age has
+/// doubled.
 const WARNING_AGE: Duration = Duration::from_secs(10);
-/// How often the age is checked.
+/// The interval at which the age is checked.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs warnings for as long as it is polled.
+/// Logs warnings about a stale endpoint list, for as long as it is polled.
 pub(super) async fn warn_when_stale(pool: String, last_contact: Rc<Cell<Instant>>) {
     let mut next_warning_age = WARNING_AGE;
     loop {
@@ -23,7 +24,9 @@
             next_warning_age = WARNING_AGE;
         } else if age >= next_warning_age {
             let seconds = age.as_secs();
-            log_line(format_args!("pool `{pool}`: going on with a list of nodes that is {seconds} s old"));
+            log_line(format_args!(
+                "pool `{pool}`: source of the endpoint list unresponsive for {seconds} s: keeping the list"
+            ));
             next_warning_age *= 2;
         }
     }
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -1,4 +1,5 @@
-//! Assembly of a pool: decisions, upstream connections, endpoint registry, and the source of its endpoint list.
+//! Assembles a pool from its driver, upstream connections, endpoint registry and the source of its endpoint
+//! list.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,14 +20,15 @@
 use crate::upstream::{RpcSettings, UpstreamPool};
 
 impl Pool {
-    /// Starts the pool at `index` of a configuration, with at most `max_connections` to its endpoints.
+    /// Starts the pool at `index` of a configuration, with at most `max_connections` connections to its
+    /// endpoints.
     pub fn start(config: &Config, index: usize, max_connections: usize, context: &PoolContext<'_>) -> Pool {
         let pool = &config.pools[index];
         let PoolContext { clock, seed, operators } = *context;
         let names = Rc::new(RefCell::new(name_table(config)));
         let upstreams = Rc::new(new_upstreams(config, pool, max_connections, operators));
         let poll_requested = Rc::new(Notify::new());
-        let decision_driver = Driver::new(
+        let pool_driver = Driver::new(
             config.settings(pool),
             seed,
             clock,
@@ -34,7 +36,7 @@
             None,
             Rc::clone(&poll_requested),
         );
-        let driver = decision_driver.handle();
+        let driver = pool_driver.handle();
         let ready = Rc::new(Cell::new(false));
         let mut registry = EndpointRegistry::new(
             clock,
@@ -49,7 +51,7 @@
         let last_contact = Rc::clone(&registry.last_contact);
 
         let mut tasks = TaskSet::default();
-        tasks.spawn(decision_driver.run());
+        tasks.spawn(pool_driver.run());
         let swept = Rc::clone(&upstreams);
         tasks.spawn(async move { swept.evict_idle().await });
         let static_registry = start_source(pool, registry, poll_requested, seed, &mut tasks);
@@ -70,7 +72,7 @@
 }
 
 impl OperatorView {
-    /// Puts a pool's registry under the operators' maintenance.
+    /// Applies the maintenance state of operators to the registry of a pool.
     fn attach(operators: &OperatorContext, pool: &str, registry: &mut EndpointRegistry) -> OperatorView {
         let maintenance = operators.pool_maintenance(pool);
         registry.maintenance = Some(maintenance.clone());
@@ -109,7 +111,8 @@
     }
 }
 
-/// Starts the source of the endpoint list. Returns the registry where the configuration itself lists the endpoints.
+/// Starts the source of the endpoint list. Returns the registry if the endpoints are listed in the
+/// configuration, and `None` if the list has another source.
 fn start_source(
     pool: &config::Pool,
     mut registry: EndpointRegistry,
@@ -134,14 +137,14 @@
     None
 }
 
-/// Keeps a pool's list up to date from discovery, for as long as it is polled.
+/// Keeps the endpoint list of a pool up to date from discovery, for as long as it is polled.
 async fn run_discovery(
     address: SocketAddr,
     registry: EndpointRegistry,
     poll_requested: Rc<Notify>,
     seed: u64,
 ) {
-    // The address never changes: another address is another source, and so another pool.
+    // The address never changes, because a pool with another address is another pool.
     let (_address_sender, address) = watch::channel(address);
     // The configuration has no time limit for drains, so the list may be used while discovery is down.
     let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: None };
--- a/crates/proxy/src/pool/tasks.rs
+++ b/crates/proxy/src/pool/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use std::future::Future;
 
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -107,14 +107,14 @@
     assert!(first.wait_for_exit().success());
 
     let mut second = start_standalone(&config, &[]);
-    assert!(second.log().contains("knowledge: from "), "{}", second.log());
+    assert!(second.log().contains("learned state: written "), "{}", second.log());
     let taught = slow_of_eight(&second, &nodes);
     assert!(taught <= 2, "{taught} of 8 to the slow node");
     second.terminate();
     assert!(second.wait_for_exit().success());
 
     // The same, as if written six hours ago; and by a clock that was wrong by years.
-    for (hours, words) in [(6, "knowledge: from 21"), (-30_000, "knowledge: very old")] {
+    for (hours, words) in [(6, "learned state: written 21"), (-30_000, "learned state: very old")] {
         let file = newest(&folder);
         let bytes = std::fs::read(&file).expect("kept");
         let (mut learned, _) = learned_state::decode(&bytes).expect("sound");
@@ -143,7 +143,7 @@
     // The newest is torn: the one before it counts.
     std::fs::write(newest(&folder), b"amberkno").expect("written");
     let second = start_standalone(&config, &[]);
-    assert!(second.log().contains("knowledge: from "), "{}", second.log());
+    assert!(second.log().contains("learned state: written "), "{}", second.log());
     assert!(slow_of_eight(&second, &nodes) <= 2);
     // Four are kept, and the newest of them is sound.
     until("never more than four", || files(&folder).len() == 4);
@@ -163,10 +163,10 @@
     until("no file", || !files(&folder).is_empty());
     let second = start_standalone(&config, &[]);
     second.wait_for_log("another process uses it");
-    assert!(second.log().contains("knowledge: from "), "{}", second.log());
+    assert!(second.log().contains("learned state: written "), "{}", second.log());
     first.terminate();
     assert!(first.wait_for_exit().success());
-    second.wait_for_log("again");
+    second.wait_for_log("learned state: writing to ");
     let before = newest(&folder);
     until("a file of its own", || newest(&folder) != before);
     assert_eq!(second.log().matches("another process uses it").count(), 1, "said once");
@@ -178,12 +178,12 @@
     let folder = temp_folder().join("learned");
     std::fs::write(&folder, "a file in its place").expect("written");
     let mut proxy = start_standalone(&config(&[&nodes[0], &nodes[1]], &folder), &[]);
-    proxy.wait_for_log("knowledge: not kept in ");
+    proxy.wait_for_log("learned state: cannot write to ");
     crowd(&proxy, 2, 4);
-    assert_eq!(proxy.log().matches("not kept").count(), 1, "said once");
+    assert_eq!(proxy.log().matches("cannot write to").count(), 1, "said once");
     // What stood in the way is gone: kept from then on.
     std::fs::remove_file(&folder).expect("removed");
-    proxy.wait_for_log("again");
+    proxy.wait_for_log("learned state: writing to ");
     proxy.terminate();
     assert!(proxy.wait_for_exit().success());
     assert!(!files(&folder).is_empty());
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -202,7 +202,7 @@
         thread::sleep(Duration::from_millis(20));
     }
     let new = held.start(&config);
-    assert!(new.log().contains("knowledge: from "), "{}", new.log());
+    assert!(new.log().contains("learned state: written "), "{}", new.log());
     drop((old, new));
     // Truncated, as by a process that was killed while it wrote the file in place.
     let bytes = std::fs::read(&file).expect("readable");
@@ -210,7 +210,7 @@
     std::fs::write(held.folder.join("amberlever.maintenance"), "amberlever-maintenance 1 0\n-s-0\n")
         .expect("written");
     let third = held.start(&config);
-    assert_eq!(third.log().matches("not as it was written").count(), 2, "{}", third.log());
+    assert_eq!(third.log().matches("ignoring invalid file").count(), 2, "{}", third.log());
     assert_eq!(ask(&third, &held, &read("third", 9000)).status(), 200);
     assert_eq!(third.metric("edge_lb_pool_ejected"), 0);
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -338,7 +338,7 @@
         true,
         &[odd, host("s-1", backends[1].address, "SERVING")],
     )));
-    proxy.wait_for_log("passing over a malformed entry in the list of backends: \"s-0\": ");
+    proxy.wait_for_log("ignoring malformed entry of the endpoint list, draining its endpoint: \"s-0\": ");
     let before = backends[0].requests().len();
     for n in 0..20 {
         assert_eq!(proxy.request(&read(&format!("id-{n}"), 2000)).status(), 200);
@@ -443,7 +443,7 @@
         discovery.push(PollResponse::List(list(1, false, &[])));
         discovery.wait_for_poll(3 + 2 * n);
     }
-    assert_eq!(proxy.log().matches("malformed list").count(), 1);
+    assert_eq!(proxy.log().matches("malformed endpoint list").count(), 1);
 }
 
 #[test]
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -263,7 +263,7 @@
     let of = |backend: &MockEndpoint| list(1, true, &[host("n", backend.address, "SERVING")]);
     let proxy = start_standalone(&config(LOOPBACK, &rest), &[("nodes.json", &of(&one))]);
     let file = proxy.path.with_file_name("nodes.json");
-    proxy.wait_for_log("pool `p`: 1 nodes from ");
+    proxy.wait_for_log("pool `p`: applied 1 endpoints from ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"one");
     // Replaced by a rename.
     let next = proxy.path.with_file_name("next.json");
@@ -273,7 +273,7 @@
     )
     .expect("written");
     std::fs::rename(&next, &file).expect("renamed");
-    proxy.wait_for_log("pool `p`: 2 nodes from ");
+    proxy.wait_for_log("pool `p`: applied 2 endpoints from ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"other");
     // Truncated after complete hosts, empty, with garbage, an incomplete list, and no file at all.
     let complete = of(&one);
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -150,7 +150,8 @@
     let stored_file = copy(IN_A_FOLDER, &folder);
     let (log, _) = start_and_stop(&folder, "00000000000000000004.known");
     // The older the file is, the less it counts.
-    let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
+    let is_read =
+        ["learned state: written ", "learned state: very old"].iter().any(|words| log.contains(words));
     assert!(is_read && !log.contains("in part"), "{log}");
     assert!(fs::read(&stored_file).expect("still there") == bytes(IN_A_FOLDER), "as it was");
     // The same state, as if it were written now.
@@ -160,7 +161,7 @@
     fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&current_state))
         .expect("written");
     let (log, written_state) = start_and_stop(&folder, "00000000000000000006.known");
-    assert!(log.contains("knowledge: from "), "{log}");
+    assert!(log.contains("learned state: written "), "{log}");
     for (pool, node) in [("near", "n0"), ("far", "n0")] {
         let (stored_samples, imported_samples) =
             (samples(&current_state, pool, node), samples(&written_state, pool, node));
@@ -184,9 +185,10 @@
     let maintenance = copy(MAINTENANCE, &held.folder);
     let process = held.start(&config);
     let log = process.log();
-    let is_read = ["knowledge: from ", "knowledge: very old"].iter().any(|words| log.contains(words));
-    assert!(is_read && !log.contains("passing over"), "{log}");
-    assert!(log.contains("maintenance: 1 backends are out by hand, from before"), "{log}");
+    let is_read =
+        ["learned state: written ", "learned state: very old"].iter().any(|words| log.contains(words));
+    assert!(is_read && !log.contains("ignoring"), "{log}");
+    assert!(log.contains("maintenance: 1 endpoints were drained in an earlier process"), "{log}");
     for i in 0..10 {
         assert_eq!(process.request(&read(&format!("r-{i}"), 5000)).status(), 200);
     }
--- a/tests/stubs/process.rs
+++ b/tests/stubs/process.rs
@@ -27,7 +27,7 @@
         errors.read_line(&mut line).expect("text");
         let log = Arc::<Mutex<String>>::default();
         // Lines about stored state come first.
-        while ["version ", "state: ", "knowledge: ", "bgp: ", "operators: ", "maintenance: "]
+        while ["version ", "state: ", "learned state: ", "bgp: ", "operators: ", "maintenance: "]
             .iter()
             .any(|word| line.starts_with(word))
         {
