--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -24,7 +24,8 @@
 /// The minimum rate of a transfer in bytes per second; a slower transfer is aborted. This is half of the rate
 /// that clients are promised.
 const MIN_BYTES_PER_SECOND: u64 = 32 << 10;
-/// The time that each transfer has in addition to the minimum rate, for its start and for pauses.
+/// The time that each transfer is allowed in addition to that at the minimum rate, for its start and for
+/// pauses.
 const TRANSFER_GRACE: Duration = Duration::from_secs(3);
 /// The time after which a transfer is considered stalled if the peer sends or reads nothing of the body.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -38,7 +39,7 @@
 }
 
 /// Whether a body is known to be so small that it must be complete by the deadline of its request, so that
-/// streaming it has no benefit. See [`MAX_BODY_WITHIN_DEADLINE_BYTES`].
+/// streaming it has no benefit. See `MAX_BODY_WITHIN_DEADLINE_BYTES`.
 pub fn must_complete_within_deadline(body: &Incoming) -> bool {
     body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_BODY_WITHIN_DEADLINE_BYTES)
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    // ---- Inputs to events ----
+    // ---- Conversion of inputs to events ----
 
     fn handle_input(&mut self, input: DriverInput) {
         match input {
@@ -135,7 +135,7 @@
             DriverInput::ImportLearnedState(states) => {
                 self.balancer.import_learned_state(self.clock.now(), &states);
             }
-            // Sending fails if the receiver was dropped while it waited, which is harmless.
+            // Sending fails if the receiver has been dropped, which is harmless.
             DriverInput::ExportLearnedState(reply) => {
                 let _ = reply.send(self.balancer.learned_state(self.clock.now()));
             }
--- a/crates/proxy/src/gossip.rs
+++ b/crates/proxy/src/gossip.rs
@@ -26,8 +26,7 @@
     }
 
     /// Sends a message to the peer of this rank. The message is dropped if it is too large or cannot be sent
-    /// at once, and
-    /// may be lost on the way.
+    /// at once, and may be lost on the way.
     pub fn send(&self, rank: u32, message: &[u8]) {
         let Some(peer) = self.peers_by_rank.get(rank as usize) else { return };
         if message.len() <= MAX_MESSAGE_BYTES {
@@ -36,8 +35,7 @@
     }
 
     /// Passes received messages on to the driver, for as long as it is polled. Messages that are not from a
-    /// peer or are too
-    /// large are ignored.
+    /// peer or are too large are ignored.
     pub async fn receive(&self, driver: DriverHandle) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -9,7 +9,7 @@
 
 use crate::exchange::{AttemptCounter, AttemptResult, DisconnectProbe, FinalResponse, UpstreamRequest};
 
-/// An input of the driver.
+/// An input of the driver, which is queued until all earlier inputs have been handled.
 pub enum DriverInput {
     /// The endpoint list was updated.
     EndpointUpdate { scope: UpdateScope, endpoints: Vec<Endpoint> },
@@ -142,7 +142,7 @@
     }
 
     pub(crate) fn send(&self, input: DriverInput) {
-        // Sending fails only after the driver has ended, when no input matters any more.
+        // Sending fails only after the driver has ended, when its inputs no longer matter.
         let _ = self.inputs.send(input);
     }
 }
--- a/crates/proxy/src/learned_state/mod.rs
+++ b/crates/proxy/src/learned_state/mod.rs
@@ -1,5 +1,5 @@
-//! Persistent learned state: it is written to a folder periodically and at shutdown, by a separate thread,
-//! and read at startup. A fault here is logged and has no other effect.
+//! Persistence of learned state. The state is written to a folder periodically and at shutdown, by a separate
+//! thread, and read at startup. A fault here is logged and has no other effect.
 
 pub mod names;
 mod writer;
--- a/crates/proxy/src/learned_state/names/mod.rs
+++ b/crates/proxy/src/learned_state/names/mod.rs
@@ -141,8 +141,7 @@
     }
 
     /// The means of a record in the order of the balancer's classes, with empty means for classes that the
-    /// record does not
-    /// have.
+    /// record does not have.
     fn apply(&self, means: &[learned_state::StoredMean]) -> Vec<learned::DecayedMean> {
         let mean_at = |position: &Option<usize>| position.and_then(|position| means.get(position));
         let learned_mean = |position| mean_at(position).map(from_stored_mean).unwrap_or_default();
--- a/crates/proxy/src/maintenance/file.rs
+++ b/crates/proxy/src/maintenance/file.rs
@@ -83,8 +83,7 @@
     }
 
     /// Replaces the content. The file is not synced to disk, because it is meant for later processes while
-    /// the machine is
-    /// up.
+    /// the machine is up.
     ///
     /// # Errors
     /// The file cannot be written or renamed.
--- a/crates/proxy/src/maintenance/mod.rs
+++ b/crates/proxy/src/maintenance/mod.rs
@@ -143,8 +143,7 @@
     }
 
     /// Adopts changes of the file by another process, and saves the names of newly listed endpoints, for as
-    /// long as it is
-    /// polled.
+    /// long as it is polled.
     pub async fn follow(&self) {
         let Some(file) = &self.file else { return };
         loop {
--- a/crates/proxy/src/membership/discovery/call.rs
+++ b/crates/proxy/src/membership/discovery/call.rs
@@ -39,7 +39,7 @@
     ResponseMalformed(String),
     /// The connection closed before the end of the response.
     ResponseTruncated,
-    /// The call failed before a usable response.
+    /// The call failed without a usable response.
     Failed(CallFailure),
 }
 
--- a/crates/proxy/src/membership/discovery/mod.rs
+++ b/crates/proxy/src/membership/discovery/mod.rs
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Applies the period in which the list is expired to the upstream pool. A process that started with a
-    /// list reports ready when the list is confirmed, or after [`READY_UNCONFIRMED_AFTER`].
+    /// Sets the expiry of the list in the upstream pool. A process that started with a list reports ready
+    /// when the list is confirmed, or after [`READY_UNCONFIRMED_AFTER`].
     fn apply_lease(&self, session: &Session) {
         let clock = self.registry.clock;
         let expiry = session.watch.expiry().map(|expiry| ListExpiry {
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -45,7 +45,7 @@
     malformed_entry_logged: bool,
 }
 
-/// The endpoint with the more restrictive of its listed state and the state set by operators.
+/// Returns the endpoint with the more restrictive of its listed state and the state set by operators.
 fn most_restrictive(mut endpoint: Endpoint, is_drained: bool) -> Endpoint {
     if is_drained && endpoint.state == EndpointState::Ready {
         endpoint.state = EndpointState::Draining;
@@ -124,8 +124,7 @@
     }
 
     /// Marks an endpoint with an unreadable entry as draining, otherwise as it was listed last. Returns
-    /// `None` if it was
-    /// not listed before.
+    /// `None` if it was not listed before.
     fn drain_unreadable(&self, name: &str) -> Option<Endpoint> {
         let ListedAddress { mut endpoint, address } = self.endpoints.last_listed(name)?;
         endpoint.state = EndpointState::Draining;
--- a/crates/proxy/src/membership/registry/registered.rs
+++ b/crates/proxy/src/membership/registry/registered.rs
@@ -128,8 +128,7 @@
     }
 
     /// Forgets endpoints that were removed more than [`REMOVED_NAME_RETENTION`] ago. Replacements have new
-    /// names, so without
-    /// this the table would grow without bound.
+    /// names, so without this the table would grow without bound.
     pub(super) fn forget_removed(&self) {
         let mut used_ids = self.used_ids.borrow_mut();
         self.by_name.borrow_mut().retain(|_, endpoint| {
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -66,8 +66,8 @@
     /// Applies a new configuration that keeps this pool, at `index`.
     pub fn reconfigure(&self, config: &Config, index: usize, max_connections: usize) {
         self.upstreams.set_max_sockets(max_connections);
-        if let (Some(registry), Source::List(nodes)) = (&self.static_registry, &config.pools[index].source) {
-            registry.borrow_mut().apply(endpoint_list::from_config(nodes), UpdateScope::Full);
+        if let (Some(registry), Source::List(specs)) = (&self.static_registry, &config.pools[index].source) {
+            registry.borrow_mut().apply(endpoint_list::from_config(specs), UpdateScope::Full);
         }
     }
 
@@ -118,8 +118,7 @@
     }
 
     /// Retires the pool when it is no longer part of the configuration: closes idle connections. Requests in
-    /// flight
-    /// complete.
+    /// flight complete.
     pub fn retire(&self) {
         self.upstreams.retire();
     }
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -52,8 +52,8 @@
 
         let mut tasks = TaskSet::default();
         tasks.spawn(pool_driver.run());
-        let swept = Rc::clone(&upstreams);
-        tasks.spawn(async move { swept.evict_idle().await });
+        let evicted = Rc::clone(&upstreams);
+        tasks.spawn(async move { evicted.evict_idle().await });
         let static_registry = start_source(pool, registry, poll_requested, seed, &mut tasks);
         Pool {
             _tasks: tasks,
@@ -122,8 +122,8 @@
 ) -> Option<RefCell<EndpointRegistry>> {
     let last_contact = Rc::clone(&registry.last_contact);
     match &pool.source {
-        Source::List(nodes) => {
-            registry.apply(endpoint_list::from_config(nodes), UpdateScope::Full);
+        Source::List(specs) => {
+            registry.apply(endpoint_list::from_config(specs), UpdateScope::Full);
             return Some(RefCell::new(registry));
         }
         Source::File(path) => {
@@ -148,11 +148,10 @@
     let (_address_sender, address) = watch::channel(address);
     // The configuration has no time limit for drains, so the list may be used while discovery is down.
     let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: None };
-    let subscribe = Some(poll_requested);
     let discovery = Discovery {
         address,
         registry,
-        poll_requested: subscribe,
+        poll_requested: Some(poll_requested),
         policy,
         seed,
         malformed_list_logged: false,
--- a/crates/proxy/src/upstream/attempt_error.rs
+++ b/crates/proxy/src/upstream/attempt_error.rs
@@ -24,9 +24,9 @@
     IncompleteResponse,
     /// The endpoint declared that it has not processed the request.
     Rejected,
-    /// The endpoint answered with another status than 200.
+    /// The endpoint responded with a status other than 200.
     Status(StatusCode),
-    /// The endpoint answered with an error object of this code.
+    /// The endpoint responded with an error object that has this code.
     RpcError(i64),
     /// The deadline passed after the request was written.
     Timeout,
--- a/crates/proxy/src/upstream/connect.rs
+++ b/crates/proxy/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting to an endpoint.
+//! Establishes connections to an endpoint.
 
 use std::io;
 use std::rc::Rc;
@@ -58,7 +58,7 @@
 }
 
 impl PendingConnect {
-    /// Waits until the last reference of the connecting task is dropped.
+    /// Waits until the connecting task drops `self`.
     async fn wait(self: Rc<Self>) {
         let ended = Rc::clone(&self.ended);
         // A waiting task must not keep `self` alive, because dropping it is the signal.
--- a/crates/proxy/src/upstream/endpoint_table.rs
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -25,7 +25,7 @@
     pub address: SocketAddr,
     /// When this process first saw the endpoint as draining or removed; `None` while it is neither.
     pub draining_since: Option<Instant>,
-    /// The connections to it.
+    /// The connections to the endpoint.
     pub connections: EndpointConnections,
 }
 
@@ -37,7 +37,7 @@
 
     fn update(&mut self, entry: &Endpoint, address: SocketAddr) {
         if self.address != address || self.entry.up_since != entry.up_since {
-            // It is another process, or is reached at another address, so the old connections are useless.
+            // The endpoint is another process or has another address, so the old connections are useless.
             self.connections.close_all();
         }
         self.address = address;
--- a/crates/proxy/src/upstream/http_response.rs
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -20,8 +20,8 @@
 /// The response header with which an endpoint declares that it has not processed the request; its value is
 /// `1`.
 const NOT_PROCESSED_HEADER: &str = "x-not-processed";
-/// The time for which a response that may be streamed is buffered first. A connection that closes within this
-/// time can still be retried.
+/// The time for which a response that may be streamed is buffered first. An attempt whose connection closes
+/// within this time can still be retried.
 const RESPONSE_BUFFER_TIME: Duration = Duration::from_millis(100);
 
 /// Reads a response: in full, or up to the point from which it is streamed.
--- a/crates/proxy/src/upstream/list_expiry.rs
+++ b/crates/proxy/src/upstream/list_expiry.rs
@@ -44,8 +44,7 @@
     }
 
     /// Whether the list has expired. Must be called only when there is an attempt to send, because it logs
-    /// that the
-    /// attempt is not sent.
+    /// that the attempt is not sent.
     pub fn is_expired(&self) -> bool {
         let now = Instant::now();
         let Some(expiry) = self.expiry.get().filter(|expiry| expiry.contains(now)) else { return false };
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -66,7 +66,7 @@
 /// The response header with the endpoint's load report.
 pub const LOAD_HEADER: &str = "x-server-load";
 
-/// An attempt to make.
+/// An attempt to run.
 pub struct AttemptRequest {
     /// The endpoint to send to.
     pub endpoint: EndpointId,
@@ -77,8 +77,7 @@
     /// When the attempt times out.
     pub deadline: Instant,
     /// How long the client waits for the response, from the last byte of its request. Applies only if the
-    /// body is
-    /// streamed; `None` if the client set no timeout.
+    /// body is streamed; `None` if the client set no timeout.
     pub client_timeout: Option<Duration>,
     /// Whether a byte of the request may have been sent.
     pub write_started: WriteStarted,
@@ -154,7 +153,7 @@
         self
     }
 
-    /// Uses JSON-RPC with the endpoints.
+    /// Uses JSON-RPC instead of HTTP.
     pub fn with_rpc(mut self, settings: RpcSettings) -> UpstreamPool {
         self.rpc = Some(settings);
         self
--- a/crates/proxy/src/upstream/rpc_connection/call.rs
+++ b/crates/proxy/src/upstream/rpc_connection/call.rs
@@ -25,8 +25,7 @@
     /// The connection closed before the call was written in full, so it was not executed.
     NotWritten,
     /// The connection closed after the call was written in full, or the response is unusable. The call may
-    /// have been
-    /// executed.
+    /// have been executed.
     Unknown,
 }
 
--- a/crates/proxy/src/upstream/rpc_connection/state.rs
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -45,7 +45,7 @@
     pub result: oneshot::Sender<CallResult>,
     /// The number of bytes of the call that were written.
     pub progress: CallBytesWritten,
-    /// The number of written bytes from which on an endpoint may execute the call.
+    /// The number of bytes that must be written before an endpoint may execute the call.
     pub message_len: usize,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl ConnectionState {
-    /// The state of a new connection.
+    /// Creates the state of a new connection.
     pub fn new(settings: RpcSettings) -> ConnectionState {
         ConnectionState {
             settings,
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -43,13 +43,13 @@
         pool.update_endpoint(&entry(300, EndpointState::Draining), address);
         pool.update_endpoint(&entry(301, EndpointState::Ready), address);
         assert_eq!(known_ids(&pool).len(), 302, "no endpoint is forgotten before its drain grace is over");
-        let few_left = async {
+        let until_two_left = async {
             while known_ids(&pool).len() > 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
         tokio::select! {
-            done = timeout(Duration::from_secs(30), few_left) => assert!(done.is_ok()),
+            done = timeout(Duration::from_secs(30), until_two_left) => assert!(done.is_ok()),
             () = pool.evict_idle() => unreachable!("evict_idle never returns"),
         }
         assert_eq!(known_ids(&pool), [300, 301]);
