--- a/crates/admin/src/announce.rs
+++ b/crates/admin/src/announce.rs
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 
 /// Whoever announces addresses.
-pub trait Announcing: Send + Sync {
+pub trait AnnouncementControl: Send + Sync {
     /// What it does.
     fn status(&self) -> Pin<Box<dyn Future<Output = Value> + Send>>;
 
@@ -23,7 +23,7 @@
     fn hold(&self, prefix: &str, held: bool) -> Pin<Box<dyn Future<Output = Result<(), String>> + Send>>;
 }
 
-type Shared = State<Arc<dyn Announcing>>;
+type Shared = State<Arc<dyn AnnouncementControl>>;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -32,7 +32,7 @@
 }
 
 /// The paths: `GET /v1/bgp`, `POST /v1/bgp/hold` and `POST /v1/bgp/release`, the last two with `{"prefix": "…"}`.
-pub fn router(announcing: Arc<dyn Announcing>) -> Router {
+pub fn router(announcing: Arc<dyn AnnouncementControl>) -> Router {
     Router::new()
         .route("/v1/bgp", get(status))
         .route("/v1/bgp/hold", post(hold))
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::announce::Announcing;
+use admin::announce::AnnouncementControl;
 use bgp::DataPlaneStatus;
 use bgp_speaker::Speaker;
 use config::{Bgp, Config};
@@ -42,7 +42,7 @@
     }
 }
 
-impl Announcing for SpeakerHandle {
+impl AnnouncementControl for SpeakerHandle {
     fn status(&self) -> Pin<Box<dyn Future<Output = Value> + Send>> {
         let speaker = self.0.clone();
         Box::pin(async move { serde_json::to_value(speaker.status().await).unwrap_or_default() })
