--- a/crates/admin/src/announce.rs
+++ b/crates/admin/src/announce.rs
@@ -1,5 +1,5 @@
-//! What operators ask of whoever announces addresses, in a process of one configuration. It stands on loopback and knows
-//! no tokens: who may open a connection there may do all this.
+//! The API by which operators inspect and hold the announced addresses of a process with a single
+//! configuration. It listens on loopback and has no tokens: whoever can connect to it has all permissions.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,53 +14,59 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// Whoever announces addresses.
+/// The interface to the announcement of addresses.
 pub trait AnnouncementControl: Send + Sync {
-    /// What it does.
+    /// The status of addresses and peers, as JSON.
     fn status(&self) -> Pin<Box<dyn Future<Output = Value> + Send>>;
 
-    /// Holds a prefix down, or lets go of it; or why not, in a line.
+    /// Withdraws a prefix until it is released, or releases it. Fails with a message of one line if the
+    /// prefix is invalid or not announced by this process.
     fn hold(&self, prefix: &str, held: bool) -> Pin<Box<dyn Future<Output = Result<(), String>> + Send>>;
 }
 
-type Shared = State<Arc<dyn AnnouncementControl>>;
+type ControlState = State<Arc<dyn AnnouncementControl>>;
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Named {
+#[serde(deny_unknown_fields, expecting = "struct Named")]
+struct PrefixRequest {
     prefix: String,
 }
 
-/// The paths: `GET /v1/bgp`, `POST /v1/bgp/hold` and `POST /v1/bgp/release`, the last two with `{"prefix": "…"}`.
-pub fn router(announcing: Arc<dyn AnnouncementControl>) -> Router {
+/// Routes `GET /v1/bgp`, and `POST /v1/bgp/hold` and `POST /v1/bgp/release` with a body of `{"prefix": "…"}`.
+pub fn router(control: Arc<dyn AnnouncementControl>) -> Router {
     Router::new()
         .route("/v1/bgp", get(status))
         .route("/v1/bgp/hold", post(hold))
         .route("/v1/bgp/release", post(release))
-        .with_state(announcing)
+        .with_state(control)
 }
 
-async fn status(State(announcing): Shared) -> Json<Value> {
-    Json(announcing.status().await)
+async fn status(State(control): ControlState) -> Json<Value> {
+    Json(control.status().await)
 }
 
-async fn hold(announcing: Shared, body: Result<Json<Named>, JsonRejection>) -> Response {
-    change(announcing, body, true).await
+async fn hold(control: ControlState, body: Result<Json<PrefixRequest>, JsonRejection>) -> Response {
+    set_held(control, body, true).await
 }
 
-async fn release(announcing: Shared, body: Result<Json<Named>, JsonRejection>) -> Response {
-    change(announcing, body, false).await
+async fn release(control: ControlState, body: Result<Json<PrefixRequest>, JsonRejection>) -> Response {
+    set_held(control, body, false).await
 }
 
-async fn change(State(announcing): Shared, body: Result<Json<Named>, JsonRejection>, held: bool) -> Response {
-    // A body that is not said to be JSON is refused: a page in somebody's browser cannot send one that is.
-    let Json(Named { prefix }) = match body {
+async fn set_held(
+    State(control): ControlState,
+    body: Result<Json<PrefixRequest>, JsonRejection>,
+    held: bool,
+) -> Response {
+    // A body without a JSON content type is rejected: a web page of another origin cannot send that type, and
+    // so cannot change announcements through an operator's browser.
+    let Json(PrefixRequest { prefix }) = match body {
         Ok(body) => body,
-        Err(refused) => return problem(refused.status(), &refused.body_text()),
+        Err(rejection) => return problem(rejection.status(), &rejection.body_text()),
     };
-    match announcing.hold(&prefix, held).await {
+    match control.hold(&prefix, held).await {
         Ok(()) => Json(json!({ "prefix": prefix, "held": held })).into_response(),
-        Err(why) => problem(StatusCode::NOT_FOUND, &why),
+        Err(error) => problem(StatusCode::NOT_FOUND, &error),
     }
 }
 
--- a/crates/admin/src/api/entries.rs
+++ b/crates/admin/src/api/entries.rs
@@ -1,4 +1,4 @@
-//! Classes, pools, routes and endpoints of a tenant, by name.
+//! Handlers for the classes, pools, routes and endpoints of a tenant, by name.
 
 use axum::extract::{Path, State};
 use axum::http::header;
@@ -32,21 +32,21 @@
     path: PathResult<(String, String, String)>,
 ) -> ApiResult<Response> {
     let Path((tenant, part, name)) = path?;
-    principal.reads(Some(&tenant))?;
+    principal.authorize_read(Some(&tenant))?;
     let mut document = service.document().await;
     let doc = tenant_mut(&mut document, &tenant)?;
-    let part = section_of(&part)?;
-    let entry = edit::entry(&doc.config, part, &name).ok_or_else(|| unknown_entry(part, &name))?;
+    let section = section_key(&part)?;
+    let entry = edit::entry(&doc.config, section, &name).ok_or_else(|| unknown_entry(section, &name))?;
     Ok(([(header::ETAG, etag(doc))], Json(entry.clone())).into_response())
 }
 
-fn section_of(part: &str) -> Result<&'static str, ChangeError> {
+fn section_key(part: &str) -> Result<&'static str, ChangeError> {
     let none = || ChangeError::NotFound(format!("there are classes, pools and routes, and no {part}"));
-    edit::part(part).ok_or_else(none)
+    edit::section_key(part).ok_or_else(none)
 }
 
-fn unknown_entry(part: &str, name: &str) -> ChangeError {
-    ChangeError::NotFound(format!("there is no {part} `{name}`"))
+fn unknown_entry(kind: &str, name: &str) -> ChangeError {
+    ChangeError::NotFound(format!("there is no {kind} `{name}`"))
 }
 
 /// Makes or changes a class, pool or route. The tenant's administrator's.
@@ -60,12 +60,12 @@
     body: BodyResult<Value>,
 ) -> ApiResult<Response> {
     let Path((tenant, part, name)) = path?;
-    principal.writes(Some(&tenant))?;
+    principal.authorize_write(Some(&tenant))?;
     let options = options?;
     let Json(entry) = body?;
-    let part = section_of(&part)?;
+    let section = section_key(&part)?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
-        edit::put(&mut tenant_mut(document, &tenant)?.config, part, &name, entry)
+        edit::put(&mut tenant_mut(document, &tenant)?.config, section, &name, entry)
             .map_err(ChangeError::Malformed)
     });
     Ok(change_response(&result.await?, &options))
@@ -81,12 +81,12 @@
     options: OptionsResult,
 ) -> ApiResult<Response> {
     let Path((tenant, part, name)) = path?;
-    principal.writes(Some(&tenant))?;
+    principal.authorize_write(Some(&tenant))?;
     let options = options?;
-    let part = section_of(&part)?;
+    let section = section_key(&part)?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
-        let removed = edit::remove(&mut tenant_mut(document, &tenant)?.config, part, &name);
-        removed.then_some(()).ok_or_else(|| unknown_entry(part, &name))
+        let removed = edit::remove(&mut tenant_mut(document, &tenant)?.config, section, &name);
+        removed.then_some(()).ok_or_else(|| unknown_entry(section, &name))
     });
     Ok(change_response(&result.await?, &options))
 }
@@ -102,11 +102,11 @@
     body: BodyResult<EndpointStateRequest>,
 ) -> ApiResult<Response> {
     let Path((tenant, pool, node)) = path?;
-    principal.writes(Some(&tenant))?;
+    principal.authorize_write(Some(&tenant))?;
     let options = options?;
     let Json(EndpointStateRequest { state }) = body?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
-        let set = edit::set_state(&mut tenant_mut(document, &tenant)?.config, &pool, &node, &state);
+        let set = edit::set_endpoint_state(&mut tenant_mut(document, &tenant)?.config, &pool, &node, &state);
         set.then_some(()).ok_or_else(|| unknown_entry("node", &format!("{pool}/{node}")))
     });
     Ok(change_response(&result.await?, &options))
--- a/crates/admin/src/api/error.rs
+++ b/crates/admin/src/api/error.rs
@@ -24,7 +24,7 @@
 
 pub type ApiResult<T> = Result<T, ApiError>;
 
-/// An error response.
+/// An error response: the status and the body.
 pub struct ApiError {
     status: StatusCode,
     problem: Problem,
--- a/crates/admin/src/api/extract.rs
+++ b/crates/admin/src/api/extract.rs
@@ -1,4 +1,4 @@
-//! What handlers take from requests: the principal, path parameters, change options and bodies.
+//! Extractors of request data for handlers: the principal, path parameters, change options and bodies.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::auth::Principal;
 use crate::state::{ChangeOptions, Service};
 
-/// The longest reason of a change.
+/// The maximum length of the reason for a change, in bytes.
 const MAX_REASON_BYTES: usize = 1_000;
 
 /// The address of the client, which the listener adds to each request.
@@ -24,7 +24,7 @@
 pub(super) type ServiceState = State<Arc<Service>>;
 pub(super) type BodyResult<T> = Result<Json<T>, JsonRejection>;
 pub(super) type PathResult<T> = Result<Path<T>, PathRejection>;
-/// Handlers check the permission before they look at the options.
+/// A result rather than a value, so that handlers check the permission before they report invalid options.
 pub(super) type OptionsResult = ApiResult<ChangeOptions>;
 
 #[derive(Deserialize)]
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The API: a module for each resource, and the router.
+//! The handlers of the API, with a module for each resource, and its router.
 
 mod entries;
 mod error;
@@ -31,7 +31,7 @@
 use self::versions::{get_diff, get_version, list_versions, rollback};
 use crate::state::{ChangeOptions, ChangeResult, Service};
 
-/// The largest body of a request.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// A change that was made; with `dry_run`, one that could be made.
@@ -55,7 +55,7 @@
     ApiError::new(StatusCode::NOT_FOUND, "no such path; /v1/openapi.json tells all there are")
 }
 
-/// All paths.
+/// Routes the paths of the API to their handlers.
 pub(crate) fn router(service: Arc<Service>) -> Router {
     let entry = get(get_entry).put(put_entry).delete(delete_entry);
     Router::new()
--- a/crates/admin/src/api/openapi.rs
+++ b/crates/admin/src/api/openapi.rs
@@ -1,18 +1,18 @@
-//! The OpenAPI document, made from the handlers.
+//! The OpenAPI document, generated from the handlers.
 
 use serde_json::Value;
 use utoipa::OpenApi;
 
-// The macro needs the items beside each handler that `utoipa::path` makes.
+// `utoipa::path` generates an item beside each handler, which `derive(OpenApi)` needs in scope.
 use super::entries::*;
 use super::status::*;
 use super::tenants::*;
 use super::tokens::*;
 use super::versions::*;
 
-struct Security;
+struct BearerSecurity;
 
-impl utoipa::Modify for Security {
+impl utoipa::Modify for BearerSecurity {
     fn modify(&self, openapi: &mut utoipa::openapi::OpenApi) {
         use utoipa::openapi::security::{HttpAuthScheme, HttpBuilder, SecurityScheme};
         let scheme = HttpBuilder::new().scheme(HttpAuthScheme::Bearer).build();
@@ -29,7 +29,7 @@
         get_entry, put_entry, delete_entry, put_node_state, get_status, get_tenant_status, list_versions,
         get_version, get_diff, rollback, list_tokens, issue_token, revoke_token
     ),
-    modifiers(&Security)
+    modifiers(&BearerSecurity)
 )]
 struct Document;
 
--- a/crates/admin/src/api/status.rs
+++ b/crates/admin/src/api/status.rs
@@ -1,4 +1,4 @@
-//! What tenants use.
+//! Handlers for the status of tenants.
 
 use std::collections::BTreeMap;
 
@@ -54,8 +54,8 @@
 #[utoipa::path(get, path = "/v1/status", responses((status = 200, body = [UsageStatus])), security(("token" = [])))]
 pub(super) async fn get_status(State(service): ServiceState, principal: Principal) -> Json<Vec<UsageStatus>> {
     let all = service.status().await;
-    let seen = all.iter().filter(|(name, _)| principal.reads(Some(name)).is_ok());
-    Json(seen.map(|(name, status)| usage_status(name.clone(), status)).collect())
+    let visible = all.iter().filter(|(name, _)| principal.authorize_read(Some(name)).is_ok());
+    Json(visible.map(|(name, status)| usage_status(name.clone(), status)).collect())
 }
 
 /// What a tenant uses.
@@ -67,7 +67,7 @@
     path: PathResult<String>,
 ) -> ApiResult<Json<UsageStatus>> {
     let Path(tenant) = path?;
-    principal.reads(Some(&tenant))?;
+    principal.authorize_read(Some(&tenant))?;
     let all = service.status().await;
     let found = all.get(&tenant).ok_or_else(|| unknown_tenant(&tenant))?;
     Ok(Json(usage_status(tenant, found)))
--- a/crates/admin/src/api/tenants.rs
+++ b/crates/admin/src/api/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: hosts, limits and configuration.
+//! Handlers for tenants: hosts, limits and configuration.
 
 use axum::extract::{Path, State};
 use axum::http::{header, StatusCode};
@@ -30,14 +30,15 @@
     principal: Principal,
 ) -> Json<Vec<TenantSummary>> {
     let document = service.document().await;
-    let seen = document.tenants.iter().filter(|(name, _)| principal.reads(Some(name)).is_ok());
+    let visible = document.tenants.iter().filter(|(name, _)| principal.authorize_read(Some(name)).is_ok());
     Json(
-        seen.map(|(name, doc)| TenantSummary {
-            name: name.clone(),
-            hosts: doc.hosts.clone(),
-            etag: etag(doc),
-        })
-        .collect(),
+        visible
+            .map(|(name, doc)| TenantSummary {
+                name: name.clone(),
+                hosts: doc.hosts.clone(),
+                etag: etag(doc),
+            })
+            .collect(),
     )
 }
 
@@ -50,7 +51,7 @@
     path: PathResult<String>,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.reads(Some(&tenant))?;
+    principal.authorize_read(Some(&tenant))?;
     let mut document = service.document().await;
     let doc = tenant_mut(&mut document, &tenant)?;
     Ok(([(header::ETAG, etag(doc))], Json(doc.clone())).into_response())
@@ -67,7 +68,7 @@
     body: BodyResult<TenantDocument>,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let options = options?;
     let Json(doc) = body?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
@@ -87,7 +88,7 @@
     options: OptionsResult,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let options = options?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
         tenant_mut(document, &tenant)?;
@@ -108,7 +109,7 @@
     body: BodyResult<TenantLimits>,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let options = options?;
     let Json(limits) = body?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
@@ -127,7 +128,7 @@
     path: PathResult<String>,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.reads(Some(&tenant))?;
+    principal.authorize_read(Some(&tenant))?;
     let mut document = service.document().await;
     let doc = tenant_mut(&mut document, &tenant)?;
     Ok(([(header::ETAG, etag(doc))], Json(doc.config.clone())).into_response())
@@ -144,7 +145,7 @@
     body: BodyResult<Value>,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.writes(Some(&tenant))?;
+    principal.authorize_write(Some(&tenant))?;
     let options = options?;
     let Json(config) = body?;
     let result = service.change(&principal, &options, Some(&tenant), |document| {
@@ -164,7 +165,7 @@
     options: OptionsResult,
 ) -> ApiResult<Response> {
     let Path(tenant) = path?;
-    principal.writes(Some(&tenant))?;
+    principal.authorize_write(Some(&tenant))?;
     let options = options?;
     let version = options
         .rollback_to
--- a/crates/admin/src/api/tokens.rs
+++ b/crates/admin/src/api/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens.
+//! Handlers for tokens.
 
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
@@ -40,7 +40,7 @@
     State(service): ServiceState,
     principal: Principal,
 ) -> ApiResult<Json<Vec<TokenSummary>>> {
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     Ok(Json(service.tokens().into_iter().map(|(name, role)| TokenSummary { name, role }).collect()))
 }
 
@@ -52,7 +52,7 @@
     principal: Principal,
     body: BodyResult<NewTokenRequest>,
 ) -> ApiResult<Json<IssuedToken>> {
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let Json(NewTokenRequest { name, role }) = body?;
     let token = service.issue(&name, role).await?;
     Ok(Json(IssuedToken { name, token }))
@@ -66,7 +66,7 @@
     principal: Principal,
     path: PathResult<String>,
 ) -> ApiResult<StatusCode> {
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let Path(name) = path?;
     service.revoke(&name).await?;
     Ok(StatusCode::NO_CONTENT)
--- a/crates/admin/src/api/versions.rs
+++ b/crates/admin/src/api/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the document.
+//! Handlers for the stored versions of the document.
 
 use axum::extract::{Path, State};
 use axum::response::Response;
@@ -69,7 +69,7 @@
     State(service): ServiceState,
     principal: Principal,
 ) -> ApiResult<Json<Vec<VersionSummary>>> {
-    principal.reads(None)?;
+    principal.authorize_read(None)?;
     Ok(Json(service.versions(MAX_LISTED_VERSIONS).await.iter().map(version_summary).collect()))
 }
 
@@ -81,7 +81,7 @@
     principal: Principal,
     path: PathResult<u64>,
 ) -> ApiResult<Json<VersionWithDocument>> {
-    principal.reads(None)?;
+    principal.authorize_read(None)?;
     let Path(number) = path?;
     let (record, document) = service.version(number).await?;
     Ok(Json(VersionWithDocument { summary: version_summary(&record), document: as_json(&document) }))
@@ -95,7 +95,7 @@
     principal: Principal,
     path: PathResult<(u64, u64)>,
 ) -> ApiResult<Json<Vec<Value>>> {
-    principal.reads(None)?;
+    principal.authorize_read(None)?;
     let Path((before, after)) = path?;
     let (_, before) = service.version(before).await?;
     let (_, after) = service.version(after).await?;
@@ -111,7 +111,7 @@
     path: PathResult<u64>,
     options: OptionsResult,
 ) -> ApiResult<Response> {
-    principal.writes(None)?;
+    principal.authorize_write(None)?;
     let Path(number) = path?;
     let options = options?;
     let (_, old) = service.version(number).await?;
--- a/crates/admin/src/edit/mod.rs
+++ b/crates/admin/src/edit/mod.rs
@@ -1,29 +1,31 @@
-//! Changes of a tenant's configuration, as a JSON document: its parts by name, and what differs between two.
+//! Edits and comparison of a tenant's configuration as a JSON document: named entries of its sections, and
+//! the differences between two documents.
 
 #[cfg(test)]
 mod tests;
 
 use serde_json::{json, Map, Value};
 
-/// The parts of a configuration whose entries have names: as the API calls them, and as the document does.
-const PARTS: [(&str, &str); 3] = [("classes", "class"), ("pools", "pool"), ("routes", "route")];
+/// The sections of a configuration whose entries have names: the name in paths of the API, and the key in the
+/// document.
+const SECTIONS: [(&str, &str); 3] = [("classes", "class"), ("pools", "pool"), ("routes", "route")];
 
-/// What the document calls a part.
-pub fn part(name: &str) -> Option<&'static str> {
-    PARTS.iter().find(|(api, _)| *api == name).map(|(_, doc)| *doc)
+/// The key in the document of a section that a path of the API names.
+pub fn section_key(api_name: &str) -> Option<&'static str> {
+    SECTIONS.iter().find(|(api, _)| *api == api_name).map(|(_, key)| *key)
 }
 
 fn is_named(entry: &Value, name: &str) -> bool {
     entry.get("name").and_then(Value::as_str) == Some(name)
 }
 
-/// The entry of a part with this name.
-pub fn entry<'a>(config: &'a Value, part: &str, name: &str) -> Option<&'a Value> {
-    config.get(part)?.as_array()?.iter().find(|e| is_named(e, name))
+/// The entry of a section with this name.
+pub fn entry<'a>(config: &'a Value, section: &str, name: &str) -> Option<&'a Value> {
+    config.get(section)?.as_array()?.iter().find(|e| is_named(e, name))
 }
 
-/// Puts an entry in place of the one with its name, or behind the others.
-pub fn put(config: &mut Value, part: &str, name: &str, mut new: Value) -> Result<(), String> {
+/// Replaces the entry of a section with this name, or appends the new entry if there is none.
+pub fn put(config: &mut Value, section: &str, name: &str, mut new: Value) -> Result<(), String> {
     let Value::Object(fields) = &mut new else { return Err("an entry is an object".to_owned()) };
     match fields.get("name") {
         None => drop(fields.insert("name".to_owned(), json!(name))),
@@ -31,8 +33,8 @@
         Some(own) => return Err(format!("the path names {name:?}, and the entry {own}")),
     }
     let Value::Object(config) = config else { return Err("the configuration is no object".to_owned()) };
-    let entries = config.entry(part).or_insert_with(|| json!([]));
-    let Value::Array(entries) = entries else { return Err(format!("{part} is no list")) };
+    let entries = config.entry(section).or_insert_with(|| json!([]));
+    let Value::Array(entries) = entries else { return Err(format!("{section} is no list")) };
     match entries.iter_mut().find(|e| is_named(e, name)) {
         Some(old) => *old = new,
         None => entries.push(new),
@@ -40,9 +42,9 @@
     Ok(())
 }
 
-/// Takes an entry out. False where there is none of this name.
-pub fn remove(config: &mut Value, part: &str, name: &str) -> bool {
-    let entries = config.get_mut(part).and_then(Value::as_array_mut);
+/// Removes an entry from a section. Returns whether there was an entry of this name.
+pub fn remove(config: &mut Value, section: &str, name: &str) -> bool {
+    let entries = config.get_mut(section).and_then(Value::as_array_mut);
     entries.is_some_and(|entries| {
         let before = entries.len();
         entries.retain(|e| !is_named(e, name));
@@ -50,35 +52,35 @@
     })
 }
 
-/// Sets the state of a node in a pool's list. False where there is none of this name.
-pub fn set_state(config: &mut Value, pool: &str, node: &str, state: &str) -> bool {
+/// Sets the state of an endpoint in a pool's list. Returns whether there is an endpoint of this name.
+pub fn set_endpoint_state(config: &mut Value, pool: &str, endpoint: &str, state: &str) -> bool {
     let pools = config.get_mut("pool").and_then(Value::as_array_mut);
     let pool = pools.and_then(|pools| pools.iter_mut().find(|p| is_named(p, pool)));
-    let nodes = pool.and_then(|p| p.get_mut("nodes")).and_then(Value::as_array_mut);
-    let node = nodes.and_then(|nodes| nodes.iter_mut().find(|n| is_named(n, node)));
-    node.and_then(Value::as_object_mut).map(|n| n.insert("state".to_owned(), json!(state))).is_some()
+    let endpoints = pool.and_then(|p| p.get_mut("nodes")).and_then(Value::as_array_mut);
+    let endpoint = endpoints.and_then(|endpoints| endpoints.iter_mut().find(|e| is_named(e, endpoint)));
+    endpoint.and_then(Value::as_object_mut).map(|e| e.insert("state".to_owned(), json!(state))).is_some()
 }
 
-/// What differs between two documents: paths with the value before and after.
+/// The differences between two documents: paths with the values before and after.
 pub fn diff(before: &Value, after: &Value) -> Vec<Value> {
-    let mut found = Vec::new();
-    walk("", before, after, &mut found);
-    found
+    let mut differences = Vec::new();
+    collect_differences("", before, after, &mut differences);
+    differences
 }
 
-fn walk(path: &str, before: &Value, after: &Value, found: &mut Vec<Value>) {
+fn collect_differences(path: &str, before: &Value, after: &Value, differences: &mut Vec<Value>) {
     if before == after {
         return;
     }
-    let of = |value: &Value, map: &mut Map<String, Value>, key: &str| {
+    let insert_unless_null = |value: &Value, map: &mut Map<String, Value>, key: &str| {
         if !value.is_null() {
             map.insert(key.to_owned(), value.clone());
         }
     };
-    let keyed = |value: &Value| -> Option<Map<String, Value>> {
+    let by_key = |value: &Value| -> Option<Map<String, Value>> {
         match value {
             Value::Object(fields) => Some(fields.clone()),
-            // Entries that have names are told apart by these, and not by their places.
+            // Named entries are matched by name, so that a change of their order is no difference.
             Value::Array(entries) => {
                 let name = |e: &Value| e.get("name").and_then(Value::as_str).map(str::to_owned);
                 entries.iter().map(|e| Some((name(e)?, e.clone()))).collect()
@@ -86,19 +88,19 @@
             _ => None,
         }
     };
-    if let (Some(one), Some(other)) = (keyed(before), keyed(after)) {
+    if let (Some(one), Some(other)) = (by_key(before), by_key(after)) {
         if one != other && before.is_array() == after.is_array() {
             let keys: std::collections::BTreeSet<&String> = one.keys().chain(other.keys()).collect();
             for key in keys {
                 let get = |map: &Map<String, Value>| map.get(key).cloned().unwrap_or(Value::Null);
-                walk(&format!("{path}/{key}"), &get(&one), &get(&other), found);
+                collect_differences(&format!("{path}/{key}"), &get(&one), &get(&other), differences);
             }
             return;
         }
     }
-    let mut change = Map::new();
-    change.insert("path".to_owned(), json!(path));
-    of(before, &mut change, "before");
-    of(after, &mut change, "after");
-    found.push(Value::Object(change));
+    let mut difference = Map::new();
+    difference.insert("path".to_owned(), json!(path));
+    insert_unless_null(before, &mut difference, "before");
+    insert_unless_null(after, &mut difference, "after");
+    differences.push(Value::Object(difference));
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! The administration API of a hosted service: tenants, their configuration and limits, status, versions, tokens.
+//! The administration API of a hosted service: tenants, their configuration and limits, status, versions,
+//! tokens.
 //!
-//! It authenticates and authorizes ([`auth`]), and turns each change into a complete document that is checked, stored on
-//! disk and then applied ([`Service`]). What serves is behind the trait [`DataPlane`].
+//! Requests are authenticated and authorized ([`auth`]). Each change results in a complete document that is
+//! checked, stored on disk and then applied ([`Service`]). The data plane is behind the trait [`DataPlane`].
 #![warn(missing_docs)]
 
 pub mod announce;
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -1,5 +1,5 @@
-//! The listener of the API, on a thread and a runtime of its own: what an administrator does holds up no request of a
-//! tenant's, and one who is slow holds up no other.
+//! The listener of the API. It has a thread and a runtime of its own, so that administration does not delay
+//! the requests of tenants. Time limits and a limit on connections bound what slow clients occupy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,59 +20,61 @@
 use crate::api::{router, ClientAddress};
 use crate::state::Service;
 
-/// Connections at once; further ones wait to be accepted.
+/// The maximum number of open connections; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 64;
-/// The head of a request comes whole within this time.
+/// The time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// And is answered within this one, its body included.
+/// The time from the end of the request head to the response, including the receipt of the body; then the
+/// status is 408.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// The largest head, in bytes.
+/// The maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Opens the listener.
+/// Opens a listener on an address.
 ///
 /// # Errors
-/// It cannot be had, in a line.
+/// If the address cannot be bound, returns a message of one line.
 pub fn bind(address: SocketAddr) -> Result<std::net::TcpListener, String> {
-    let fault = |e| format!("cannot listen on {address}: {e}");
-    let listener = std::net::TcpListener::bind(address).map_err(fault)?;
-    listener.set_nonblocking(true).map_err(fault)?;
+    let error = |e| format!("cannot listen on {address}: {e}");
+    let listener = std::net::TcpListener::bind(address).map_err(error)?;
+    listener.set_nonblocking(true).map_err(error)?;
     Ok(listener)
 }
 
-/// Serves the API on a thread of its own, until the process ends.
+/// Serves the administration API on a thread of its own until the process ends.
 ///
 /// # Errors
-/// There is no thread or runtime to be had, in a line.
+/// If the thread or its runtime cannot be created, returns a message of one line.
 pub fn start(listener: std::net::TcpListener, service: Arc<Service>) -> Result<(), String> {
     serve(listener, router(service), MAX_CONNECTIONS)
 }
 
-/// Serves these paths on a thread of their own, until the process ends, with so many connections at most.
+/// Serves a router on a thread of its own until the process ends, with at most `max_connections` open
+/// connections.
 ///
 /// # Errors
-/// There is no thread or runtime to be had, in a line.
-pub fn serve(listener: std::net::TcpListener, router: Router, connections: usize) -> Result<(), String> {
+/// If the thread or its runtime cannot be created, returns a message of one line.
+pub fn serve(listener: std::net::TcpListener, router: Router, max_connections: usize) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| format!("no runtime: {e}"))?;
-    let work = move || {
+        .map_err(|e| format!("cannot create the runtime of the API: {e}"))?;
+    let run = move || {
         runtime.block_on(async move {
             if let Ok(listener) = TcpListener::from_std(listener) {
-                accept(listener, router, connections).await;
+                accept(listener, router, max_connections).await;
             }
         });
     };
     std::thread::Builder::new()
         .name("admin".to_owned())
-        .spawn(work)
-        .map_err(|e| format!("no thread: {e}"))?;
+        .spawn(run)
+        .map_err(|e| format!("cannot create the thread of the API: {e}"))?;
     Ok(())
 }
 
-async fn accept(listener: TcpListener, router: Router, connections: usize) {
-    let permits = Arc::new(Semaphore::new(connections));
+async fn accept(listener: TcpListener, router: Router, max_connections: usize) {
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((stream, peer)) = listener.accept().await else {
@@ -84,13 +86,13 @@
             let _permit = permit;
             let service = service_fn(move |mut request: hyper::Request<Incoming>| {
                 request.extensions_mut().insert(ClientAddress(peer.ip()));
-                let answer = hyper::service::Service::call(
+                let response = hyper::service::Service::call(
                     &TowerToHyperService::new(router.clone()),
                     request.map(axum::body::Body::new) as Request,
                 );
                 async move {
-                    match tokio::time::timeout(REQUEST_TIMEOUT, answer).await {
-                        Ok(answer) => answer,
+                    match tokio::time::timeout(REQUEST_TIMEOUT, response).await {
+                        Ok(response) => response,
                         Err(_) => Ok(StatusCode::REQUEST_TIMEOUT.into_response()),
                     }
                 }
@@ -98,7 +100,7 @@
             let mut server = http1::Builder::new();
             server.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
             let connection = server.serve_connection(TokioIo::new(stream), service);
-            // A connection that stays open holds one of few places, so it may not stay for ever.
+            // The lifetime of a connection is limited, because an idle one occupies one of few permits.
             let _ = tokio::time::timeout(REQUEST_TIMEOUT * 4, connection).await;
         });
     }
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that administrators change: one change at a time, which is checked completely, stored on disk and applied
-//! before the response.
+//! The state that administrators change. Changes are made one at a time; each is checked completely, stored
+//! on disk and applied before the response.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -15,42 +15,42 @@
 
 use crate::auth::{hash, hex, new_token, AccessDenied, Authenticator, Principal};
 
-/// The data plane: it serves versions, and reports what tenants use.
+/// The data plane, which serves versions of the configuration and reports the usage of tenants.
 pub trait DataPlane: Send + Sync {
-    /// Serves a version; completes when it does.
+    /// Applies a version. Completes when requests are served by it.
     fn apply(&self, number: u64, tenants: Arc<Tenants>) -> Pin<Box<dyn Future<Output = ()> + Send>>;
 
-    /// What each tenant uses.
+    /// The status of each tenant, by name.
     fn status(&self) -> Pin<Box<dyn Future<Output = BTreeMap<String, TenantStatus>> + Send>>;
 }
 
-/// What a tenant uses.
+/// The status of a tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TenantStatus {
-    /// The version that serves its requests.
+    /// The version by which its requests are served.
     pub version: u64,
-    /// Whether its pools run.
+    /// Whether its pools are running.
     pub started: bool,
-    /// What it has used.
+    /// Its use of limited resources.
     pub usage: Usage,
 }
 
-/// The name under which tokens are stored.
-const TOKENS: &str = "tokens";
+/// The key of the issued tokens in the store.
+const TOKENS_KEY: &str = "tokens";
 const MAX_TOKENS: usize = 10_000;
 const FIRST_VERSION: u64 = 1;
 const MAX_TOKEN_NAME_BYTES: usize = 64;
-/// The bytes of the hash that an ETag shows.
+/// The number of bytes of the hash that make up an ETag.
 const ETAG_BYTES: usize = 8;
 
-/// The state behind the API.
+/// The administration service: its state, and the data plane to which changes are applied.
 pub struct Service {
     shared: SharedSettings,
     plane: Box<dyn DataPlane>,
-    /// Locked for each request, no longer than the authentication takes.
+    /// Locked only while a request is authenticated or tokens are listed or replaced.
     authenticator: std::sync::Mutex<Authenticator>,
-    /// Tokens of the file, which only the file changes.
-    fixed: Vec<Token>,
+    /// The tokens of the configuration file, which the API cannot revoke.
+    configured_tokens: Vec<Token>,
     state: Mutex<State>,
 }
 
@@ -59,7 +59,7 @@
     number: u64,
     document: Document,
     tenants: Arc<Tenants>,
-    issued: Vec<Token>,
+    issued_tokens: Vec<Token>,
 }
 
 /// Why a change was not made.
@@ -67,9 +67,9 @@
 pub(crate) enum ChangeError {
     Denied(AccessDenied),
     NotFound(String),
-    /// It was changed since it was read.
+    /// The tenant has changed since it was read: `If-Match` has another ETag.
     Stale,
-    /// An existing tenant is changed with `If-Match` only.
+    /// The change of an existing tenant lacks `If-Match`.
     IfMatchRequired,
     Malformed(String),
     Document(Box<DocumentError>),
@@ -89,28 +89,30 @@
     pub reason: String,
     /// The value of `If-Match`.
     pub if_match: Option<String>,
-    /// The version to which a rollback leads.
+    /// The version whose content a rollback restores.
     pub rollback_to: Option<u64>,
 }
 
-/// A change that was made, or would have been.
+/// The result of a change, or of a dry run.
 pub(crate) struct ChangeResult {
     pub version: u64,
     pub etag: Option<String>,
 }
 
-/// The ETag of a tenant: a part of the hash of its JSON.
+/// The ETag of a tenant: the first bytes of the SHA-256 hash of its JSON, in hexadecimal.
 pub(crate) fn etag(doc: &TenantDocument) -> String {
     let json = serde_json::to_string(doc).unwrap_or_default();
     format!("\"{}\"", hex(&hash(&json)[..ETAG_BYTES]))
 }
 
 impl Service {
-    /// Opens the service on a store. The newest version serves; where there is none, `first` becomes the first. Where
-    /// the newest can no longer serve an older one does, with a warning in the second part.
+    /// Opens the service on a store and serves the newest version. An empty store gets `initial_document` as
+    /// its first version. If the newest version can no longer be served, serves an older one; the second
+    /// value has a warning for each version that was skipped.
     ///
     /// # Errors
-    /// No version can serve, or the first cannot be stored.
+    /// If no version can be served, the first one cannot be stored, or the API is reachable from other hosts
+    /// without any token, returns a message.
     pub fn open(
         shared: SharedSettings,
         plane: Box<dyn DataPlane>,
@@ -118,33 +120,34 @@
         loopback: bool,
         store: Box<dyn VersionStore>,
         newest: Option<Record>,
-        first: Document,
+        initial_document: Document,
     ) -> Result<(Service, Vec<String>), String> {
         let mut warnings = Vec::new();
         let mut store = store;
-        let serving = match newest {
-            Some(record) => newest_that_serves(&shared, store.as_ref(), record, &mut warnings)?,
-            None => append_first(&shared, store.as_mut(), first)?,
+        let served = match newest {
+            Some(record) => newest_valid_version(&shared, store.as_ref(), record, &mut warnings)?,
+            None => append_first_version(&shared, store.as_mut(), initial_document)?,
         };
         let issued: Vec<Token> =
-            store.value(TOKENS).and_then(|json| serde_json::from_str(&json).ok()).unwrap_or_default();
+            store.value(TOKENS_KEY).and_then(|json| serde_json::from_str(&json).ok()).unwrap_or_default();
         let all: Vec<Token> = tokens.iter().chain(&issued).cloned().collect();
         if all.is_empty() && !loopback {
             return Err(
-                "`admin.listen` is not on loopback and there is no token; make one with `amberlever token`"
+                "`admin.listen` is not on loopback and there is no token; create one with `amberlever token new`"
                     .to_owned(),
             );
         }
-        // A version that cannot serve keeps its number, so that none is given twice.
-        let number = store.list(1).first().map_or(serving.number, |record| record.number.max(serving.number));
-        let tenants = Arc::new(serving.tenants);
-        let state = State { store, number, document: serving.document, tenants, issued };
+        // A skipped version keeps its number, so that no number is used twice.
+        let number = store.list(1).first().map_or(served.number, |record| record.number.max(served.number));
+        let tenants = Arc::new(served.tenants);
+        let state = State { store, number, document: served.document, tenants, issued_tokens: issued };
         let authenticator = std::sync::Mutex::new(Authenticator::new(all, loopback));
-        let service = Service { shared, plane, authenticator, fixed: tokens, state: Mutex::new(state) };
+        let service =
+            Service { shared, plane, authenticator, configured_tokens: tokens, state: Mutex::new(state) };
         Ok((service, warnings))
     }
 
-    /// The version that serves.
+    /// The number of the newest version, and the compiled tenants that are served.
     pub async fn current(&self) -> (u64, Arc<Tenants>) {
         let state = self.state.lock().await;
         (state.number, Arc::clone(&state.tenants))
@@ -164,8 +167,8 @@
 
     // ---- Versions ----
 
-    pub(crate) async fn versions(&self, most: usize) -> Vec<Record> {
-        self.state.lock().await.store.list(most)
+    pub(crate) async fn versions(&self, max: usize) -> Vec<Record> {
+        self.state.lock().await.store.list(max)
     }
 
     pub(crate) async fn version(&self, number: u64) -> Result<(Record, Document), ChangeError> {
@@ -175,7 +178,8 @@
         Ok((record, document))
     }
 
-    /// Changes the document. `tenant` is the one that `If-Match` refers to.
+    /// Changes the document by `edit`. `If-Match` is compared with the ETag of `tenant`; without one it is
+    /// ignored.
     pub(crate) async fn change(
         &self,
         principal: &Principal,
@@ -204,7 +208,7 @@
             why: options.reason.clone(),
             body,
         };
-        // It is on disk before it serves, and serves before the response.
+        // The version is on disk before it is applied, and applied before the response.
         state.store.append(&record).map_err(ChangeError::Store)?;
         let tenants = Arc::new(tenants);
         state.number = number;
@@ -220,29 +224,29 @@
         self.authenticator().tokens().iter().map(|t| (t.name.clone(), t.role.clone())).collect()
     }
 
-    /// Issues a token: its text, which is returned once and stored nowhere.
+    /// Issues a token and returns its text, of which only the hash is stored.
     pub(crate) async fn issue(&self, name: &str, role: Role) -> Result<String, ChangeError> {
         let mut state = self.state.lock().await;
-        let is_name = (1..=MAX_TOKEN_NAME_BYTES).contains(&name.len())
+        let is_valid_name = (1..=MAX_TOKEN_NAME_BYTES).contains(&name.len())
             && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
-        if !is_name || self.tokens().iter().any(|(n, _)| n == name) {
+        if !is_valid_name || self.tokens().iter().any(|(n, _)| n == name) {
             return Err(ChangeError::Malformed(format!("{name:?} does not name a new token")));
         }
-        if state.issued.len() >= MAX_TOKENS {
+        if state.issued_tokens.len() >= MAX_TOKENS {
             return Err(ChangeError::Malformed(format!("there are {MAX_TOKENS} tokens")));
         }
         let text = new_token().map_err(ChangeError::Malformed)?;
-        let mut issued = state.issued.clone();
+        let mut issued = state.issued_tokens.clone();
         issued.push(Token { name: name.to_owned(), role, sha256: hash(&text) });
         self.store_tokens(&mut state, issued)?;
         Ok(text)
     }
 
-    /// Revokes a token, at once.
+    /// Revokes an issued token with immediate effect.
     pub(crate) async fn revoke(&self, name: &str) -> Result<(), ChangeError> {
         let mut state = self.state.lock().await;
-        let issued: Vec<Token> = state.issued.iter().filter(|t| t.name != name).cloned().collect();
-        if issued.len() == state.issued.len() {
+        let issued: Vec<Token> = state.issued_tokens.iter().filter(|t| t.name != name).cloned().collect();
+        if issued.len() == state.issued_tokens.len() {
             return Err(ChangeError::NotFound(format!("no token {name:?} was issued here")));
         }
         self.store_tokens(&mut state, issued)
@@ -250,15 +254,15 @@
 
     fn store_tokens(&self, state: &mut State, issued: Vec<Token>) -> Result<(), ChangeError> {
         let json = serde_json::to_string(&issued).map_err(|e| ChangeError::Malformed(e.to_string()))?;
-        state.store.put(TOKENS, &json).map_err(ChangeError::Store)?;
-        let all = self.fixed.iter().chain(&issued).cloned().collect();
-        self.authenticator().replace(all);
-        state.issued = issued;
+        state.store.put(TOKENS_KEY, &json).map_err(ChangeError::Store)?;
+        let all = self.configured_tokens.iter().chain(&issued).cloned().collect();
+        self.authenticator().replace_tokens(all);
+        state.issued_tokens = issued;
         Ok(())
     }
 }
 
-/// A version that has been compiled.
+/// A version whose tenants have been compiled.
 struct CompiledVersion {
     number: u64,
     document: Document,
@@ -266,7 +270,7 @@
 }
 
 /// Compiles and stores the first version.
-fn append_first(
+fn append_first_version(
     shared: &SharedSettings,
     store: &mut dyn VersionStore,
     document: Document,
@@ -279,12 +283,12 @@
         why: "the first start".to_owned(),
         body: serde_json::to_string(&document).map_err(|error| error.to_string())?,
     };
-    store.append(&record).map_err(|error| format!("the first version cannot be kept: {error}"))?;
+    store.append(&record).map_err(|error| format!("cannot store the first version: {error}"))?;
     Ok(CompiledVersion { number: FIRST_VERSION, document, tenants })
 }
 
-/// The newest stored version that can serve. Each newer one adds a warning.
-fn newest_that_serves(
+/// The newest stored version that can be compiled. Adds a warning for each newer one.
+fn newest_valid_version(
     shared: &SharedSettings,
     store: &dyn VersionStore,
     newest: Record,
@@ -296,7 +300,7 @@
             Ok(compiled) => return Ok(compiled),
             Err(error) => error,
         };
-        warnings.push(format!("version {} cannot serve: {error}", record.number));
+        warnings.push(format!("cannot serve version {}, trying an older one: {error}", record.number));
         let mut older = (FIRST_VERSION..record.number).rev().take(store::RETAINED_VERSIONS as usize);
         record = older.find_map(|number| store.get(number)).ok_or_else(|| warnings.join("; "))?;
     }
@@ -316,7 +320,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// A tenant of a document.
+/// Finds a tenant in a document.
 pub(crate) fn tenant_mut<'a>(
     document: &'a mut Document,
     name: &str,
@@ -328,7 +332,7 @@
     ChangeError::NotFound(format!("there is no tenant `{name}`"))
 }
 
-/// Checks `If-Match` against a tenant, or against there being none.
+/// Checks `If-Match` against the ETag of a tenant. A tenant is created without `If-Match`.
 fn check_if_match(tenant: Option<&TenantDocument>, if_match: Option<&str>) -> Result<(), ChangeError> {
     match (tenant, if_match) {
         (None, None) => Ok(()),
@@ -342,7 +346,7 @@
     }
 }
 
-/// A document as JSON.
+/// Converts a document to JSON.
 pub(crate) fn as_json(document: &Document) -> Value {
     serde_json::to_value(document).unwrap_or_default()
 }
