--- a/crates/admin/src/auth/mod.rs
+++ b/crates/admin/src/auth/mod.rs
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// If the token is missing or unknown, or the address has exceeded the rate of failed attempts, returns
-    /// why.
+    /// the reason.
     pub fn authenticate(
         &mut self,
         from: IpAddr,
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -1,5 +1,5 @@
 //! The listener of the API. It has a thread and a runtime of its own, so that administration does not delay
-//! the requests of tenants. Time limits and a limit on connections bound what slow clients occupy.
+//! the requests of tenants. Time limits and a limit on connections bound the resources of slow clients.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 const MAX_CONNECTIONS: usize = 64;
 /// The time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time from the end of the request head to the response, including the receipt of the body; then the
-/// status is 408.
+/// The time from the end of the request head to the response, including the receipt of the body. After it,
+/// the response has status 408.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// The maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -178,8 +178,8 @@
         Ok((record, document))
     }
 
-    /// Changes the document by `edit`. `If-Match` is compared with the ETag of `tenant`; without one it is
-    /// ignored.
+    /// Changes the document by `edit`. `If-Match` is compared with the ETag of `tenant`; if that is `None`,
+    /// it is ignored.
     pub(crate) async fn change(
         &self,
         principal: &Principal,
--- a/crates/route/benches/lookup.rs
+++ b/crates/route/benches/lookup.rs
@@ -1,4 +1,4 @@
-//! The cost of a lookup by the number of routes, which are spread over many hosts and paths.
+//! Measures a lookup in tables with different numbers of routes, which are spread over many hosts and paths.
 
 use route::{
     EndpointScope, HostPattern, NormalizedRequest, PathPattern, PoolId, RequestAttributes, Route,
@@ -31,10 +31,10 @@
             fallbacks: Vec::new(),
         }
     };
-    RouteTable::build((0..routes).map(route).collect()).expect("no ties")
+    RouteTable::build((0..routes).map(route).collect()).expect("no conflicts")
 }
 
-/// Hosts and paths of requests that match in a table of so many routes.
+/// Hosts and paths of requests that match a route in the table with this number of routes.
 fn requests(routes: usize) -> Vec<(String, String)> {
     let route = |i: usize| (i * 7919 + 1) % routes / 4 * 4 + 1;
     (0..64)
@@ -46,7 +46,7 @@
 fn bench(
     bencher: divan::Bencher<'_, '_>,
     routes: usize,
-    find: impl Fn(&RouteTable, &NormalizedRequest<'_>) -> Option<usize>,
+    lookup: impl Fn(&RouteTable, &NormalizedRequest<'_>) -> Option<usize>,
 ) {
     let table = table(routes);
     let requests = requests(routes);
@@ -58,7 +58,7 @@
         let attributes =
             RequestAttributes { method: "GET", class: None, tenant: None, zone: "south", headers: &headers };
         let request = NormalizedRequest { host, path, attributes };
-        let found = find(&table, divan::black_box(&request));
+        let found = lookup(&table, divan::black_box(&request));
         assert!(found.is_some());
         found
     });
@@ -69,7 +69,7 @@
     bench(bencher, routes, RouteTable::lookup_index);
 }
 
-/// Every route in turn, for comparison.
+/// A linear scan of all routes, for comparison.
 #[divan::bench(args = [10, 1_000, 10_000], sample_size = 64)]
 fn linear_scan(bencher: divan::Bencher<'_, '_>, routes: usize) {
     bench(bencher, routes, |table, request| {
--- a/crates/route/src/conflict.rs
+++ b/crates/route/src/conflict.rs
@@ -1,4 +1,4 @@
-//! Conflicts: routes that are equally specific and overlap.
+//! Detection of conflicts: pairs of routes that are equally specific and match a common request.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,29 +6,30 @@
 use crate::matcher::Qualifiers;
 use crate::{HostPattern, Route};
 
-/// The most conflicts that are reported.
+/// The maximum number of conflicts that are reported.
 const MAX_CONFLICTS: usize = 100;
 
-/// Two routes of equal specificity that one request would match.
+/// Two routes of equal specificity that match a common request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// The index of one route.
+    /// The index of the earlier route.
     pub first: usize,
-    /// The index of the other, which is larger.
+    /// The index of the later route.
     pub second: usize,
 }
 
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "routes {} and {} tie", self.first, self.second)
+        write!(f, "routes {} and {} are equally specific and match a common request", self.first, self.second)
     }
 }
 
-/// What is equal for two routes in conflict, beside what is compared pair by pair.
+/// The properties that are equal for any two routes in conflict. Routes with equal keys are compared in pairs
+/// by [`crate::RouteMatcher::overlaps`].
 #[derive(PartialEq, Eq, Hash)]
 struct ConflictKey<'a> {
     host: &'a HostPattern,
-    /// The path without the names of its parameters.
+    /// The path pattern without the names of its parameters.
     path: String,
     qualifiers: Qualifiers,
     class: Option<&'a str>,
@@ -48,19 +49,19 @@
     }
 }
 
-/// The conflicts among routes, in order; the first [`MAX_CONFLICTS`] of them.
+/// Finds the conflicts among routes, in the order of the later route; at most [`MAX_CONFLICTS`].
 pub fn find_conflicts(routes: &[Route]) -> Vec<Conflict> {
     let mut routes_by_key: HashMap<ConflictKey<'_>, Vec<usize>> = HashMap::new();
     let mut conflicts = Vec::new();
     for (second, route) in routes.iter().enumerate() {
-        let alike = routes_by_key.entry(ConflictKey::new(route)).or_default();
-        for &first in alike.iter().filter(|index| routes[**index].matches.overlaps(&route.matches)) {
+        let same_key = routes_by_key.entry(ConflictKey::new(route)).or_default();
+        for &first in same_key.iter().filter(|index| routes[**index].matches.overlaps(&route.matches)) {
             conflicts.push(Conflict { first, second });
             if conflicts.len() == MAX_CONFLICTS {
                 return conflicts;
             }
         }
-        alike.push(second);
+        same_key.push(second);
     }
     conflicts
 }
--- a/crates/route/src/fallback.rs
+++ b/crates/route/src/fallback.rs
@@ -1,5 +1,5 @@
-//! Which of a route's pools a request goes to, given their endpoints. The decision module of that pool then admits or
-//! sheds it.
+//! Selection among the pools of a route by the state of their endpoints. The decision module of the selected
+//! pool then admits or sheds the request.
 
 use crate::{PoolId, Route};
 
@@ -8,31 +8,31 @@
 pub enum FallbackCondition {
     /// The preferred pool has no ready endpoint that the route may use.
     NoneReady,
-    /// As [`FallbackCondition::NoneReady`], and it has endpoints that drain.
+    /// The preferred pool has no ready endpoint that the route may use, but has draining ones.
     AllDraining,
-    /// The decisions of the pool before rejected the request, for whatever reason.
+    /// The decision module of the previously selected pool rejected the request, for any reason.
     Rejected,
 }
 
-/// Another pool, and when it is used.
+/// A fallback pool, and the conditions of its use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fallback {
     /// The pool.
     pub pool: PoolId,
-    /// Any one of these.
+    /// The conditions, of which one must be met.
     pub conditions: Vec<FallbackCondition>,
 }
 
-/// The endpoints of a pool that a route may use.
+/// The numbers of endpoints of a pool that a route may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Those that are ready.
+    /// The number of ready endpoints.
     pub ready: usize,
-    /// Those that drain.
+    /// The number of draining endpoints.
     pub draining: usize,
 }
 
-/// A pool of a route, and its position: the preferred pool, then the fallbacks.
+/// A selected pool of a route, and its position among the preferred pool and the fallbacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolChoice {
     /// The pool.
@@ -42,8 +42,9 @@
 }
 
 impl Route {
-    /// The pool that a request goes to first: the preferred one, or the first fallback whose condition holds and that has a
-    /// ready endpoint. Where there is none, the preferred one, whose decisions then reject the request.
+    /// Selects the first pool for a request: the preferred one, or the first fallback with a condition that
+    /// is met and a ready endpoint. If there is neither, returns the preferred one, whose decision module
+    /// then rejects the request.
     pub fn first_pool(&self, preferred: PoolId, count: impl Fn(PoolId) -> EndpointCounts) -> PoolChoice {
         let preferred = PoolChoice { pool: preferred, position: 0 };
         if self.fallbacks.is_empty() {
@@ -61,8 +62,8 @@
         self.next_fallback(preferred.position, is_met, count).unwrap_or(preferred)
     }
 
-    /// The pool that a request goes to after it was rejected, if any. Only for a request that was surely not executed, or
-    /// that may be executed again.
+    /// Selects the pool for a request that a pool has rejected; `None` if there is no other pool. Use it only
+    /// for a request that has certainly not been executed or that may be executed again.
     pub fn after_rejection(
         &self,
         rejected_by: PoolChoice,
@@ -72,8 +73,8 @@
         self.next_fallback(rejected_by.position, is_met, count)
     }
 
-    /// All pools that a request may reach, in order: the first, and from each the next should it reject the request. A pool
-    /// without a ready endpoint that the route may use is left out.
+    /// Returns the pools that a request can reach, in order: the first pool, then each next one if the pool
+    /// before it rejects the request. Pools without a ready endpoint that the route may use are left out.
     #[must_use]
     pub fn reachable_pools(
         &self,
@@ -91,7 +92,7 @@
         reachable
     }
 
-    /// The first fallback after this position with a condition that is met and a ready endpoint.
+    /// Finds the first fallback after this position that has a condition that is met and a ready endpoint.
     fn next_fallback(
         &self,
         position: usize,
--- a/crates/route/src/host_map.rs
+++ b/crates/route/src/host_map.rs
@@ -1,14 +1,14 @@
-//! Values by host pattern.
+//! A map from host patterns to values, with lookup by pattern and by host.
 
 use std::collections::HashMap;
 
 use crate::HostPattern;
 
-/// Values by host pattern.
+/// A map from host patterns to values.
 #[derive(Clone, Debug)]
 pub struct HostMap<T> {
     exact: HashMap<String, T>,
-    /// Those for the subdomains of a name.
+    /// The values for the subdomains of a name, by that name.
     subdomains: HashMap<String, T>,
     any: Option<T>,
 }
@@ -20,7 +20,7 @@
 }
 
 impl<T> HostMap<T> {
-    /// The value for a pattern, after inserting this one if there is none.
+    /// Returns the value for a pattern, and inserts this one first if there is none.
     pub fn get_or_insert(&mut self, pattern: HostPattern, value: T) -> &mut T {
         match pattern {
             HostPattern::Exact(name) => self.exact.entry(name).or_insert(value),
@@ -38,18 +38,18 @@
         }
     }
 
-    /// The value of the pattern that is just this name.
+    /// The value for the pattern that matches this name only.
     pub fn exact(&self, name: &str) -> Option<&T> {
         self.exact.get(name)
     }
 
-    /// The values of the patterns that match this host, the most specific first. The host is in normal form.
+    /// The values for the patterns that match this host, most specific first. The host is in normal form.
     pub fn matching<'a, 'h>(&'a self, host: &'h str) -> impl Iterator<Item = &'a T> + use<'a, 'h, T> {
-        self.exact.get(host).into_iter().chain(self.matching_as_subdomain(host))
+        self.exact.get(host).into_iter().chain(self.matching_wildcards(host))
     }
 
-    /// The values of the patterns that match this host and others, the most specific first.
-    pub fn matching_as_subdomain<'a, 'h>(
+    /// The values for the wildcard patterns that match this host, most specific first.
+    pub fn matching_wildcards<'a, 'h>(
         &'a self,
         host: &'h str,
     ) -> impl Iterator<Item = &'a T> + use<'a, 'h, T> {
@@ -58,7 +58,7 @@
         suffixes.filter_map(|suffix| self.subdomains.get(suffix)).chain(&self.any)
     }
 
-    /// The values of the patterns that match nothing but subdomains of this name.
+    /// The values for the patterns that match only subdomains of this name.
     pub fn below<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a T> + use<'a, 'n, T> {
         let subdomains_of_name = HostPattern::Subdomains(name.to_owned());
         let pattern = subdomains_of_name.clone();
@@ -68,7 +68,7 @@
         exact.chain(subdomains).map(|(_, value)| value)
     }
 
-    /// The values of all patterns.
+    /// The values for all patterns.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.exact.values().chain(self.subdomains.values()).chain(&self.any)
     }
--- a/crates/route/src/host_owners.rs
+++ b/crates/route/src/host_owners.rs
@@ -1,9 +1,9 @@
-//! The owners of hosts: each host belongs to one, and none can take a host of another.
+//! Ownership of hosts: each host has at most one owner, and patterns of different owners do not overlap.
 
 use crate::host_map::HostMap;
 use crate::HostPattern;
 
-/// The owners of hosts.
+/// The owners of hosts, by host pattern.
 #[derive(Clone, Debug)]
 pub struct HostOwners<T> {
     owners: HostMap<T>,
@@ -16,37 +16,38 @@
 }
 
 impl<T: Clone + PartialEq> HostOwners<T> {
-    /// Gives the hosts of a pattern to an owner.
+    /// Assigns the hosts of a pattern to an owner.
     ///
     /// # Errors
-    /// Another owner, of some of these hosts or of all hosts above them. [`HostPattern::Any`] leaves none to others.
+    /// If the pattern overlaps with one of another owner, returns that owner. [`HostPattern::Any`] overlaps
+    /// with every pattern.
     pub fn insert(&mut self, pattern: &HostPattern, owner: T) -> Result<(), T> {
-        if let Some(other) = self.other_owner(pattern, &owner) {
+        if let Some(other) = self.conflicting_owner(pattern, &owner) {
             return Err(other.clone());
         }
         self.owners.set(pattern.clone(), owner);
         Ok(())
     }
 
-    /// An owner other than this one that the pattern collides with.
-    fn other_owner(&self, pattern: &HostPattern, owner: &T) -> Option<&T> {
-        let is_other = |known: &&T| *known != owner;
+    /// Finds another owner with a pattern that overlaps with this one.
+    fn conflicting_owner(&self, pattern: &HostPattern, owner: &T) -> Option<&T> {
+        let is_other = |existing: &&T| *existing != owner;
         match pattern {
             HostPattern::Any => self.owners.values().find(is_other),
             HostPattern::Exact(name) => {
                 let exact = self.owners.exact(name).filter(is_other);
-                exact.or_else(|| self.owner_above(name).filter(is_other))
+                exact.or_else(|| self.wildcard_owner(name).filter(is_other))
             }
             HostPattern::Subdomains(name) => {
                 let below = self.owners.below(name).find(is_other);
-                below.or_else(|| self.owner_above(name).filter(is_other))
+                below.or_else(|| self.wildcard_owner(name).filter(is_other))
             }
         }
     }
 
-    /// The owner of the closest pattern that matches this host and others.
-    fn owner_above(&self, name: &str) -> Option<&T> {
-        self.owners.matching_as_subdomain(name).next()
+    /// The owner of the most specific wildcard pattern that matches this name.
+    fn wildcard_owner(&self, name: &str) -> Option<&T> {
+        self.owners.matching_wildcards(name).next()
     }
 
     /// The owner of a host in normal form.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,22 +1,24 @@
-//! Routing: which class and pool a request belongs to, and which pools it may fall back to.
+//! Routing: selects the class and the pool of a request, and the pools to which it may fall back.
 //!
-//! Pure: no I/O, no clock, no randomness. A [`RouteTable`] is built once, checked as a whole and never changes; the proxy
-//! and `amberlever check` look up in the very same one. Which endpoint of a pool a request goes to is not decided here but
-//! by the decision module, among the endpoints that the route allows ([`EndpointScope`]).
+//! The crate does no I/O and uses neither clock nor randomness. A [`RouteTable`] is built once, checked as a
+//! whole and never changed; the proxy and `amberlever check` look up routes in the same table. The decision
+//! module selects the endpoint of a pool, among those that the route allows ([`EndpointScope`]).
 //!
-//! # The most specific route wins
+//! # Precedence of routes
 //!
-//! Of the routes that match a request, the first by this order; each step decides only where the one before left
-//! routes equal:
+//! If several routes match a request, the most specific one is selected. Routes are compared by the following
+//! criteria; each one decides only between routes that are equal in those before it:
 //!
-//! 1. host: an exact name, then `*.suffix` (the longer suffix first), then none;
+//! 1. host: an exact name, then `*.suffix` (the longer suffix first), then any host;
 //! 2. path, segment by segment from the left: a literal, then a parameter, then the open end of a prefix;
-//! 3. a route that names methods before one that names none;
-//! 4. the route that asks for more headers;
-//! 5. one that names a class, 6. one that names a tenant, 7. one that names zones of clients.
+//! 3. a route with methods before one without;
+//! 4. the route with more headers;
+//! 5. a route with a class before one without;
+//! 6. a route with a tenant before one without;
+//! 7. a route with client zones before one without.
 //!
-//! Two routes that are equal in all of these and that some request would match both are an error
-//! ([`Conflict`]): the order of routes never matters.
+//! Two routes that are equal in all of these and match a common request are an error ([`Conflict`]), so that
+//! the order of routes has no effect.
 #![warn(missing_docs)]
 
 mod conflict;
--- a/crates/route/src/matcher.rs
+++ b/crates/route/src/matcher.rs
@@ -1,4 +1,4 @@
-//! What a route asks of a request, and how specific that is.
+//! The conditions that a route sets for requests, and their specificity.
 
 use std::cmp::Reverse;
 
@@ -6,26 +6,26 @@
 use crate::route::is_empty_or_contains;
 use crate::{HostPattern, NormalizedRequest, PathPattern, RequestAttributes};
 
-/// What a route asks of a request; an empty field asks nothing.
+/// The conditions that a route sets for requests; an empty field sets none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteMatcher {
-    /// The host.
+    /// The pattern of the host.
     pub host: HostPattern,
-    /// The path.
+    /// The pattern of the path.
     pub path: PathPattern,
-    /// Any one of these methods.
+    /// The accepted methods.
     pub methods: Vec<String>,
-    /// All of these headers with these values; names in lower case, each once.
+    /// The required headers with their values. Names are in lower case, and each occurs once.
     pub headers: Vec<(String, String)>,
-    /// The class that the client requests.
+    /// The class that the client has requested.
     pub class: Option<String>,
     /// The tenant.
     pub tenant: Option<String>,
-    /// Any one of these zones of clients.
+    /// The accepted zones of clients.
     pub zones: Vec<String>,
 }
 
-/// How specific a route is; the smallest comes first.
+/// The specificity of a route; the smallest value is the most specific.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Specificity {
     host: HostRank,
@@ -36,12 +36,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum HostRank {
     Exact,
-    /// By the length of the name.
+    /// Compared by the length of the name; the longest is the most specific.
     Subdomains(Reverse<usize>),
     Any,
 }
 
-/// Steps 3 to 7 of the order of routes; see the crate's documentation.
+/// The criteria 3 to 7 of the precedence of routes; see the documentation of the crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Qualifiers {
     has_methods: Reverse<bool>,
@@ -60,7 +60,7 @@
             && self.matches_attributes(&request.attributes)
     }
 
-    /// Whether a request matches in all but host and path.
+    /// Whether a request matches, without regard to host and path.
     pub(crate) fn matches_attributes(&self, request: &RequestAttributes<'_>) -> bool {
         is_empty_or_contains(&self.methods, request.method)
             && is_none_or_equal(self.class.as_deref(), request.class)
@@ -79,7 +79,7 @@
         }
     }
 
-    /// How specific it is.
+    /// Computes the specificity.
     #[must_use]
     pub fn specificity(&self) -> Specificity {
         let host = match &self.host {
@@ -90,14 +90,14 @@
         Specificity { host, path: self.path.ranks(), qualifiers: self.qualifiers() }
     }
 
-    /// Whether some request matches both, as far as methods, headers and zones go.
+    /// Whether some request meets the conditions on methods, headers and zones of both matchers.
     pub(crate) fn overlaps(&self, other: &RouteMatcher) -> bool {
         have_common_name(&self.methods, &other.methods)
             && have_common_name(&self.zones, &other.zones)
             && self.headers.iter().all(|(name, value)| other.allows_header(name, value))
     }
 
-    /// Whether it does not require another value of this header.
+    /// Whether the conditions allow this value of a header.
     fn allows_header(&self, name: &str, value: &str) -> bool {
         let required = self.headers.iter().find(|(required, _)| required == name);
         required.is_none_or(|(_, required_value)| required_value == value)
@@ -108,7 +108,7 @@
     required.is_none() || required == given
 }
 
-/// Whether two lists, of which an empty one allows any name, allow a common one.
+/// Whether two lists allow a common name; an empty list allows any name.
 fn have_common_name(one: &[String], other: &[String]) -> bool {
     one.is_empty() || other.is_empty() || one.iter().any(|name| other.contains(name))
 }
--- a/crates/route/src/normalize/host.rs
+++ b/crates/route/src/normalize/host.rs
@@ -5,24 +5,24 @@
 
 use super::NormalizeError;
 
-/// The longest host name, in bytes.
+/// The maximum length of a host name, in bytes.
 pub const MAX_HOST_BYTES: usize = 253;
-/// The longest label of a host name, in bytes.
+/// The maximum length of a label of a host name, in bytes.
 const MAX_LABEL_BYTES: usize = 63;
 
 /// A host in its normal form, and its port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host<'a> {
-    /// The name; empty where the request names no host.
+    /// The name; empty if the request names no host.
     pub name: Cow<'a, str>,
     /// The port, if one was given.
     pub port: Option<u16>,
 }
 
-/// The normal form of the value of a `Host` field.
+/// Normalizes the value of a `Host` field.
 ///
 /// # Errors
-/// What is wrong with it.
+/// If the value is no valid host, returns the reason.
 pub fn host(raw: &str) -> Result<Host<'_>, NormalizeError> {
     if let Some(rest) = raw.strip_prefix('[') {
         return ipv6_host(rest);
@@ -41,7 +41,7 @@
     Ok(Host { name: lower_case(name), port })
 }
 
-/// An IPv6 address, which is given without its first bracket.
+/// Normalizes an IPv6 address in brackets and its port; `rest` begins after the opening bracket.
 fn ipv6_host(rest: &str) -> Result<Host<'_>, NormalizeError> {
     let (address, after) = rest.split_once(']').ok_or(NormalizeError::InvalidHost)?;
     let address: Ipv6Addr = address.parse().map_err(|_| NormalizeError::InvalidHost)?;
@@ -66,7 +66,7 @@
     }
 }
 
-/// A port in plain digits; none at all stand for the default port.
+/// Parses a port in decimal digits; `None` if there are no digits, which means the default port.
 fn parse_port(digits: &str) -> Result<Option<u16>, NormalizeError> {
     if digits.is_empty() {
         return Ok(None);
--- a/crates/route/src/normalize/mod.rs
+++ b/crates/route/src/normalize/mod.rs
@@ -1,11 +1,12 @@
-//! The one normal form of hosts and paths. Requests are routed by it, and endpoints are sent it.
+//! The normal form of hosts and paths. Requests are routed by it and forwarded to endpoints in it.
 //!
-//! Paths (RFC 3986, sections 5.2.4 and 6.2.2): percent-encoded unreserved characters are decoded, other codes are in
-//! capitals, characters that need encoding are encoded, `.` and `..` segments are resolved, and repeated slashes are one.
-//! Rejected are a path that climbs above the root, an encoded NUL or other control character, a broken code, and a segment
-//! that would hold a dot segment once a reader decoded `%2F` or `%5C`.
+//! Paths (RFC 3986, sections 5.2.4 and 6.2.2): percent-encoded unreserved characters are decoded, the hex
+//! digits of other encodings are in upper case, characters that need encoding are encoded, `.` and `..`
+//! segments are resolved, and repeated slashes are merged. Rejected are paths that lead above the root,
+//! control characters (NUL included), malformed percent-encodings, and segments that contain a dot segment
+//! once a recipient decodes `%2F` or `%5C`.
 //!
-//! Hosts: lower case, no trailing dot, no port; an IPv6 address in its shortest form.
+//! Hosts: lower case, no trailing dot, no port; IPv6 addresses in their shortest form.
 
 mod host;
 mod path;
@@ -13,24 +14,24 @@
 pub use self::host::{host, Host, MAX_HOST_BYTES};
 pub use self::path::{path, MAX_SEGMENTS};
 
-/// Why a path or host has no normal form.
+/// The reason why a path or host is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NormalizeError {
     /// The path does not begin with a slash.
     NotAbsolute,
-    /// `..` above the root.
+    /// A `..` segment leads above the root.
     AboveRoot,
-    /// A percent sign that is not followed by two hex digits.
+    /// A percent sign is not followed by two hex digits.
     BrokenEncoding,
-    /// A control character, encoded or not.
+    /// The path contains a control character, percent-encoded or not.
     ControlCharacter,
-    /// A dot segment hidden behind an encoded slash or backslash.
+    /// A segment contains a dot segment once its encoded slashes or backslashes are decoded.
     HiddenDotSegment,
-    /// More segments than [`MAX_SEGMENTS`].
+    /// The path has more than [`MAX_SEGMENTS`] segments.
     TooManySegments,
-    /// Not a host name or address.
+    /// The host is neither a valid name nor a valid address.
     InvalidHost,
-    /// Not a port.
+    /// The port is not a number from 0 to 65535.
     InvalidPort,
 }
 
--- a/crates/route/src/normalize/path.rs
+++ b/crates/route/src/normalize/path.rs
@@ -5,13 +5,13 @@
 
 use super::NormalizeError;
 
-/// The most segments of a path.
+/// The maximum number of segments of a path.
 pub const MAX_SEGMENTS: usize = 128;
 
-/// The normal form of a path without its query.
+/// Normalizes a path without its query.
 ///
 /// # Errors
-/// What is wrong with it.
+/// If the path is rejected, returns the reason.
 pub fn path(raw: &str) -> Result<Cow<'_, str>, NormalizeError> {
     if !raw.starts_with('/') {
         return Err(NormalizeError::NotAbsolute);
@@ -23,7 +23,8 @@
     normalize_segments(&raw[1..]).map(Cow::Owned)
 }
 
-/// Whether it surely is in normal form. Passes over paths that need a closer look, as those with a dot after a slash.
+/// Whether a path is certainly in normal form. A cheap check without allocation: false also for some normal
+/// paths, such as those with a dot after a slash, which are then normalized in full.
 fn is_normal(raw: &str) -> bool {
     let mut previous = 0;
     raw.bytes().all(|byte| {
@@ -36,7 +37,7 @@
     })
 }
 
-/// Resolves the segments of a path, which is given without its first slash.
+/// Normalizes the segments of a path and resolves dot segments; `raw` begins after the first slash.
 fn normalize_segments(raw: &str) -> Result<String, NormalizeError> {
     let mut segments: Vec<String> = Vec::new();
     let mut ends_with_slash = false;
@@ -80,14 +81,14 @@
         if is_unreserved(byte) || (is_unencoded(byte) && !was_encoded) {
             normal.push(byte as char);
         } else {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(normal, "%{byte:02X}");
         }
     }
     Ok(normal)
 }
 
-/// Decodes a segment up to its end or the first byte that is not allowed.
+/// Decodes the percent-encodings of a segment. Fails at the first byte that is not allowed.
 fn percent_decode(raw: &str) -> Result<Vec<DecodedByte>, NormalizeError> {
     let mut decoded = Vec::with_capacity(raw.len());
     let mut bytes = raw.bytes();
@@ -113,19 +114,19 @@
     Some((digit(high)? * 16 + digit(low)?) as u8)
 }
 
-/// Whether a reader that decodes slashes would see a dot segment in it.
+/// Whether a segment contains a dot segment once its slashes and backslashes are decoded.
 fn hides_dot_segment(decoded: &[DecodedByte]) -> bool {
     let bytes: Vec<u8> = decoded.iter().map(|decoded| decoded.byte).collect();
     let is_slash = |byte: &u8| matches!(byte, b'/' | b'\\');
     bytes.iter().any(is_slash) && bytes.split(is_slash).any(|part| part == b"." || part == b"..")
 }
 
-/// Whether it is one of the unreserved characters of RFC 3986.
+/// Whether a byte is an unreserved character of RFC 3986.
 fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)
 }
 
-/// Whether it may stand in a segment without being encoded.
+/// Whether a byte is valid in a segment without being encoded.
 fn is_unencoded(byte: u8) -> bool {
     is_unreserved(byte) || b"!$&'()*+,;=:@".contains(&byte)
 }
--- a/crates/route/src/pattern/host.rs
+++ b/crates/route/src/pattern/host.rs
@@ -5,15 +5,15 @@
 use super::PatternError;
 use crate::normalize;
 
-/// Which hosts a route matches.
+/// A pattern of the hosts that a route matches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HostPattern {
     /// Any host, and requests without one.
     #[default]
     Any,
-    /// All subdomains of this name, but not the name itself.
+    /// All subdomains of this name, at any depth, but not the name itself.
     Subdomains(String),
-    /// This host.
+    /// This host only.
     Exact(String),
 }
 
@@ -21,7 +21,8 @@
     /// Parses `name`, `*.name` or `*`.
     ///
     /// # Errors
-    /// What is wrong, and what would be right.
+    /// If the text is no valid pattern, returns a message that states the fault and, if known, the correct
+    /// form.
     pub fn parse(text: &str) -> Result<HostPattern, PatternError> {
         if text == "*" {
             return Ok(HostPattern::Any);
@@ -45,7 +46,7 @@
     }
 }
 
-/// Parses the name in a pattern.
+/// Parses the name in a pattern; `pattern` is the whole text, for the error.
 fn parse_name(name: &str, pattern: &str) -> Result<String, PatternError> {
     let host = normalize::host(name).ok().filter(|host| !host.name.is_empty());
     let host =
--- a/crates/route/src/pattern/mod.rs
+++ b/crates/route/src/pattern/mod.rs
@@ -1,4 +1,4 @@
-//! What a route asks of host and path.
+//! Patterns of hosts and paths.
 
 mod host;
 mod path;
@@ -9,7 +9,7 @@
 
 use std::fmt;
 
-/// Why a pattern is invalid, in words that say what would be right.
+/// An error in a pattern. The message states the fault and, if known, the correct form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PatternError(String);
 
--- a/crates/route/src/pattern/path.rs
+++ b/crates/route/src/pattern/path.rs
@@ -5,25 +5,25 @@
 use super::PatternError;
 use crate::normalize;
 
-/// Which paths a route matches: `/a/b` that path, `/a/{x}` any one segment in place of `{x}`, `/a/*` `/a/` and all paths
-/// that begin with it.
+/// A pattern of the paths that a route matches: `/a/b` matches that path only, `/a/{x}` any single non-empty
+/// segment in place of `{x}`, and `/a/*` all paths that begin with `/a/`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
-    /// Anything may follow.
+    /// Whether the pattern ends in `/*`.
     pub(crate) is_prefix: bool,
 }
 
 /// A segment of a path pattern.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Segment {
-    /// This text.
+    /// Matches this text only.
     Literal(String),
-    /// Any text that is not empty, by the name of the parameter.
+    /// A parameter with this name, which matches any text that is not empty.
     Parameter(String),
 }
 
-/// How specific a segment is; the smallest comes first.
+/// The specificity of a segment; the smallest value is the most specific.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SegmentRank {
     Literal,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The name of the parameter.
+    /// The name of the parameter; `None` for a literal.
     fn parameter(&self) -> Option<&str> {
         match self {
             Segment::Literal(_) => None,
@@ -74,7 +74,7 @@
 }
 
 impl Default for PathPattern {
-    /// Any path.
+    /// A pattern that matches any path.
     fn default() -> Self {
         PathPattern { segments: Vec::new(), is_prefix: true }
     }
@@ -84,23 +84,24 @@
     /// Parses a pattern.
     ///
     /// # Errors
-    /// What is wrong, and what would be right.
+    /// If the text is no valid pattern, returns a message that states the fault and, if known, the correct
+    /// form.
     pub fn parse(text: &str) -> Result<PathPattern, PatternError> {
         let Some(rest) = text.strip_prefix('/') else {
             return Err(PatternError(format!("a path begins with a slash; write \"/{text}\"")));
         };
-        let mut parts: Vec<&str> = rest.split('/').collect();
-        let is_prefix = parts.last() == Some(&"*");
+        let mut raw_segments: Vec<&str> = rest.split('/').collect();
+        let is_prefix = raw_segments.last() == Some(&"*");
         if is_prefix {
-            parts.pop();
+            raw_segments.pop();
         }
-        let segments = parse_segments(&parts)?;
+        let segments = parse_segments(&raw_segments)?;
         let pattern = PathPattern { segments, is_prefix };
         pattern.check_normal_form()?;
         Ok(pattern)
     }
 
-    /// Checks that a path in normal form can match.
+    /// Checks that the pattern can match a path in normal form; otherwise no request would match.
     fn check_normal_form(&self) -> Result<(), PatternError> {
         let example = self.example();
         match normalize::path(&example) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A path that would match if it were in normal form.
+    /// Returns a path that would match if it were in normal form.
     fn example(&self) -> String {
         let segments: Vec<&str> = self
             .segments
@@ -132,43 +133,46 @@
     /// Whether a path in normal form matches.
     #[must_use]
     pub fn matches(&self, path: &str) -> bool {
-        let mut parts = path.strip_prefix('/').unwrap_or(path).split('/');
-        let has_segments =
-            self.segments.iter().all(|segment| parts.next().is_some_and(|part| segment.matches(part)));
-        has_segments && self.is_prefix == parts.next().is_some()
+        let mut path_segments = path.strip_prefix('/').unwrap_or(path).split('/');
+        let has_segments = self
+            .segments
+            .iter()
+            .all(|segment| path_segments.next().is_some_and(|text| segment.matches(text)));
+        has_segments && self.is_prefix == path_segments.next().is_some()
     }
 
-    /// The value of a parameter in a path that matches.
+    /// The value of a parameter in a path that matches; `None` if the pattern has no parameter of this name.
     #[must_use]
     pub fn parameter<'a>(&self, path: &'a str, name: &str) -> Option<&'a str> {
         let index = self.segments.iter().position(|segment| segment.parameter() == Some(name))?;
         path.strip_prefix('/')?.split('/').nth(index)
     }
 
-    /// Whether it has a parameter of this name.
+    /// Whether the pattern has a parameter of this name.
     #[must_use]
     pub fn has_parameter(&self, name: &str) -> bool {
         self.segments.iter().any(|segment| segment.parameter() == Some(name))
     }
 
-    /// How specific it is, segment by segment.
+    /// The specificity of each segment, and of the open end if there is one.
     pub(crate) fn ranks(&self) -> Vec<SegmentRank> {
         let open_end = self.is_prefix.then_some(SegmentRank::OpenEnd);
         self.segments.iter().map(Segment::rank).chain(open_end).collect()
     }
 
-    /// The pattern without the names of its parameters.
+    /// The text of the pattern without the names of its parameters: equal for patterns that match the same
+    /// paths.
     pub(crate) fn shape(&self) -> String {
         self.to_text(|_| "{}".to_owned())
     }
 
-    fn to_text(&self, parameter: impl Fn(&str) -> String) -> String {
+    fn to_text(&self, format_parameter: impl Fn(&str) -> String) -> String {
         let mut text = String::new();
         for segment in &self.segments {
             text.push('/');
             match segment {
                 Segment::Literal(literal) => text.push_str(literal),
-                Segment::Parameter(name) => text.push_str(&parameter(name)),
+                Segment::Parameter(name) => text.push_str(&format_parameter(name)),
             }
         }
         text.push_str(if self.is_prefix { "/*" } else { "" });
@@ -176,10 +180,10 @@
     }
 }
 
-fn parse_segments(parts: &[&str]) -> Result<Vec<Segment>, PatternError> {
-    let mut segments: Vec<Segment> = Vec::with_capacity(parts.len());
-    for part in parts {
-        let segment = Segment::parse(part)?;
+fn parse_segments(raw_segments: &[&str]) -> Result<Vec<Segment>, PatternError> {
+    let mut segments: Vec<Segment> = Vec::with_capacity(raw_segments.len());
+    for raw_segment in raw_segments {
+        let segment = Segment::parse(raw_segment)?;
         if let Some(name) = segment.parameter() {
             if segments.iter().any(|earlier| earlier.parameter() == Some(name)) {
                 return Err(PatternError(format!("two parts are named {name:?}")));
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,24 +1,24 @@
-//! A request, as routing sees it: as sent, and with host and path in normal form.
+//! The properties of a request by which it is routed, as sent and with host and path in normal form.
 
 /// Header fields by name.
 pub trait HeaderFields {
-    /// The value of a field, whose name is in lower case.
+    /// The value of a field; `None` if the request does not have it. The name must be in lower case.
     fn get(&self, name: &str) -> Option<&str>;
 }
 
-/// Pairs of name and value in any order, with names in lower case.
+/// Header fields as pairs of name and value, in any order, with names in lower case.
 impl HeaderFields for Vec<(String, String)> {
     fn get(&self, name: &str) -> Option<&str> {
         self.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// What a route may ask of a request beside host and path. It has one form only.
+/// The properties of a request that a route may match besides host and path. They need no normalization.
 #[derive(Clone, Copy)]
 pub struct RequestAttributes<'a> {
     /// The HTTP method.
     pub method: &'a str,
-    /// The class that the client requests.
+    /// The class that the client has requested.
     pub class: Option<&'a str>,
     /// The tenant.
     pub tenant: Option<&'a str>,
@@ -31,11 +31,11 @@
 /// A request as it was sent.
 #[derive(Clone, Copy)]
 pub struct RawRequest<'a> {
-    /// The value of its `Host` field.
+    /// The value of the `Host` field.
     pub host: &'a str,
-    /// The path of its target, without the query.
+    /// The path of the request target, without the query.
     pub path: &'a str,
-    /// The rest.
+    /// The other properties.
     pub attributes: RequestAttributes<'a>,
 }
 
@@ -46,6 +46,6 @@
     pub host: &'a str,
     /// The path, without the query.
     pub path: &'a str,
-    /// The rest.
+    /// The other properties.
     pub attributes: RequestAttributes<'a>,
 }
--- a/crates/route/src/resolve.rs
+++ b/crates/route/src/resolve.rs
@@ -1,23 +1,24 @@
-//! From a request as it was sent to its route: the one entry for the proxy and for checks of the configuration.
+//! Resolution of a request, as it was sent, to its route. The proxy and the checks of the configuration both
+//! use it, so that they agree.
 
 use std::borrow::Cow;
 
 use crate::normalize::{self, Host, NormalizeError};
 use crate::{NormalizedRequest, RawRequest, RequestAttributes, RouteTable};
 
-/// Why a request has no route.
+/// The reason why a request has no route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// Its host has no normal form: 400.
+    /// The host is invalid. The status is 400.
     InvalidHost(NormalizeError),
-    /// Its path has no normal form: 400.
+    /// The path is invalid. The status is 400.
     InvalidPath(NormalizeError),
-    /// No route matches it: 404.
+    /// No route matches the request. The status is 404.
     NoRoute,
 }
 
 impl RouteError {
-    /// The HTTP status to answer with.
+    /// The HTTP status of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -46,7 +47,7 @@
     }
 }
 
-/// The route of a request.
+/// The route of a request, with the normalized host and path by which it was found.
 #[derive(Clone, Debug)]
 pub struct RouteMatch<'a> {
     /// The index of the route in [`RouteTable::routes`].
@@ -58,7 +59,7 @@
 }
 
 impl RouteMatch<'_> {
-    /// The request in the form in which it was routed.
+    /// Returns the request with the normalized host and path.
     #[must_use]
     pub fn request<'a>(&'a self, attributes: RequestAttributes<'a>) -> NormalizedRequest<'a> {
         NormalizedRequest { host: &self.host.name, path: &self.path, attributes }
@@ -66,10 +67,10 @@
 }
 
 impl RouteTable {
-    /// The route of a request as it was sent.
+    /// Finds the route of a request as it was sent.
     ///
     /// # Errors
-    /// Why there is none.
+    /// If the request is invalid or no route matches, returns the reason.
     pub fn resolve<'a>(&self, request: &RawRequest<'a>) -> Result<RouteMatch<'a>, RouteError> {
         let host = normalize::host(request.host).map_err(RouteError::InvalidHost)?;
         let path = normalize::path(request.path).map_err(RouteError::InvalidPath)?;
--- a/crates/route/src/route.rs
+++ b/crates/route/src/route.rs
@@ -1,61 +1,61 @@
-//! A route: which requests it matches, and where they go.
+//! A route: the requests that it matches, and the pools and endpoints to which they are forwarded.
 
 use crate::{Fallback, NormalizedRequest, PoolId, RouteMatcher, Split, SplitKey};
 
-/// A route.
+/// A route from a set of requests to pools.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for operators.
+    /// The name, by which operators refer to the route.
     pub name: String,
-    /// The requests that it matches.
+    /// The conditions on the requests that the route matches.
     pub matches: RouteMatcher,
-    /// The class of its requests, by its index in the configuration.
+    /// The class of the requests, as an index into the classes of the configuration.
     pub class: usize,
-    /// The endpoints that it may use.
+    /// The endpoints that the route may use.
     pub scope: EndpointScope,
-    /// The preferred pools.
+    /// The preferred pools, with their weights.
     pub split: Split,
-    /// The other pools, in order.
+    /// The fallback pools, in the order of preference.
     pub fallbacks: Vec<Fallback>,
 }
 
 impl Route {
-    /// The preferred pool for a request. `id` replaces a split key that the request does not have.
+    /// Selects the preferred pool for a request. The request id is hashed if the request has no split key.
     #[must_use]
-    pub fn preferred(&self, request: &NormalizedRequest<'_>, id: &str) -> PoolId {
+    pub fn preferred(&self, request: &NormalizedRequest<'_>, request_id: &str) -> PoolId {
         let key = match &self.split.key {
             SplitKey::RequestId => None,
             SplitKey::Header(name) => request.attributes.headers.get(name),
             SplitKey::PathParameter(name) => self.matches.path.parameter(request.path, name),
         };
-        self.split.choose(key.unwrap_or(id).as_bytes())
+        self.split.choose(key.unwrap_or(request_id).as_bytes())
     }
 
-    /// All pools that it may use.
+    /// The pools that the route may use.
     pub fn pools(&self) -> impl Iterator<Item = PoolId> + '_ {
         self.split.pools().chain(self.fallbacks.iter().map(|fallback| fallback.pool))
     }
 }
 
-/// The endpoints that a route may use in each pool; empty lists allow all.
+/// The endpoints that a route may use in each pool; an empty list allows all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EndpointScope {
-    /// Zones of endpoints.
+    /// The allowed zones of endpoints.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// The allowed kinds of machine.
     pub machine_kinds: Vec<String>,
-    /// Cells.
+    /// The allowed cells.
     pub cells: Vec<u64>,
 }
 
 impl EndpointScope {
-    /// Whether it allows all endpoints.
+    /// Whether all endpoints are allowed.
     #[must_use]
     pub fn is_all(&self) -> bool {
         self.zones.is_empty() && self.machine_kinds.is_empty() && self.cells.is_empty()
     }
 
-    /// Whether it allows an endpoint with these properties.
+    /// Whether an endpoint with these properties is allowed.
     #[must_use]
     pub fn allows(&self, zone: &str, machine_kind: &str, cell: Option<u64>) -> bool {
         is_empty_or_contains(&self.zones, zone)
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether a list of names allows this one; an empty list allows any.
+/// Whether a list allows a name; an empty list allows any name.
 pub(crate) fn is_empty_or_contains(names: &[String], name: &str) -> bool {
     names.is_empty() || names.iter().any(|allowed| allowed == name)
 }
--- a/crates/route/src/split.rs
+++ b/crates/route/src/split.rs
@@ -1,24 +1,25 @@
 //! Traffic splitting by weight with a stable hash: weighted rendezvous hashing.
 //!
-//! Each pool draws a number from the key and its own name, and the best one wins (Schindelhauer and Schomaker,
-//! "Weighted distributed hash tables", SPAA 2005). Unlike ranges over a sum of weights it cannot overflow, and a weight
-//! that changes moves only the keys that it must.
+//! For each pool a score is computed from the hash of the key, seeded by the pool's name; the pool with the
+//! smallest score is chosen (Schindelhauer and Schomaker, "Weighted distributed hash tables", SPAA 2005).
+//! Unlike ranges over a sum of weights, this cannot overflow, and a changed weight moves only the keys that
+//! have to move.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::PoolId;
 
-/// The bits of a hash that a double holds exactly.
+/// The number of bits of a hash that an `f64` represents exactly.
 const MANTISSA_BITS: u32 = 53;
 
-/// What is hashed.
+/// The property of a request that is hashed to choose a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SplitKey {
-    /// The request's id: each request is split by itself.
+    /// The id of the request, so that each request is assigned independently.
     RequestId,
     /// The value of a header.
     Header(String),
-    /// A parameter of the path.
+    /// The value of a parameter of the path.
     PathParameter(String),
 }
 
@@ -27,16 +28,16 @@
 pub struct SplitPool<'a> {
     /// The pool.
     pub pool: PoolId,
-    /// Its name.
+    /// The name of the pool, which seeds the hash.
     pub name: &'a str,
-    /// Its weight; 0 excludes it.
+    /// The weight, relative to the other pools; 0 excludes the pool.
     pub weight: u64,
 }
 
-/// Pools by weight.
+/// A split of requests over pools by weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// What is hashed.
+    /// The property that is hashed.
     pub key: SplitKey,
     /// The pools with a weight above 0.
     pools: Vec<WeightedPool>,
@@ -45,29 +46,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct WeightedPool {
     pool: PoolId,
-    /// The hash of its name.
+    /// The hash of the pool's name.
     seed: u64,
     weight: u64,
 }
 
 impl WeightedPool {
-    /// The score of a key; the pool with the smallest one wins.
+    /// The score for a key; the pool with the smallest score is chosen.
     fn score(&self, key: &[u8]) -> f64 {
         let hash = xxh3_64_with_seed(key, self.seed) >> (u64::BITS - MANTISSA_BITS);
-        // Evenly over (0, 1); the half keeps it off both ends.
+        // Uniform over (0, 1). Adding one half keeps the value above 0, whose logarithm is infinite.
         let uniform = (hash as f64 + 0.5) / (1u64 << MANTISSA_BITS) as f64;
         -uniform.ln() / self.weight as f64
     }
 }
 
 impl Split {
-    /// One pool for all requests.
+    /// Creates a split with one pool for all requests.
     #[must_use]
     pub fn single(pool: PoolId) -> Split {
         Split { key: SplitKey::RequestId, pools: vec![WeightedPool { pool, seed: 0, weight: 1 }] }
     }
 
-    /// A split over pools. None where no weight is above 0.
+    /// Creates a split over pools; `None` if no weight is above 0.
     #[must_use]
     pub fn new(key: SplitKey, pools: &[SplitPool<'_>]) -> Option<Split> {
         let with_weight = pools.iter().filter(|pool| pool.weight > 0);
@@ -81,18 +82,18 @@
         (!pools.is_empty()).then_some(Split { key, pools })
     }
 
-    /// All pools that may be chosen.
+    /// The pools that may be chosen.
     pub fn pools(&self) -> impl Iterator<Item = PoolId> + '_ {
         self.pools.iter().map(|pool| pool.pool)
     }
 
-    /// Whether there is one pool only, so that the key does not matter.
+    /// Whether there is only one pool, so that the key has no effect.
     #[must_use]
     pub fn has_single_pool(&self) -> bool {
         self.pools.len() == 1
     }
 
-    /// The pool for a key.
+    /// Chooses the pool for a key.
     #[must_use]
     pub fn choose(&self, key: &[u8]) -> PoolId {
         if self.has_single_pool() {
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,7 +1,8 @@
-//! The table of routes: built once, looked up for each request.
+//! The table of routes, which is built once and searched for each request.
 //!
-//! Hosts are found by their names, paths by a trie of segments: a lookup costs by the length of the path and the routes
-//! that end at one node of the trie, not by the number of routes.
+//! Hosts are looked up in hash maps, paths in a trie of segments. The cost of a lookup depends on the length
+//! of the path and on the number of routes that end at one node of the trie, not on the total number of
+//! routes.
 
 use std::collections::HashMap;
 
@@ -10,46 +11,46 @@
 use crate::pattern::Segment;
 use crate::{Conflict, HostPattern, NormalizedRequest, PathPattern, RequestAttributes, Route, RouteMatcher};
 
-/// Routes, ready to be looked up.
+/// An immutable table of routes, indexed by host and path.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes: Vec<Route>,
     nodes: Vec<Node>,
-    /// The roots of the tries of paths.
+    /// The root of the trie of paths for each host pattern.
     roots: HostMap<NodeIndex>,
 }
 
-/// The index of a route; `u32` to halve the lists' memory.
+/// The index of a route; a `u32` halves the memory of the lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RouteIndex(u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct NodeIndex(u32);
 
-/// A node of a trie.
+/// A node of the trie of path segments.
 #[derive(Clone, Debug, Default)]
 struct Node {
     literals: HashMap<Box<str>, NodeIndex>,
     parameter: Option<NodeIndex>,
-    /// The routes whose path ends here.
+    /// The routes whose pattern ends at this node without `/*`.
     exact_routes: Option<Box<NodeRoutes>>,
-    /// The routes that match all paths below this one.
+    /// The routes whose pattern ends at this node with `/*`.
     prefix_routes: Option<Box<NodeRoutes>>,
 }
 
-/// The routes that end at one node, each list with the most specific first.
+/// The routes that end at one node; each list begins with the most specific route.
 #[derive(Clone, Debug, Default)]
 struct NodeRoutes {
     any_tenant: Vec<RouteIndex>,
-    /// Many tenants may share a host and a path.
+    /// The routes for one tenant, by its name; hashed because many tenants may share a host and a path.
     by_tenant: HashMap<Box<str>, Vec<RouteIndex>>,
 }
 
 impl RouteTable {
-    /// Builds a table.
+    /// Builds a table from routes in any order.
     ///
     /// # Errors
-    /// The pairs of routes in conflict, in order; the first 100 of them.
+    /// If routes are in conflict, returns the pairs, ordered by the later route; at most 100.
     pub fn build(routes: Vec<Route>) -> Result<RouteTable, Vec<Conflict>> {
         let conflicts = find_conflicts(&routes);
         if !conflicts.is_empty() {
@@ -57,7 +58,7 @@
         }
         let mut table = RouteTable { routes, ..RouteTable::default() };
         let mut order: Vec<RouteIndex> = (0..table.routes.len() as u32).map(RouteIndex).collect();
-        // So that the lists of each node are in order.
+        // Sorted, so that the lists of each node are in order of specificity.
         order.sort_by_key(|route| table.route(*route).matches.qualifiers());
         for route in order {
             table.insert(route);
@@ -115,7 +116,7 @@
         child
     }
 
-    /// The index of the node that is added next.
+    /// The index of the next node to be added.
     fn next_node(&self) -> NodeIndex {
         NodeIndex(self.nodes.len() as u32)
     }
@@ -128,15 +129,15 @@
         &mut self.nodes[index.0 as usize]
     }
 
-    // ---- Looking up ----
+    // ---- Lookup ----
 
-    /// The most specific route for a request.
+    /// Finds the most specific route for a request.
     #[must_use]
     pub fn lookup(&self, request: &NormalizedRequest<'_>) -> Option<&Route> {
         self.lookup_index(request).map(|index| &self.routes[index])
     }
 
-    /// The index of the most specific route for a request.
+    /// Finds the index of the most specific route for a request.
     #[must_use]
     pub fn lookup_index(&self, request: &NormalizedRequest<'_>) -> Option<usize> {
         let path = request.path.strip_prefix('/')?;
@@ -145,7 +146,8 @@
         Some(route.0 as usize)
     }
 
-    /// Looks on from a node with the rest of the path; none stands for its end.
+    /// Continues a lookup from a node with the rest of the path; `None` at the end of the path. If no route
+    /// is found below the literal child, backtracks to the parameter, then to the prefix routes of this node.
     fn find(
         &self,
         index: NodeIndex,
@@ -166,13 +168,13 @@
             .or_else(|| self.choose(node.prefix_routes.as_deref(), request))
     }
 
-    /// The most specific route of a node that matches the rest of the request.
+    /// Chooses the most specific of the routes at a node whose conditions the attributes of the request meet.
     fn choose(&self, routes: Option<&NodeRoutes>, request: &RequestAttributes<'_>) -> Option<RouteIndex> {
         let routes = routes?;
-        let of_tenant = request.tenant.and_then(|tenant| routes.by_tenant.get(tenant));
-        let of_tenant = of_tenant.and_then(|routes| self.first_match(routes, request));
-        let of_any_tenant = self.first_match(&routes.any_tenant, request);
-        let matching = of_tenant.into_iter().chain(of_any_tenant);
+        let tenant_route = request.tenant.and_then(|tenant| routes.by_tenant.get(tenant));
+        let tenant_route = tenant_route.and_then(|routes| self.first_match(routes, request));
+        let any_tenant_route = self.first_match(&routes.any_tenant, request);
+        let matching = tenant_route.into_iter().chain(any_tenant_route);
         matching.min_by_key(|route| self.route(*route).matches.qualifiers())
     }
 
--- a/crates/route/tests/host_owners.rs
+++ b/crates/route/tests/host_owners.rs
@@ -1,4 +1,5 @@
-//! The owners of hosts.
+//! Ownership of hosts: patterns of different owners must not overlap, or one tenant could take over hosts of
+//! another.
 
 use route::{HostOwners, HostPattern};
 
@@ -7,8 +8,8 @@
 }
 
 #[test]
-fn no_owner_takes_hosts_of_another() {
-    let taken = [
+fn overlapping_pattern_of_another_owner_is_rejected() {
+    let overlapping = [
         ("a.x", "a.x"),
         ("*.x", "*.x"),
         ("*.x", "a.x"),
@@ -18,11 +19,11 @@
         ("*", "a"),
         ("a", "*"),
     ];
-    for (first, second) in taken {
+    for (first, second) in overlapping {
         let mut hosts = HostOwners::default();
         assert_eq!(hosts.insert(&pattern(first), 1), Ok(()));
         assert_eq!(hosts.insert(&pattern(second), 2), Err(1), "{first}, then {second}");
-        assert_eq!(hosts.insert(&pattern(second), 1), Ok(()), "one's own");
+        assert_eq!(hosts.insert(&pattern(second), 1), Ok(()), "an owner may overlap with its own patterns");
     }
     let mut hosts = HostOwners::default();
     for (host, owner) in [("*.x", 1), ("x", 2), ("*.y", 3), ("a.xx", 4)] {
--- a/crates/route/tests/normalize.rs
+++ b/crates/route/tests/normalize.rs
@@ -1,9 +1,10 @@
-//! The normal form of paths and hosts.
+//! Normalization of paths and hosts. Different spellings of one path must not be routed differently, and
+//! ambiguous or malformed ones must be rejected, so that no request bypasses the rules of a route.
 
 use route::normalize::{host, path, NormalizeError, MAX_SEGMENTS};
 
 #[test]
-fn paths_have_one_normal_form() {
+fn equivalent_paths_have_one_normal_form_and_invalid_ones_are_rejected() {
     let cases = [
         ("/", Ok("/")),
         ("/a/b", Ok("/a/b")),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn hosts_have_one_normal_form() {
+fn equivalent_hosts_have_one_normal_form_and_invalid_ones_are_rejected() {
     let cases = [
         ("a.example", Ok(("a.example", None))),
         ("A.Example.", Ok(("a.example", None))),
@@ -77,7 +78,7 @@
         ("a:+1", Err(NormalizeError::InvalidPort)),
     ];
     for (raw, expected) in cases {
-        let got = host(raw).map(|h| (h.name.into_owned(), h.port));
-        assert_eq!(got.as_ref().map(|(n, p)| (n.as_str(), *p)), expected.as_ref().map(|x| *x), "{raw}");
+        let actual = host(raw).map(|h| (h.name.into_owned(), h.port));
+        assert_eq!(actual.as_ref().map(|(n, p)| (n.as_str(), *p)), expected.as_ref().map(|x| *x), "{raw}");
     }
 }
--- a/crates/route/tests/patterns.rs
+++ b/crates/route/tests/patterns.rs
@@ -1,9 +1,10 @@
-//! Patterns of hosts and paths.
+//! Parsing and matching of host and path patterns.
 
 use route::{HostPattern, PathPattern};
 
+/// The messages reach users with the diagnostics of their configuration.
 #[test]
-fn errors_of_patterns_say_what_would_be_right() {
+fn invalid_patterns_give_errors_with_the_correct_form() {
     let path = |text: &str| PathPattern::parse(text).expect_err(text).to_string();
     assert_eq!(path("a/b"), "a path begins with a slash; write \"/a/b\"");
     assert!(path("/a/{}").contains("names no part"));
@@ -18,8 +19,10 @@
     assert_eq!(HostPattern::parse("A.Example."), Ok(HostPattern::Exact("a.example".to_owned())));
 }
 
+/// Guards against matches beyond the pattern at its boundaries: trailing slashes, empty segments, the bare
+/// name of a wildcard, and names that only share a suffix.
 #[test]
-fn patterns_match_what_they_describe() {
+fn patterns_match_exactly_the_paths_and_hosts_they_describe() {
     let matches = |pattern: &str, path: &str| PathPattern::parse(pattern).expect(pattern).matches(path);
     assert!(matches("/", "/") && matches("/*", "/") && matches("/*", "/a/b") && matches("/a/*", "/a/"));
     assert!(
--- a/crates/route/tests/reference.rs
+++ b/crates/route/tests/reference.rs
@@ -1,5 +1,5 @@
-//! The table against a naive reference that tries every route in turn, over small alphabets, so that routes and
-//! requests often meet.
+//! Property tests of the route table against a reference that scans all routes, and of normalization. Hosts,
+//! segments and values are drawn from small sets, so that requests often match routes.
 
 use proptest::prelude::*;
 use route::{
@@ -33,28 +33,28 @@
     })
 }
 
-fn some(names: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
+fn subset_of(names: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
     prop::sample::subsequence(names, 0..=names.len()).prop_map(|n| n.iter().map(|s| s.to_string()).collect())
 }
 
-fn maybe(names: &'static [&'static str]) -> impl Strategy<Value = Option<String>> {
+fn optional_from(names: &'static [&'static str]) -> impl Strategy<Value = Option<String>> {
     prop::option::weighted(0.3, prop::sample::select(names).prop_map(str::to_owned))
 }
 
-fn matches() -> impl Strategy<Value = RouteMatcher> {
+fn route_matcher() -> impl Strategy<Value = RouteMatcher> {
     let host = prop::sample::select(vec!["*", "x", "y.x", "*.x", "*.y.x", "*.z"]);
-    let headers = (maybe(&["1", "2"]), maybe(&["1", "2"])).prop_map(|(a, b)| {
+    let headers = (optional_from(&["1", "2"]), optional_from(&["1", "2"])).prop_map(|(a, b)| {
         let pairs = [("h-a", a), ("h-b", b)];
         pairs.into_iter().filter_map(|(n, v)| Some((n.to_owned(), v?))).collect()
     });
     (
         host,
         path_pattern(),
-        prop_oneof![2 => Just(Vec::new()), 1 => some(&["GET", "POST"])],
+        prop_oneof![2 => Just(Vec::new()), 1 => subset_of(&["GET", "POST"])],
         headers,
-        maybe(&["c", "d"]),
-        maybe(&["t", "u"]),
-        prop_oneof![2 => Just(Vec::new()), 1 => some(&["north", "south"])],
+        optional_from(&["c", "d"]),
+        optional_from(&["t", "u"]),
+        prop_oneof![2 => Just(Vec::new()), 1 => subset_of(&["north", "south"])],
     )
         .prop_map(|(host, path, methods, headers, class, tenant, zones)| RouteMatcher {
             host: HostPattern::parse(host).expect("a host"),
@@ -93,7 +93,7 @@
 
 fn request() -> impl Strategy<Value = Request> {
     let path = prop::collection::vec(prop::sample::select(vec!["a", "b", "c"]), 0..5);
-    let headers = (maybe(&["1", "2"]), maybe(&["1", "2"]));
+    let headers = (optional_from(&["1", "2"]), optional_from(&["1", "2"]));
     (
         prop::sample::select(vec!["x", "y.x", "w.y.x", "z", "q.z", ""]),
         prop::sample::select(vec!["GET", "POST", "PUT"]),
@@ -105,8 +105,8 @@
                 path
             }
         }),
-        maybe(&["c", "d", "e"]),
-        maybe(&["t", "u", "v"]),
+        optional_from(&["c", "d", "e"]),
+        optional_from(&["t", "u", "v"]),
         prop::sample::select(vec!["north", "south", "west"]),
         headers,
     )
@@ -117,9 +117,9 @@
         })
 }
 
-/// A set of routes without conflicts: of those in conflict the first one stays.
+/// A set of routes without conflicts: a route that conflicts with an earlier one is left out.
 fn routes() -> impl Strategy<Value = Vec<Route>> {
-    prop::collection::vec(matches(), 0..30).prop_map(|all| {
+    prop::collection::vec(route_matcher(), 0..30).prop_map(|all| {
         let mut routes: Vec<Route> = Vec::new();
         for (i, matches) in all.into_iter().enumerate() {
             routes.push(route(i, matches));
@@ -131,12 +131,13 @@
     })
 }
 
-/// The rule of the documentation, applied to every route. Panics where two are equally specific.
-fn reference<'a>(routes: &'a [Route], request: &NormalizedRequest<'_>) -> Option<&'a Route> {
+/// Finds the most specific matching route by a linear scan. Panics if two matching routes are equally
+/// specific, which the build of the table should have reported as a conflict.
+fn most_specific_by_scan<'a>(routes: &'a [Route], request: &NormalizedRequest<'_>) -> Option<&'a Route> {
     let matching: Vec<&Route> = routes.iter().filter(|r| r.matches.matches(request)).collect();
     let best = matching.iter().min_by_key(|r| r.matches.specificity())?;
     let equal = matching.iter().filter(|r| r.matches.specificity() == best.matches.specificity()).count();
-    assert_eq!(equal, 1, "a tie that was not found: {matching:?}");
+    assert_eq!(equal, 1, "a conflict was not detected: {matching:?}");
     Some(best)
 }
 
@@ -144,41 +145,50 @@
     #![proptest_config(ProptestConfig::with_cases(600))]
 
     #[test]
-    fn lookup_agrees_with_the_reference(
+    fn lookup_agrees_with_a_linear_scan(
         routes in routes(),
         requests in prop::collection::vec(request(), 1..40),
     ) {
-        let table = RouteTable::build(routes.clone()).expect("no ties");
+        let table = RouteTable::build(routes.clone()).expect("no conflicts");
         for request in &requests {
             let normalized = request.normalized();
-            let (got, wanted) = (table.lookup(&normalized), reference(&routes, &normalized));
-            prop_assert_eq!(got.map(|r| &r.name), wanted.map(|r| &r.name), "{:?}", request);
+            let (actual, expected) = (table.lookup(&normalized), most_specific_by_scan(&routes, &normalized));
+            prop_assert_eq!(actual.map(|r| &r.name), expected.map(|r| &r.name), "{:?}", request);
         }
     }
 
+    /// The order of routes in a file must have no effect on routing.
     #[test]
-    fn the_order_of_routes_never_matters(
+    fn lookup_does_not_depend_on_the_order_of_routes(
         (routes, shuffled) in routes().prop_flat_map(|r| (Just(r.clone()), Just(r).prop_shuffle())),
         requests in prop::collection::vec(request(), 1..20),
     ) {
-        let (one, other) = (RouteTable::build(routes).expect("no ties"), RouteTable::build(shuffled).expect("nor here"));
+        let one = RouteTable::build(routes).expect("no conflicts");
+        let other = RouteTable::build(shuffled).expect("no conflicts");
         for request in &requests {
             let normalized = request.normalized();
-            prop_assert_eq!(one.lookup(&normalized).map(|r| &r.name), other.lookup(&normalized).map(|r| &r.name));
+            let (one, other) = (one.lookup(&normalized), other.lookup(&normalized));
+            prop_assert_eq!(one.map(|r| &r.name), other.map(|r| &r.name));
         }
     }
 
-    /// A conflict that is found is one: neither route is more specific than the other.
+    /// Conflicts are detected in either order of the routes, and only between routes of equal specificity.
     #[test]
-    fn conflicts_are_found_in_any_order(a in matches(), b in matches()) {
-        let found = |x: &RouteMatcher, y: &RouteMatcher| RouteTable::build(vec![route(0, x.clone()), route(1, y.clone())]).is_err();
-        prop_assert_eq!(found(&a, &b), found(&b, &a));
-        if found(&a, &b) {
+    fn conflicts_are_symmetric_and_only_between_equally_specific_routes(
+        a in route_matcher(),
+        b in route_matcher(),
+    ) {
+        let in_conflict = |x: &RouteMatcher, y: &RouteMatcher| {
+            RouteTable::build(vec![route(0, x.clone()), route(1, y.clone())]).is_err()
+        };
+        prop_assert_eq!(in_conflict(&a, &b), in_conflict(&b, &a));
+        if in_conflict(&a, &b) {
             prop_assert_eq!(a.specificity(), b.specificity());
         }
-        prop_assert!(found(&a, &a), "a route ties with itself");
+        prop_assert!(in_conflict(&a, &a), "a route conflicts with its duplicate");
     }
 
+    /// The normal form of a path is its own normal form, without empty and `..` segments.
     #[test]
     fn normalizing_a_path_is_idempotent(raw in "/[a./%2eE0fF\\\\ ;é{~]{0,24}") {
         if let Ok(once) = normalize::path(&raw) {
@@ -196,6 +206,7 @@
         }
     }
 
+    /// Guards against a panic on arbitrary text in requests or configurations.
     #[test]
     fn no_input_panics(raw in "\\PC{0,40}") {
         let _ = normalize::path(&raw);
@@ -207,13 +218,14 @@
     }
 }
 
-/// A segment may match a literal that leads to no route: the parameter beside it is tried then.
+/// A literal segment may match without leading to a route. The lookup must then try the parameter beside it,
+/// and after that the prefix above, and not report that there is no route.
 #[test]
 fn lookup_backtracks_from_a_literal_to_a_parameter() {
     let path = |p: &str| RouteMatcher { path: PathPattern::parse(p).expect(p), ..RouteMatcher::default() };
     let table =
         RouteTable::build(vec![route(0, path("/a/b/c")), route(1, path("/a/{x}/d")), route(2, path("/a/*"))]);
-    let table = table.expect("no ties");
+    let table = table.expect("no conflicts");
     let none: Vec<(String, String)> = Vec::new();
     let name = |path: &str| {
         let attributes =
