--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -37,7 +37,7 @@
 pub use play::{Failure, Report, Verdict};
 pub use pool_endpoints::PoolEndpoints;
 pub use section::admin::{Role, Token};
-pub use section::bgp::{Bgp, BgpPeer, MOST_OPERATORS};
+pub use section::bgp::{Bgp, BgpPeer, MAX_OPERATOR_CONNECTIONS};
 pub use section::class::Class;
 pub use section::learned_state::LearnedStateSettings;
 pub use section::limits::{Limits, MOST_BODY_BYTES, WHOLE_BODY_BYTES};
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// The most connections to the operators' API at once.
-pub const MOST_OPERATORS: usize = 4;
+pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 
 impl Bgp {
     /// The most sockets that the speaker takes.
@@ -49,7 +49,7 @@
     pub fn sockets(&self) -> usize {
         // Each peer's two connections, and one more that is being rejected or replaces one.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
-        3 * self.peers.len() + self.probe.max_in_flight + listeners + MOST_OPERATORS
+        3 * self.peers.len() + self.probe.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
     }
 }
 
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -71,7 +71,7 @@
     if let Some(listener) = listener {
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         let router = admin::announce::router(Arc::new(handle.clone()));
-        admin::serve::serve(listener, router, config::MOST_OPERATORS)?;
+        admin::serve::serve(listener, router, config::MAX_OPERATOR_CONNECTIONS)?;
         log_line(format_args!("bgp: operators on {address}"));
     }
     Ok(Some(Rc::new(handle)))
