--- a/crates/config/src/section/limits.rs
+++ b/crates/config/src/section/limits.rs
@@ -9,7 +9,7 @@
 /// Bodies up to this size are buffered completely.
 pub const WHOLE_BODY_BYTES: u64 = 64 << 10;
 /// The largest value of `body_bytes`.
-pub const MOST_BODY_BYTES: u64 = 40 << 20;
+pub const MAX_BODY_BYTES: u64 = 40 << 20;
 
 const ATTEMPTS: std::ops::RangeInclusive<usize> = 1..=10;
 
@@ -94,9 +94,8 @@
     fn body_bytes(&mut self, body_bytes: &Option<Spanned<usize>>) -> u64 {
         let Some(value) = body_bytes else { return WHOLE_BODY_BYTES };
         let bytes = *value.get_ref() as u64;
-        if !(WHOLE_BODY_BYTES..=MOST_BODY_BYTES).contains(&bytes) {
-            let message =
-                format!("`body_bytes`: {bytes} is not from {WHOLE_BODY_BYTES} to {MOST_BODY_BYTES}");
+        if !(WHOLE_BODY_BYTES..=MAX_BODY_BYTES).contains(&bytes) {
+            let message = format!("`body_bytes`: {bytes} is not from {WHOLE_BODY_BYTES} to {MAX_BODY_BYTES}");
             self.report(value.span(), message, None);
         }
         bytes
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -19,7 +19,7 @@
 pub use streaming::StreamingBody;
 
 /// The largest body that is streamed on the platform, in bytes.
-pub const MAX_STREAMED_BODY_BYTES: u64 = config::MOST_BODY_BYTES;
+pub const MAX_STREAMED_BODY_BYTES: u64 = config::MAX_BODY_BYTES;
 /// The slowest transfer that is not cut off, in bytes a second: half of what clients are promised.
 const MIN_BYTES_PER_SECOND: u64 = 32 << 10;
 /// Time that each transfer has in addition, for its start and for pauses.
