--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -40,7 +40,7 @@
 pub use section::bgp::{Bgp, BgpPeer, MAX_OPERATOR_CONNECTIONS};
 pub use section::class::Class;
 pub use section::learned_state::LearnedStateSettings;
-pub use section::limits::{Limits, MAX_BODY_BYTES, WHOLE_BODY_BYTES};
+pub use section::limits::{Limits, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 pub use section::operators::{Operators, OPERATORS_SOCKETS};
 pub use section::pool::{Pool, Source};
 pub use section::protocol::Protocol;
--- a/crates/config/src/section/limits.rs
+++ b/crates/config/src/section/limits.rs
@@ -7,7 +7,7 @@
 use crate::checker::Checker;
 
 /// Bodies up to this size are buffered completely.
-pub const WHOLE_BODY_BYTES: u64 = 64 << 10;
+pub const MAX_BUFFERED_BODY_BYTES: u64 = 64 << 10;
 /// The largest value of `body_bytes`.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
 
@@ -32,7 +32,7 @@
     pub slow_start_min_capacity: f64,
     /// The price of an attempt that crosses zones, in priority weight of a request.
     pub cross_zone_price: f64,
-    /// The largest body of a request or a response over HTTP. Bodies over [`WHOLE_BODY_BYTES`] are streamed, in one
+    /// The largest body of a request or a response over HTTP. Bodies over [`MAX_BUFFERED_BODY_BYTES`] are streamed, in one
     /// attempt.
     pub body_bytes: u64,
 }
@@ -92,10 +92,11 @@
     }
 
     fn body_bytes(&mut self, body_bytes: &Option<Spanned<usize>>) -> u64 {
-        let Some(value) = body_bytes else { return WHOLE_BODY_BYTES };
+        let Some(value) = body_bytes else { return MAX_BUFFERED_BODY_BYTES };
         let bytes = *value.get_ref() as u64;
-        if !(WHOLE_BODY_BYTES..=MAX_BODY_BYTES).contains(&bytes) {
-            let message = format!("`body_bytes`: {bytes} is not from {WHOLE_BODY_BYTES} to {MAX_BODY_BYTES}");
+        if !(MAX_BUFFERED_BODY_BYTES..=MAX_BODY_BYTES).contains(&bytes) {
+            let message =
+                format!("`body_bytes`: {bytes} is not from {MAX_BUFFERED_BODY_BYTES} to {MAX_BODY_BYTES}");
             self.report(value.span(), message, None);
         }
         bytes
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -28,7 +28,7 @@
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bodies up to this size have to be complete by the deadline of their request; of larger ones the first bytes have to
 /// be there.
-const MAX_BODY_WITHIN_DEADLINE_BYTES: u64 = config::WHOLE_BODY_BYTES;
+const MAX_BODY_WITHIN_DEADLINE_BYTES: u64 = config::MAX_BUFFERED_BODY_BYTES;
 
 /// The longest time that the transfer of a body of `bytes` may take.
 pub fn max_transfer_time(bytes: u64) -> Duration {
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -17,7 +17,7 @@
 
 /// The largest body that is buffered, and so can be sent again by a retry; a larger one is streamed where the route
 /// allows it, and rejected elsewhere.
-pub const MAX_BUFFERED_BODY_BYTES: usize = config::WHOLE_BODY_BYTES as usize;
+pub const MAX_BUFFERED_BODY_BYTES: usize = config::MAX_BUFFERED_BODY_BYTES as usize;
 /// The largest head of a message; roughly what an HTTP connection takes of the memory.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The header with the id of a request.
