--- a/crates/config/benches/check.rs
+++ b/crates/config/benches/check.rs
@@ -1,4 +1,5 @@
-//! What `amberlever check` takes: reading, checking, building the table, playing expectations.
+//! The time that `amberlever check` takes to read and check a configuration, build its route table and
+//! evaluate its expectations.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -7,7 +8,8 @@
     divan::main();
 }
 
-fn files(routes: usize, expectations: usize) -> (String, String) {
+/// A configuration with 20 pools of 20 endpoints each, and its file of expectations.
+fn config_and_expectations(routes: usize, expectations: usize) -> (String, String) {
     let mut config = r#"[server]
 listen = [{ address = "127.0.0.1:8080" }]
 expectations = ["expect.toml"]
@@ -21,12 +23,12 @@
     .to_owned();
     for pool in 0..20 {
         let _ = write!(config, "\n[[pool]]\nname = \"p{pool}\"\nnodes = [");
-        for node in 0..20 {
-            let zone = ["south", "north"][node % 2];
+        for endpoint in 0..20 {
+            let zone = ["south", "north"][endpoint % 2];
             let _ = write!(
                 config,
-                "{{ name = \"n{pool}-{node}\", address = \"127.0.0.1:{}\", zone = \"{zone}\" }}, ",
-                7000 + node
+                "{{ name = \"n{pool}-{endpoint}\", address = \"127.0.0.1:{}\", zone = \"{zone}\" }}, ",
+                7000 + endpoint
             );
         }
         config.push_str("]\n");
@@ -58,10 +60,11 @@
 
 #[divan::bench(args = [(100, 10), (10_000, 1_000)], sample_count = 5)]
 fn check(bencher: divan::Bencher<'_, '_>, (routes, expectations): (usize, usize)) {
-    let (config, expect) = files(routes, expectations);
+    let (config, expect) = config_and_expectations(routes, expectations);
     let read = |path: &Path| Ok(if path.ends_with("expect.toml") { expect.clone() } else { config.clone() });
     bencher.bench_local(|| {
-        let loaded = config::load(Path::new("lb.toml"), &read).unwrap_or_else(|f| panic!("{f}"));
+        let loaded =
+            config::load(Path::new("lb.toml"), &read).unwrap_or_else(|diagnostics| panic!("{diagnostics}"));
         let report = loaded.play();
         assert!(report.is_good(), "{}", report.summary());
     });
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -34,7 +34,7 @@
 pub use load::{load, Loaded};
 pub use method::{escape, HttpMethod, Member, Members, Method, Methods, PathTemplate};
 pub use model::{Config, RouteOrigin};
-pub use play::{Failure, Report, Verdict};
+pub use play::{Failure, Report, RoutingOutcome};
 pub use pool_endpoints::PoolEndpoints;
 pub use section::admin::{Role, Token};
 pub use section::bgp::{Bgp, BgpPeer, MAX_OPERATOR_CONNECTIONS};
--- a/crates/config/src/play/contradictions.rs
+++ b/crates/config/src/play/contradictions.rs
@@ -2,30 +2,34 @@
 
 use std::collections::BTreeMap;
 
-use super::{is_only_refusal, list, node_names, words};
+use super::{describe, endpoint_names, is_only_rejection, join_names};
 use crate::endpoint::EndpointState;
-use crate::expect::{states, Expectation, Then, When};
+use crate::expect::{endpoint_states, Expectation, Then, When};
 use crate::model::Config;
 
-/// A request, and the state of the fleet.
+/// A request and the states of the endpoints.
 type Situation<'a> = (When, Vec<(usize, &'a str, EndpointState)>);
 
-/// Pairs that ask two things of one request in one state, and why no configuration meets both.
+/// Finds pairs of expectations that differ on one request in one situation: their indexes, and the reason why
+/// no configuration meets both. An expectation that contradicts itself is a pair with itself.
 pub(super) fn contradictions(config: &Config, all: &[Expectation]) -> Vec<(usize, usize, String)> {
     let mut groups: BTreeMap<Situation<'_>, Vec<usize>> = BTreeMap::new();
     let mut found = Vec::new();
     for (i, expectation) in all.iter().enumerate() {
-        if let Some(why) = clash(config, expectation, expectation) {
-            found.push((i, i, why));
+        if let Some(reason) = conflict(config, expectation, expectation) {
+            found.push((i, i, reason));
         }
-        groups.entry((normal(&expectation.when), states(&expectation.given))).or_default().push(i);
+        groups
+            .entry((normalized(&expectation.when), endpoint_states(&expectation.given)))
+            .or_default()
+            .push(i);
     }
     for group in groups.values() {
         for (n, &a) in group.iter().enumerate() {
             for &b in &group[n + 1..] {
-                if let Some(why) = clash(config, &all[a], &all[b]).or_else(|| clash(config, &all[b], &all[a]))
-                {
-                    found.push((a, b, why));
+                let reason = conflict(config, &all[a], &all[b]);
+                if let Some(reason) = reason.or_else(|| conflict(config, &all[b], &all[a])) {
+                    found.push((a, b, reason));
                 }
             }
         }
@@ -34,8 +38,9 @@
     found
 }
 
-/// The request as routing sees it, so that the same one in two spellings is the same.
-fn normal(when: &When) -> When {
+/// The request with host and path in the normal form of routing, so that two spellings of one request are
+/// equal.
+fn normalized(when: &When) -> When {
     let mut when = when.clone();
     if let Ok(host) = route::normalize::host(&when.host) {
         when.host = host.name.into_owned();
@@ -46,73 +51,76 @@
     when
 }
 
-/// Why two expectations on the same request cannot both be met, as far as what the first asks is against what
-/// the second does.
-fn clash(config: &Config, a: &Expectation, b: &Expectation) -> Option<String> {
-    let fleet = &a.given;
-    let (x, y) = (&a.then, &b.then);
-    let differ = |sort: &str, one: String, other: String| {
-        Some(format!("one request has one {sort}, and they name `{one}` and `{other}`"))
+/// The reason why two expectations on the same request cannot both be met. The check is one-sided: a
+/// rejection that `a` expects is compared with all that `b` expects, and the endpoints and zones that `a`
+/// needs with the zones that `b` allows.
+fn conflict(config: &Config, a: &Expectation, b: &Expectation) -> Option<String> {
+    let endpoints = &a.given;
+    let (first, second) = (&a.then, &b.then);
+    let different = |noun: &str, one: String, other: String| {
+        Some(format!("one request has one {noun}, and they name `{one}` and `{other}`"))
     };
-    if let (Some(one), Some(other)) = (&x.route, &y.route) {
+    if let (Some(one), Some(other)) = (&first.route, &second.route) {
         if one != other {
-            return differ("route", one.clone(), other.clone());
+            return different("route", one.clone(), other.clone());
         }
     }
-    if let (Some(one), Some(other)) = (x.pool, y.pool) {
+    if let (Some(one), Some(other)) = (first.pool, second.pool) {
         if one != other {
-            return differ("pool", config.pools[one].name.clone(), config.pools[other].name.clone());
+            return different("pool", config.pools[one].name.clone(), config.pools[other].name.clone());
         }
     }
-    if let (Some(one), Some(other)) = (x.class, y.class) {
+    if let (Some(one), Some(other)) = (first.class, second.class) {
         if one != other {
-            return differ("class", config.classes[one].name.clone(), config.classes[other].name.clone());
+            return different("class", config.classes[one].name.clone(), config.classes[other].name.clone());
         }
     }
-    if let Some(status) = x.refused {
-        if let Some(other) = y.refused.filter(|other| *other != status) {
+    if let Some(status) = first.refused {
+        if let Some(other) = second.refused.filter(|other| *other != status) {
             return Some(format!("one request has one answer, and they name {status} and {other}"));
         }
-        let served = y.stays_in.is_some() || y.nodes.as_ref().is_some_and(|n| !n.is_empty());
-        if served || (status != 503 && !is_only_refusal(y)) {
+        let served = second.stays_in.is_some()
+            || second.endpoints.as_ref().is_some_and(|endpoints| !endpoints.is_empty());
+        if served || (status != 503 && !is_only_rejection(second)) {
             return Some(format!(
                 "one wants a refusal with {status}, the other {}",
-                words(config, fleet, &Then { refused: None, ..y.clone() })
+                describe(config, endpoints, &Then { refused: None, ..second.clone() })
             ));
         }
     }
-    if let (Some(one), Some(other)) = (&x.nodes, &y.nodes) {
+    if let (Some(one), Some(other)) = (&first.endpoints, &second.endpoints) {
         if one != other {
-            let names = |nodes| node_names(config, fleet, nodes);
+            let names = |ids| endpoint_names(config, endpoints, ids);
             return Some(format!("the nodes it may reach are either {} or {}", names(one), names(other)));
         }
     }
-    // Zones that `y` leaves, against what `x` needs.
-    let leaves = |zone: &String| {
-        y.stays_in.as_ref().is_none_or(|zones| zones.contains(zone)) && !y.never_in.contains(zone)
+    // The zones that `second` allows, compared with those that `first` needs.
+    let is_allowed = |zone: &String| {
+        second.stays_in.as_ref().is_none_or(|zones| zones.contains(zone)) && !second.never_in.contains(zone)
     };
-    let asked = words(
+    let allowed = describe(
         config,
-        fleet,
-        &Then { stays_in: y.stays_in.clone(), never_in: y.never_in.clone(), ..Then::default() },
+        endpoints,
+        &Then { stays_in: second.stays_in.clone(), never_in: second.never_in.clone(), ..Then::default() },
     );
-    if let Some(zones) = x.stays_in.as_ref().filter(|zones| !zones.iter().any(leaves)) {
-        return Some(format!("one wants it to stay in {}, the other {asked}", list(zones.iter().cloned())));
+    if let Some(zones) = first.stays_in.as_ref().filter(|zones| !zones.iter().any(is_allowed)) {
+        let zones = join_names(zones.iter().cloned());
+        return Some(format!("one wants it to stay in {zones}, the other {allowed}"));
     }
-    for (p, n) in x.nodes.iter().flatten() {
-        let node = &fleet.pools[*p][*n];
-        if !leaves(&node.zone) {
+    for (pool, index) in first.endpoints.iter().flatten() {
+        let endpoint = &endpoints.pools[*pool][*index];
+        if !is_allowed(&endpoint.zone) {
             return Some(format!(
-                "one wants node `{}`, which the configuration puts into zone `{}`, the other {asked}",
-                node.name, node.zone
+                "one wants node `{}`, which the configuration puts into zone `{}`, the other {allowed}",
+                endpoint.name, endpoint.zone
             ));
         }
     }
-    let pool = x.pool.map(|p| (&config.pools[p].name, &fleet.pools[p]));
-    if let Some((name, nodes)) = pool.filter(|(_, nodes)| !nodes.is_empty()) {
-        if y.stays_in.is_some() && !nodes.iter().any(|n| leaves(&n.zone)) {
+    let pool = first.pool.map(|index| (&config.pools[index].name, &endpoints.pools[index]));
+    if let Some((name, in_pool)) = pool.filter(|(_, in_pool)| !in_pool.is_empty()) {
+        if second.stays_in.is_some() && !in_pool.iter().any(|endpoint| is_allowed(&endpoint.zone)) {
             return Some(format!(
-                "one wants pool `{name}`, all of whose nodes the configuration puts elsewhere, the other {asked}"
+                "one wants pool `{name}`, all of whose nodes the configuration puts elsewhere, the other {allowed}"
             ));
         }
     }
--- a/crates/config/src/play/mod.rs
+++ b/crates/config/src/play/mod.rs
@@ -1,4 +1,4 @@
-//! Evaluates expectations on a configuration, with the route table and the rules on pools that serve.
+//! Evaluates expectations on a configuration, with the same route table and fallback rules as live requests.
 
 mod contradictions;
 mod report;
@@ -8,50 +8,54 @@
 use route::{EndpointCounts, HeaderFields, PoolId, RawRequest, RequestAttributes, RouteError, SplitKey};
 
 use self::contradictions::contradictions;
-pub use self::report::{Contradiction, Failure, Place, Report};
+pub use self::report::{Contradiction, Failure, Position, Report};
 use crate::endpoint::EndpointState;
-use crate::expect::{Expectation, NodeId, Then, When};
+use crate::expect::{EndpointId, Expectation, Then, When};
 use crate::model::Config;
 use crate::pool_endpoints::PoolEndpoints;
 
-/// What becomes of a request.
+/// The routing of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Answered at once.
-    Unrouted(RouteError),
-    /// Routed.
+pub enum RoutingOutcome {
+    /// The request has no normal form or no route, and is answered at once.
+    Rejected(RouteError),
+    /// A route takes the request.
     Routed {
-        /// The route's place.
+        /// The index of the route.
         route: usize,
-        /// The pools that it may prefer: more than one only where the request has no key to split by.
+        /// The pools that the split may choose, by index; several only if the request has no key to split by.
         preferred: Vec<usize>,
-        /// The pools that it may go to first.
+        /// The pools that may be tried first, after fallbacks, by index.
         first: BTreeSet<usize>,
-        /// The nodes that it may reach; with none it is refused with 503.
-        nodes: BTreeSet<NodeId>,
+        /// The endpoints that the request may reach; if there is none, it is rejected with 503.
+        endpoints: BTreeSet<EndpointId>,
     },
 }
 
+/// Evaluates expectations. Those that contradict each other are reported once, as contradictions.
 pub(crate) fn play(config: &Config, all: &[Expectation]) -> Report {
     let mut report = Report { expectations: all.len(), ..Report::default() };
-    let mut accused = BTreeSet::new();
-    for (a, b, why) in contradictions(config, all) {
-        accused.extend([a, b]);
-        report.contradictions.push(Contradiction { first: place(&all[a]), second: place(&all[b]), why });
+    let mut contradictory = BTreeSet::new();
+    for (a, b, reason) in contradictions(config, all) {
+        contradictory.extend([a, b]);
+        let (first, second) = (position(&all[a]), position(&all[b]));
+        report.contradictions.push(Contradiction { first, second, reason });
     }
-    for expectation in all.iter().enumerate().filter(|(i, _)| !accused.contains(i)).map(|(_, e)| e) {
-        let verdict = Counted::new(config, &expectation.given).verdict(&expectation.when);
-        if let Some((expected, would)) = unmet(config, &expectation.given, &expectation.then, &verdict) {
-            let route = blamed(config, &verdict);
-            report.failures.push(Failure { place: place(expectation), expected, would, route });
+    let consistent = all.iter().enumerate().filter(|(index, _)| !contradictory.contains(index));
+    for (_, expectation) in consistent {
+        let outcome = Evaluator::new(config, &expectation.given).evaluate(&expectation.when);
+        let mismatch = find_mismatch(config, &expectation.given, &expectation.then, &outcome);
+        if let Some((expected, actual)) = mismatch {
+            let route = matched_route(config, &outcome);
+            report.failures.push(Failure { position: position(expectation), expected, actual, route });
         } else if expectation.only_then {
-            let plain = Counted::new(config, &expectation.plain).verdict(&expectation.when);
-            if unmet(config, &expectation.plain, &expectation.then, &plain).is_none() {
+            let ordinary = Evaluator::new(config, &expectation.ordinary).evaluate(&expectation.when);
+            if find_mismatch(config, &expectation.ordinary, &expectation.then, &ordinary).is_none() {
                 report.failures.push(Failure {
-                    place: place(expectation),
+                    position: position(expectation),
                     expected: "this in the given state only".to_owned(),
-                    would: "it holds without that state as well".to_owned(),
-                    route: blamed(config, &plain),
+                    actual: "it holds without that state as well".to_owned(),
+                    route: matched_route(config, &ordinary),
                 });
             }
         }
@@ -59,29 +63,30 @@
     report
 }
 
-fn place(expectation: &Expectation) -> Place {
-    Place { name: expectation.name.clone(), file: expectation.file.clone(), line: expectation.line }
+fn position(expectation: &Expectation) -> Position {
+    Position { name: expectation.name.clone(), file: expectation.file.clone(), line: expectation.line }
 }
 
-fn blamed(config: &Config, verdict: &Verdict) -> Option<Place> {
-    let Verdict::Routed { route, .. } = verdict else { return None };
+/// The position of the route that takes a request.
+fn matched_route(config: &Config, outcome: &RoutingOutcome) -> Option<Position> {
+    let RoutingOutcome::Routed { route, .. } = outcome else { return None };
     let origin = config.route_origins.get(*route)?;
     let name = config.table.routes()[*route].name.clone();
-    Some(Place { name, file: origin.file.clone(), line: origin.line })
+    Some(Position { name, file: origin.file.clone(), line: origin.line })
 }
 
-/// A configuration with the fleet in some state.
-struct Counted<'a> {
+/// Evaluates requests on a configuration whose endpoints are in given states.
+struct Evaluator<'a> {
     config: &'a Config,
-    fleet: &'a PoolEndpoints,
+    endpoints: &'a PoolEndpoints,
 }
 
-impl<'a> Counted<'a> {
-    fn new(config: &'a Config, fleet: &'a PoolEndpoints) -> Self {
-        Counted { config, fleet }
+impl<'a> Evaluator<'a> {
+    fn new(config: &'a Config, endpoints: &'a PoolEndpoints) -> Self {
+        Evaluator { config, endpoints }
     }
 
-    fn verdict(&self, when: &When) -> Verdict {
+    fn evaluate(&self, when: &When) -> RoutingOutcome {
         let attributes = RequestAttributes {
             method: &when.method,
             class: when.class.as_deref(),
@@ -93,7 +98,7 @@
         let request = RawRequest { host: &when.host, path, attributes };
         let found = match self.config.table.resolve(&request) {
             Ok(found) => found,
-            Err(unrouted) => return Verdict::Unrouted(unrouted),
+            Err(error) => return RoutingOutcome::Rejected(error),
         };
         let route = &self.config.table.routes()[found.route];
         let request = found.request(attributes);
@@ -102,32 +107,38 @@
             SplitKey::Header(name) => HeaderFields::get(&when.headers, name).is_none(),
             SplitKey::PathParameter(_) => false,
         };
-        // Without a key the request's own id decides, and that may be any.
+        // Without a key the request id chooses the pool, and it may be any.
         let preferred: Vec<PoolId> =
             if keyless { route.split.pools().collect() } else { vec![route.preferred(&request, "")] };
         let usable = |pool: PoolId| {
-            let nodes = self.fleet.pools[pool.0].iter().enumerate();
-            nodes.filter(|(_, n)| route.scope.allows(&n.zone, &n.machine_kind, n.cell))
+            let endpoints = self.endpoints.pools[pool.0].iter().enumerate();
+            endpoints.filter(|(_, endpoint)| {
+                route.scope.allows(&endpoint.zone, &endpoint.machine_kind, endpoint.cell)
+            })
         };
         let count = |pool: PoolId| {
-            let of = |state| usable(pool).filter(|(_, n)| n.state == state).count();
-            EndpointCounts { ready: of(EndpointState::Ready), draining: of(EndpointState::Draining) }
+            let in_state = |state| usable(pool).filter(|(_, endpoint)| endpoint.state == state).count();
+            EndpointCounts {
+                ready: in_state(EndpointState::Ready),
+                draining: in_state(EndpointState::Draining),
+            }
         };
-        let (mut first, mut nodes) = (BTreeSet::new(), BTreeSet::new());
+        let (mut first, mut endpoints) = (BTreeSet::new(), BTreeSet::new());
         for pool in &preferred {
             first.insert(route.first_pool(*pool, count).pool.0);
             for step in route.reachable_pools(*pool, count) {
-                let ready = usable(step.pool).filter(|(_, n)| n.state == EndpointState::Ready);
-                nodes.extend(ready.map(|(n, _)| (step.pool.0, n)));
+                let ready = usable(step.pool).filter(|(_, endpoint)| endpoint.state == EndpointState::Ready);
+                endpoints.extend(ready.map(|(index, _)| (step.pool.0, index)));
             }
         }
-        let preferred = preferred.iter().map(|p| p.0).collect();
-        Verdict::Routed { route: found.route, preferred, first, nodes }
+        let preferred = preferred.iter().map(|pool| pool.0).collect();
+        RoutingOutcome::Routed { route: found.route, preferred, first, endpoints }
     }
 }
 
-fn list(names: impl IntoIterator<Item = String>) -> String {
-    let names: Vec<String> = names.into_iter().map(|n| format!("`{n}`")).collect();
+/// Names in backquotes, joined with commas and `and`; `none` if there are none.
+fn join_names(names: impl IntoIterator<Item = String>) -> String {
+    let names: Vec<String> = names.into_iter().map(|name| format!("`{name}`")).collect();
     match names.split_last() {
         None => "none".to_owned(),
         Some((last, [])) => last.clone(),
@@ -135,89 +146,106 @@
     }
 }
 
-fn node_names(config: &Config, fleet: &PoolEndpoints, nodes: &BTreeSet<NodeId>) -> String {
-    let name = |(p, n): &NodeId| format!("{}/{}", config.pools[*p].name, fleet.pools[*p][*n].name);
-    if nodes.len() > 12 {
-        let some = nodes.iter().take(10).map(name);
-        return format!("{} and {} more", list(some), nodes.len() - 10);
+/// The names of endpoints as `pool/name`; of more than 12 the first 10 and the number of the others.
+fn endpoint_names(config: &Config, endpoints: &PoolEndpoints, ids: &BTreeSet<EndpointId>) -> String {
+    let name = |(pool, index): &EndpointId| {
+        format!("{}/{}", config.pools[*pool].name, endpoints.pools[*pool][*index].name)
+    };
+    if ids.len() > 12 {
+        let some = ids.iter().take(10).map(name);
+        return format!("{} and {} more", join_names(some), ids.len() - 10);
     }
-    list(nodes.iter().map(name))
+    join_names(ids.iter().map(name))
 }
 
-/// What was expected and what would happen, where these differ.
-fn unmet(config: &Config, fleet: &PoolEndpoints, then: &Then, verdict: &Verdict) -> Option<(String, String)> {
-    let pool = |p: &usize| config.pools[*p].name.clone();
-    let (route, first, nodes) = match verdict {
-        Verdict::Unrouted(unrouted) => {
-            let status = unrouted.status();
-            if then.refused == Some(status) && is_only_refusal(then) {
+/// The expected routing and the actual one, in words; `None` if the expectation is met.
+fn find_mismatch(
+    config: &Config,
+    endpoints: &PoolEndpoints,
+    then: &Then,
+    outcome: &RoutingOutcome,
+) -> Option<(String, String)> {
+    let pool_name = |index: &usize| config.pools[*index].name.clone();
+    let (route, first, reachable) = match outcome {
+        RoutingOutcome::Rejected(error) => {
+            let status = error.status();
+            if then.refused == Some(status) && is_only_rejection(then) {
                 return None;
             }
             return Some((
-                words(config, fleet, then),
-                format!("it would be refused with {status}: {unrouted}"),
+                describe(config, endpoints, then),
+                format!("it would be refused with {status}: {error}"),
             ));
         }
-        Verdict::Routed { route, first, nodes, .. } => (&config.table.routes()[*route], first, nodes),
+        RoutingOutcome::Routed { route, first, endpoints, .. } => {
+            (&config.table.routes()[*route], first, endpoints)
+        }
     };
-    let wrong = |would: String| Some((words(config, fleet, then), would));
+    let mismatch = |actual: String| Some((describe(config, endpoints, then), actual));
     if let Some(status) = then.refused {
         if status != 503 {
-            return wrong(format!("it would go to pool {}", list(first.iter().map(pool))));
+            return mismatch(format!("it would go to pool {}", join_names(first.iter().map(pool_name))));
         }
-        if !nodes.is_empty() {
-            return wrong(format!("it would be served by {}", node_names(config, fleet, nodes)));
+        if !reachable.is_empty() {
+            let served_by = endpoint_names(config, endpoints, reachable);
+            return mismatch(format!("it would be served by {served_by}"));
         }
     }
     if then.route.as_ref().is_some_and(|name| *name != route.name) {
-        return wrong(format!("it would take route `{}`", route.name));
+        return mismatch(format!("it would take route `{}`", route.name));
     }
     if then.class.is_some_and(|class| class != route.class) {
-        return wrong(format!("its class would be `{}`", config.classes[route.class].name));
+        return mismatch(format!("its class would be `{}`", config.classes[route.class].name));
     }
-    if then.pool.is_some_and(|p| *first != BTreeSet::from([p])) {
-        return wrong(format!("it would go to pool {}", list(first.iter().map(pool))));
+    if then.pool.is_some_and(|pool| *first != BTreeSet::from([pool])) {
+        return mismatch(format!("it would go to pool {}", join_names(first.iter().map(pool_name))));
     }
-    let served = then.nodes.is_some() || then.stays_in.is_some();
-    if served && nodes.is_empty() && then.nodes.as_ref().is_none_or(|n| !n.is_empty()) {
-        return wrong("it would be refused with 503: no node that it may use is ready".to_owned());
+    let expects_endpoints = then.endpoints.is_some() || then.stays_in.is_some();
+    if expects_endpoints
+        && reachable.is_empty()
+        && then.endpoints.as_ref().is_none_or(|expected| !expected.is_empty())
+    {
+        return mismatch("it would be refused with 503: no node that it may use is ready".to_owned());
     }
-    if then.nodes.as_ref().is_some_and(|expected| expected != nodes) {
-        return wrong(format!("it could reach {}", node_names(config, fleet, nodes)));
+    if then.endpoints.as_ref().is_some_and(|expected| expected != reachable) {
+        return mismatch(format!("it could reach {}", endpoint_names(config, endpoints, reachable)));
     }
-    let zone = |(p, n): &&NodeId| &fleet.pools[*p][*n].zone;
-    let outside = |node: &&NodeId| {
-        then.stays_in.as_ref().is_some_and(|zones| !zones.contains(zone(node)))
-            || then.never_in.contains(zone(node))
+    let zone = |(pool, index): &&EndpointId| &endpoints.pools[*pool][*index].zone;
+    let is_outside = |id: &&EndpointId| {
+        then.stays_in.as_ref().is_some_and(|zones| !zones.contains(zone(id)))
+            || then.never_in.contains(zone(id))
     };
-    let strays: BTreeSet<NodeId> = nodes.iter().filter(outside).copied().collect();
-    if strays.is_empty() {
+    let outside: BTreeSet<EndpointId> = reachable.iter().filter(is_outside).copied().collect();
+    if outside.is_empty() {
         return None;
     }
-    let zones: BTreeSet<String> = strays.iter().map(|n| zone(&n).clone()).collect();
-    wrong(format!("it could reach {} in zone {}", node_names(config, fleet, &strays), list(zones)))
+    let zones: BTreeSet<String> = outside.iter().map(|id| zone(&id).clone()).collect();
+    let names = endpoint_names(config, endpoints, &outside);
+    mismatch(format!("it could reach {names} in zone {}", join_names(zones)))
 }
 
-/// Does it ask for nothing but a refusal?
-fn is_only_refusal(then: &Then) -> bool {
+/// Whether a rejected request can meet all that is expected besides `refused`.
+fn is_only_rejection(then: &Then) -> bool {
     then.route.is_none()
         && then.pool.is_none()
         && then.class.is_none()
-        && then.nodes.as_ref().is_none_or(BTreeSet::is_empty)
+        && then.endpoints.as_ref().is_none_or(BTreeSet::is_empty)
         && then.stays_in.is_none()
 }
 
-/// What an expectation asks for, in words.
-fn words(config: &Config, fleet: &PoolEndpoints, then: &Then) -> String {
-    let mut words = Vec::new();
-    words.extend(then.route.iter().map(|r| format!("route `{r}`")));
-    words.extend(then.pool.map(|p| format!("pool `{}`", config.pools[p].name)));
-    words.extend(then.class.map(|c| format!("class `{}`", config.classes[c].name)));
-    words.extend(then.nodes.as_ref().map(|n| format!("just the nodes {}", node_names(config, fleet, n))));
-    words.extend(then.stays_in.as_ref().map(|z| format!("to stay in {}", list(z.iter().cloned()))));
+/// An expected routing, in words.
+fn describe(config: &Config, endpoints: &PoolEndpoints, then: &Then) -> String {
+    let mut parts = Vec::new();
+    parts.extend(then.route.iter().map(|route| format!("route `{route}`")));
+    parts.extend(then.pool.map(|index| format!("pool `{}`", config.pools[index].name)));
+    parts.extend(then.class.map(|index| format!("class `{}`", config.classes[index].name)));
+    let names = |ids| endpoint_names(config, endpoints, ids);
+    parts.extend(then.endpoints.as_ref().map(|ids| format!("just the nodes {}", names(ids))));
+    let zones = |zones: &Vec<String>| join_names(zones.iter().cloned());
+    parts.extend(then.stays_in.as_ref().map(|stays_in| format!("to stay in {}", zones(stays_in))));
     if !then.never_in.is_empty() {
-        words.push(format!("never to reach {}", list(then.never_in.iter().cloned())));
+        parts.push(format!("never to reach {}", zones(&then.never_in)));
     }
-    words.extend(then.refused.map(|s| format!("a refusal with {s}")));
-    words.join(" and ")
+    parts.extend(then.refused.map(|status| format!("a refusal with {status}")));
+    parts.join(" and ")
 }
--- a/crates/config/src/play/report.rs
+++ b/crates/config/src/play/report.rs
@@ -1,4 +1,4 @@
-//! The report on expectations.
+//! The results of expectations.
 
 use serde::Serialize;
 
@@ -7,49 +7,51 @@
 pub struct Report {
     /// The number of expectations.
     pub expectations: usize,
-    /// Pairs that no configuration can meet together.
+    /// Pairs of expectations that no configuration can meet together.
     pub contradictions: Vec<Contradiction>,
-    /// Others that this configuration does not meet.
+    /// Expectations outside `contradictions` that this configuration does not meet.
     pub failures: Vec<Failure>,
 }
 
 /// Two expectations that no configuration can meet together.
 #[derive(Clone, Debug, Serialize)]
 pub struct Contradiction {
-    /// One of them, with file and line.
-    pub first: Place,
-    /// The other; the same where it contradicts itself.
-    pub second: Place,
-    /// Why.
-    pub why: String,
+    /// The first expectation.
+    pub first: Position,
+    /// The second expectation; the same as the first if it contradicts itself.
+    pub second: Position,
+    /// The reason why both cannot be met.
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// The position of an expectation or a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
-    /// Its name.
+pub struct Position {
+    /// The name of the expectation or route.
     pub name: String,
-    /// Its file.
+    /// The file that contains it.
     pub file: String,
-    /// Its line.
+    /// The line, from 1.
     pub line: usize,
 }
 
 /// An expectation that is not met.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failure {
-    /// Which.
+    /// The expectation.
     #[serde(flatten)]
-    pub place: Place,
-    /// What was expected.
+    pub position: Position,
+    /// The expected routing, in words.
     pub expected: String,
-    /// What would happen.
-    pub would: String,
-    /// The responsible route; none where no route matches.
-    pub route: Option<Place>,
+    /// The routing under this configuration, in words.
+    #[serde(rename = "would")]
+    pub actual: String,
+    /// The route that matches the request; `None` if no route does.
+    pub route: Option<Position>,
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for Position {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}:{}: `{}`", self.file, self.line, self.name)
     }
@@ -58,16 +60,16 @@
 impl std::fmt::Display for Contradiction {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         if self.first == self.second {
-            write!(f, "{} contradicts itself: {}", self.first, self.why)
+            write!(f, "{} contradicts itself: {}", self.first, self.reason)
         } else {
-            write!(f, "{} and {} contradict each other: {}", self.first, self.second, self.why)
+            write!(f, "{} and {} contradict each other: {}", self.first, self.second, self.reason)
         }
     }
 }
 
 impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: expected {}, but {}", self.place, self.expected, self.would)?;
+        write!(f, "{}: expected {}, but {}", self.position, self.expected, self.actual)?;
         match &self.route {
             Some(route) => write!(f, " (by route `{}`, {}:{})", route.name, route.file, route.line),
             None => Ok(()),
@@ -82,7 +84,8 @@
         self.contradictions.is_empty() && self.failures.is_empty()
     }
 
-    /// The first problem in a line, and the number of others.
+    /// One line with the first problem and the number of others, or with the number of expectations if all
+    /// are met.
     #[must_use]
     pub fn summary(&self) -> String {
         let first = self.contradictions.first().map(ToString::to_string);
