--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -97,7 +97,7 @@
 
     fn is_stale(&self, config: &Bgp) -> bool {
         let silent_for = self.list.source_silent_for;
-        silent_for.is_some_and(|silent_for| silent_for + self.received_at.elapsed() > config.list_old)
+        silent_for.is_some_and(|silent_for| silent_for + self.received_at.elapsed() > config.max_list_age)
     }
 }
 
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -55,7 +55,7 @@
             dry_run: section.dry_run,
             leave: Duration::from_micros(leave as u64),
             text,
-            list_old: Duration::from_secs(list_old_s as u64),
+            max_list_age: Duration::from_secs(list_old_s as u64),
             stuck: Duration::from_millis(stuck_ms as u64),
             memory_bytes: section.memory_mb.as_ref().map(|_| (memory_mb as u64) << 20),
             probe,
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -25,7 +25,7 @@
     /// The shutdown communication (RFC 9003) to peers.
     pub text: String,
     /// An endpoint list without any update for so long is stale.
-    pub list_old: Duration,
+    pub max_list_age: Duration,
     /// The data plane is stuck when it has shown no progress for so long.
     pub stuck: Duration,
     /// With more resident memory than this, nothing is announced.
