--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -261,7 +261,7 @@
             return;
         }
         self.sessions_stopped_at = Some(Instant::now());
-        let notification = Notification::cease(CEASE_ADMINISTRATIVE_SHUTDOWN, &self.config.text);
+        let notification = Notification::cease(CEASE_ADMINISTRATIVE_SHUTDOWN, &self.config.shutdown_text);
         self.sessions.stop_all(&notification);
     }
 
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -40,7 +40,7 @@
         let peers = self.peers(&section.peers, &session, listen.is_some());
         let addresses = self.announced_addresses(&section.addresses, pools);
         let (probe, probe_path) = self.health_check(&section.probe);
-        let text = self.shutdown_text(section);
+        let shutdown_text = self.shutdown_text(section);
         let leave = section
             .leave_ms
             .as_ref()
@@ -54,7 +54,7 @@
             api,
             dry_run: section.dry_run,
             leave: Duration::from_micros(leave as u64),
-            text,
+            shutdown_text,
             max_list_age: Duration::from_secs(list_old_s as u64),
             stuck: Duration::from_millis(stuck_ms as u64),
             memory_bytes: section.memory_mb.as_ref().map(|_| (memory_mb as u64) << 20),
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -23,7 +23,7 @@
     /// How long addresses are announced for graceful shutdown before the process ends.
     pub leave: Duration,
     /// The shutdown communication (RFC 9003) to peers.
-    pub text: String,
+    pub shutdown_text: String,
     /// An endpoint list without any update for so long is stale.
     pub max_list_age: Duration,
     /// The data plane is stuck when it has shown no progress for so long.
