--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -233,7 +233,7 @@
         let check_timeout = duration(self.config.probe.timeout);
         for endpoint in self.health_checker.start_due(now) {
             let events = self.events.clone();
-            let path = self.config.probe_path.clone();
+            let path = self.config.health_check_path.clone();
             spawn_local(async move {
                 let healthy = health_check::check(endpoint, path.as_deref(), check_timeout).await;
                 let _ = events.send(Event::HealthChecked { endpoint, healthy }).await;
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -33,7 +33,7 @@
     /// Health checks of endpoints.
     pub probe: bgp::HealthCheckSettings,
     /// Health checks get this path; without one they only connect.
-    pub probe_path: Option<String>,
+    pub health_check_path: Option<String>,
     /// The peers.
     pub peers: Vec<BgpPeer>,
     /// The announced addresses.
