--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -97,7 +97,7 @@
         let clock = Clock::start();
         SessionManager {
             sessions: Sessions::new(clock, seed, events.clone(), log),
-            health_checker: HealthChecker::new(config.probe),
+            health_checker: HealthChecker::new(config.health_checks),
             config,
             clock,
             log,
@@ -120,7 +120,7 @@
         let now = self.clock.now();
         self.sessions.stop_changed(&config);
         self.announcer.set(now, &config.addresses);
-        self.health_checker.update_settings(config.probe);
+        self.health_checker.update_settings(config.health_checks);
         self.config = config;
         let wanted = self.announcer.wanted();
         self.sessions.announce(&wanted);
@@ -230,7 +230,7 @@
     }
 
     fn start_health_checks(&mut self, now: Micros) {
-        let check_timeout = duration(self.config.probe.timeout);
+        let check_timeout = duration(self.config.health_checks.timeout);
         for endpoint in self.health_checker.start_due(now) {
             let events = self.events.clone();
             let path = self.config.health_check_path.clone();
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -39,7 +39,7 @@
         let session = self.session_settings(section);
         let peers = self.peers(&section.peers, &session, listen.is_some());
         let addresses = self.announced_addresses(&section.addresses, pools);
-        let (probe, health_check_path) = self.health_check(&section.probe);
+        let (health_checks, health_check_path) = self.health_check(&section.probe);
         let shutdown_text = self.shutdown_text(section);
         let leave = section
             .leave_ms
@@ -58,7 +58,7 @@
             max_list_age: Duration::from_secs(list_old_s as u64),
             stuck: Duration::from_millis(stuck_ms as u64),
             memory_bytes: section.memory_mb.as_ref().map(|_| (memory_mb as u64) << 20),
-            probe,
+            health_checks,
             health_check_path,
             peers,
             addresses,
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -31,7 +31,7 @@
     /// With more resident memory than this, nothing is announced.
     pub memory_bytes: Option<u64>,
     /// Health checks of endpoints.
-    pub probe: bgp::HealthCheckSettings,
+    pub health_checks: bgp::HealthCheckSettings,
     /// Health checks get this path; without one they only connect.
     pub health_check_path: Option<String>,
     /// The peers.
@@ -49,7 +49,7 @@
     pub fn sockets(&self) -> usize {
         // Each peer's two connections, and one more that is being rejected or replaces one.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
-        3 * self.peers.len() + self.probe.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
+        3 * self.peers.len() + self.health_checks.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
     }
 }
 
