--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -19,7 +19,7 @@
     /// The folder, which one process writes at a time.
     pub folder: PathBuf,
     /// The interval between writes; it is written at the end as well.
-    pub every: Duration,
+    pub write_interval: Duration,
     /// The number of files that are retained, with the newest.
     pub files: usize,
 }
@@ -46,7 +46,7 @@
             self.bounded("every_s", &section.every_s, DEFAULT_WRITE_INTERVAL_S, MAX_WRITE_INTERVAL_S);
         LearnedStateSettings {
             folder: resolve_path(section.folder.get_ref()),
-            every: Duration::from_secs(interval_s as u64),
+            write_interval: Duration::from_secs(interval_s as u64),
             files: self.bounded("files", &section.files, DEFAULT_FILES, MAX_FILES),
         }
     }
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -73,7 +73,7 @@
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
             log_line(format_args!("knowledge: not kept: {error}"));
         }
-        StateWriter { jobs, interval: settings.every }
+        StateWriter { jobs, interval: settings.write_interval }
     }
 
     /// Writes the state at every interval, for as long as it is polled.
