--- a/crates/config/src/method/mod.rs
+++ b/crates/config/src/method/mod.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The object in `params` that has it; none where `params` does.
-    pub within: Option<String>,
+    pub object: Option<String>,
     /// Its name.
     pub name: String,
 }
@@ -86,9 +86,9 @@
 
 impl Default for Members {
     fn default() -> Self {
-        let within = |name: &str| Member { within: Some("_meta".to_owned()), name: name.to_owned() };
+        let within = |name: &str| Member { object: Some("_meta".to_owned()), name: name.to_owned() };
         Members {
-            key: Member { within: None, name: "key".to_owned() },
+            key: Member { object: None, name: "key".to_owned() },
             timeout_ms: within("timeoutMs"),
             tenant: within("tenant"),
             class: within("class"),
@@ -105,12 +105,12 @@
             (1..=64).contains(&name.len())
                 && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"_-$".contains(&b))
         };
-        let (within, name) = match text.split_once('.') {
-            Some((within, name)) => (Some(within.to_owned()), name),
+        let (object, name) = match text.split_once('.') {
+            Some((object, name)) => (Some(object.to_owned()), name),
             None => (None, text),
         };
-        let is_valid = is_name(name) && within.as_deref().is_none_or(is_name);
-        is_valid.then(|| Member { within, name: name.to_owned() })
+        let is_valid = is_name(name) && object.as_deref().is_none_or(is_name);
+        is_valid.then(|| Member { object, name: name.to_owned() })
     }
 }
 
--- a/crates/proxy/src/rpc_mapping/call_to_http.rs
+++ b/crates/proxy/src/rpc_mapping/call_to_http.rs
@@ -126,7 +126,7 @@
     }
 
     fn get(&self, member: &Member) -> Option<&'a RawValue> {
-        match &member.within {
+        match &member.object {
             None => find_member(&self.0, &member.name),
             Some(outer) => {
                 let object = find_member(&self.0, outer)?;
