--- a/crates/config/src/checker.rs
+++ b/crates/config/src/checker.rs
@@ -1,6 +1,7 @@
-//! What the checks of all sections share: reporting, names, references and bounded numbers.
+//! Checks that all sections share: reporting, names, references and bounded numbers.
 //!
-//! A [`Checker`] collects diagnostics of one file and goes on after each, so that one run shows all of them.
+//! A [`Checker`] collects the diagnostics of one file and continues after each, so that one run reports all
+//! of them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +15,10 @@
 /// A string and its position in the file.
 pub(crate) type Word = Spanned<String>;
 
-/// Indexes of defined names.
+/// The index of each defined name.
 pub(crate) type NameIndex = BTreeMap<String, usize>;
 
-/// The longest duration that any key may have: a day.
+/// The largest value of any duration: one day.
 const MAX_DURATION_MS: u64 = 24 * 3600 * 1000;
 const MICROS_PER_MS: Micros = 1000;
 const MAX_NAME_BYTES: usize = 100;
@@ -47,12 +48,15 @@
     }
 }
 
-/// The state of the check of one file.
+/// Checks one file.
 pub(crate) struct Checker<'a> {
     text: TextId,
     diagnostics: &'a mut Diagnostics,
+    /// The number of diagnostics before this check.
     reported_before: usize,
+    /// The zones that the file names.
     pub(crate) zones: Interner,
+    /// The kinds of machines that the file names.
     pub(crate) machine_kinds: Interner,
 }
 
@@ -69,7 +73,7 @@
         self.diagnostics.report(self.text, span, message, help);
     }
 
-    /// Whether nothing was reported since the check began.
+    /// Whether this check has reported nothing.
     pub(crate) fn is_clean(&self) -> bool {
         self.diagnostics.all().len() == self.reported_before
     }
@@ -83,7 +87,7 @@
         self.diagnostics.line(self.text, offset)
     }
 
-    /// Indexes the names of entries of one sort; each must be well-formed and unique.
+    /// Indexes the names of entries of one kind. Reports names that are malformed or defined twice.
     pub(crate) fn name_index<'w>(&mut self, noun: &str, words: impl Iterator<Item = &'w Word>) -> NameIndex {
         let mut names = NameIndex::new();
         let mut lines: BTreeMap<&str, usize> = BTreeMap::new();
@@ -103,7 +107,7 @@
         names
     }
 
-    /// The index of the entry that a word refers to.
+    /// The index of the entry that a word refers to. Reports a word that refers to none.
     pub(crate) fn resolve(&mut self, noun: &str, word: &Word, names: &NameIndex) -> Option<usize> {
         let found = names.get(word.get_ref()).copied();
         if found.is_none() {
@@ -122,7 +126,7 @@
         })
     }
 
-    /// An address that only processes on this machine can reach. `section` goes before the key in messages.
+    /// An address that only processes on this machine can reach. `section` is put before the key in messages.
     pub(crate) fn loopback_address(&mut self, section: &str, key: &str, word: &Word) -> SocketAddr {
         let address = self.address(key, word);
         if !address.ip().is_loopback() {
@@ -132,7 +136,7 @@
         address
     }
 
-    /// A duration of at least `min_ms`, in microseconds.
+    /// A duration from `min_ms` to one day, in microseconds.
     pub(crate) fn milliseconds(&mut self, key: &str, value: &Spanned<u64>, min_ms: u64) -> Micros {
         let milliseconds = *value.get_ref();
         if !(min_ms..=MAX_DURATION_MS).contains(&milliseconds) {
@@ -151,7 +155,7 @@
         number
     }
 
-    /// A number from 1 to `max`, or the default.
+    /// A number from 1 to `max`. The default if the key is absent or its value is out of bounds.
     pub(crate) fn bounded(
         &mut self,
         key: &str,
--- a/crates/config/src/config_file.rs
+++ b/crates/config/src/config_file.rs
@@ -1,5 +1,5 @@
-//! The configuration file: its sections. Unknown keys are errors, and positions are recorded where later checks
-//! refer to them.
+//! The sections of the configuration file. Unknown keys are errors. Values that later checks may report are
+//! stored with their positions.
 
 use serde::Deserialize;
 
@@ -35,14 +35,14 @@
     pub learned_state: Option<LearnedStateFile>,
     pub operators: Option<OperatorsFile>,
     pub bgp: Option<BgpFile>,
-    /// Makes the file that of a hosted service.
+    /// With this section or a tenant, the file is that of a hosted service.
     pub admin: Option<AdminFile>,
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<InitialTenantFile>,
 }
 
 impl ConfigFile {
-    /// The names of the files of expectations.
+    /// The names of the expectation files.
     pub(crate) fn expectation_files(&self) -> &[Word] {
         &self.server.expectations
     }
--- a/crates/config/src/diagnostics.rs
+++ b/crates/config/src/diagnostics.rs
@@ -1,7 +1,7 @@
 //! Diagnostics of configuration files: file, line and column, message and help.
 //!
-//! [`Diagnostics`] keeps the texts of the files that were read, so that byte offsets become lines and columns, and a
-//! diagnostic can quote its line.
+//! [`Diagnostics`] keeps the texts of the files that were read, so that byte offsets become lines and
+//! columns, and a diagnostic can quote its line.
 
 use std::fmt::{self, Write};
 use std::ops::Range;
@@ -13,7 +13,7 @@
 /// Reads a file: its text, or the reason why it cannot be read.
 pub type ReadFile<'a> = &'a dyn Fn(&Path) -> Result<String, String>;
 
-/// Index of a file that has been read.
+/// The index of a file that has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TextId(usize);
 
@@ -22,16 +22,18 @@
 pub struct Diagnostic {
     /// The name of the file.
     pub file: String,
-    /// The line, from 1; 0 where the file could not be read.
+    /// The line, from 1; 0 if the problem has no position, such as a file that cannot be read.
     pub line: usize,
     /// The column in characters, from 1.
     pub column: usize,
     /// The problem.
     pub message: String,
-    /// How to solve it.
+    /// A way to solve the problem.
     pub help: Option<String>,
+    /// The line of the file, for quoting.
     #[serde(skip)]
     source: String,
+    /// The number of characters to underline.
     #[serde(skip)]
     width: usize,
 }
@@ -48,7 +50,7 @@
 struct SourceFile {
     name: String,
     text: String,
-    /// Byte offsets of the starts of lines.
+    /// The byte offset of the start of each line.
     line_starts: Vec<usize>,
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-/// Further diagnostics are dropped.
+/// The maximum number of diagnostics; further ones are dropped.
 const MAX_DIAGNOSTICS: usize = 50;
 
 impl Diagnostics {
@@ -75,13 +77,13 @@
         self.all.is_empty()
     }
 
-    /// The diagnostics in the order of their reports.
+    /// The diagnostics, in the order in which they were reported.
     #[must_use]
     pub fn all(&self) -> &[Diagnostic] {
         &self.all
     }
 
-    /// Reads a file, and reports it where that fails.
+    /// Reads a file. If this fails, reports it without a position and returns `None`.
     pub(crate) fn read(&mut self, path: &Path, read: ReadFile<'_>) -> Option<TextId> {
         let name = path.display().to_string();
         match read(path) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Moves the last diagnostic to the position that names its file.
+    /// Gives the last diagnostic a position: the one at which another file names the unreadable file.
     pub(crate) fn relocate_last(&mut self, text: TextId, span: Range<usize>) {
         if let Some(diagnostic) = self.all.pop() {
             self.report(text, span, diagnostic.message, None);
@@ -150,7 +152,7 @@
         });
     }
 
-    /// Parses TOML; the diagnostic names the key.
+    /// Parses TOML. If this fails, reports it with the key and returns `None`.
     pub(crate) fn parse<T: DeserializeOwned>(&mut self, text: TextId) -> Option<T> {
         let source = self.text(text);
         let error = match toml::from_str::<T>(source) {
@@ -169,7 +171,8 @@
     }
 }
 
-/// The known name that is most similar to the unknown one that serde's message quotes first.
+/// Help for an unknown field or variant: the most similar known name. serde's message quotes the unknown name
+/// first and the known ones after it.
 fn suggestion_for(error_text: &str) -> Option<String> {
     if !error_text.starts_with("unknown field") && !error_text.starts_with("unknown variant") {
         return None;
@@ -179,7 +182,7 @@
     most_similar(unknown, known).map(|name| format!("did you mean `{name}`?"))
 }
 
-/// The key whose value begins at a byte offset, or nothing.
+/// The key whose value begins at a byte offset; empty if there is no `=` before it in the line.
 fn key_before(source: &str, offset: usize) -> &str {
     let offset = offset.min(source.len());
     let line_start = source[..offset].rfind('\n').map_or(0, |newline| newline + 1);
@@ -187,19 +190,19 @@
     before.rsplit([',', '{']).next().map(str::trim).unwrap_or_default()
 }
 
-/// Similarity by Jaro and Winkler above which a name is suggested.
+/// The Jaro-Winkler similarity above which a name is suggested.
 const MIN_SIMILARITY: f64 = 0.75;
-/// More names than these are counted and not listed.
+/// The maximum number of names that are listed; of more names, help gives the number and an example.
 const MAX_LISTED_NAMES: usize = 8;
 
-/// The known name that is most similar to another, if any is similar.
+/// The known name that is most similar to another; `None` if no name is similar enough.
 fn most_similar<'a>(name: &str, known: &[&'a str]) -> Option<&'a str> {
     let similarity = |candidate: &&str| strsim::jaro_winkler(name, candidate);
     let best = known.iter().copied().max_by(|a, b| similarity(a).total_cmp(&similarity(b)))?;
     (similarity(&best) > MIN_SIMILARITY).then_some(best)
 }
 
-/// Help for a name that is unknown: a similar one, or which there are.
+/// Help for an unknown name: a similar one, or the known ones.
 pub(crate) fn suggest(name: &str, known: &[&str]) -> String {
     match most_similar(name, known) {
         Some(known) => format!("did you mean `{known}`?"),
@@ -212,7 +215,7 @@
 }
 
 impl fmt::Display for Diagnostic {
-    /// One line.
+    /// Writes one line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(f, "{}:{}:{}: ", self.file, self.line, self.column)?;
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Several lines, with the quoted line of the file.
+    /// The diagnostic in several lines, with the quoted line of the file.
     #[must_use]
     pub fn rendered(&self) -> String {
         let mut rendered = format!("error: {}\n", self.message);
@@ -256,7 +259,7 @@
 }
 
 impl fmt::Display for Diagnostics {
-    /// The first in one line, and the number of others.
+    /// Writes one line with the first diagnostic and the number of others.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some((first, more)) = self.all.split_first() {
             write!(f, "{first}")?;
--- a/crates/config/src/endpoint.rs
+++ b/crates/config/src/endpoint.rs
@@ -5,10 +5,10 @@
 /// The state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes the requests that it has.
+    /// Completes its requests in flight and gets no new ones.
     Draining,
     /// Removed from its pool.
     Gone,
@@ -17,20 +17,20 @@
 /// An endpoint of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSpec {
-    /// Its name, unique in its pool.
+    /// The name, unique in the pool.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The kind of machine; empty if none is given.
     pub machine_kind: String,
-    /// Its cell, for deduplication.
+    /// The cell, for deduplication by cell; `None` if the endpoint is in none.
     pub cell: Option<u64>,
-    /// Its capacity relative to the others'.
+    /// The capacity, relative to the other endpoints.
     pub weight: f64,
-    /// Its state.
+    /// The state.
     pub state: EndpointState,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// The time of its start, in Unix milliseconds; 0 means long ago.
     pub started_unix_ms: f64,
 }
--- a/crates/config/src/endpoint_list/mod.rs
+++ b/crates/config/src/endpoint_list/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in the form of discovery.
+//! Endpoint lists in the JSON format of discovery.
 
 #[cfg(test)]
 mod tests;
@@ -12,14 +12,14 @@
 
 use crate::endpoint::{EndpointSpec, EndpointState};
 
-/// A list of endpoints, in discovery's form. JSON that has been cut off anywhere is no JSON, so a half-written list is
-/// never taken for a short one.
+/// A list of endpoints in the format of discovery. Truncated JSON does not parse, so a partially written list
+/// is never mistaken for a short one.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// It holds all endpoints, and not only those that changed.
+    /// Whether the list contains all endpoints; otherwise it contains only those that changed.
     #[serde(rename = "whole")]
     pub is_full: bool,
     /// The endpoints.
@@ -27,31 +27,31 @@
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An endpoint in discovery's form.
+/// An endpoint in the format of discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedEndpoint {
-    /// Its name.
+    /// The name, unique in the list.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of the zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its kind of machine.
+    /// The kind of machine.
     #[serde(rename = "class")]
     pub machine_kind: String,
-    /// Its cell, for deduplication.
+    /// The cell, for deduplication by cell; `None` if the endpoint is in none.
     #[serde(rename = "block")]
     pub cell: Option<u64>,
-    /// Its state.
+    /// The state.
     #[serde(rename = "health")]
     pub state: ListedState,
-    /// Its capacity relative to the others'.
+    /// The capacity, relative to the other endpoints.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// The time of its start, in Unix milliseconds; 0 means long ago.
     #[serde(rename = "born_ms", default)]
     pub started_unix_ms: f64,
 }
@@ -60,34 +60,37 @@
     1.0
 }
 
-/// An endpoint's state in discovery's form.
+/// The state of an endpoint in the format of discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedState {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Finishes the requests that it has.
+    /// Completes its requests in flight and gets no new ones.
     Draining,
     /// Removed from its pool.
     Deleted,
 }
 
-/// Reads a list in discovery's form.
+/// Parses a list in the format of discovery. A malformed entry is an error.
 ///
 /// # Errors
-/// It is no list.
+/// If the JSON is not a list of well-formed entries, returns the parser's message.
 pub fn parse_full_list(json: &str) -> Result<EndpointList, String> {
     serde_json::from_str(json).map_err(|error| error.to_string())
 }
 
-/// A list as discovery sends it, read entry by entry: an unreadable entry costs that endpoint and not the list.
+/// A list from discovery, parsed entry by entry. A malformed entry makes one endpoint unreadable and not the
+/// whole list.
 #[derive(Debug)]
 pub struct ParsedEndpointList {
-    /// What could be read. Of two entries of an endpoint the last counts.
+    /// The well-formed entries. Of several entries with one name the last counts. Endpoints in `unreadable`
+    /// are left out.
     pub list: EndpointList,
-    /// Endpoints with an unreadable entry, which may have been a drain.
+    /// The names of endpoints with a malformed entry. Their states are unknown: the entry may have been a
+    /// drain.
     pub unreadable: BTreeSet<String>,
-    /// The problems in one line, if there are any.
+    /// The first problem and the number of others, in one line; `None` if there are no problems.
     pub fault: Option<String>,
 }
 
@@ -107,10 +110,10 @@
     name: String,
 }
 
-/// Reads a list as discovery sends it.
+/// Parses a list from discovery, entry by entry.
 ///
 /// # Errors
-/// It is no list.
+/// If the JSON as a whole is not a list, returns the parser's message. Malformed entries are not errors.
 pub fn parse_endpoint_list(json: &[u8]) -> Result<ParsedEndpointList, String> {
     let raw: RawList<'_> = serde_json::from_slice(json).map_err(|error| error.to_string())?;
     let mut entries = EntryParser::with_capacity(raw.entries.len());
@@ -120,7 +123,7 @@
     Ok(entries.finish(raw.version, raw.is_full))
 }
 
-/// Collects the entries of a list that can be read.
+/// Collects the entries of a list, and the problems with malformed ones.
 struct EntryParser {
     endpoints: Vec<ListedEndpoint>,
     index_by_name: BTreeMap<String, usize>,
@@ -155,7 +158,7 @@
             }
             Entry::Occupied(occupied) => {
                 let index = *occupied.get();
-                self.add_problem(format!("{:?} stands in it twice", endpoint.name));
+                self.add_problem(format!("{:?} has two entries", endpoint.name));
                 self.endpoints[index] = endpoint;
             }
         }
@@ -175,7 +178,7 @@
     }
 
     fn finish(mut self, version: u64, is_full: bool) -> ParsedEndpointList {
-        // A readable entry does not outweigh an unreadable one of the same endpoint.
+        // An endpoint with both a well-formed and a malformed entry is unreadable.
         self.endpoints.retain(|endpoint| !self.unreadable.contains(&endpoint.name));
         let fault = self.first_problem.map(|first| match self.further_problems {
             0 => first,
@@ -189,16 +192,16 @@
 fn parse_entry(entry: &RawValue) -> Result<ListedEndpoint, String> {
     let endpoint: ListedEndpoint = serde_json::from_str(entry.get()).map_err(|error| error.to_string())?;
     if endpoint.name.is_empty() {
-        return Err("no name".to_owned());
+        return Err("`host` is empty".to_owned());
     }
     Ok(endpoint)
 }
 
 impl EndpointList {
-    /// The endpoints of a full list.
+    /// Converts a full list into endpoints.
     ///
     /// # Errors
-    /// The list is not full, or two endpoints have the same name.
+    /// If the list is not full or two endpoints have the same name, returns a message.
     pub fn into_endpoints(self) -> Result<Vec<EndpointSpec>, String> {
         if !self.is_full {
             return Err("not a whole list: `whole` is false".to_owned());
--- a/crates/config/src/endpoint_list/tests.rs
+++ b/crates/config/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of endpoint lists with malformed entries.
+//! Tests of malformed endpoint lists from discovery.
 
 use super::*;
 
@@ -13,8 +13,10 @@
     parse_endpoint_list(json.as_bytes()).expect("a list")
 }
 
+/// Guards against one malformed entry that makes the proxy ignore the whole list, and against an endpoint
+/// that keeps getting requests although its malformed entry may have been a drain.
 #[test]
-fn malformed_entry_costs_that_endpoint_and_not_the_list() {
+fn malformed_entry_makes_only_its_endpoint_unreadable() {
     let parsed = parse(&[
         entry("a", "SERVING"),
         entry("b", "SLEEPING"),
@@ -32,8 +34,9 @@
     assert!(fault.starts_with("\"b\": ") && fault.ends_with(", and 4 more"), "{fault}");
 }
 
+/// Guards against a truncated or malformed document that is taken for an empty or short list.
 #[test]
-fn malformed_lists_are_errors() {
+fn malformed_list_is_an_error() {
     for bad in [
         "",
         "[]",
@@ -47,8 +50,10 @@
     assert!(parse_endpoint_list(b"\xff\xfe").is_err());
 }
 
+/// Guards against a message that grows with the number of malformed entries: the first is quoted, the others
+/// are counted.
 #[test]
-fn problems_of_a_malformed_list_are_bounded() {
+fn message_length_is_bounded_when_all_entries_are_malformed() {
     let parsed = parse(&vec!["0".to_owned(); 200_000]);
     assert!(parsed.list.endpoints.is_empty() && parsed.unreadable.is_empty());
     assert!(parsed.fault.is_some_and(|fault| fault.len() < 200));
--- a/crates/config/src/hosted/compile.rs
+++ b/crates/config/src/hosted/compile.rs
@@ -1,4 +1,4 @@
-//! Compiles a tenant's configuration as if it were the file of a standalone proxy, with the operator's sections added.
+//! Compiles a tenant's configuration like the file of a standalone proxy, with the operator's sections added.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,13 +12,14 @@
 
 const CONFIG_FILE: &str = "config";
 const EXPECTATIONS_FILE: &str = "expect.toml";
-/// Sections that a tenant may not have.
+/// The sections that only the operator may write.
 const OPERATORS_SECTIONS: [&str; 4] = ["server", "knowledge", "operators", "bgp"];
-/// Enough for any number of pools; the tenant's part of the real sockets is checked with all tenants together.
+/// The sockets of the compiled file: enough for any number of pools, because the tenant's share of the real
+/// sockets is checked with all tenants together.
 const UNBOUNDED_SOCKETS: usize = 1_000_000;
 const MAX_NAME_BYTES: usize = 64;
 
-/// Checks a tenant and plays its expectations.
+/// Checks a tenant and evaluates its expectations.
 pub(super) fn compile_tenant(
     shared: &SharedSettings,
     name: &str,
@@ -55,7 +56,7 @@
     hosts.iter().map(parse).collect()
 }
 
-/// The files of a tenant, which exist in memory alone.
+/// The files of a tenant, in memory only.
 struct TenantFiles {
     config: String,
     expectations: String,
@@ -86,7 +87,8 @@
     }
 }
 
-/// Rejects what is the operator's, and files: tenants share the machine, and none may make it read a file.
+/// Rejects the operator's sections, and pools with a `file`: tenants share the machine, and a tenant must not
+/// make it read a file.
 fn check_sections(sections: &Map<String, Value>) -> Result<(), String> {
     if let Some(section) = OPERATORS_SECTIONS.into_iter().find(|section| sections.contains_key(*section)) {
         return Err(format!("`config`: `{section}` is the operator's"));
@@ -98,7 +100,8 @@
     Ok(())
 }
 
-/// A listener for each zone of clients, so that routes may refer to the zones.
+/// The section `server` of a compiled file. It has a listener for each zone of clients, so that routes may
+/// refer to the zones.
 fn server_section(shared: &SharedSettings) -> Value {
     let listener = |(index, zone): (usize, &String)| json!({ "address": format!("0.0.0.0:{}", index + 1), "zone": zone });
     let listeners: Vec<Value> = shared.zones.iter().enumerate().map(listener).collect();
--- a/crates/config/src/hosted/document.rs
+++ b/crates/config/src/hosted/document.rs
@@ -1,4 +1,4 @@
-//! What administrators may change: the tenants as they write them.
+//! The document of tenants, which administrators may change.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::play::Report;
 use crate::tenant_limits::TenantLimits;
 
-/// All that administrators may change. Each change of it is stored as a version.
+/// The document that administrators may change. Each change is stored as a version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -37,11 +37,11 @@
     json!({})
 }
 
-/// Why a document cannot serve.
+/// The reason why a document is rejected.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum DocumentError {
-    /// A tenant's configuration cannot be used.
+    /// The configuration of a tenant is invalid.
     Configuration {
         /// The tenant.
         tenant: String,
@@ -49,17 +49,17 @@
         #[serde(rename = "faults")]
         diagnostics: Vec<Diagnostic>,
     },
-    /// A tenant's configuration fails its expectations.
+    /// The configuration of a tenant does not meet its expectations.
     Expectations {
         /// The tenant.
         tenant: String,
-        /// What failed.
+        /// The results of the expectations.
         report: Report,
     },
 }
 
 impl DocumentError {
-    /// A problem of a tenant that has no position in a file.
+    /// A problem of a tenant without a position in a file.
     pub(crate) fn of_tenant(tenant: &str, message: &str) -> DocumentError {
         let diagnostics = vec![Diagnostic::without_position(message)];
         DocumentError::Configuration { tenant: tenant.to_owned(), diagnostics }
--- a/crates/config/src/hosted/mod.rs
+++ b/crates/config/src/hosted/mod.rs
@@ -1,5 +1,5 @@
-//! A hosted service: many tenants, each with hosts, limits and a configuration of its own that is compiled by itself.
-//! Nothing in one tenant's configuration can refer to anything of another's.
+//! A hosted service: many tenants, each with hosts, limits and a configuration of its own. Each configuration
+//! is compiled separately, so none can refer to anything of another tenant.
 
 mod compile;
 mod document;
--- a/crates/config/src/hosted/settings.rs
+++ b/crates/config/src/hosted/settings.rs
@@ -1,4 +1,4 @@
-//! The file of a hosted service: all that administrators cannot change.
+//! The file of a hosted service, which only the operator can change.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,33 +16,33 @@
 use crate::sockets::split_sockets;
 use crate::tenant_limits::TenantLimits;
 
-/// What all tenants share.
+/// Settings and bounds that all tenants share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedSettings {
     /// The zone of this proxy.
     pub zone: String,
     /// The position of this proxy among those that share the pools.
     pub proxies: ProxyRank,
-    /// The descriptors for clients and endpoints.
+    /// The number of descriptors for clients and endpoints.
     pub sockets: usize,
-    /// What the whole process can bear.
+    /// The capacity of the whole process.
     pub capacity: Capacity,
     /// The bounds of the idempotency table, for all tenants together.
     pub idempotency_keys: idempotency::TableLimits,
-    /// The zones of clients that listeners name.
+    /// The zones of clients, from the listeners.
     pub zones: Vec<String>,
 }
 
 /// The settings of a hosted service.
 #[derive(Clone, Debug)]
 pub struct HostedSettings {
-    /// Where clients connect.
+    /// The addresses that clients connect to.
     pub listeners: Vec<Listener>,
-    /// What the tenants share.
+    /// Settings and bounds that the tenants share.
     pub shared: SharedSettings,
-    /// Where operators connect, if they may.
+    /// The address that operators connect to, if there is one.
     pub operators: Option<Operators>,
-    /// Where administrators connect.
+    /// The address that administrators connect to.
     pub admin: SocketAddr,
     /// The folder of the stored versions.
     pub state: PathBuf,
@@ -51,23 +51,23 @@
     initial_tenants: Vec<InitialTenant>,
 }
 
-/// A tenant that the service begins with where no version is stored yet.
+/// A tenant of the first version, which is used if no version is stored yet.
 #[derive(Clone, Debug)]
 struct InitialTenant {
     name: String,
     hosts: Vec<String>,
     limits: TenantLimits,
     path: PathBuf,
-    /// The name of its file, with its position.
+    /// The name of the file of the tenant, with its position.
     file_word: Word,
 }
 
 impl HostedSettings {
-    /// Reads the file of a hosted service, and the tenants that it begins with. None where the file is that of a
-    /// standalone proxy.
+    /// Reads the file of a hosted service, and the files of its initial tenants. Returns `None` if the file
+    /// is that of a standalone proxy.
     ///
     /// # Errors
-    /// All problems, each with file and line.
+    /// Returns all problems, each with file and line.
     pub fn load(path: &Path, read: ReadFile<'_>) -> Result<Option<(HostedSettings, Document)>, Diagnostics> {
         let mut diagnostics = Diagnostics::default();
         let Some(text) = diagnostics.read(path, read) else { return Err(diagnostics) };
@@ -108,7 +108,7 @@
     diagnostics.parse(tenant_text)
 }
 
-/// Checks a file. None where anything is reported, or where it has no [admin].
+/// Checks a file. Returns `None` if anything is reported or the file has no [admin].
 fn check(
     file: ConfigFile,
     text: TextId,
@@ -155,7 +155,7 @@
 }
 
 impl Checker<'_> {
-    /// Reports sections that belong into tenants' files.
+    /// Reports sections that belong in the files of tenants.
     fn forbid_tenant_sections(&mut self, file: &ConfigFile) {
         let first_of_each = [
             ("class", file.classes.first().map(|class| class.name.span())),
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The sockets that the operators' address leaves.
+    /// The sockets that remain without those of the operators' address. Reports if they are too few.
     fn sockets_without_operators(
         &mut self,
         file: &ConfigFile,
--- a/crates/config/src/hosted/tenants.rs
+++ b/crates/config/src/hosted/tenants.rs
@@ -1,4 +1,4 @@
-//! The checked tenants, and each one's part of what they share.
+//! The checked tenants, and the share of each in sockets and idempotency keys.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,19 +12,19 @@
 use crate::pool_endpoints::PoolEndpoints;
 use crate::sockets::{split_sockets, MIN_SOCKETS_PER_POOL};
 
-/// The fewest client connections of a tenant.
+/// The minimum number of client connections of a tenant without a limit of its own.
 const MIN_CONNECTIONS: u64 = 16;
 
 /// A tenant that has been checked.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// As it was written.
+    /// The tenant as administrators wrote it.
     pub document: TenantDocument,
-    /// Its hosts.
+    /// The hosts, parsed.
     pub hosts: Vec<HostPattern>,
-    /// Its configuration.
+    /// The compiled configuration.
     pub config: Arc<Config>,
     /// The endpoints that are known without discovery.
     pub endpoints: PoolEndpoints,
@@ -33,17 +33,17 @@
 /// All tenants, checked one by one and together.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
-    /// By name.
+    /// The tenants by name.
     pub all: BTreeMap<String, Arc<Tenant>>,
     /// The tenant that owns each host.
     pub hosts: HostOwners<String>,
 }
 
 impl Tenants {
-    /// Checks a document. Tenants that are the same in `previous` are taken from there.
+    /// Checks a document. Tenants that are unchanged since `previous` are reused.
     ///
     /// # Errors
-    /// The first tenant that cannot serve, and why.
+    /// Returns the problems of the first tenant that is rejected.
     pub fn compile(
         shared: &SharedSettings,
         document: &Document,
@@ -62,7 +62,7 @@
         Ok(tenants)
     }
 
-    /// Adds a tenant unless it claims a host of another.
+    /// Adds a tenant. If one of its hosts overlaps with one of another tenant, returns an error.
     fn insert(&mut self, tenant: Arc<Tenant>) -> Result<(), DocumentError> {
         for (pattern, host) in tenant.hosts.iter().zip(&tenant.document.hosts) {
             if let Err(owner) = self.hosts.insert(pattern, tenant.name.clone()) {
@@ -92,26 +92,27 @@
         self.all.values().map(|tenant| weight(tenant)).sum::<u64>().max(1)
     }
 
-    /// The sockets that a tenant's pools have together: its part by weight.
+    /// The number of sockets for all pools of a tenant together, by its weight.
     #[must_use]
     pub fn sockets(&self, shared: &SharedSettings, tenant: &Tenant) -> usize {
         let (_, upstream) = split_sockets(shared.sockets).unwrap_or((0, 0));
         (upstream as u64 * weight(tenant) / self.total_weight()) as usize
     }
 
-    /// A tenant's part of the idempotency table, by weight.
+    /// The bounds of a tenant's share of the idempotency table, by its weight.
     #[must_use]
     pub fn idempotency_limits(&self, shared: &SharedSettings, tenant: &Tenant) -> idempotency::TableLimits {
         let weight = weight(tenant);
         let total_weight = self.total_weight();
-        let part = |total: usize| (total as u64 / total_weight).saturating_mul(weight).max(1) as usize;
+        let share = |total: usize| (total as u64 / total_weight).saturating_mul(weight).max(1) as usize;
         idempotency::TableLimits {
-            max_keys: part(shared.idempotency_keys.max_keys),
-            max_response_bytes: part(shared.idempotency_keys.max_response_bytes),
+            max_keys: share(shared.idempotency_keys.max_keys),
+            max_response_bytes: share(shared.idempotency_keys.max_response_bytes),
         }
     }
 
-    /// A tenant's limits.
+    /// The limits of a tenant. Limits that are not written are unbounded, except `connections`, which are
+    /// shared by weight, and `burst`, which is one second at `requests_per_s`, at least 1.
     #[must_use]
     pub fn limits(&self, shared: &SharedSettings, tenant: &Tenant) -> Limits {
         let written = &tenant.document.limits;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,13 @@
-//! The configuration, checked completely before it is used, and the expectations that are stored beside it.
+//! The configuration, which is checked completely before it is used, and its expectations.
 //!
-//! Pure: no sockets, no clock. Files are read through a function ([`ReadFile`]), so that a test can stand for the file
-//! system. The resulting [`Config`] is immutable and has the [`route::RouteTable`] that serves.
+//! Uses no sockets and no clock. Files are read through a function ([`ReadFile`]), so that tests can replace
+//! the file system. The resulting [`Config`] is immutable and contains the [`route::RouteTable`] for
+//! requests.
 //!
-//! Each section of the file is a module under `section`, with the form in the file, the checked model and the check.
-//! `config_file` and `model` put the sections together, `standalone` and `hosted` check the two kinds of files, and
-//! `load` reads all that a file names. Problems are collected as [`Diagnostics`].
+//! Each section of the file is a module under `section`, with its format in the file, its checked model and
+//! its check. `config_file` and `model` combine the sections, `standalone` and `hosted` check the two kinds
+//! of files, and `load` reads the files that a configuration names. Problems are collected as
+//! [`Diagnostics`].
 #![warn(missing_docs)]
 
 mod checker;
@@ -48,10 +50,10 @@
 pub use sockets::split_sockets;
 pub use tenant_limits::TenantLimits;
 
-/// Parses TOML into the same document in JSON.
+/// Converts a TOML document into JSON.
 ///
 /// # Errors
-/// The problem, in a line.
+/// If the text is not TOML, returns the parser's message.
 pub fn toml_value(text: &str) -> Result<serde_json::Value, String> {
     toml::from_str(text).map_err(|error| error.message().to_owned())
 }
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -11,7 +11,7 @@
 use crate::pool_endpoints::PoolEndpoints;
 use crate::standalone::{self, Emptiness};
 
-/// A configuration that can be used, with its expectations.
+/// A checked configuration, with its expectations.
 #[derive(Clone, Debug)]
 pub struct Loaded {
     /// The configuration.
@@ -22,22 +22,23 @@
 }
 
 impl Loaded {
-    /// Evaluates every expectation. Sends nothing.
+    /// Evaluates every expectation, without sending any request.
     #[must_use]
     pub fn play(&self) -> Report {
         play::play(&self.config, &self.expectations)
     }
 }
 
-/// Reads a configuration and the files that it names, and checks them. Expectations are checked but not evaluated.
+/// Reads a configuration and the files that it names, and checks them. Expectations are checked but not
+/// evaluated.
 ///
 /// # Errors
-/// All problems, each with file and line.
+/// Returns all problems, each with file and line.
 pub fn load(path: &Path, read: ReadFile<'_>) -> Result<Loaded, Diagnostics> {
     load_as(path, read, Emptiness::Forbidden)
 }
 
-/// As [`load`], with the choice whether the configuration may be empty.
+/// Does the same as [`load`]; `emptiness` decides whether the configuration may be empty.
 pub(crate) fn load_as(path: &Path, read: ReadFile<'_>, emptiness: Emptiness) -> Result<Loaded, Diagnostics> {
     let mut diagnostics = Diagnostics::default();
     let Some(text) = diagnostics.read(path, read) else { return Err(diagnostics) };
@@ -49,7 +50,8 @@
     let checked = config.zip(endpoints);
     let mut expectations = Vec::new();
     for name in &expectation_files {
-        let Some(expectations_text) = read_beside(text, name, &resolve_path, read, &mut diagnostics) else {
+        let Some(expectations_text) = read_named_file(text, name, &resolve_path, read, &mut diagnostics)
+        else {
             continue;
         };
         let parsed = diagnostics.parse::<ExpectationsFile>(expectations_text);
@@ -63,8 +65,8 @@
     }
 }
 
-/// Reads a file that a configuration names; a problem is reported where it names it.
-fn read_beside(
+/// Reads a file that a configuration names. A problem is reported at the position of the name.
+fn read_named_file(
     text: TextId,
     name: &Word,
     resolve_path: &dyn Fn(&str) -> PathBuf,
--- a/crates/config/src/method/mod.rs
+++ b/crates/config/src/method/mod.rs
@@ -1,33 +1,33 @@
-//! JSON-RPC methods: the class of each, and how its calls are represented in HTTP.
+//! JSON-RPC methods: the class of each, and the HTTP form of its calls.
 
 #[cfg(test)]
 mod tests;
 
 use std::sync::Arc;
 
-/// A method, and how its calls are represented in HTTP.
+/// A method and the HTTP form of its calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Method {
-    /// Its name.
+    /// The name of the method.
     pub name: Arc<str>,
-    /// The class, by index.
+    /// The index of the class.
     pub class: usize,
     /// The HTTP method.
     pub http_method: HttpMethod,
-    /// The path.
+    /// The path of the HTTP request.
     pub path: PathTemplate,
 }
 
 /// The HTTP method of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpMethod {
-    /// Without a body; `params` are in the query.
+    /// `GET` without a body. `params` are in the query.
     Get,
-    /// With `params` as the body.
+    /// `POST` with `params` as the body.
     Post,
 }
 
-/// A path with parameters from a call's `params`.
+/// A path with parameters from the `params` of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathTemplate(Vec<Segment>);
 
@@ -40,24 +40,24 @@
 /// A member of `params`, or of an object in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The object in `params` that has it; none where `params` does.
+    /// The object in `params` that contains the member; `None` if `params` itself does.
     pub object: Option<String>,
-    /// Its name.
+    /// The name of the member.
     pub name: String,
 }
 
-/// Where a call carries its attributes.
+/// The members that carry the attributes of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
     /// The idempotency key.
     pub key: Member,
-    /// The timeout of its client, in milliseconds.
+    /// The client's timeout, in milliseconds.
     pub timeout_ms: Member,
-    /// The tenant that it claims.
+    /// The tenant that the client claims.
     pub tenant: Member,
-    /// The class, where a method may be of several.
+    /// The class, if a method has several.
     pub class: Member,
-    /// The request id that endpoints get.
+    /// The request id that is sent to endpoints.
     pub id: Member,
 }
 
@@ -66,18 +66,18 @@
 pub struct Methods {
     /// The methods.
     pub all: Vec<Method>,
-    /// Where their calls carry attributes.
+    /// The members that carry the attributes of calls.
     pub members: Members,
 }
 
 impl Methods {
-    /// The method of this name.
+    /// The method with this name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<&Method> {
         self.all.iter().find(|method| *method.name == *name)
     }
 
-    /// The first method of a class, by which its requests are called.
+    /// The first method of a class. Requests of the class are sent to JSON-RPC endpoints by this method.
     #[must_use]
     pub fn of_class(&self, class: usize) -> Option<&Method> {
         self.all.iter().find(|method| method.class == class)
@@ -86,19 +86,20 @@
 
 impl Default for Members {
     fn default() -> Self {
-        let within = |name: &str| Member { object: Some("_meta".to_owned()), name: name.to_owned() };
+        let in_meta = |name: &str| Member { object: Some("_meta".to_owned()), name: name.to_owned() };
         Members {
             key: Member { object: None, name: "key".to_owned() },
-            timeout_ms: within("timeoutMs"),
-            tenant: within("tenant"),
-            class: within("class"),
-            id: within("requestId"),
+            timeout_ms: in_meta("timeoutMs"),
+            tenant: in_meta("tenant"),
+            class: in_meta("class"),
+            id: in_meta("requestId"),
         }
     }
 }
 
 impl Member {
-    /// Parses `name` or `object.name`.
+    /// Parses `name` or `object.name`. Returns `None` unless each name has 1 to 64 letters, digits, `_`, `-`
+    /// or `$`.
     #[must_use]
     pub fn parse(text: &str) -> Option<Member> {
         let is_name = |name: &str| {
@@ -115,7 +116,8 @@
 }
 
 impl PathTemplate {
-    /// Parses a template such as `/report-result/{table}`.
+    /// Parses a template such as `/report-result/{table}`. Returns `None` if it is malformed or its literal
+    /// parts are not a normal path.
     #[must_use]
     pub fn parse(text: &str) -> Option<PathTemplate> {
         let mut segments = Vec::new();
@@ -139,20 +141,20 @@
         is_valid.then_some(PathTemplate(segments))
     }
 
-    /// `/method/{key}`.
+    /// The default path of a method: `/name/{key}`, with the member of the idempotency key.
     #[must_use]
     pub fn of_method(name: &str, key: &Member) -> PathTemplate {
         PathTemplate(vec![Segment::Text(format!("/{name}/")), Segment::Member(key.clone())])
     }
 
-    /// The path with its parameters filled in; one without a value is `-`.
+    /// Fills in the parameters, percent-encoded. A parameter without a value becomes `-`.
     pub fn fill(&self, mut member: impl FnMut(&Member) -> Option<String>) -> String {
         let mut path = String::new();
         for segment in &self.0 {
             match segment {
                 Segment::Text(text) => path.push_str(text),
                 Segment::Member(name) => match member(name).filter(|value| !value.is_empty()) {
-                    // Dots alone would be a relative path segment.
+                    // A value of dots only would be a relative path segment.
                     Some(value) if value.bytes().all(|b| b == b'.') => {
                         path.push_str(&value.replace('.', "%2E-"))
                     }
@@ -165,7 +167,7 @@
     }
 }
 
-/// Percent-encodes all that is not unreserved in a path segment or query (RFC 3986).
+/// Appends a text to `into`, with all bytes percent-encoded but those that are unreserved in RFC 3986.
 pub fn escape(text: &str, into: &mut String) {
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
--- a/crates/config/src/method/tests.rs
+++ b/crates/config/src/method/tests.rs
@@ -2,10 +2,12 @@
 
 use super::*;
 
+/// Guards against a value that changes the path: a slash, a relative segment or an empty segment. Malformed
+/// templates are rejected.
 #[test]
 fn path_template_is_filled_in_and_escaped() {
-    let template = PathTemplate::parse("/a/{b}/{_meta.c}").expect("good");
-    let fill = |value: &str| template.fill(|m| (m.name == "b").then(|| value.to_owned()));
+    let template = PathTemplate::parse("/a/{b}/{_meta.c}").expect("valid template");
+    let fill = |value: &str| template.fill(|member| (member.name == "b").then(|| value.to_owned()));
     assert_eq!(fill("x y/ü"), "/a/x%20y%2F%C3%BC/-");
     assert_eq!(fill(""), "/a/-/-");
     assert_eq!(fill(".."), "/a/%2E-%2E-/-");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,5 @@
-//! The checked configuration: values within bounds, references resolved, routes in their table.
+//! The checked configuration: values are within bounds, references are resolved and routes are in their
+//! table.
 
 use decide::{Micros, Settings};
 use route::RouteTable;
@@ -16,11 +17,11 @@
 /// The configuration of a process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// The addresses that clients connect to.
     pub listeners: Vec<Listener>,
     /// The zone of this proxy.
     pub zone: String,
-    /// The descriptors of the process.
+    /// The number of descriptors of the process.
     pub sockets: usize,
     /// The position of this proxy among those that share the pools.
     pub proxies: ProxyRank,
@@ -28,15 +29,15 @@
     pub limits: Limits,
     /// The bounds of the idempotency table.
     pub idempotency_keys: idempotency::TableLimits,
-    /// Where learned state is stored, if it is.
+    /// The storage of learned state; `None` if it is not stored.
     pub learned_state: Option<LearnedStateSettings>,
-    /// Where operators connect, if they may.
+    /// The address that operators connect to, if there is one.
     pub operators: Option<Operators>,
     /// The BGP speaker, if there is one.
     pub bgp: Option<Bgp>,
     /// The JSON-RPC methods.
     pub methods: Methods,
-    /// The tenants.
+    /// The names of the tenants.
     pub tenants: Vec<String>,
     /// The classes, by index.
     pub classes: Vec<Class>,
@@ -46,24 +47,24 @@
     pub table: RouteTable,
     /// The position of each route in its file.
     pub route_origins: Vec<RouteOrigin>,
-    /// All zones that the configuration names.
+    /// The zones that the configuration names.
     pub zones: Vec<String>,
-    /// All kinds of machines that it names.
+    /// The kinds of machines that the configuration names.
     pub machine_kinds: Vec<String>,
 }
 
 /// The position of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteOrigin {
-    /// The name of its file.
+    /// The name of the file.
     pub file: String,
-    /// Its line, from 1.
+    /// The line, from 1.
     pub line: usize,
 }
 
-/// The overload that an endpoint cannot survive while it starts, as a multiple of its capacity.
+/// The load under which an endpoint in slow start fails, as a multiple of its capacity.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// How long such an overload may last, in microseconds.
+/// The duration of [`OVERLOAD_MULTIPLE`] after which an endpoint in slow start fails, in microseconds.
 const OVERLOAD_WINDOW: Micros = 1_000_000;
 /// The longest interval between polls of discovery, in microseconds.
 const MAX_POLL_INTERVAL: Micros = 2_000_000;
@@ -71,7 +72,7 @@
 const TIMER_RESOLUTION: Micros = 1_000;
 
 impl Config {
-    /// The sockets for clients, and those for all pools together.
+    /// The number of sockets for clients, and for all pools together.
     #[must_use]
     pub fn socket_budget(&self) -> (usize, usize) {
         let bgp = self.bgp.as_ref().map_or(0, Bgp::sockets);
@@ -80,13 +81,13 @@
             .unwrap_or((MIN_USABLE_SOCKETS, MIN_USABLE_SOCKETS))
     }
 
-    /// A number of sockets, divided by the pools' shares.
+    /// The number of sockets of each pool, if `sockets` are divided by the pools' shares.
     #[must_use]
     pub fn pool_sockets(&self, sockets: usize) -> Vec<usize> {
         sockets_by_share(sockets, &self.pools)
     }
 
-    /// The settings of the balancer of a pool.
+    /// The settings of a pool's balancer.
     #[must_use]
     pub fn settings(&self, pool: &Pool) -> Settings {
         Settings {
@@ -115,8 +116,9 @@
         }
     }
 
-    /// Whether a pool may continue with all that its predecessor of the same name learned and has in flight: where
-    /// nothing has changed that its balancer depends on. Its endpoint list may have.
+    /// Whether a pool may take over what the previous pool of the same name has learned and has in flight.
+    /// This is the case if nothing has changed that its balancer depends on. The endpoint list may have
+    /// changed.
     #[must_use]
     pub fn is_carried_over(&self, pool: &Pool, previous: &Config) -> bool {
         let is_same_pool = |other: &Pool| {
@@ -133,7 +135,7 @@
     }
 }
 
-/// Whether two sources are the same but for the endpoints in the configuration.
+/// Whether two sources are the same. Endpoints in the configuration may differ.
 fn is_same_source(one: &Source, other: &Source) -> bool {
     match (one, other) {
         (Source::List(_), Source::List(_)) => true,
--- a/crates/config/src/pool_endpoints.rs
+++ b/crates/config/src/pool_endpoints.rs
@@ -6,15 +6,15 @@
 use crate::model::Config;
 use crate::section::pool::{Pool, Source};
 
-/// The endpoints of each pool, by the pool's index; those of discovery are not known.
+/// The endpoints of each pool that are known without discovery. Pools with discovery have none.
 #[derive(Clone, Debug, Default)]
 pub struct PoolEndpoints {
-    /// The endpoints.
+    /// The endpoints of each pool, by index of the pool.
     pub pools: Vec<Vec<EndpointSpec>>,
 }
 
 impl PoolEndpoints {
-    /// Takes the lists from the configuration, and reads those that are files.
+    /// Takes the endpoint lists that are in the configuration, and reads those that are in files.
     pub(crate) fn read(
         config: &Config,
         text: TextId,
