--- a/crates/config/src/hosted/settings.rs
+++ b/crates/config/src/hosted/settings.rs
@@ -192,10 +192,11 @@
         sockets: usize,
         operators: Option<&Operators>,
     ) -> usize {
-        let of_operators = Operators::sockets(operators);
-        let remaining = sockets.saturating_sub(of_operators);
-        if of_operators > 0 && split_sockets(remaining).is_none() {
-            let message = format!("`sockets`: {sockets} are too few beside {of_operators} for [operators]");
+        let operator_sockets = Operators::sockets(operators);
+        let remaining = sockets.saturating_sub(operator_sockets);
+        if operator_sockets > 0 && split_sockets(remaining).is_none() {
+            let message =
+                format!("`sockets`: {sockets} are too few beside {operator_sockets} for [operators]");
             self.report(file.server.sockets.span(), message, None);
         }
         remaining
--- a/crates/config/src/section/admin.rs
+++ b/crates/config/src/section/admin.rs
@@ -1,4 +1,4 @@
-//! Sections `[admin]` and `[[tenant]]`, and `server.capacity`: what only a hosted service has.
+//! Sections `[admin]` and `[[tenant]]`, and the key `server.capacity`, which are for hosted services only.
 
 use limit::Capacity;
 use serde::{Deserialize, Serialize};
@@ -11,12 +11,12 @@
 const DEFAULT_CAPACITY_IN_FLIGHT: u64 = 10_000;
 const DEFAULT_CAPACITY_BODY_BYTES: u64 = 64 << 20;
 
-/// A token, by its hash.
+/// A token for the API. Only its hash is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Its name, which is recorded with each change that it made.
+    /// The name, which is recorded with each change made with the token.
     pub name: String,
-    /// What its bearer may do.
+    /// The permissions of its bearer.
     pub role: Role,
     /// The SHA-256 of the token.
     pub sha256: [u8; SHA256_BYTES],
@@ -53,7 +53,7 @@
     pub sha256: Word,
 }
 
-/// A tenant that the service begins with where no state is stored yet.
+/// A tenant of the first version, which is used if no version is stored yet.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Seed")]
 pub(crate) struct InitialTenantFile {
@@ -83,6 +83,7 @@
 }
 
 impl Checker<'_> {
+    /// Checks a token. Returns `None` if its role or its hash is invalid.
     pub(crate) fn token(&mut self, section: &TokenFile) -> Option<Token> {
         let sha256 = parse_sha256(section.sha256.get_ref());
         if sha256.is_none() {
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -7,9 +7,9 @@
 use crate::checker::{Checker, NameIndex, Word};
 
 const MICROS_PER_MS: i64 = 1_000;
-/// The most communities of an address, of each sort.
+/// The maximum number of communities of an address, of each kind.
 const MAX_COMMUNITIES: usize = 64;
-/// How often the AS number may be prepended.
+/// The maximum number of times that the AS number is prepended.
 const MAX_PREPEND: usize = 32;
 const MAX_LEAST_NODES: usize = 1_000_000;
 
@@ -20,7 +20,7 @@
 const DEFAULT_MAX_HOLD_UP_MS: i64 = 120_000;
 const DEFAULT_HALF_LIFE_MS: i64 = 60_000;
 
-/// The parts of `a:b:…`, each at most `max`.
+/// Parses `a:b:…` into `N` numbers. Returns `None` if their count differs or a number is above `max`.
 fn parse_community<const N: usize>(word: &str, max: u32) -> Option<[u32; N]> {
     let parse_part = |part: &str| part.parse().ok().filter(|number| *number <= max);
     let parts: Option<Vec<u32>> = word.split(':').map(parse_part).collect();
@@ -77,7 +77,8 @@
         Some(bgp::Address { prefix: prefix?, pools, thresholds, damping, attributes, degraded })
     }
 
-    /// The shares of endpoints at which an address is announced, degraded and withdrawn; one endpoint at least.
+    /// The fractions of a pool's capacity at which an address is announced, degraded and withdrawn.
+    /// `least_nodes` is 1, and the check of the address overwrites it.
     fn thresholds(&mut self, section: &AddressFile) -> bgp::Thresholds {
         let announce = self.share("announce_share", &section.announce_share, DEFAULT_ANNOUNCE_SHARE);
         let default_withdraw = announce.min(DEFAULT_WITHDRAW_SHARE);
@@ -129,7 +130,7 @@
         bgp::Damping { hold_up, most: max_hold_up.max(hold_up), half_life }
     }
 
-    /// The attributes with which a degraded address is announced.
+    /// The attributes of a degraded address. Those that `degraded` does not set are the ordinary ones.
     fn degraded(&mut self, section: &AddressFile, attributes: &bgp::Attributes) -> bgp::Attributes {
         let Some(degraded) = &section.degraded else {
             if let Some(share) = section.degrade_share.as_ref().filter(|share| *share.get_ref() > 0.0) {
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -7,12 +7,12 @@
 
 const MICROS_PER_MS: i64 = 1_000;
 const MAX_PEERS: usize = 64;
-/// AS numbers that are reserved: 0, AS_TRANS, and the last of 16 and of 32 bits.
+/// The reserved AS numbers: 0, AS_TRANS, and the last numbers of 16 and of 32 bits.
 const RESERVED_AS_NUMBERS: [u32; 4] = [0, 23456, 65535, u32::MAX];
 
 const DEFAULT_HOLD_TIME_S: usize = 9;
 const MAX_HOLD_TIME_S: usize = 65_535;
-/// The shortest hold time of RFC 4271.
+/// The minimum hold time of RFC 4271.
 const MIN_HOLD_TIME_S: usize = 3;
 const DEFAULT_RETRY_MS: usize = 5_000;
 const DEFAULT_MAX_RETRY_MS: usize = 60_000;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The settings that the sessions with all peers share.
+    /// The settings that are common to the sessions with all peers.
     fn session_settings(&mut self, section: &BgpFile) -> SessionSettings {
         let hold_time_s =
             self.bounded("hold_time_s", &section.hold_time_s, DEFAULT_HOLD_TIME_S, MAX_HOLD_TIME_S);
@@ -128,7 +128,7 @@
         word.get_ref().clone()
     }
 
-    /// The settings of health checks, and the path that they get.
+    /// The settings of health checks and the path that they request.
     fn health_check(&mut self, section: &HealthCheckFile) -> (bgp::HealthCheckSettings, Option<String>) {
         let every_ms = self.bounded("every_ms", &section.every_ms, DEFAULT_HEALTH_CHECK_MS, MAX_HOUR_MS);
         let timeout_ms = self.bounded(
@@ -164,7 +164,8 @@
     }
 }
 
-/// What the sessions with all peers share; durations in microseconds.
+/// The settings that are common to the sessions with all peers. Durations other than `hold_time_s` are in
+/// microseconds.
 struct SessionSettings {
     asn: u32,
     id: std::net::Ipv4Addr,
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -1,4 +1,4 @@
-//! Section `[bgp]`: which addresses are announced by BGP, to which peers, and when.
+//! Section `[bgp]`: the addresses that are announced by BGP, the peers, and the conditions of announcements.
 
 mod address;
 mod check;
@@ -14,25 +14,25 @@
 /// Settings of the BGP speaker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bgp {
-    /// Where peers connect, if they may connect.
+    /// The address that peers connect to; `None` if they may not connect.
     pub listen: Option<SocketAddr>,
     /// The loopback address of the operators' API, if there is one.
     pub api: Option<SocketAddr>,
-    /// Connects to no peer, and only shows what it would announce.
+    /// Whether the speaker connects to no peer and only shows what it would announce.
     pub dry_run: bool,
-    /// How long addresses are announced for graceful shutdown before the process ends.
+    /// The duration for which addresses are announced with graceful shutdown before the process ends.
     pub leave: Duration,
     /// The shutdown communication (RFC 9003) to peers.
     pub shutdown_text: String,
-    /// An endpoint list without any update for so long is stale.
+    /// The age of the last update above which an endpoint list is stale.
     pub max_list_age: Duration,
-    /// The data plane is stuck when it has shown no progress for so long.
+    /// The duration without progress after which the data plane is stuck.
     pub stuck: Duration,
-    /// With more resident memory than this, nothing is announced.
+    /// The resident memory above which nothing is announced; `None` for no bound.
     pub memory_bytes: Option<u64>,
-    /// Health checks of endpoints.
+    /// The settings of health checks of endpoints.
     pub health_checks: bgp::HealthCheckSettings,
-    /// Health checks get this path; without one they only connect.
+    /// The path that health checks request; `None` if they only connect.
     pub health_check_path: Option<String>,
     /// The peers.
     pub peers: Vec<BgpPeer>,
@@ -40,14 +40,14 @@
     pub addresses: Vec<bgp::Address>,
 }
 
-/// The most connections to the operators' API at once.
+/// The maximum number of concurrent connections to the operators' API.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 
 impl Bgp {
-    /// The most sockets that the speaker takes.
+    /// The maximum number of sockets of the speaker.
     #[must_use]
     pub fn sockets(&self) -> usize {
-        // Each peer's two connections, and one more that is being rejected or replaces one.
+        // For each peer two connections, and a third that is being rejected or replaces one of them.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
         3 * self.peers.len() + self.health_checks.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
     }
@@ -56,13 +56,13 @@
 /// A BGP peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BgpPeer {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The address where it listens, and from which it connects.
+    /// The address that the peer listens on and connects from.
     pub address: SocketAddr,
-    /// The local address of the connection, where the system does not choose it.
+    /// The local address of connections; `None` if the system chooses it.
     pub source: Option<IpAddr>,
-    /// Settings of the session.
+    /// The settings of the session.
     pub settings: bgp::PeerSettings,
 }
 
--- a/crates/config/src/section/class.rs
+++ b/crates/config/src/section/class.rs
@@ -9,9 +9,9 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What the balancer needs to know of it.
+    /// The parameters for the balancer.
     pub parameters: decide::Class,
 }
 
--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -1,4 +1,4 @@
-//! Section `[knowledge]`: where learned state outlives the process.
+//! Section `[knowledge]`: storage of learned state beyond the end of the process.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 const DEFAULT_FILES: usize = 4;
 const MAX_FILES: usize = 100;
 
-/// Where and how often learned state is written.
+/// Settings of the storage of learned state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LearnedStateSettings {
-    /// The folder, which one process writes at a time.
+    /// The folder. Only one process at a time may write to it.
     pub folder: PathBuf,
-    /// The interval between writes; it is written at the end as well.
+    /// The interval between writes. At the end of the process, state is written as well.
     pub write_interval: Duration,
-    /// The number of files that are retained, with the newest.
+    /// The number of files that are retained, including the newest.
     pub files: usize,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Checker<'_> {
-    /// `resolve_path` makes paths relative to the configuration file.
+    /// Checks the section. `resolve_path` resolves paths relative to the configuration file.
     pub(crate) fn learned_state(
         &mut self,
         section: &LearnedStateFile,
--- a/crates/config/src/section/limits.rs
+++ b/crates/config/src/section/limits.rs
@@ -6,34 +6,34 @@
 
 use crate::checker::Checker;
 
-/// Bodies up to this size are buffered completely.
+/// The largest body that is buffered completely, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: u64 = 64 << 10;
-/// The largest value of `body_bytes`.
+/// The largest value of `body_bytes`, in bytes.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
 
 const ATTEMPTS: std::ops::RangeInclusive<usize> = 1..=10;
 
-/// Durations in microseconds, and bounds, for all pools.
+/// Durations and bounds for all pools. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts of a request.
+    /// The maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// A connection that is not established by then has failed.
+    /// The time after which a connection that is not established has failed.
     pub connect_timeout: Micros,
-    /// How long endpoints keep idle connections open.
+    /// The duration for which endpoints keep idle connections open.
     pub keep_alive: Micros,
-    /// No new request goes to an endpoint later than this after it was reported as draining.
+    /// The time after which an endpoint that was reported as draining gets no new request.
     pub drain_grace: Micros,
-    /// The longest Retry-After; 0 sends none.
+    /// The largest Retry-After; 0 means that none is sent.
     pub retry_after: Micros,
     /// The duration of the slow start of an endpoint.
     pub slow_start_duration: Micros,
-    /// The part of its capacity that a slow start begins with.
+    /// The fraction of an endpoint's capacity at the beginning of its slow start.
     pub slow_start_min_capacity: f64,
-    /// The price of an attempt that crosses zones, in priority weight of a request.
+    /// The price of an attempt that crosses zones, in units of priority weight.
     pub cross_zone_price: f64,
-    /// The largest body of a request or a response over HTTP. Bodies over [`MAX_BUFFERED_BODY_BYTES`] are streamed, in one
-    /// attempt.
+    /// The largest body of an HTTP request or response, in bytes. Bodies above [`MAX_BUFFERED_BODY_BYTES`]
+    /// are streamed, in a single attempt.
     pub body_bytes: u64,
 }
 
--- a/crates/config/src/section/methods.rs
+++ b/crates/config/src/section/methods.rs
@@ -1,4 +1,5 @@
-//! Sections `[[method]]` and `[members]`: JSON-RPC methods, and where a call carries its attributes.
+//! Sections `[[method]]` and `[members]`: JSON-RPC methods, and the members that carry the attributes of a
+//! call.
 
 use decide::Semantics;
 use serde::Deserialize;
@@ -29,7 +30,8 @@
 }
 
 impl Checker<'_> {
-    /// The configured methods, and one for each class that has none and whose name is free.
+    /// The configured methods, and a default method for each class that has none, unless its name is taken by
+    /// a method.
     pub(crate) fn methods(
         &mut self,
         sections: &[MethodFile],
@@ -110,7 +112,7 @@
     }
 }
 
-/// The method that stands for a class that has none.
+/// The default method of a class. It has the name of the class.
 fn method_of_class(index: usize, class: &Class, key: &Member) -> Method {
     Method {
         name: class.name.as_str().into(),
--- a/crates/config/src/section/mod.rs
+++ b/crates/config/src/section/mod.rs
@@ -1,5 +1,6 @@
-//! The sections of the configuration file, one module each: the form in the file (`…File`, whose keys are the
-//! operators' interface), the checked model, and the check that leads from one to the other.
+//! The sections of the configuration file, one module each. A module contains the format in the file
+//! (`…File`, whose keys are the operators' interface), the checked model, and the check that converts one
+//! into the other.
 
 pub(crate) mod admin;
 pub(crate) mod bgp;
--- a/crates/config/src/section/operators.rs
+++ b/crates/config/src/section/operators.rs
@@ -1,4 +1,4 @@
-//! Section `[operators]`: the address where operators connect.
+//! Section `[operators]`: the address that operators connect to.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,21 +7,22 @@
 
 use crate::checker::{Checker, Word};
 
-/// The most descriptors that the operators' address takes: the connections, the listener, and one connection that
-/// replaces the oldest.
+/// The maximum number of descriptors of the operators' address: the connections, the listener, and one
+/// connection that replaces the oldest.
 pub const OPERATORS_SOCKETS: usize = 18;
 
-/// The address where operators connect.
+/// Settings of the address that operators connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operators {
-    /// A loopback address, as there are no tokens.
+    /// The address. It must be on loopback, because the address checks no tokens.
     pub listen: SocketAddr,
-    /// Where maintenance overrides outlive the process, if they do. Two processes may share it.
+    /// The folder in which maintenance overrides are stored beyond the end of the process; `None` if they are
+    /// not stored. Two processes may share it.
     pub folder: Option<PathBuf>,
 }
 
 impl Operators {
-    /// The most sockets that the address takes, if there is one.
+    /// The maximum number of sockets of the address; 0 without the section.
     pub(crate) fn sockets(operators: Option<&Operators>) -> usize {
         operators.map_or(0, |_| OPERATORS_SOCKETS)
     }
@@ -35,7 +36,7 @@
 }
 
 impl Checker<'_> {
-    /// `resolve_path` makes paths relative to the configuration file.
+    /// Checks the section. `resolve_path` resolves paths relative to the configuration file.
     pub(crate) fn operators(
         &mut self,
         section: &OperatorsFile,
--- a/crates/config/src/section/pool.rs
+++ b/crates/config/src/section/pool.rs
@@ -1,4 +1,4 @@
-//! Sections `[[pool]]`: pools of endpoints, and where their endpoint lists come from.
+//! Sections `[[pool]]`: pools of endpoints and the sources of their endpoint lists.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,22 +13,22 @@
 const MAX_SHARE: u32 = 10_000;
 const MAX_WEIGHT: f64 = 1e6;
 
-/// Endpoints that serve the same.
+/// A pool of equivalent endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its share of the sockets, relative to the other pools'.
+    /// The share of the sockets, relative to the other pools.
     pub share: u32,
-    /// Where its endpoint list comes from.
+    /// The source of the endpoint list.
     pub source: Source,
-    /// The protocol of its endpoints.
+    /// The protocol of the endpoints.
     pub protocol: Protocol,
-    /// The JSON-RPC notification that cancels a request, if its endpoints know one.
+    /// The JSON-RPC notification that cancels a request; `None` if the endpoints support none.
     pub cancel: Option<String>,
 }
 
-/// Where a pool's endpoint list comes from.
+/// The source of a pool's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
     /// The configuration.
@@ -86,7 +86,7 @@
 }
 
 impl Checker<'_> {
-    /// `resolve_path` makes paths relative to the configuration file.
+    /// Checks a pool. `resolve_path` resolves paths relative to the configuration file.
     pub(crate) fn pool(
         &mut self,
         section: &PoolFile,
--- a/crates/config/src/section/protocol.rs
+++ b/crates/config/src/section/protocol.rs
@@ -6,7 +6,7 @@
 use crate::checker::{Checker, Word};
 use crate::diagnostics::suggest;
 
-/// Open calls of a JSON-RPC connection where the file gives no number.
+/// The default number of open calls of a JSON-RPC connection.
 const DEFAULT_OPEN_CALLS: usize = 32;
 const MAX_OPEN_CALLS: usize = 1024;
 
@@ -18,9 +18,9 @@
     Http,
     /// JSON-RPC 2.0.
     JsonRpc {
-        /// How messages are delimited.
+        /// The delimitation of messages.
         framing: Framing,
-        /// The most open calls of a connection.
+        /// The maximum number of open calls of a connection.
         calls: usize,
     },
 }
--- a/crates/config/src/section/route/matcher.rs
+++ b/crates/config/src/section/route/matcher.rs
@@ -5,7 +5,7 @@
 use super::MatcherFile;
 use crate::checker::{is_token, Checker, NameIndex, Word};
 
-/// Header fields that have a key of their own, and that key.
+/// The header fields that a key of their own matches, and that key.
 const FIELDS_WITH_KEYS: [(&str, &str); 3] =
     [("host", "host"), ("x-priority-class", "class"), ("x-tenant-id", "tenant")];
 
@@ -37,7 +37,7 @@
             matcher.tenant = Some(tenant.get_ref().clone());
         }
         for zone in &file.zones {
-            // Clients' zones come from listeners or from a header, which may name any.
+            // A route may match any zone: clients' zones come from listeners or from a header.
             self.zones.intern(zone.get_ref());
             matcher.zones.push(zone.get_ref().clone());
         }
--- a/crates/config/src/section/route/mod.rs
+++ b/crates/config/src/section/route/mod.rs
@@ -1,4 +1,4 @@
-//! Sections `[[route]]`: which requests go to which pool, as which class.
+//! Sections `[[route]]`: the pool and the class of each kind of request.
 
 mod matcher;
 mod split;
@@ -90,17 +90,17 @@
     }
 }
 
-/// What the sections before define for routes to refer to.
+/// The definitions of other sections that routes may refer to.
 pub(crate) struct RouteContext<'c> {
     pub(crate) classes: &'c NameIndex,
     pub(crate) pools: &'c NameIndex,
     pub(crate) tenants: &'c [String],
-    /// Whether every endpoint list is in the file, so that a zone or kind that no endpoint has is an error.
+    /// Whether every endpoint list is in the file. If so, a zone or kind that no endpoint has is an error.
     pub(crate) all_endpoints_known: bool,
 }
 
 impl Checker<'_> {
-    /// Checks a route. None where it refers to something that does not exist.
+    /// Checks a route. Returns `None` if it refers to something undefined.
     pub(crate) fn route(&mut self, section: &RouteFile, context: &RouteContext<'_>) -> Option<Route> {
         let matches = self.matcher(&section.matcher, context.tenants);
         let class = self.resolve("class", &section.class, context.classes);
@@ -164,7 +164,7 @@
         scope
     }
 
-    /// Builds the table, or reports routes that conflict.
+    /// Builds the table. If routes conflict, reports them and returns `None`.
     pub(crate) fn route_table(&mut self, sections: &[RouteFile], routes: Vec<Route>) -> Option<RouteTable> {
         let conflicts = match RouteTable::build(routes) {
             Ok(table) => return Some(table),
--- a/crates/config/src/section/route/split.rs
+++ b/crates/config/src/section/route/split.rs
@@ -7,7 +7,8 @@
 use crate::checker::{is_token, Checker, NameIndex, Word};
 
 impl Checker<'_> {
-    /// The pools of a route: one, or several by weight.
+    /// The pools of a route: one, or several by weight. Returns `None` if the route has no valid pool or
+    /// split.
     pub(super) fn pools_of_route(
         &mut self,
         section: &RouteFile,
--- a/crates/config/src/section/server.rs
+++ b/crates/config/src/section/server.rs
@@ -21,15 +21,15 @@
 pub struct Listener {
     /// The address.
     pub address: SocketAddr,
-    /// The zone of the clients that connect there.
+    /// The zone of the clients that connect to the address.
     pub zone: String,
-    /// The header field that names their zone instead; only for trusted clients.
+    /// The header field that overrides the zone of clients; for trusted clients only.
     pub zone_header: Option<String>,
-    /// The tenant that owns the listener, if one does.
+    /// The tenant that owns the listener; `None` if it is not reserved for one.
     pub tenant: Option<String>,
-    /// The protocol of its connections.
+    /// The protocol of the connections.
     pub protocol: Protocol,
-    /// The host of JSON-RPC calls, which do not name one.
+    /// The host of JSON-RPC calls, which carry none themselves.
     pub host: String,
 }
 
@@ -47,10 +47,10 @@
     pub tenants: Vec<Word>,
     #[serde(default)]
     pub expectations: Vec<Word>,
-    /// Only for a hosted service: what the whole process can bear.
+    /// The capacity of the whole process; for hosted services only.
     #[serde(default)]
     pub capacity: CapacityFile,
-    /// Bounds of the idempotency table.
+    /// The bounds of the idempotency table.
     #[serde(default, rename = "keys")]
     pub idempotency: IdempotencyFile,
 }
@@ -73,7 +73,7 @@
     pub protocol: Option<Word>,
     pub framing: Option<Word>,
     pub calls: Option<Spanned<usize>>,
-    /// With JSON-RPC: stands for the host that HTTP requests name.
+    /// The host of JSON-RPC calls, which replaces the host of HTTP requests.
     pub host: Option<Word>,
 }
 
@@ -155,7 +155,7 @@
         word.get_ref().clone()
     }
 
-    /// The descriptors of the process.
+    /// The number of descriptors of the process.
     pub(crate) fn sockets(&mut self, server: &ServerFile) -> usize {
         let sockets = *server.sockets.get_ref();
         if !(MIN_SOCKETS..=MAX_SOCKETS).contains(&sockets) {
--- a/crates/config/src/standalone.rs
+++ b/crates/config/src/standalone.rs
@@ -1,4 +1,4 @@
-//! The check of a standalone configuration: puts the sections together.
+//! The check of a standalone configuration, which combines the checks of the sections.
 
 use std::path::PathBuf;
 
@@ -16,16 +16,16 @@
 use crate::section::server::ServerFile;
 use crate::sockets::sockets_suffice;
 
-/// Whether a configuration needs classes and pools where it has no route.
+/// Whether a configuration without routes needs classes and pools.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Emptiness {
-    /// Each file needs at least one class and one pool.
+    /// Every file needs at least one class and one pool.
     Forbidden,
     /// A file without routes needs neither.
     Allowed,
 }
 
-/// Checks a file. None where anything is reported. `resolve_path` makes paths relative to the file.
+/// Checks a file. Returns `None` if anything is reported. `resolve_path` resolves paths relative to the file.
 pub(crate) fn check(
     file: ConfigFile,
     text: TextId,
@@ -121,7 +121,7 @@
         (pools, names)
     }
 
-    /// Reports where the sockets that [bgp] and [operators] leave are too few for the pools.
+    /// Reports if the sockets are too few for the pools after those for [bgp] and [operators] are subtracted.
     fn check_sockets(
         &mut self,
         server: &ServerFile,
@@ -130,12 +130,12 @@
         operators: Option<&Operators>,
     ) {
         let sockets = *server.sockets.get_ref();
-        let of_bgp = bgp.map_or(0, Bgp::sockets);
-        let of_operators = Operators::sockets(operators);
-        if sockets_suffice(sockets.saturating_sub(of_bgp + of_operators), pools) {
+        let bgp_sockets = bgp.map_or(0, Bgp::sockets);
+        let operator_sockets = Operators::sockets(operators);
+        if sockets_suffice(sockets.saturating_sub(bgp_sockets + operator_sockets), pools) {
             return;
         }
-        let sections = [("bgp", of_bgp), ("operators", of_operators)];
+        let sections = [("bgp", bgp_sockets), ("operators", operator_sockets)];
         let others: String = sections
             .into_iter()
             .filter(|(_, count)| *count > 0)
--- a/crates/config/src/tenant_limits.rs
+++ b/crates/config/src/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a tenant as they are written.
+//! The limits of a tenant, as administrators write them.
 
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +44,7 @@
     /// Checks the bounds.
     ///
     /// # Errors
-    /// What is out of bounds, in a line.
+    /// If a value is out of bounds, returns a message with its key and the bounds.
     pub(crate) fn check(&self) -> Result<(), String> {
         check_rate("requests_per_s", self.requests_per_s)?;
         check_rate("burst", self.burst)?;
