--- a/crates/config/tests/bgp.rs
+++ b/crates/config/tests/bgp.rs
@@ -1,10 +1,10 @@
-//! Each kind of malformed [bgp] section, and the line that is said of it.
+//! Tests of the section [bgp]: its values, and the diagnostics of each kind of invalid value.
 
 use std::path::Path;
 
 use config::load;
 
-const GOOD: &str = r#"[server]
+const VALID: &str = r#"[server]
 listen = [{ address = "127.0.0.1:8080" }]
 sockets = 256
 
@@ -48,17 +48,20 @@
 large_communities = ["64512:1:2"]
 "#;
 
-fn said(text: &str) -> Vec<String> {
+/// The diagnostics of a configuration, one line each.
+fn reported(text: &str) -> Vec<String> {
     match load(Path::new("lb.toml"), &|_| Ok(text.to_owned())) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.all().iter().map(ToString::to_string).collect(),
+        Err(diagnostics) => diagnostics.all().iter().map(ToString::to_string).collect(),
     }
 }
 
+/// Guards against values that are lost or change between the file and the speaker: communities, attributes of
+/// a degraded address, damping and the session of a peer.
 #[test]
-fn a_good_one_is_taken_as_it_is_written() {
-    let loaded = load(Path::new("lb.toml"), &|_| Ok(GOOD.to_owned())).expect("good");
-    let bgp = loaded.config.bgp.expect("there");
+fn valid_section_is_loaded_with_its_values() {
+    let loaded = load(Path::new("lb.toml"), &|_| Ok(VALID.to_owned())).expect("valid configuration");
+    let bgp = loaded.config.bgp.expect("section bgp");
     let address = &bgp.addresses[0];
     assert_eq!(address.attributes.communities, [64512 << 16 | 100]);
     assert_eq!((address.degraded.med, address.degraded.prepend), (Some(200), 3));
@@ -67,8 +70,11 @@
     assert_eq!((bgp.peers[0].settings.hold_s, bgp.peers[0].settings.peer_asn), (9, 65001));
 }
 
+/// Guards against an invalid section that is accepted: the speaker would announce addresses with wrong
+/// attributes or not at all. Each case replaces one text of the valid file, and expects a diagnostic with a
+/// position.
 #[test]
-fn every_fault_is_said_with_its_line() {
+fn invalid_section_is_reported_with_its_line() {
     let cases = [
         ("as = 64512", "as = 0", "`as`: 0 is no AS number"),
         ("as = 64512", "as = 23456", "`as`: 23456 is no AS number"),
@@ -96,19 +102,20 @@
         ("64512:1:2", "64512:1", "`large_communities`: \"64512:1\" is none"),
         ("sockets = 256", "sockets = 64", "`sockets`: 64 are too few for 1 pools beside"),
     ];
-    for (from, to, wanted) in cases {
-        assert!(GOOD.contains(from), "{from}");
-        let all = said(&GOOD.replacen(from, to, 1));
+    for (from, to, expected) in cases {
+        assert!(VALID.contains(from), "{from}");
+        let lines = reported(&VALID.replacen(from, to, 1));
         assert!(
-            all.iter().any(|line| line.contains(wanted) && line.starts_with("lb.toml:")),
-            "{wanted}: {all:?}"
+            lines.iter().any(|line| line.contains(expected) && line.starts_with("lb.toml:")),
+            "{expected}: {lines:?}"
         );
     }
-    let twice = said(&(GOOD.to_owned() + "\n[[bgp.address]]\nprefix = \"192.0.2.1/32\"\npools = [\"p\"]\n"));
+    let twice =
+        reported(&(VALID.to_owned() + "\n[[bgp.address]]\nprefix = \"192.0.2.1/32\"\npools = [\"p\"]\n"));
     assert!(twice[0].contains("`prefix`: 192.0.2.1/32 is there twice"), "{twice:?}");
-    let many: String = (0..65)
+    let too_many_peers: String = (0..65)
         .map(|i| format!("\n[[bgp.peer]]\nname = \"x{i}\"\naddress = \"10.0.1.1:179\"\nas = 65001\n"))
         .collect();
-    assert!(said(&(GOOD.replace("sockets = 256", "sockets = 4096") + &many))[0]
+    assert!(reported(&(VALID.replace("sockets = 256", "sockets = 4096") + &too_many_peers))[0]
         .contains("66 peers are more than 64"));
 }
--- a/crates/config/tests/diagnostic_texts.rs
+++ b/crates/config/tests/diagnostic_texts.rs
@@ -1,5 +1,5 @@
-//! The texts of diagnostics are the operators' interface: a file with every section is damaged in each place, and a
-//! hash of all that is reported has to stay the same.
+//! Guards the texts of diagnostics, which are the operators' interface. Files with every section are damaged
+//! at each place, and the digests of all diagnostics must equal the recorded ones.
 
 use std::path::Path;
 
@@ -173,8 +173,9 @@
 const WRONG_VALUES: [&str; 9] =
     ["7", "-1", "1e12", "true", "\"zz\"", "\"\"", "[]", "{}", "[\"pairings\", \"pairings\"]"];
 
-/// The text with the value after each `=` replaced in turn, each line left out, and each key misspelt.
-fn damaged(text: &str) -> Vec<String> {
+/// Variants of a text with one damage each: a wrong value after a `=`, a misspelt key, or a line that is
+/// removed, duplicated or replaced.
+fn damaged_variants(text: &str) -> Vec<String> {
     let mut all = Vec::new();
     for (at, _) in text.match_indices(" = ") {
         let start = at + " = ".len();
@@ -193,7 +194,7 @@
     all
 }
 
-/// FNV-1a of all that is reported of a set of files, and how many diagnostics there are.
+/// The FNV-1a hash of all reported texts of a set of files, and the number of these texts.
 #[derive(Default, Debug, PartialEq)]
 struct Digest {
     hash: u64,
@@ -231,36 +232,38 @@
     }
 }
 
-/// As measured before the sections became modules: standalone files, expectations, hosted files.
-const EXPECTED: [Digest; 3] = [
+/// The recorded digests of standalone files, expectation files and hosted files.
+const RECORDED: [Digest; 3] = [
     Digest { hash: 10_279_560_753_944_711_408, diagnostics: 5040 },
     Digest { hash: 16_782_088_004_297_292_500, diagnostics: 763 },
     Digest { hash: 2_554_781_892_439_115_495, diagnostics: 314 },
 ];
 
+/// Guards against unintended changes of any text, position or order of diagnostics.
 #[test]
 fn diagnostics_of_damaged_files_keep_their_texts() {
     let mut standalone = Digest::default();
-    for config in damaged(STANDALONE) {
+    for config in damaged_variants(STANDALONE) {
         digest_of_standalone(&config, EXPECTATIONS, &mut standalone);
     }
     let mut expectations = Digest::default();
-    for text in damaged(EXPECTATIONS) {
+    for text in damaged_variants(EXPECTATIONS) {
         digest_of_standalone(STANDALONE, &text, &mut expectations);
     }
     let mut hosted = Digest::default();
-    for config in damaged(HOSTED) {
+    for config in damaged_variants(HOSTED) {
         if let Err(reported) = HostedSettings::load(Path::new("etc/lb.toml"), &|path| read(path, &config, ""))
         {
             reported.all().iter().for_each(|diagnostic| hosted.add(&diagnostic.to_string()));
         }
     }
     let digests = [standalone, expectations, hosted];
-    assert_eq!(digests, EXPECTED);
+    assert_eq!(digests, RECORDED);
 }
 
+/// Guards the digests against files that are invalid without any damage.
 #[test]
-fn the_undamaged_files_are_good() {
+fn undamaged_files_have_no_diagnostics() {
     let standalone = load(Path::new("etc/lb.toml"), &|path| read(path, STANDALONE, EXPECTATIONS));
     assert_eq!(standalone.err().map(|reported| reported.to_string()), None);
     let hosted = HostedSettings::load(Path::new("etc/lb.toml"), &|path| read(path, HOSTED, ""));
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,10 +1,10 @@
-//! Each kind of malformed file, and the line that is said of it.
+//! Tests of the diagnostics of invalid configurations and expectation files.
 
 use std::path::Path;
 
 use config::load;
 
-const GOOD: &str = r#"[server]
+const VALID: &str = r#"[server]
 listen = [{ address = "127.0.0.1:8080" }]
 zone = "south"
 sockets = 1024
@@ -42,34 +42,38 @@
 then = { pool = "pairings" }
 "#;
 
-/// All that is said of a configuration and the file of expectations beside it.
-fn said(config: &str, expect: Option<&str>) -> Vec<String> {
-    let read = |path: &Path| match path.file_name().and_then(|n| n.to_str()) {
+/// The diagnostics of a configuration and its expectation file, one line each.
+fn reported(config: &str, expect: Option<&str>) -> Vec<String> {
+    let read = |path: &Path| match path.file_name().and_then(|name| name.to_str()) {
         Some("lb.toml") => Ok(config.to_owned()),
         Some("expect.toml") => expect.map(str::to_owned).ok_or_else(|| "no such file".to_owned()),
         _ => Err("no such file".to_owned()),
     };
     match load(Path::new("etc/lb.toml"), &read) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.all().iter().map(ToString::to_string).collect(),
+        Err(diagnostics) => diagnostics.all().iter().map(ToString::to_string).collect(),
     }
 }
 
+/// Replaces the first occurrence of a text, which must exist.
 #[track_caller]
 fn changed(text: &str, from: &str, to: &str) -> String {
     assert!(text.contains(from), "{from}");
     text.replacen(from, to, 1)
 }
 
+/// Guards the other tests against a base file that is itself invalid.
 #[test]
-fn a_good_file_is_good() {
-    assert_eq!(said(GOOD, Some(EXPECT)), Vec::<String>::new());
+fn valid_file_has_no_diagnostics() {
+    assert_eq!(reported(VALID, Some(EXPECT)), Vec::<String>::new());
 }
 
+/// Guards against invalid configurations that are accepted, and against diagnostics without position, key or
+/// help. Each case replaces one text of the valid file and expects the first diagnostic.
 #[test]
-fn each_fault_in_a_configuration_is_told_with_line_key_and_what_would_be_right() {
+fn invalid_configuration_is_reported_with_position_key_and_help() {
     let cases = [
-        // The form.
+        // Syntax, keys and types.
         ("sockets = 1024", "sockets = ", "etc/lb.toml:4:11: `sockets`: string values must be quoted, expected literal string"),
         ("sockets = 1024", "sockets = \"many\"", "etc/lb.toml:4:11: `sockets`: invalid type: string \"many\", expected usize"),
         ("sockets = 1024", "socket = 1024", "etc/lb.toml:4:1: unknown field `socket`, expected one of `listen`, `zone`, `sockets`, `proxies`, `tenants`, `expectations`, `capacity`, `keys` (did you mean `sockets`?)"),
@@ -77,7 +81,7 @@
         ("aim_ms = 800\n", "", "etc/lb.toml:11:1: missing field `aim_ms`"),
         ("[server]", "[server", "etc/lb.toml:1:8: unclosed table, expected `]`"),
         ("zone = \"south\"", "zone = \"south\"\nzone = \"x\"", "etc/lb.toml:4:1: duplicate key"),
-        // Figures out of bounds.
+        // Numbers out of bounds.
         ("sockets = 1024", "sockets = 40", "etc/lb.toml:4:11: `sockets`: 40 is not from 48 to 1000000"),
         ("sockets = 1024", "sockets = 48", "etc/lb.toml:4:11: `sockets`: 48 are too few for 2 pools (give the process more of them, or the pools more even shares)"),
         ("attempts = 3", "attempts = 0", "etc/lb.toml:9:12: `attempts`: 0 is not from 1 to 10"),
@@ -122,26 +126,30 @@
         ("pool = \"archive\", when", "pool = \"pairings\", when", "etc/lb.toml:30:22: the fallback of route `standings` leads back to pool `pairings` (a pool stands once in a route; name another, or leave the fallback out)"),
         ("[\"none-ready\"]", "[]", "etc/lb.toml:30:40: `when`: a fallback that is never used (write one or more of \"none-ready\", \"all-draining\", \"refused\")"),
     ];
-    let got = cases.map(|(from, to, _)| said(&changed(GOOD, from, to), Some(EXPECT)));
-    let first = got.each_ref().map(|said| said.first().map_or("", String::as_str));
+    let got = cases.map(|(from, to, _)| reported(&changed(VALID, from, to), Some(EXPECT)));
+    let first = got.each_ref().map(|lines| lines.first().map_or("", String::as_str));
     assert_eq!(first, cases.map(|(_, _, expected)| expected));
 }
 
+/// Guards against a route table in which the order of routes decides. Two routes of equal precedence that can
+/// match one request are reported; with different values of a header they cannot, and are accepted.
 #[test]
-fn routes_that_tie_are_told_wherever_they_stand() {
+fn equally_specific_routes_are_reported_unless_they_are_disjoint() {
     let twin = "\n[[route]]\nname = \"other\"\nmatch = { path = \"/standings/{id}\", methods = [\"POST\", \"GET\"], headers = { x-app = \"judge\" } }\nclass = \"standings\"\npool = \"archive\"\n";
-    let got = said(&format!("{GOOD}{twin}"), Some(EXPECT));
+    let got = reported(&format!("{VALID}{twin}"), Some(EXPECT));
     assert_eq!(
         got,
         ["etc/lb.toml:33:8: routes `standings` (line 26) and `other` are equally specific, and a request can match both (make one of them more specific, or the two disjoint; order decides nothing)"]
     );
-    // The same with another value of the field meet no request together.
-    let apart = twin.replace("\"judge\"", "\"player\"");
-    assert!(said(&format!("{GOOD}{apart}"), Some(EXPECT)).is_empty());
+    // With another value of the header, no request matches both.
+    let disjoint = twin.replace("\"judge\"", "\"player\"");
+    assert!(reported(&format!("{VALID}{disjoint}"), Some(EXPECT)).is_empty());
 }
 
+/// Guards against invalid expectations that are accepted and then check nothing. Each case replaces one text
+/// of the valid file and expects the first diagnostic.
 #[test]
-fn faults_in_expectations_are_told_too() {
+fn invalid_expectation_is_reported_with_position_and_help() {
     let cases = [
         ("pool = \"pairings\"", "pools = \"pairings\"", "etc/expect.toml:4:10: `then`: unknown field `pools`, expected one of `route`, `pool`, `class`, `nodes`, `stays_in`, `never_in`, `refused` (did you mean `pool`?)"),
         ("pool = \"pairings\"", "pool = \"pairing\"", "etc/expect.toml:4:17: there is no pool `pairing` (did you mean `pairings`?)"),
@@ -152,46 +160,51 @@
         ("name = \"served\"", "name = \"served\"\nonly_then = true", "etc/expect.toml:2:8: `only_then`: the given state is the ordinary one (say under `given` what is different)"),
         ("name = \"served\"", "name = \"served\"\ngiven = { gone = [\"n1\"], draining = [\"n1\"] }", "etc/expect.toml:3:19: node `n1` is given two states"),
     ];
-    let got = cases.map(|(from, to, _)| said(GOOD, Some(&changed(EXPECT, from, to))));
-    let first = got.each_ref().map(|said| said.first().map_or("", String::as_str));
+    let got = cases.map(|(from, to, _)| reported(VALID, Some(&changed(EXPECT, from, to))));
+    let first = got.each_ref().map(|lines| lines.first().map_or("", String::as_str));
     assert_eq!(first, cases.map(|(_, _, expected)| expected));
     let twice = format!("{EXPECT}{EXPECT}");
     assert_eq!(
-        said(GOOD, Some(&twice)),
+        reported(VALID, Some(&twice)),
         ["etc/expect.toml:6:8: two expectations are named \"served\" (the first is in line 2)"]
     );
-    assert_eq!(said(GOOD, None), ["etc/lb.toml:6:17: cannot read etc/expect.toml: no such file"]);
+    assert_eq!(reported(VALID, None), ["etc/lb.toml:6:17: cannot read etc/expect.toml: no such file"]);
 }
 
+/// Guards the rendered form: it quotes the line, underlines the value and ends with the help.
 #[test]
-fn a_fault_is_shown_in_its_place() {
-    let config = changed(GOOD, "pool = \"pairings\"", "pool = \"pairing\"");
+fn rendered_diagnostic_underlines_the_value_in_its_line() {
+    let config = changed(VALID, "pool = \"pairings\"", "pool = \"pairing\"");
     let read = |path: &Path| match path.ends_with("lb.toml") {
         true => Ok(config.clone()),
         false => Ok(EXPECT.to_owned()),
     };
-    let faults = load(Path::new("lb.toml"), &read).expect_err("no such pool");
+    let diagnostics = load(Path::new("lb.toml"), &read).expect_err("unknown pool");
     assert_eq!(
-        faults.all()[0].rendered(),
+        diagnostics.all()[0].rendered(),
         "error: there is no pool `pairing`\n  --> lb.toml:29:8\n   |\n29 | pool = \"pairing\"\n   |        ^^^^^^^^^\n   = help: did you mean `pairings`?\n"
     );
-    assert_eq!(faults.to_string(), "lb.toml:29:8: there is no pool `pairing` (did you mean `pairings`?)");
+    assert_eq!(
+        diagnostics.to_string(),
+        "lb.toml:29:8: there is no pool `pairing` (did you mean `pairings`?)"
+    );
 }
 
-/// A file cut off at any byte, and with any byte replaced, is read as something or told of, and nothing panics.
+/// Guards against panics on malformed files: files truncated at any byte, and configurations with any byte
+/// replaced, are either accepted or reported.
 #[test]
-fn no_file_panics() {
-    for cut in 0..GOOD.len() {
-        said(&GOOD[..cut], Some(EXPECT));
+fn truncated_or_corrupted_file_does_not_panic() {
+    for length in 0..VALID.len() {
+        reported(&VALID[..length], Some(EXPECT));
     }
-    for cut in 0..EXPECT.len() {
-        said(GOOD, Some(&EXPECT[..cut]));
+    for length in 0..EXPECT.len() {
+        reported(VALID, Some(&EXPECT[..length]));
     }
-    for at in 0..GOOD.len() {
+    for at in 0..VALID.len() {
         for byte in ["\"", "\n", "]", "0", "\u{e9}", "="] {
-            let mut text = GOOD.to_owned();
+            let mut text = VALID.to_owned();
             text.replace_range(at..=at, byte);
-            said(&text, Some(EXPECT));
+            reported(&text, Some(EXPECT));
         }
     }
 }
--- a/crates/config/tests/play.rs
+++ b/crates/config/tests/play.rs
@@ -1,4 +1,4 @@
-//! Expectations against a configuration: the hard cases.
+//! Tests of the evaluation of expectations on a configuration.
 
 use std::path::Path;
 
@@ -55,43 +55,48 @@
 split = { by = "path:player", pools = [{ pool = "main", weight = 1 }, { pool = "spare", weight = 1 }] }
 "#;
 
-fn played(config: &str, expect: &str) -> Report {
+/// Loads a configuration and evaluates its expectations.
+fn evaluated(config: &str, expect: &str) -> Report {
     let read = |path: &Path| match path.ends_with("lb.toml") {
         true => Ok(config.to_owned()),
         false => Ok(expect.to_owned()),
     };
-    load(Path::new("lb.toml"), &read).unwrap_or_else(|faults| panic!("{:#?}", faults.all())).play()
+    load(Path::new("lb.toml"), &read).unwrap_or_else(|diagnostics| panic!("{:#?}", diagnostics.all())).play()
 }
 
+/// The failures of expectations that do not contradict each other, one line each.
 fn failures(config: &str, expect: &str) -> Vec<String> {
-    let report = played(config, expect);
+    let report = evaluated(config, expect);
     assert!(report.contradictions.is_empty(), "{:?}", report.contradictions);
     report.failures.iter().map(ToString::to_string).collect()
 }
 
+/// The text of an expectation.
 fn expect(name: &str, given: &str, when: &str, then: &str) -> String {
     format!(
         "[[expect]]\nname = \"{name}\"\ngiven = {{ {given} }}\nwhen = {{ {when} }}\nthen = {{ {then} }}\n"
     )
 }
 
-/// The south's two nodes in maintenance: with both draining the spare pool serves, with one or none it does not.
+/// Guards the meaning of `only_then`. If both endpoints in the south are draining, the spare pool serves; if
+/// one or none is, it does not. An expectation that holds in the ordinary state as well must fail.
 #[test]
-fn an_expectation_that_holds_only_while_a_node_drains() {
+fn expectation_with_only_then_fails_if_it_holds_in_the_ordinary_state() {
     let when = r#"path = "/standings/1""#;
     let draining = |nodes: &str| format!("draining = [{nodes}], gone = [\"n1\"]");
     let then = r#"pool = "spare", nodes = ["x1"]"#;
     let during = expect("during", &draining(r#""s1", "s2""#), when, then) + "only_then = true\n";
     assert_eq!(failures(CONFIG, &during), Vec::<String>::new());
-    // Before and after: the same expectation fails, and the one that says otherwise holds.
+    // With one draining endpoint the expectation fails; with removed endpoints a rejection is expected and
+    // holds.
     let before = expect("before", &draining(r#""s1""#), when, then);
     assert_eq!(
         failures(CONFIG, &before),
         ["expect.toml:2: `before`: expected pool `spare` and just the nodes `spare/x1`, but it would go to pool `main` (by route `standings`, lb.toml:31)"]
     );
     let after = expect("after", "gone = [\"s1\", \"s2\", \"n1\"]", when, "refused = 503");
-    assert_eq!(failures(CONFIG, &after), Vec::<String>::new(), "gone is not draining");
-    // One that would hold anyway is not one that holds only then.
+    assert_eq!(failures(CONFIG, &after), Vec::<String>::new(), "removed endpoints are not draining");
+    // This expectation holds in the ordinary state as well.
     let anyway = expect("anyway", "draining = [\"s1\"]", when, r#"pool = "main""#) + "only_then = true\n";
     assert_eq!(
         failures(CONFIG, &anyway),
@@ -99,12 +104,14 @@
     );
 }
 
+/// Guards against failures that hide their cause: each names the expected routing, the actual one and the
+/// route that takes the request.
 #[test]
-fn what_fails_is_told_with_what_would_happen_and_the_route_to_blame() {
+fn unmet_expectation_is_reported_with_the_actual_routing_and_its_route() {
     let south = r#"zone = "south", method = "POST", path = "/close-round/7""#;
     let stays = r#"stays_in = ["south"]"#;
     assert_eq!(failures(CONFIG, &expect("stays", "", south, stays)), Vec::<String>::new());
-    // The organisers' slip: the restriction is gone.
+    // An operator's mistake: the route has lost its restriction to a zone.
     let broken = CONFIG.replace("pool = \"main\"\nnodes = { zones = [\"south\"] }\n", "pool = \"main\"\n");
     assert_eq!(
         failures(&broken, &expect("stays", "", south, stays)),
@@ -126,7 +133,7 @@
         failures(CONFIG, &expect("class", "", r#"path = "/standings/1""#, r#"class = "close-round""#)),
         ["expect.toml:2: `class`: expected class `close-round`, but its class would be `standings` (by route `standings`, lb.toml:31)"]
     );
-    // A refusal by the pool's decisions may send it on, so the nodes of that fallback are in reach as well.
+    // A rejection by the first pool may lead to the fallback, so its endpoints can be reached as well.
     let refused = CONFIG.replace("when = [\"all-draining\"]", "when = [\"refused\"]");
     assert_eq!(
         failures(&refused, &expect("reach", "", r#"path = "/standings/1""#, r#"never_in = ["west"]"#)),
@@ -134,15 +141,17 @@
     );
 }
 
+/// Guards against an expectation that is evaluated for one pool of a split although the request could go to
+/// any. With a key in the path the pool is known; with the request id as key it is not.
 #[test]
-fn a_split_is_known_by_its_key() {
+fn split_without_a_key_in_the_request_may_choose_any_pool() {
     let report = |n: usize| {
         let when = format!("path = \"/split/{n}\"");
         failures(CONFIG, &expect("split", "", &when, r#"pool = "main""#)).len()
     };
     let spare: usize = (0..40).map(report).sum();
     assert!((10..=30).contains(&spare), "{spare} of 40 keys go to the spare pool");
-    // By the request's own id it may be either.
+    // With the request id as key, both pools are possible.
     let keyless = CONFIG.replace("by = \"path:player\", ", "");
     assert_eq!(
         failures(&keyless, &expect("split", "", r#"path = "/split/1""#, r#"pool = "main""#)),
@@ -150,8 +159,10 @@
     );
 }
 
+/// Guards against contradictions that are reported as failures of a correct configuration. Two expectations
+/// that no configuration can meet together are reported as a pair, and not as failures in addition.
 #[test]
-fn contradictions_are_told_as_pairs_and_not_one_by_one() {
+fn contradictory_expectations_are_reported_as_pairs_and_not_as_failures() {
     let south = r#"zone = "south", method = "POST", path = "/close-round/7""#;
     let pairs = [
         (r#"stays_in = ["south"]"#, r#"never_in = ["south"]"#, "one wants it to stay in `south`, the other never to reach `south`"),
@@ -163,52 +174,56 @@
         (r#"nodes = ["n1"]"#, r#"stays_in = ["south"]"#, "one wants node `n1`, which the configuration puts into zone `north`, the other to stay in `south`"),
         (r#"pool = "spare""#, r#"stays_in = ["south"]"#, "one wants pool `spare`, all of whose nodes the configuration puts elsewhere, the other to stay in `south`"),
     ];
-    for (one, other, why) in pairs {
+    for (one, other, reason) in pairs {
         let text = expect("one", "", south, one) + &expect("other", "", south, other);
-        let report = played(CONFIG, &text);
-        let told: Vec<String> = report.contradictions.iter().map(ToString::to_string).collect();
+        let report = evaluated(CONFIG, &text);
+        let contradictions: Vec<String> = report.contradictions.iter().map(ToString::to_string).collect();
         assert_eq!(
-            told,
-            [format!("expect.toml:2: `one` and expect.toml:7: `other` contradict each other: {why}")]
+            contradictions,
+            [format!("expect.toml:2: `one` and expect.toml:7: `other` contradict each other: {reason}")]
         );
-        assert!(report.failures.is_empty(), "told once: {:?}", report.failures);
+        assert!(report.failures.is_empty(), "reported twice: {:?}", report.failures);
         assert!(!report.is_good() && report.summary().contains("contradict"));
     }
-    // The same words about another state, zone or path contradict nothing.
-    let apart = expect("one", "", south, r#"stays_in = ["south"]"#)
+    // Different expectations for different states of the endpoints do not contradict each other.
+    let different_states = expect("one", "", south, r#"stays_in = ["south"]"#)
         + &expect("other", "lost_zones = [\"south\"]", south, "refused = 503");
-    assert!(played(CONFIG, &apart).is_good());
-    // One request in two spellings is one request.
-    let spelt = expect("one", "", r#"path = "/standings/1""#, r#"pool = "main""#)
+    assert!(evaluated(CONFIG, &different_states).is_good());
+    // Two spellings of one path are the same request.
+    let two_spellings = expect("one", "", r#"path = "/standings/1""#, r#"pool = "main""#)
         + &expect("other", "", r#"path = "/standings//%31?x=2""#, r#"pool = "spare""#);
-    assert_eq!(played(CONFIG, &spelt).contradictions.len(), 1);
-    // One may contradict itself.
-    let itself = expect("one", "", south, r#"nodes = ["n1"], stays_in = ["south"]"#);
-    assert!(played(CONFIG, &itself).contradictions[0].to_string().contains("contradicts itself"));
+    assert_eq!(evaluated(CONFIG, &two_spellings).contradictions.len(), 1);
+    // An expectation can contradict itself.
+    let inconsistent = expect("one", "", south, r#"nodes = ["n1"], stays_in = ["south"]"#);
+    assert!(evaluated(CONFIG, &inconsistent).contradictions[0].to_string().contains("contradicts itself"));
 }
 
+/// Guards the evaluation of pools with discovery, whose endpoints are unknown while the configuration is
+/// checked: an expectation adds the endpoints that it needs.
 #[test]
-fn nodes_that_discovery_tells_can_be_made_up() {
+fn expectation_can_add_endpoints_to_a_pool_with_discovery() {
     let config = CONFIG.replace(
         "nodes = [{ name = \"x1\", address = \"127.0.0.1:4\", zone = \"west\" }]",
         "discovery = \"127.0.0.1:8500\"",
     );
     let given = r#"lost_zones = ["south"], draining = ["n1"], nodes = [{ pool = "spare", name = "d1", zone = "east" }]"#;
     let text =
-        expect("made up", given, r#"path = "/standings/1""#, r#"nodes = ["spare/d1"], stays_in = ["east"]"#);
+        expect("added", given, r#"path = "/standings/1""#, r#"nodes = ["spare/d1"], stays_in = ["east"]"#);
     assert_eq!(failures(&config, &text), Vec::<String>::new());
 }
 
 proptest! {
-    /// What is played is what the rule on fallbacks says, for every state of every node.
+    /// Guards against an evaluation that differs from the rule of the fallback `all-draining`, for any states
+    /// of the endpoints: the spare pool serves if no endpoint of the main pool is ready and at least one is
+    /// draining.
     #[test]
-    fn every_state_of_the_fleet(states in prop::collection::vec(0..3_usize, 4)) {
+    fn fallback_rule_holds_for_any_endpoint_states(states in prop::collection::vec(0..3_usize, 4)) {
         let names = ["s1", "s2", "n1", "x1"];
-        let of = |state: usize| {
-            let named = names.iter().zip(&states).filter(|(_, s)| **s == state).map(|(n, _)| format!("\"{n}\""));
-            named.collect::<Vec<_>>().join(", ")
+        let in_state = |state: usize| {
+            let quoted = names.iter().zip(&states).filter(|(_, s)| **s == state).map(|(name, _)| format!("\"{name}\""));
+            quoted.collect::<Vec<_>>().join(", ")
         };
-        let given = format!("draining = [{}], gone = [{}]", of(1), of(2));
+        let given = format!("draining = [{}], gone = [{}]", in_state(1), in_state(2));
         let main: Vec<&str> = (0..3).filter(|i| states[*i] == 0).map(|i| names[i]).collect();
         let falls_back = main.is_empty() && states[..3].contains(&1) && states[3] == 0;
         let then = match (&main[..], falls_back) {
