--- a/crates/config/src/hosted/settings.rs
+++ b/crates/config/src/hosted/settings.rs
@@ -86,7 +86,7 @@
         }
         if settings.is_none() && diagnostics.is_empty() {
             let help = "add [admin] with listen and state".to_owned();
-            diagnostics.report(text, 0..0, "there are tenants and no [admin]", Some(help));
+            diagnostics.report(text, 0..0, "there are [[tenant]] sections and no [admin]", Some(help));
         }
         match settings {
             Some(settings) if diagnostics.is_empty() => Ok(Some((settings, document))),
@@ -172,14 +172,14 @@
 
     fn forbid_learned_state(&mut self, file: &ConfigFile) {
         if let Some(learned_state) = &file.learned_state {
-            let message = "[knowledge]: a hosted service does not keep what its pools learn";
+            let message = "[knowledge]: a hosted service does not store learned state";
             self.report(learned_state.folder.span(), message, None);
         }
     }
 
     fn forbid_bgp(&mut self, file: &ConfigFile) {
         if let Some(bgp) = &file.bgp {
-            let help = "serve the address by a process of its own configuration".to_owned();
+            let help = "announce the address from a standalone proxy".to_owned();
             let message = "[bgp]: a hosted service does not announce addresses";
             self.report(bgp.asn.span(), message, Some(help));
         }
--- a/crates/config/src/section/admin.rs
+++ b/crates/config/src/section/admin.rs
@@ -102,7 +102,11 @@
             ("reader", tenant) => Some(Role::Reader(tenant)),
             (other, _) => {
                 let help = "write role = \"operator\", or \"administrator\" with a tenant, or \"reader\"";
-                self.report(role.span(), format!("`role`: {other:?} is none"), Some(help.to_owned()));
+                self.report(
+                    role.span(),
+                    format!("`role`: {other:?} is unknown or does not fit `tenant`"),
+                    Some(help.to_owned()),
+                );
                 None
             }
         }
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -53,12 +53,12 @@
     ) -> Option<bgp::Address> {
         let prefix = self.prefix(&section.prefix);
         if prefix.is_some_and(|prefix| previous.iter().any(|other| other.prefix == prefix)) {
-            let message = format!("`prefix`: {} is there twice", section.prefix.get_ref());
+            let message = format!("`prefix`: {} is listed twice", section.prefix.get_ref());
             self.report(section.prefix.span(), message, None);
         }
         if section.pools.get_ref().is_empty() {
             let help = "name the pools that must all be able to serve".to_owned();
-            self.report(section.pools.span(), "`pools`: none stands behind the address", Some(help));
+            self.report(section.pools.span(), "`pools`: the address has no pool", Some(help));
         }
         for pool in section.pools.get_ref() {
             self.resolve("pool", pool, pools);
@@ -102,7 +102,7 @@
             "write an address and its bits, such as \"192.0.2.1/32\" or \"2001:db8::1/128\"".to_owned();
         match word.get_ref().parse::<IpNet>() {
             Err(_) => {
-                let message = format!("`prefix`: {:?} is none", word.get_ref());
+                let message = format!("`prefix`: {:?} is not a prefix", word.get_ref());
                 self.report(word.span(), message, Some(help));
                 None
             }
@@ -112,7 +112,7 @@
                 None
             }
             Ok(net) if net.prefix_len() == 0 || net.addr().is_multicast() || net.addr().is_unspecified() => {
-                let message = format!("`prefix`: {net} is not for a service to announce");
+                let message = format!("`prefix`: {net} is not a unicast prefix of a service");
                 self.report(word.span(), message, Some(help));
                 None
             }
@@ -134,8 +134,12 @@
     fn degraded(&mut self, section: &AddressFile, attributes: &bgp::Attributes) -> bgp::Attributes {
         let Some(degraded) = &section.degraded else {
             if let Some(share) = section.degrade_share.as_ref().filter(|share| *share.get_ref() > 0.0) {
-                let help = "add degraded = { med = 200, prepend = 3 }, say".to_owned();
-                self.report(share.span(), "`degrade_share`: how is it announced then?", Some(help));
+                let help = "add one such as degraded = { med = 200, prepend = 3 }".to_owned();
+                self.report(
+                    share.span(),
+                    "`degrade_share`: needs `degraded`, the attributes of the degraded address",
+                    Some(help),
+                );
             }
             return attributes.clone();
         };
@@ -170,14 +174,18 @@
         parse: impl Fn(&str) -> Option<T>,
     ) -> Vec<T> {
         if let Some(word) = words.get(MAX_COMMUNITIES) {
-            self.report(word.span(), format!("`{key}`: more than {MAX_COMMUNITIES}"), None);
+            self.report(
+                word.span(),
+                format!("`{key}`: {} are more than {MAX_COMMUNITIES}", words.len()),
+                None,
+            );
         }
         let mut communities = Vec::new();
         for word in words {
             match parse(word.get_ref()) {
                 Some(community) => communities.push(community),
                 None => {
-                    let message = format!("`{key}`: {:?} is none", word.get_ref());
+                    let message = format!("`{key}`: {:?} is not a community", word.get_ref());
                     self.report(word.span(), message, Some(help.to_owned()));
                 }
             }
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -68,13 +68,13 @@
     fn check_identity(&mut self, section: &BgpFile) {
         let asn = *section.asn.get_ref();
         if RESERVED_AS_NUMBERS.contains(&asn) {
-            let message = format!("`as`: {asn} is no AS number that may be used");
+            let message = format!("`as`: {asn} is a reserved AS number");
             self.report(section.asn.span(), message, Some("64512 to 65534 are for private use".to_owned()));
         }
         let id = *section.router_id.get_ref();
         if id.is_unspecified() || id.is_broadcast() || id.is_multicast() {
             let help = "write an IPv4 address of this machine; each speaker has one of its own".to_owned();
-            let message = format!("`router_id`: {id} identifies nobody");
+            let message = format!("`router_id`: {id} is not a unicast address");
             self.report(section.router_id.span(), message, Some(help));
         }
     }
@@ -85,7 +85,7 @@
             self.bounded("hold_time_s", &section.hold_time_s, DEFAULT_HOLD_TIME_S, MAX_HOLD_TIME_S);
         let is_too_short = |seconds: usize| (1..MIN_HOLD_TIME_S).contains(&seconds);
         if let Some(value) = section.hold_time_s.as_ref().filter(|value| is_too_short(*value.get_ref())) {
-            let help = "BGP knows 3 s at the least".to_owned();
+            let help = "the minimum hold time of BGP is 3 s".to_owned();
             self.report(value.span(), format!("`hold_time_s`: {hold_time_s} is too short"), Some(help));
         }
         let retry_ms = self.bounded("retry_ms", &section.retry_ms, DEFAULT_RETRY_MS, MAX_HOUR_MS);
@@ -113,7 +113,7 @@
         let name = section.name.get_ref().clone();
         if section.passive && !listens {
             let help = "write bgp.listen, or leave `passive` out".to_owned();
-            let message = format!("peer `{name}` is to connect, and nothing listens");
+            let message = format!("peer `{name}`: `passive` needs `bgp.listen`");
             self.report(section.name.span(), message, Some(help));
         }
         let address = self.address("address", &section.address);
@@ -122,8 +122,10 @@
 
     fn shutdown_text(&mut self, section: &BgpFile) -> String {
         let Some(word) = &section.shutdown_text else { return String::new() };
-        if word.get_ref().len() > MAX_SHUTDOWN_TEXT_BYTES {
-            self.report(word.span(), "`shutdown_text`: longer than 255 octets", None);
+        let bytes = word.get_ref().len();
+        if bytes > MAX_SHUTDOWN_TEXT_BYTES {
+            let message = format!("`shutdown_text`: {bytes} bytes are more than {MAX_SHUTDOWN_TEXT_BYTES}");
+            self.report(word.span(), message, None);
         }
         word.get_ref().clone()
     }
@@ -158,7 +160,8 @@
         let Some(word) = &section.path else { return (settings, None) };
         let path = word.get_ref();
         if !path.starts_with('/') || path.bytes().any(|byte| !byte.is_ascii_graphic()) {
-            self.report(word.span(), format!("`path`: {path:?} is no path"), None);
+            let help = "write one such as \"/healthz\", in visible ASCII characters".to_owned();
+            self.report(word.span(), format!("`path`: {path:?} is not a path"), Some(help));
         }
         (settings, Some(path.clone()))
     }
--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -40,7 +40,7 @@
         resolve_path: &dyn Fn(&str) -> PathBuf,
     ) -> LearnedStateSettings {
         if section.folder.get_ref().is_empty() {
-            self.report(section.folder.span(), "`folder`: names none", None);
+            self.report(section.folder.span(), "`folder`: must not be empty", None);
         }
         let interval_s =
             self.bounded("every_s", &section.every_s, DEFAULT_WRITE_INTERVAL_S, MAX_WRITE_INTERVAL_S);
--- a/crates/config/src/section/operators.rs
+++ b/crates/config/src/section/operators.rs
@@ -44,7 +44,7 @@
     ) -> Operators {
         let listen = self.loopback_address("[operators] ", "listen", &section.listen);
         if let Some(word) = section.folder.as_ref().filter(|word| word.get_ref().is_empty()) {
-            self.report(word.span(), "[operators] `folder`: names none", None);
+            self.report(word.span(), "[operators] `folder`: must not be empty", None);
         }
         Operators { listen, folder: section.folder.as_ref().map(|word| resolve_path(word.get_ref())) }
     }
--- a/crates/config/src/section/server.rs
+++ b/crates/config/src/section/server.rs
@@ -127,7 +127,7 @@
     fn listener(&mut self, entry: &ListenerFile, proxy_zone: &str, previous: &[Listener]) -> Listener {
         let address = self.address("address", &entry.address);
         if address.port() != 0 && previous.iter().any(|listener| listener.address == address) {
-            self.report(entry.address.span(), format!("`listen`: {address} is there twice"), None);
+            self.report(entry.address.span(), format!("`listen`: {address} is listed twice"), None);
         }
         let zone = entry.zone.clone().unwrap_or_else(|| proxy_zone.to_owned());
         self.zones.intern(&zone);
@@ -147,7 +147,7 @@
         let Some(word) = &entry.host else { return address.ip().to_string() };
         if protocol == Protocol::Http {
             let help = "leave it out, or write protocol = \"json-rpc\"".to_owned();
-            self.report(word.span(), "`host`: HTTP callers name one themselves", Some(help));
+            self.report(word.span(), "`host`: HTTP requests carry their own host", Some(help));
         }
         if let Err(error) = HostPattern::parse(word.get_ref()) {
             self.report(word.span(), format!("`host`: {error}"), None);
--- a/crates/config/tests/bgp.rs
+++ b/crates/config/tests/bgp.rs
@@ -76,30 +76,30 @@
 #[test]
 fn invalid_section_is_reported_with_its_line() {
     let cases = [
-        ("as = 64512", "as = 0", "`as`: 0 is no AS number"),
-        ("as = 64512", "as = 23456", "`as`: 23456 is no AS number"),
-        ("10.0.0.7", "0.0.0.0", "`router_id`: 0.0.0.0 identifies nobody"),
+        ("as = 64512", "as = 0", "`as`: 0 is a reserved AS number"),
+        ("as = 64512", "as = 23456", "`as`: 23456 is a reserved AS number"),
+        ("10.0.0.7", "0.0.0.0", "`router_id`: 0.0.0.0 is not a unicast address"),
         ("router_id", "router", "unknown field"),
         ("127.0.0.1:8083", "0.0.0.0:8083", "`api`: 0.0.0.0:8083 is not on loopback"),
         ("hold_time_s = 9", "hold_time_s = 2", "`hold_time_s`: 2 is too short"),
         ("hold_time_s = 9", "hold_time_s = 0", "`hold_time_s`: 0 is not from 1 to 65535"),
         ("hold_time_s = 9", "leave_ms = 99999999999", "`leave_ms`"),
-        ("path = \"/healthz\"", "path = \"healthz\"", "`path`: \"healthz\" is no path"),
+        ("path = \"/healthz\"", "path = \"healthz\"", "`path`: \"healthz\" is not a path"),
         ("path = \"/healthz\"", "at_once = 65", "`at_once`: 65 is not from 1 to 64"),
-        ("as = 65001", "as = 65001\npassive = true", "peer `tor-a` is to connect, and nothing listens"),
+        ("as = 65001", "as = 65001\npassive = true", "peer `tor-a`: `passive` needs `bgp.listen`"),
         ("10.0.0.1:179", "10.0.0.1", "`address`: \"10.0.0.1\" is no address"),
-        ("192.0.2.1/32", "192.0.2.1", "`prefix`: \"192.0.2.1\" is none"),
+        ("192.0.2.1/32", "192.0.2.1", "`prefix`: \"192.0.2.1\" is not a prefix"),
         ("192.0.2.1/32", "192.0.2.1/24", "`prefix`: 192.0.2.1/24 has bits beyond its length"),
-        ("192.0.2.1/32", "0.0.0.0/0", "`prefix`: 0.0.0.0/0 is not for a service"),
-        ("192.0.2.1/32", "ff02::1/128", "`prefix`: ff02::1/128 is not for a service"),
-        ("pools = [\"p\"]", "pools = []", "`pools`: none stands behind the address"),
+        ("192.0.2.1/32", "0.0.0.0/0", "`prefix`: 0.0.0.0/0 is not a unicast prefix"),
+        ("192.0.2.1/32", "ff02::1/128", "`prefix`: ff02::1/128 is not a unicast prefix"),
+        ("pools = [\"p\"]", "pools = []", "`pools`: the address has no pool"),
         ("pools = [\"p\"]", "pools = [\"q\"]", "there is no pool `q`"),
         ("withdraw_share = 0.25", "withdraw_share = 0.6", "`withdraw_share`: 0.6 is more than"),
         ("announce_share = 0.5", "announce_share = 1.5", "`announce_share`: 1.5 is not from 0 to 1"),
-        ("degraded = { med = 200, prepend = 3 }", "", "`degrade_share`: how is it announced then?"),
+        ("degraded = { med = 200, prepend = 3 }", "", "`degrade_share`: needs `degraded`"),
         ("prepend = 3", "prepend = 33", "`prepend`: 33 is not from 0 to 32"),
-        ("64512:100", "64512:65536", "`communities`: \"64512:65536\" is none"),
-        ("64512:1:2", "64512:1", "`large_communities`: \"64512:1\" is none"),
+        ("64512:100", "64512:65536", "`communities`: \"64512:65536\" is not a community"),
+        ("64512:1:2", "64512:1", "`large_communities`: \"64512:1\" is not a community"),
         ("sockets = 256", "sockets = 64", "`sockets`: 64 are too few for 1 pools beside"),
     ];
     for (from, to, expected) in cases {
@@ -112,7 +112,7 @@
     }
     let twice =
         reported(&(VALID.to_owned() + "\n[[bgp.address]]\nprefix = \"192.0.2.1/32\"\npools = [\"p\"]\n"));
-    assert!(twice[0].contains("`prefix`: 192.0.2.1/32 is there twice"), "{twice:?}");
+    assert!(twice[0].contains("`prefix`: 192.0.2.1/32 is listed twice"), "{twice:?}");
     let too_many_peers: String = (0..65)
         .map(|i| format!("\n[[bgp.peer]]\nname = \"x{i}\"\naddress = \"10.0.1.1:179\"\nas = 65001\n"))
         .collect();
--- a/crates/config/tests/diagnostic_texts.rs
+++ b/crates/config/tests/diagnostic_texts.rs
@@ -234,9 +234,9 @@
 
 /// The recorded digests of standalone files, expectation files and hosted files.
 const RECORDED: [Digest; 3] = [
-    Digest { hash: 10_279_560_753_944_711_408, diagnostics: 5040 },
+    Digest { hash: 6_904_655_971_606_890_904, diagnostics: 5040 },
     Digest { hash: 16_782_088_004_297_292_500, diagnostics: 763 },
-    Digest { hash: 2_554_781_892_439_115_495, diagnostics: 314 },
+    Digest { hash: 17_541_549_488_457_456_575, diagnostics: 314 },
 ];
 
 /// Guards against unintended changes of any text, position or order of diagnostics.
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -86,7 +86,7 @@
         ("sockets = 1024", "sockets = 48", "etc/lb.toml:4:11: `sockets`: 48 are too few for 2 pools (give the process more of them, or the pools more even shares)"),
         ("attempts = 3", "attempts = 0", "etc/lb.toml:9:12: `attempts`: 0 is not from 1 to 10"),
         ("attempts = 3", "attempts = 3\n[knowledge]\nfolder = \"x\"\nevery_s = 0", "etc/lb.toml:12:11: `every_s`: 0 is not from 1 to 3600"),
-        ("attempts = 3", "attempts = 3\n[knowledge]\nfolder = \"\"", "etc/lb.toml:11:10: `folder`: names none"),
+        ("attempts = 3", "attempts = 3\n[knowledge]\nfolder = \"\"", "etc/lb.toml:11:10: `folder`: must not be empty"),
         ("attempts = 3", "cold_from = 1.5", "etc/lb.toml:9:13: `cold_from`: 1.5 is not from 0 to 1"),
         ("attempts = 3", "cold_from = nan", "etc/lb.toml:9:13: `cold_from`: NaN is not from 0 to 1"),
         ("attempts = 3", "keep_alive_ms = 1", "etc/lb.toml:9:17: `keep_alive_ms`: 1 is not from 100 to 86400000 ms"),
--- a/tests/announce.rs
+++ b/tests/announce.rs
@@ -277,7 +277,7 @@
     proxy.reload(&config("", pools, "[[bgp.address]]\nprefix = \"192.0.2.1/33\"\npools = [\"q\"]\n"));
     proxy.wait_for_log("configuration 3 stays");
     let log = proxy.log();
-    assert!(log.contains("`prefix`: \"192.0.2.1/33\" is none"), "{log}");
+    assert!(log.contains("`prefix`: \"192.0.2.1/33\" is not a prefix"), "{log}");
 }
 
 #[test]
