--- a/crates/config/benches/check.rs
+++ b/crates/config/benches/check.rs
@@ -65,7 +65,7 @@
     bencher.bench_local(|| {
         let loaded =
             config::load(Path::new("lb.toml"), &read).unwrap_or_else(|diagnostics| panic!("{diagnostics}"));
-        let report = loaded.play();
+        let report = loaded.evaluate_expectations();
         assert!(report.is_good(), "{}", report.summary());
     });
 }
--- a/crates/config/src/hosted/compile.rs
+++ b/crates/config/src/hosted/compile.rs
@@ -37,7 +37,7 @@
         tenant: name.to_owned(),
         diagnostics: diagnostics.all().to_vec(),
     })?;
-    let report = loaded.play();
+    let report = loaded.evaluate_expectations();
     if !report.is_good() {
         return Err(DocumentError::Expectations { tenant: name.to_owned(), report });
     }
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -24,8 +24,8 @@
 impl Loaded {
     /// Evaluates every expectation, without sending any request.
     #[must_use]
-    pub fn play(&self) -> Report {
-        play::play(&self.config, &self.expectations)
+    pub fn evaluate_expectations(&self) -> Report {
+        play::evaluate(&self.config, &self.expectations)
     }
 }
 
--- a/crates/config/src/play/mod.rs
+++ b/crates/config/src/play/mod.rs
@@ -33,7 +33,7 @@
 }
 
 /// Evaluates expectations. Those that contradict each other are reported once, as contradictions.
-pub(crate) fn play(config: &Config, all: &[Expectation]) -> Report {
+pub(crate) fn evaluate(config: &Config, all: &[Expectation]) -> Report {
     let mut report = Report { expectations: all.len(), ..Report::default() };
     let mut contradictory = BTreeSet::new();
     for (a, b, reason) in contradictions(config, all) {
--- a/crates/config/tests/play.rs
+++ b/crates/config/tests/play.rs
@@ -61,7 +61,9 @@
         true => Ok(config.to_owned()),
         false => Ok(expect.to_owned()),
     };
-    load(Path::new("lb.toml"), &read).unwrap_or_else(|diagnostics| panic!("{:#?}", diagnostics.all())).play()
+    load(Path::new("lb.toml"), &read)
+        .unwrap_or_else(|diagnostics| panic!("{:#?}", diagnostics.all()))
+        .evaluate_expectations()
 }
 
 /// The failures of expectations that do not contradict each other, one line each.
--- a/src/bin/amberlever/check.rs
+++ b/src/bin/amberlever/check.rs
@@ -19,7 +19,7 @@
     let (said, code) = match loaded {
         Err(faults) => (faulty(&faults, format), BAD_CONFIGURATION),
         Ok(loaded) => {
-            let report = loaded.play();
+            let report = loaded.evaluate_expectations();
             let code = if report.is_good() { 0 } else { FAILED_EXPECTATION };
             (played(path, &loaded, &report, format), code)
         }
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -68,7 +68,7 @@
     let Loaded { config, .. } = config::load(path, &read)
         .map_err(|faults| (faults.to_string(), BAD_CONFIGURATION))
         .and_then(|loaded| {
-            let report = loaded.play();
+            let report = loaded.evaluate_expectations();
             if report.is_good() {
                 Ok(loaded)
             } else {
