--- a/crates/config/src/section/route/matcher.rs
+++ b/crates/config/src/section/route/matcher.rs
@@ -5,7 +5,7 @@
 use super::MatcherFile;
 use crate::checker::{is_token, Checker, NameIndex, Word};
 
-/// The header fields that a key of their own matches, and that key.
+/// The header fields that `match` has a key for, and that key.
 const FIELDS_WITH_KEYS: [(&str, &str); 3] =
     [("host", "host"), ("x-priority-class", "class"), ("x-tenant-id", "tenant")];
 
--- a/crates/config/src/section/route/split.rs
+++ b/crates/config/src/section/route/split.rs
@@ -38,17 +38,17 @@
         path: &PathPattern,
     ) -> Option<Split> {
         let key = file.get_ref().key.as_ref().map_or(SplitKey::RequestId, |key| self.split_key(key, path));
-        let mut parts: Vec<SplitPool<'_>> = Vec::new();
-        for part in &file.get_ref().pools {
-            let name = part.pool.get_ref();
-            let pool = PoolId(self.resolve("pool", &part.pool, pools)?);
-            if parts.iter().any(|other| other.pool == pool) {
+        let mut split_pools: Vec<SplitPool<'_>> = Vec::new();
+        for entry in &file.get_ref().pools {
+            let name = entry.pool.get_ref();
+            let pool = PoolId(self.resolve("pool", &entry.pool, pools)?);
+            if split_pools.iter().any(|other| other.pool == pool) {
                 let message = format!("the split of route `{route_name}` names pool `{name}` twice");
-                self.report(part.pool.span(), message, Some("add the weights up".to_owned()));
+                self.report(entry.pool.span(), message, Some("add the weights up".to_owned()));
             }
-            parts.push(SplitPool { pool, name, weight: *part.weight.get_ref() });
+            split_pools.push(SplitPool { pool, name, weight: *entry.weight.get_ref() });
         }
-        let split = Split::new(key, &parts);
+        let split = Split::new(key, &split_pools);
         if split.is_none() {
             let message = format!("the split of route `{route_name}` leaves no pool: every weight is 0");
             self.report(file.span(), message, Some("give at least one pool a weight above 0".to_owned()));
--- a/crates/config/src/section/server.rs
+++ b/crates/config/src/section/server.rs
@@ -73,7 +73,7 @@
     pub protocol: Option<Word>,
     pub framing: Option<Word>,
     pub calls: Option<Spanned<usize>>,
-    /// The host of JSON-RPC calls, which replaces the host of HTTP requests.
+    /// The host of JSON-RPC calls; for listeners of JSON-RPC only.
     pub host: Option<Word>,
 }
 
