--- a/crates/config/tests/play.rs
+++ b/crates/config/tests/play.rs
@@ -216,8 +216,8 @@
 
 proptest! {
     /// Guards against an evaluation that differs from the rule of the fallback `all-draining`, for any states
-    /// of the endpoints: the spare pool serves if its endpoint is ready, no endpoint of the main pool is ready
-    /// and at least one is draining.
+    /// of the endpoints: the spare pool serves if its endpoint is ready, no endpoint of the main pool is
+    /// ready and at least one is draining.
     #[test]
     fn fallback_rule_holds_for_any_endpoint_states(states in prop::collection::vec(0..3_usize, 4)) {
         let names = ["s1", "s2", "n1", "x1"];
