--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -97,7 +97,7 @@
         let clock = Clock::start();
         SessionManager {
             sessions: Sessions::new(clock, seed, events.clone(), log),
-            health_checker: HealthChecker::new(config.probe),
+            health_checker: HealthChecker::new(config.health_checks),
             config,
             clock,
             log,
@@ -120,7 +120,7 @@
         let now = self.clock.now();
         self.sessions.stop_changed(&config);
         self.announcer.set(now, &config.addresses);
-        self.health_checker.update_settings(config.probe);
+        self.health_checker.update_settings(config.health_checks);
         self.config = config;
         let wanted = self.announcer.wanted();
         self.sessions.announce(&wanted);
@@ -230,10 +230,10 @@
     }
 
     fn start_health_checks(&mut self, now: Micros) {
-        let check_timeout = duration(self.config.probe.timeout);
+        let check_timeout = duration(self.config.health_checks.timeout);
         for endpoint in self.health_checker.start_due(now) {
             let events = self.events.clone();
-            let path = self.config.probe_path.clone();
+            let path = self.config.health_check_path.clone();
             spawn_local(async move {
                 let healthy = health_check::check(endpoint, path.as_deref(), check_timeout).await;
                 let _ = events.send(Event::HealthChecked { endpoint, healthy }).await;
@@ -261,7 +261,7 @@
             return;
         }
         self.sessions_stopped_at = Some(Instant::now());
-        let notification = Notification::cease(CEASE_ADMINISTRATIVE_SHUTDOWN, &self.config.text);
+        let notification = Notification::cease(CEASE_ADMINISTRATIVE_SHUTDOWN, &self.config.shutdown_text);
         self.sessions.stop_all(&notification);
     }
 
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -7,12 +7,12 @@
 
 const MICROS_PER_MS: i64 = 1_000;
 const MAX_PEERS: usize = 64;
-/// AS numbers that are reserved: 0, AS_TRANS, and the last of 16 and of 32 bits.
+/// The reserved AS numbers: 0, AS_TRANS, and the last numbers of 16 and of 32 bits.
 const RESERVED_AS_NUMBERS: [u32; 4] = [0, 23456, 65535, u32::MAX];
 
 const DEFAULT_HOLD_TIME_S: usize = 9;
 const MAX_HOLD_TIME_S: usize = 65_535;
-/// The shortest hold time of RFC 4271.
+/// The minimum hold time of RFC 4271.
 const MIN_HOLD_TIME_S: usize = 3;
 const DEFAULT_RETRY_MS: usize = 5_000;
 const DEFAULT_MAX_RETRY_MS: usize = 60_000;
@@ -39,8 +39,8 @@
         let session = self.session_settings(section);
         let peers = self.peers(&section.peers, &session, listen.is_some());
         let addresses = self.announced_addresses(&section.addresses, pools);
-        let (probe, probe_path) = self.health_check(&section.probe);
-        let text = self.shutdown_text(section);
+        let (health_checks, health_check_path) = self.health_check(&section.probe);
+        let shutdown_text = self.shutdown_text(section);
         let leave = section
             .leave_ms
             .as_ref()
@@ -54,12 +54,12 @@
             api,
             dry_run: section.dry_run,
             leave: Duration::from_micros(leave as u64),
-            text,
-            list_old: Duration::from_secs(list_old_s as u64),
+            shutdown_text,
+            max_list_age: Duration::from_secs(list_old_s as u64),
             stuck: Duration::from_millis(stuck_ms as u64),
             memory_bytes: section.memory_mb.as_ref().map(|_| (memory_mb as u64) << 20),
-            probe,
-            probe_path,
+            health_checks,
+            health_check_path,
             peers,
             addresses,
         }
@@ -68,24 +68,24 @@
     fn check_identity(&mut self, section: &BgpFile) {
         let asn = *section.asn.get_ref();
         if RESERVED_AS_NUMBERS.contains(&asn) {
-            let message = format!("`as`: {asn} is no AS number that may be used");
+            let message = format!("`as`: {asn} is a reserved AS number");
             self.report(section.asn.span(), message, Some("64512 to 65534 are for private use".to_owned()));
         }
         let id = *section.router_id.get_ref();
         if id.is_unspecified() || id.is_broadcast() || id.is_multicast() {
             let help = "write an IPv4 address of this machine; each speaker has one of its own".to_owned();
-            let message = format!("`router_id`: {id} identifies nobody");
+            let message = format!("`router_id`: {id} is not a unicast address");
             self.report(section.router_id.span(), message, Some(help));
         }
     }
 
-    /// The settings that the sessions with all peers share.
+    /// The settings that are common to the sessions with all peers.
     fn session_settings(&mut self, section: &BgpFile) -> SessionSettings {
         let hold_time_s =
             self.bounded("hold_time_s", &section.hold_time_s, DEFAULT_HOLD_TIME_S, MAX_HOLD_TIME_S);
         let is_too_short = |seconds: usize| (1..MIN_HOLD_TIME_S).contains(&seconds);
         if let Some(value) = section.hold_time_s.as_ref().filter(|value| is_too_short(*value.get_ref())) {
-            let help = "BGP knows 3 s at the least".to_owned();
+            let help = "the minimum hold time of BGP is 3 s".to_owned();
             self.report(value.span(), format!("`hold_time_s`: {hold_time_s} is too short"), Some(help));
         }
         let retry_ms = self.bounded("retry_ms", &section.retry_ms, DEFAULT_RETRY_MS, MAX_HOUR_MS);
@@ -113,7 +113,7 @@
         let name = section.name.get_ref().clone();
         if section.passive && !listens {
             let help = "write bgp.listen, or leave `passive` out".to_owned();
-            let message = format!("peer `{name}` is to connect, and nothing listens");
+            let message = format!("peer `{name}`: `passive` needs `bgp.listen`");
             self.report(section.name.span(), message, Some(help));
         }
         let address = self.address("address", &section.address);
@@ -122,13 +122,15 @@
 
     fn shutdown_text(&mut self, section: &BgpFile) -> String {
         let Some(word) = &section.shutdown_text else { return String::new() };
-        if word.get_ref().len() > MAX_SHUTDOWN_TEXT_BYTES {
-            self.report(word.span(), "`shutdown_text`: longer than 255 octets", None);
+        let bytes = word.get_ref().len();
+        if bytes > MAX_SHUTDOWN_TEXT_BYTES {
+            let message = format!("`shutdown_text`: {bytes} bytes are more than {MAX_SHUTDOWN_TEXT_BYTES}");
+            self.report(word.span(), message, None);
         }
         word.get_ref().clone()
     }
 
-    /// The settings of health checks, and the path that they get.
+    /// The settings of health checks and the path that they request.
     fn health_check(&mut self, section: &HealthCheckFile) -> (bgp::HealthCheckSettings, Option<String>) {
         let every_ms = self.bounded("every_ms", &section.every_ms, DEFAULT_HEALTH_CHECK_MS, MAX_HOUR_MS);
         let timeout_ms = self.bounded(
@@ -158,13 +160,15 @@
         let Some(word) = &section.path else { return (settings, None) };
         let path = word.get_ref();
         if !path.starts_with('/') || path.bytes().any(|byte| !byte.is_ascii_graphic()) {
-            self.report(word.span(), format!("`path`: {path:?} is no path"), None);
+            let help = "write one such as \"/healthz\", in visible ASCII characters".to_owned();
+            self.report(word.span(), format!("`path`: {path:?} is not a path"), Some(help));
         }
         (settings, Some(path.clone()))
     }
 }
 
-/// What the sessions with all peers share; durations in microseconds.
+/// The settings that are common to the sessions with all peers. Durations other than `hold_time_s` are in
+/// microseconds.
 struct SessionSettings {
     asn: u32,
     id: std::net::Ipv4Addr,
--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -1,4 +1,4 @@
-//! Section `[knowledge]`: where learned state outlives the process.
+//! Section `[knowledge]`: storage of learned state beyond the end of the process.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 const DEFAULT_FILES: usize = 4;
 const MAX_FILES: usize = 100;
 
-/// Where and how often learned state is written.
+/// Settings of the storage of learned state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LearnedStateSettings {
-    /// The folder, which one process writes at a time.
+    /// The folder. Only one process at a time may write to it.
     pub folder: PathBuf,
-    /// The interval between writes; it is written at the end as well.
-    pub every: Duration,
-    /// The number of files that are retained, with the newest.
+    /// The interval between writes. At the end of the process, state is written as well.
+    pub write_interval: Duration,
+    /// The number of files that are retained, including the newest.
     pub files: usize,
 }
 
@@ -33,20 +33,20 @@
 }
 
 impl Checker<'_> {
-    /// `resolve_path` makes paths relative to the configuration file.
+    /// Checks the section. `resolve_path` resolves paths relative to the configuration file.
     pub(crate) fn learned_state(
         &mut self,
         section: &LearnedStateFile,
         resolve_path: &dyn Fn(&str) -> PathBuf,
     ) -> LearnedStateSettings {
         if section.folder.get_ref().is_empty() {
-            self.report(section.folder.span(), "`folder`: names none", None);
+            self.report(section.folder.span(), "`folder`: must not be empty", None);
         }
         let interval_s =
             self.bounded("every_s", &section.every_s, DEFAULT_WRITE_INTERVAL_S, MAX_WRITE_INTERVAL_S);
         LearnedStateSettings {
             folder: resolve_path(section.folder.get_ref()),
-            every: Duration::from_secs(interval_s as u64),
+            write_interval: Duration::from_secs(interval_s as u64),
             files: self.bounded("files", &section.files, DEFAULT_FILES, MAX_FILES),
         }
     }
--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -20,7 +20,7 @@
 pub use streaming::StreamingBody;
 
 /// The largest body that is streamed on the platform, in bytes.
-pub const MAX_STREAMED_BODY_BYTES: u64 = config::MOST_BODY_BYTES;
+pub const MAX_STREAMED_BODY_BYTES: u64 = config::MAX_BODY_BYTES;
 /// The minimum rate of a transfer in bytes per second; a slower transfer is aborted. This is half of the rate
 /// that clients are promised.
 const MIN_BYTES_PER_SECOND: u64 = 32 << 10;
@@ -31,7 +31,7 @@
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest body, in bytes, that must be complete by the deadline of its request. Of a larger body, only
 /// the first bytes must have arrived by then.
-const MAX_BODY_WITHIN_DEADLINE_BYTES: u64 = config::WHOLE_BODY_BYTES;
+const MAX_BODY_WITHIN_DEADLINE_BYTES: u64 = config::MAX_BUFFERED_BODY_BYTES;
 
 /// The maximum duration of the transfer of a body of this size.
 pub fn max_transfer_time(bytes: u64) -> Duration {
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -17,7 +17,7 @@
 
 /// The largest body that is buffered, in bytes. A buffered body can be sent again by a retry; a larger body
 /// is streamed if the route allows it, and rejected otherwise.
-pub const MAX_BUFFERED_BODY_BYTES: usize = config::WHOLE_BODY_BYTES as usize;
+pub const MAX_BUFFERED_BODY_BYTES: usize = config::MAX_BUFFERED_BODY_BYTES as usize;
 /// The largest head of a message, in bytes. This is roughly the memory that an HTTP connection uses.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The header with the id of a request.
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -74,7 +74,7 @@
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
             log_line(format_args!("learned state: cannot start the writer thread: {error}: not writing it"));
         }
-        StateWriter { jobs, interval: settings.every }
+        StateWriter { jobs, interval: settings.write_interval }
     }
 
     /// Writes the state once per interval, for as long as it is polled.
