--- a/crates/proxy/src/clock/mod.rs
+++ b/crates/proxy/src/clock/mod.rs
@@ -1,4 +1,5 @@
-//! The clock of the balancers: monotonic microseconds since its creation, with Unix time converted to it.
+//! The clock of the proxy: monotonic microseconds since the clock's creation, with conversion from and to
+//! Unix time.
 
 #[cfg(test)]
 mod tests;
@@ -18,13 +19,13 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Clock {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_micros_at_start: unix_time.as_micros() as Micros }
     }
 
-    /// Microseconds since its start.
+    /// Microseconds since the clock's start.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -34,13 +35,14 @@
         self.start + Duration::from_micros(at.clamp(0, TIME_LIMIT) as u64)
     }
 
-    /// The reading of the clock at a time in Unix milliseconds; `None` for 0, which stands for no time.
+    /// The reading of the clock at a time in Unix milliseconds: negative before the clock's start, `None` for
+    /// 0, which stands for no time.
     pub fn at_unix_ms(&self, unix_ms: f64) -> Option<Micros> {
         let unix_micros = (unix_ms * MICROS_PER_MILLISECOND as f64) as Micros;
         (unix_ms != 0.0).then(|| unix_micros.saturating_sub(self.unix_micros_at_start))
     }
 
-    /// Unix milliseconds at a reading of the clock; `None` before 1970.
+    /// Unix milliseconds at a reading of the clock; `None` before 1970 or if the sum overflows.
     pub fn unix_ms(&self, at: Micros) -> Option<u64> {
         let unix_micros = at.checked_add(self.unix_micros_at_start)?;
         u64::try_from(unix_micros / MICROS_PER_MILLISECOND).ok()
--- a/crates/proxy/src/clock/tests.rs
+++ b/crates/proxy/src/clock/tests.rs
@@ -1,4 +1,5 @@
-//! The clock converts Unix time.
+//! Conversion between Unix time and the monotonic clock, including times before the clock's start and out of
+//! range.
 
 use super::{Clock, Duration, Instant, Micros};
 
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,5 +1,5 @@
-//! Accepts connections. At most the listener's limit stay open; one more is accepted, and then a connection is closed for
-//! it.
+//! Accepts connections up to the listener's limit. One connection beyond the limit is accepted, and another
+//! is closed to make room for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,18 +28,20 @@
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
-        // A connection in the backlog waits; one that is accepted and dropped would lose its request.
+        // At the limit, new connections wait in the backlog; accepting and dropping one would lose its
+        // request.
         while connections.is_over_limit() {
             if connections.stays_over_limit() {
                 connections.close_least_recently_used();
             }
-            // Checked again after a pause, as a new connection may be closed later and that is not notified.
+            // A new connection becomes a candidate for closing only after a while, and nothing signals that,
+            // so the loop checks again after a pause.
             let _ = timeout(ACCEPT_PAUSE, connections.connection_ended()).await;
         }
     }
 }
 
-/// Registers a connection, and serves it in a task of its own.
+/// Registers a connection and serves it in its own task.
 pub fn spawn_connection(listener: &Rc<ListenerState>, stream: TcpStream) {
     let protocol = listener.frontend.protocol;
     let max_head_bytes = if protocol == Protocol::Http { MAX_HEAD_BYTES } else { NO_HEAD_CAPTURE };
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection.
+//! The state of one client connection, shared by its protocol, the timeouts and the drain.
 
 use std::cell::Cell;
 
@@ -11,11 +11,11 @@
 use crate::router::RouterConnectionState;
 use crate::socket::{Socket, UnreadInput};
 
-/// The connection of a client, as shared by its protocol, the timeouts and the drain.
+/// A client connection.
 pub struct DownstreamConnection {
-    /// Where its protocol reads and writes.
+    /// The socket that the protocol reads from and writes to.
     pub socket: Socket,
-    /// What the router keeps with it.
+    /// State that the router attaches to the connection.
     pub router_state: RouterConnectionState,
     is_busy: Cell<bool>,
     has_received_request: Cell<bool>,
@@ -27,16 +27,16 @@
     abort_request: Notify,
 }
 
-/// How far a streamed response was written when that was last checked.
+/// The write progress of a streamed response at the last check.
 #[derive(Clone, Copy)]
 struct ResponseWriteProgress {
     bytes_written: u64,
-    /// Since when it has not changed.
+    /// When `bytes_written` last changed.
     since: Instant,
 }
 
 impl DownstreamConnection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new(socket: Socket) -> DownstreamConnection {
         DownstreamConnection {
             socket,
@@ -54,37 +54,37 @@
 
     // ---- Requests ----
 
-    /// Whether a request on it has no response yet.
+    /// Whether a request on the connection has no response yet.
     pub fn is_busy(&self) -> bool {
         self.is_busy.get()
     }
 
-    /// Sets whether a request on it has no response yet.
+    /// Sets whether a request on the connection has no response yet.
     pub fn set_busy(&self, is_busy: bool) {
         self.is_busy.set(is_busy);
     }
 
-    /// Whether it has had a request.
+    /// Whether the connection has received any request.
     pub fn has_received_request(&self) -> bool {
         self.has_received_request.get()
     }
 
-    /// A request has arrived on it.
+    /// Records that a request has arrived.
     pub fn on_request_received(&self) {
         self.has_received_request.set(true);
     }
 
-    /// Its start or its last response.
+    /// The time of the last response, or of the connection's start if there was none.
     pub fn last_used_at(&self) -> Instant {
         self.last_used_at.get()
     }
 
-    /// A response is ready for it.
+    /// Records that a response is ready to be sent.
     pub fn on_response(&self) {
         self.last_used_at.set(Instant::now());
     }
 
-    /// Its HTTP request has its response; what arrives next is another request.
+    /// Marks the current HTTP request as answered; bytes that arrive from now on belong to the next request.
     pub fn finish_request(&self) {
         self.response_progress.set(None);
         self.on_response();
@@ -92,27 +92,28 @@
         self.socket.start_next_message(MAX_HEAD_BYTES);
     }
 
-    /// Tells whether the client that waits for its responses has disconnected.
+    /// A probe for whether the client has disconnected while it waits for responses.
     pub fn disconnect_probe(&self) -> DisconnectProbe {
         let socket = self.socket.clone();
         DisconnectProbe::new(move || socket.is_peer_closed() || socket.unread_input() == UnreadInput::Closed)
     }
 
-    /// Whether a part of its next request has arrived.
+    /// Whether part of the next request has arrived.
     pub fn has_partial_request(&self) -> bool {
         self.socket.message_bytes() > 0 || self.socket.unread_input() == UnreadInput::Data
     }
 
     // ---- Streamed responses ----
 
-    /// A streamed response begins, or has been read further.
+    /// Records that a streamed response starts or that more of it was written.
     pub fn on_response_streaming(&self) {
         let progress =
             ResponseWriteProgress { bytes_written: self.socket.bytes_written(), since: Instant::now() };
         self.response_progress.set(Some(progress));
     }
 
-    /// Whether the client has read nothing of a streamed response for too long. To be called periodically.
+    /// Whether the client has read nothing of a streamed response for longer than [`STALL_TIMEOUT`]. Call
+    /// periodically: progress is measured between calls.
     pub fn is_response_stalled(&self) -> bool {
         let Some(progress) = self.response_progress.get() else { return false };
         if self.socket.bytes_written() != progress.bytes_written {
@@ -122,40 +123,40 @@
         progress.since.elapsed() > STALL_TIMEOUT
     }
 
-    // ---- Its end ----
+    // ---- Close ----
 
-    /// Whether it ends with the response to its current or next request.
+    /// Whether the connection closes after the response to its current or next request.
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// Ends it with the response to its current or next request.
+    /// Closes the connection after the response to its current or next request.
     pub fn close_after_response(&self) {
         self.is_closing.set(true);
     }
 
-    /// Closes it once all of its requests have their responses.
+    /// Closes the connection once all of its requests have their responses.
     pub fn close(&self) {
         self.close_after_response();
         self.close_request.notify_one();
     }
 
-    /// Ends it at once.
+    /// Closes the connection immediately.
     pub fn abort(&self) {
         self.abort_request.notify_one();
     }
 
-    /// Ends it at once unless a request arrives in the meantime.
+    /// Closes the connection immediately unless a request arrives in the meantime.
     pub fn abort_if_idle(&self) {
         self.idle_abort_request.notify_one();
     }
 
-    /// Completes once it is to be closed.
+    /// Completes after [`Self::close`].
     pub async fn close_requested(&self) {
         self.close_request.notified().await;
     }
 
-    /// Completes once it is to end at once.
+    /// Completes once the connection has to be closed immediately.
     pub async fn aborted(&self) {
         tokio::select! {
             biased;
@@ -164,7 +165,8 @@
         }
     }
 
-    /// What arrived until now was taken and gets its response, so the kernel is asked right before the end.
+    /// Completes after [`Self::abort_if_idle`] if no request is open. A request that has arrived must get its
+    /// response, so the kernel is checked for unread bytes right before completion.
     async fn aborted_while_idle(&self) {
         loop {
             self.idle_abort_request.notified().await;
@@ -174,7 +176,8 @@
         }
     }
 
-    /// What its end depends on. The kernel is asked for a partial request only with `checks_input`.
+    /// The state that decides whether the connection may be closed. The kernel is checked for a partial
+    /// request only if `checks_input`.
     pub fn shutdown_state(&self, clock: Clock, checks_input: bool) -> shutdown::ConnectionState {
         let unused_for = self.last_used_at().elapsed().as_micros() as decide::Micros;
         shutdown::ConnectionState {
--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -1,5 +1,5 @@
-//! Submits an accepted request to the decisions, of one pool after another where it is rejected, until it has its final
-//! response. The same for all protocols.
+//! Submits an accepted request of any protocol to the decisions of one pool after another, as pools reject
+//! it, until it has its final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,25 +13,26 @@
 use crate::inbox::DriverHandle;
 use crate::router::{PoolSequence, RejectionOutcome, NO_RETRY_AFTER};
 
-/// Reserved out of the client's timeout for sending the response.
+/// The time reserved within the client's timeout for sending the response.
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
-/// The reserved time is at most the client's timeout divided by this.
+/// The reserved time is at most the client's timeout divided by this number.
 const RESPONSE_TIME_DIVISOR: u32 = 10;
-/// A request without a decision fails this long before its client's timeout; less than [`RESPONSE_TIME`], so that the
-/// decisions answer first, except with client timeouts under 80 ms.
+/// A request without a decision fails this long before its client's timeout. Shorter than [`RESPONSE_TIME`],
+/// so that the decisions answer first, except for client timeouts under 80 ms.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(8);
 
 /// The time that a request may take.
 struct TimeBudget {
     received_at: Instant,
-    /// Time that the decisions have, from when the request is complete.
+    /// The time available to the decisions, from when the request is complete.
     decision_time: Duration,
-    /// When the request fails, whatever the decisions say.
+    /// When the request fails regardless of the decisions.
     backstop: Instant,
 }
 
 impl TimeBudget {
-    /// `timeout` counts from when the request is complete, which may take `body_pending` microseconds more.
+    /// Computes the budget of a request. `timeout` counts from when the request is complete, which may take
+    /// another `body_pending` microseconds.
     fn new(received_at: Instant, body_pending: Micros, timeout: Duration) -> TimeBudget {
         let body_time = Duration::from_micros(body_pending.max(0) as u64);
         let response_time = RESPONSE_TIME.min(timeout / RESPONSE_TIME_DIVISOR);
@@ -42,14 +43,14 @@
         }
     }
 
-    /// What is left for the decisions of a later pool, in microseconds.
+    /// The time left for the decisions of a later pool, in microseconds.
     fn time_left(&self) -> Micros {
         self.decision_time.saturating_sub(self.received_at.elapsed()).as_micros() as Micros
     }
 }
 
-/// Submits a request and waits for its final response. `received_at` is when it arrived. Dropping this future tells the
-/// decisions that the client has gone.
+/// Submits a request and waits for its final response. `received_at` is when the request arrived. Dropping
+/// this future notifies the decisions that the client disconnected.
 pub async fn dispatch(
     listener: &ListenerState,
     request: AcceptedRequest,
@@ -70,7 +71,7 @@
         let FinalResponse::Rejected { execution, .. } = response else { break response };
         match pools.on_rejected(execution) {
             RejectionOutcome::Final => break response,
-            // A body that was streamed cannot be sent again, in any pool.
+            // A streamed body cannot be sent again, not even to another pool.
             RejectionOutcome::NextPool if message.body().streaming().is_some() => break response,
             RejectionOutcome::Failed => break FinalResponse::Failed,
             RejectionOutcome::NextPool => {
@@ -83,12 +84,12 @@
     if let Some(mut key) = reserved_key {
         key.record_response(&response);
     }
-    // Held until here so that the id stays claimed while attempts run.
+    // The id stays claimed while attempts run.
     drop(id_claim);
     response
 }
 
-/// Submits a request to the current pool, and waits for what becomes of it there.
+/// Submits a request to the current pool and waits for the pool's response.
 async fn submit(
     listener: &ListenerState,
     pools: &dyn PoolSequence,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Ends a request and its attempts once nobody waits for it; has no effect after its response.
+/// Cancels a request and its attempts when dropped; has no effect after the response.
 struct CancelOnDrop<'a> {
     driver: &'a DriverHandle,
     id: RequestId,
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown of a listener: it goes on accepting for a while, then closes idle connections and waits for open
-//! requests, up to the time at which the process is killed. The crate `shutdown` decides; this carries it out.
+//! Graceful shutdown of a listener: continues to accept for a while, then closes idle connections and waits
+//! for open requests, until the process is about to be killed. The crate `shutdown` decides; this module
+//! applies its decisions.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,24 +18,25 @@
 use crate::log::log_line;
 use crate::socket::UnreadInput;
 
-/// How often connections are checked while the listener drains.
+/// The interval at which connections are checked while the listener drains.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Stands in for a client timeout that does not fit into [`Micros`]; sums with times of the clock stay in range. Not the
-/// limit that requests are validated against, which is `MAX_CLIENT_TIMEOUT_MS` in `request::routed`.
+/// Replaces a client timeout that does not fit into [`Micros`]; sums with clock times stay in range. Requests
+/// are validated against `MAX_CLIENT_TIMEOUT_MS` in `request::routed` instead.
 const MAX_CLIENT_TIMEOUT: Micros = Micros::MAX / 4;
 
-/// How far the graceful shutdown of a listener has come.
+/// The progress of a listener's graceful shutdown.
 pub struct DrainState {
     shutdown: RefCell<Shutdown>,
     clock: Clock,
-    /// The time in which further requests are accepted is over: connections close with their next response.
+    /// Whether the time for accepting further requests is over: connections then close after their next
+    /// response.
     is_serving_over: Cell<bool>,
-    /// True once open requests have to fail, as the process is about to be killed.
+    /// True once open requests must fail because the process is about to be killed.
     is_deadline_passed: watch::Sender<bool>,
 }
 
 impl DrainState {
-    /// The shutdown has not started yet.
+    /// Creates the state of a shutdown that has not started yet.
     pub fn new(shutdown: Shutdown, clock: Clock) -> DrainState {
         DrainState {
             shutdown: RefCell::new(shutdown),
@@ -49,17 +51,17 @@
         self.shutdown.borrow().has_begun()
     }
 
-    /// Whether connections close with their next response.
+    /// Whether connections close after their next response.
     pub fn is_serving_over(&self) -> bool {
         self.is_serving_over.get()
     }
 
-    /// Reports how late this process came round to what was due.
+    /// Records how long after its due time a timer of this process ran.
     pub fn report_lateness(&self, lateness: Duration) {
         self.shutdown.borrow_mut().observe_lateness(lateness.as_micros() as Micros);
     }
 
-    /// The time that a request may take, where its client waits for `client_timeout` from `received_at`.
+    /// The time that a request may take if its client waits for `client_timeout` from `received_at`.
     pub fn request_timeout(&self, received_at: Instant, client_timeout: Duration) -> Duration {
         let received_at = self.clock.now() - received_at.elapsed().as_micros() as Micros;
         let client_timeout = Micros::try_from(client_timeout.as_micros()).unwrap_or(MAX_CLIENT_TIMEOUT);
@@ -68,17 +70,17 @@
         Duration::from_micros(shutdown.request_time(received_at, client_timeout) as u64)
     }
 
-    /// Whether the process is about to be killed, so that no request can succeed any more.
+    /// Whether the process is about to be killed, so that no request can succeed anymore.
     pub fn is_deadline_passed(&self) -> bool {
         self.shutdown.borrow().is_time_up(self.clock.now())
     }
 
-    /// Completes once open requests have to fail, as the process is about to be killed.
+    /// Completes once open requests must fail because the process is about to be killed.
     pub async fn deadline_passed(&self) {
         let _ = self.is_deadline_passed.subscribe().wait_for(|is_passed| *is_passed).await;
     }
 
-    /// Starts the graceful shutdown, and returns for how long it goes on serving.
+    /// Starts the graceful shutdown and returns how long the listener continues to accept requests.
     fn start(&self) -> Duration {
         let mut shutdown = self.shutdown.borrow_mut();
         shutdown.begin(self.clock.now());
@@ -89,7 +91,7 @@
         self.shutdown.borrow().accepts_connections(self.clock.now())
     }
 
-    /// Brings the state up to `now`.
+    /// Updates the state to the time `now`.
     fn advance(&self, now: Micros) {
         let shutdown = self.shutdown.borrow();
         self.is_serving_over.set(shutdown.accepts_until().is_some_and(|until| until <= now));
@@ -99,11 +101,11 @@
     }
 }
 
-/// Drains a listener: returns once every request that was taken has its response.
+/// Drains a listener; returns once every accepted request has its response.
 pub async fn drain(listener: &Rc<ListenerState>, socket: TcpListener) {
     let serving_time = listener.drain.start();
     log_line(format_args!(
-        "told to end: serving on for {:.1} s, on {} connections",
+        "graceful shutdown started: accepting requests for another {:.1} s, {} connections open",
         serving_time.as_secs_f64(),
         listener.connections.open_count()
     ));
@@ -112,13 +114,15 @@
         let Ok(socket) = socket.into_std() else { return };
         accept_backlog(listener, &socket);
     } else {
-        // Another process has the socket too: new clients connect to it, and the present ones after their next response.
+        // Another process shares the socket: new clients connect to that process, current ones after their
+        // next response.
         drop(socket);
     }
     close_connections(listener).await;
 }
 
-/// Accepts the connections that the kernel has established by now, as their clients may have sent requests.
+/// Accepts the connections that the kernel has already established, because their clients may have sent
+/// requests.
 fn accept_backlog(listener: &Rc<ListenerState>, socket: &std::net::TcpListener) {
     while let Ok((stream, _)) = socket.accept() {
         if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
@@ -127,14 +131,14 @@
     }
 }
 
-/// Closes connections as that becomes possible, until every request that was taken has its response.
+/// Closes each connection as soon as possible, until every accepted request has its response.
 async fn close_connections(listener: &ListenerState) {
     let drain = &listener.drain;
     loop {
         let now = drain.clock.now();
         drain.advance(now);
         let open = listener.connections.snapshot();
-        // Requests that the kernel has acknowledged must be answered too.
+        // Requests that the kernel has acknowledged but this process has not read must be answered too.
         let has_work = |connection: &&Rc<DownstreamConnection>| {
             connection.is_busy() || connection.socket.unread_input() == UnreadInput::Data
         };
@@ -145,7 +149,7 @@
         for connection in open {
             close_connection(drain, &connection, now);
         }
-        // Connections that end together are checked together.
+        // Ended connections are collected until the next check, so that many ending at once are checked once.
         let next_check = Instant::now() + CHECK_INTERVAL;
         while timeout_at(next_check, listener.connections.connection_ended()).await.is_ok()
             && listener.connections.open_count() > 0
@@ -153,7 +157,7 @@
     }
 }
 
-/// Closes a connection as far as that is possible now.
+/// Applies the action that the shutdown decides on for a connection.
 fn close_connection(drain: &DrainState, connection: &DownstreamConnection, now: Micros) {
     let shutdown = drain.shutdown.borrow();
     let state = connection.shutdown_state(drain.clock, drain.is_serving_over());
--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -1,5 +1,5 @@
-//! Why a request has no response of an endpoint: the side that caused the error, the HTTP status that it maps to, and the
-//! outcome that it is counted under. Maps invalid requests and upstream failures to statuses; a [`Rejection`] brings its own.
+//! Errors that replace an endpoint's response: the side that caused the error, the HTTP status it maps to,
+//! and the outcome under which the request is counted. A [`Rejection`] carries its own status.
 
 use decide::Micros;
 use hyper::StatusCode;
@@ -9,14 +9,14 @@
 use crate::metrics::RequestOutcome;
 use crate::router::{Rejection, NO_RETRY_AFTER};
 
-/// Why a request has no response of an endpoint, by the side that caused the error.
+/// The error that replaces an endpoint's response, by the side that caused it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The client, its request or its limits; nothing was sent upstream.
+    /// Caused by the client, its request or its limits; nothing was sent upstream.
     Downstream(DownstreamError),
-    /// The endpoints, or their load.
+    /// Caused by the endpoints or their load.
     Upstream(UpstreamError),
-    /// A panic in this proxy.
+    /// Caused by a panic in this proxy.
     Internal,
 }
 
@@ -32,43 +32,43 @@
 /// An error that the endpoints caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamError {
-    /// Shed for load; a retry is harmless.
+    /// The request was shed because of load; a retry is safe.
     Shed {
-        /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
+        /// Time to wait before a retry in microseconds, or [`NO_RETRY_AFTER`].
         retry_after: Micros,
     },
     /// All attempts failed; the request may have been executed.
     Failed,
-    /// The time ran out; the request may have been executed.
+    /// The request timed out; it may have been executed.
     TimedOut,
 }
 
-/// What is wrong with a request.
+/// The reason that a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// Its head is malformed or ambiguous.
+    /// The head is malformed or ambiguous.
     MalformedHead,
-    /// It has a transfer coding other than `chunked`.
+    /// The request has a transfer coding other than `chunked`.
     UnsupportedTransferCoding,
-    /// A header that has one value is repeated, or is not text.
+    /// A header with a single value is repeated or not text.
     AmbiguousHeader,
-    /// Its id is missing or malformed.
+    /// The request id is missing or malformed.
     MalformedRequestId,
-    /// Its idempotency key is missing or malformed.
+    /// The idempotency key is missing or malformed.
     MalformedIdempotencyKey,
-    /// Its client timeout is no number of milliseconds up to a day.
+    /// The client timeout is not a number of milliseconds from 1 to a day.
     TimeoutOutOfRange,
-    /// It has a body where its method has none.
+    /// The request has a body although its method allows none.
     UnexpectedBody,
-    /// Its body ended early.
+    /// The body ended early.
     IncompleteBody,
-    /// Its body did not arrive in time.
+    /// The body did not arrive in time.
     SlowBody,
-    /// Its body is larger than its limit.
+    /// The body is larger than the limit.
     BodyTooLarge,
-    /// More bytes arrived with it than it announces.
+    /// More bytes arrived with the request than it announces.
     TrailingBytes,
-    /// An open request has its id.
+    /// Another open request has the same id.
     DuplicateRequestId,
     /// The route that a JSON-RPC call matches belongs to another class than its method.
     MethodNotRouted,
@@ -95,7 +95,7 @@
 }
 
 impl DownstreamError {
-    /// The HTTP status that it maps to.
+    /// The HTTP status that the error maps to.
     pub fn status(&self) -> StatusCode {
         match self {
             DownstreamError::Invalid(invalid) => invalid.status(),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The limit or key that rejects the request.
+    /// The limit or key that rejects the request; `None` if neither does.
     pub fn cause(&self) -> Option<&'static str> {
         match self {
             DownstreamError::Invalid(_) => None,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
+    /// Time to wait before a retry in microseconds, or [`NO_RETRY_AFTER`].
     pub fn retry_after(&self) -> Micros {
         match self {
             DownstreamError::Invalid(_) => NO_RETRY_AFTER,
@@ -121,7 +121,7 @@
 }
 
 impl RequestError {
-    /// The HTTP status that it maps to.
+    /// The HTTP status that the error maps to.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::Downstream(error) => error.status(),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The limit or key that rejects the request.
+    /// The limit or key that rejects the request; `None` if neither does.
     pub fn cause(&self) -> Option<&'static str> {
         match self {
             RequestError::Downstream(error) => error.cause(),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// When to retry, in microseconds from now, or [`NO_RETRY_AFTER`].
+    /// Time to wait before a retry in microseconds, or [`NO_RETRY_AFTER`].
     pub fn retry_after(&self) -> Micros {
         match self {
             RequestError::Downstream(error) => error.retry_after(),
@@ -149,12 +149,12 @@
         }
     }
 
-    /// Whether the limit on connections rejects the request, so that its connection is to be closed.
+    /// Whether the limit on connections rejects the request, which closes its connection.
     pub fn is_connection_limit(&self) -> bool {
         self.cause() == Some(limit::RejectReason::Connections.name())
     }
 
-    /// The outcome that the request is counted under.
+    /// The outcome under which the request is counted.
     pub fn outcome(&self) -> RequestOutcome {
         match self {
             RequestError::Downstream(DownstreamError::Rejected(rejection)) => rejection.request_outcome(),
@@ -164,7 +164,7 @@
     }
 }
 
-/// The response of an endpoint, or the error in its place.
+/// Converts a final response into an endpoint's response or the error that replaces it.
 pub fn into_result(response: FinalResponse) -> Result<UpstreamResponse, RequestError> {
     let error = match response {
         FinalResponse::Served(response) => return Ok(response),
--- a/crates/proxy/src/downstream/error/tests.rs
+++ b/crates/proxy/src/downstream/error/tests.rs
@@ -1,4 +1,5 @@
-//! The status and outcome of each kind of error.
+//! The HTTP status and the counted outcome of each kind of error. A wrong outcome would report invalid
+//! requests as shed load, or the reverse.
 
 use super::*;
 
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that speak HTTP/1.1: one request at a time.
+//! HTTP/1.1 client connections, which carry one request at a time.
 
 mod response;
 
@@ -25,7 +25,7 @@
 use crate::panic_guard::catch_panic;
 use crate::socket::Socket;
 
-/// Where load balancers in front ask whether this proxy takes requests.
+/// The path at which load balancers in front of this proxy check whether it accepts requests.
 const HEALTH_PATH: &str = "/healthz";
 
 /// Serves a connection until it ends.
@@ -35,14 +35,15 @@
     });
     let io = TokioIo::new(socket);
     let mut http = pin!(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
-    // An error means that the client has gone, or that its head was malformed, which hyper has answered with 400.
+    // An error means that the client disconnected, or that its head was malformed, which hyper answered with
+    // 400.
     tokio::select! {
         biased;
         _ = http.as_mut() => return,
         () = connection.aborted() => return,
         () = connection.close_requested() => {}
     }
-    // A request that is just arriving gets its response first, which says that the connection ends.
+    // A request that is just arriving is answered first, with `Connection: close`.
     if connection.is_busy() || !connection.has_partial_request() {
         http.as_mut().graceful_shutdown();
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// Handles a request, and decides whether its connection ends with the response.
+/// Handles a request and decides whether its connection closes after the response.
 async fn respond(
     listener: &ListenerState,
     connection: &Rc<DownstreamConnection>,
@@ -61,7 +62,8 @@
 ) -> ClientResponse {
     connection.set_busy(true);
     connection.on_request_received();
-    // What follows a chunked or large body is not captured, so its connection ends with it.
+    // Bytes that follow a chunked or large body are not captured, so the connection closes after such a
+    // request.
     let is_end_uncertain = request.headers().contains_key(header::TRANSFER_ENCODING)
         || request.body().size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let has_body = !request.body().is_end_stream();
@@ -83,8 +85,8 @@
     response
 }
 
-/// Whether the connection closes after a response with this status: after every 4xx and 501, as the request's body may not
-/// have been read. 429 closes it only where the request has a body.
+/// Whether the connection closes after a response with this status: after every 4xx and 501, because the
+/// request's body may not have been read. 429 closes it only if the request has a body.
 fn closes_after_status(status: StatusCode, has_body: bool) -> bool {
     match status {
         StatusCode::TOO_MANY_REQUESTS => has_body,
@@ -104,7 +106,7 @@
     let recorder = Rc::<RequestRecorder>::default();
     match proxy_request(listener, connection, request, &recorder).await {
         Ok(response) => {
-            // A streamed response is recorded with its last byte.
+            // The outcome of a streamed response is recorded when the response ends.
             if response.body.streaming().is_none() {
                 recorder.record(RequestOutcome::Served);
             }
@@ -117,7 +119,7 @@
     }
 }
 
-/// Reads a request, submits it, and returns the response of an endpoint.
+/// Reads a request, submits it and returns the response of an endpoint.
 async fn proxy_request(
     listener: &ListenerState,
     connection: &DownstreamConnection,
@@ -132,7 +134,8 @@
     };
     match reader.read(request, recorder).await? {
         AcceptOutcome::Accepted(accepted) => {
-            // The request's time counts from its last byte; of a streamed one, from now plus what its body may take.
+            // The request's time counts from its last byte; for a streamed request, from now plus the time
+            // that the rest of its body may take.
             let received_at = Instant::now();
             into_result(dispatch(listener, *accepted, &connection.disconnect_probe(), received_at).await)
         }
--- a/crates/proxy/src/downstream/http/response.rs
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses to HTTP clients, and what is recorded once a streamed one has been sent.
+//! Responses to HTTP clients, and the recording of a streamed response's outcome.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -17,28 +17,28 @@
 use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::router::NO_RETRY_AFTER;
 
-/// Names the limit that rejected a request.
+/// The header that names the limit or key that rejected a request.
 const REJECTION_CAUSE_HEADER: &str = "x-refusal-cause";
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
 /// A response to a client.
 pub type ClientResponse = Response<ResponseBody>;
 
-/// The body of a response on its way to a client.
+/// The body of a response to a client.
 pub struct ResponseBody {
     content: MessageBody,
-    /// Of a streamed one.
+    /// Set if the body is streamed.
     stream_guard: Option<StreamGuard>,
 }
 
 impl ResponseBody {
-    /// Whether its request ends only with its last byte.
+    /// Whether the body is streamed, so that the request ends only when the body does.
     pub fn is_streaming(&self) -> bool {
         self.stream_guard.is_some()
     }
 }
 
-/// Ends a request whose response is streamed when hyper drops the response.
+/// Finishes a request with a streamed response when hyper drops the response.
 struct StreamGuard {
     connection: Rc<DownstreamConnection>,
     recorder: Rc<RequestRecorder>,
@@ -73,7 +73,7 @@
     }
 }
 
-/// The response of an endpoint.
+/// Builds the response to a client from an endpoint's response.
 pub fn served_response(
     connection: &Rc<DownstreamConnection>,
     recorder: &Rc<RequestRecorder>,
@@ -93,7 +93,8 @@
     response
 }
 
-/// The response in place of an endpoint's. `in_whole_seconds` is how `Retry-After` is given.
+/// Builds the response for an error. `Retry-After` is in whole seconds if `in_whole_seconds`, otherwise in
+/// seconds with three decimals.
 pub fn error_response(error: &RequestError, in_whole_seconds: bool) -> ClientResponse {
     let mut response = empty_response(error.status());
     let headers = response.headers_mut();
@@ -109,14 +110,15 @@
     response
 }
 
-/// A response without a body.
+/// Builds a response without a body.
 pub fn empty_response(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(ResponseBody { content: MessageBody::default(), stream_guard: None });
     *response.status_mut() = status;
     response
 }
 
-/// `Retry-After`: whole seconds rounded up, as ordinary clients read it, or seconds to the millisecond.
+/// The value of `Retry-After`: whole seconds rounded up, as standard clients expect, or seconds with three
+/// decimals.
 fn retry_after_value(retry_after: Micros, in_whole_seconds: bool) -> HeaderValue {
     if in_whole_seconds {
         let rounded_up = retry_after.saturating_add(MICROS_PER_SECOND - 1).min(TIME_LIMIT);
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,11 +1,13 @@
-//! The downstream side: listeners, the connections of clients, and their requests.
+//! The downstream side: listeners, client connections and requests.
 //!
-//! A listener accepts connections up to a limit, and serves each by its protocol (`http` or `rpc`). A request passes
-//! through these phases, whichever protocol it arrives by: read and validate its head, route it, read its body, reserve its
-//! id and idempotency key (`request`); submit it to the decisions of one pool after another and wait for the response
-//! (`dispatch`); send the response and count the outcome. Errors of any phase are one type (`error`).
+//! A listener accepts connections up to a limit and serves each one with its protocol (`http` or `rpc`). A
+//! request of either protocol passes through these phases: read and validate the head, route the request,
+//! read the body, reserve the id and the idempotency key (`request`); submit the request to the decisions of
+//! one pool after another and wait for the response (`dispatch`); send the response and count the outcome.
+//! The errors of all phases share one type (`error`).
 //!
-//! `timeouts` ends connections whose client sends or reads too slowly, and `drain` shuts a listener down gracefully.
+//! `timeouts` closes connections whose client sends or reads too slowly, and `drain` shuts a listener down
+//! gracefully.
 
 mod accept;
 mod connection;
@@ -34,19 +36,20 @@
 use drain::DrainState;
 use registry::ConnectionRegistry;
 
-/// How requests of a listener are read and routed.
+/// The protocol, the router and the request ids of a listener.
 pub struct Frontend {
-    /// Routes them.
+    /// Routes the requests.
     pub router: Rc<dyn Router>,
     /// The ids of open requests.
     pub ids: OpenRequestIds,
-    /// The protocol of its clients.
+    /// The protocol of the clients.
     pub protocol: Protocol,
-    /// Another process has the listening socket too, and goes on with it when this one ends.
+    /// Whether another process shares the listening socket and continues to accept on it after this process
+    /// exits.
     pub is_socket_shared: bool,
 }
 
-/// A listener with its connections.
+/// A listener, its connections and its drain state.
 struct ListenerState {
     frontend: Frontend,
     connections: Rc<ConnectionRegistry>,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// The connections that clients have left, once they get no new ones; None before.
+    /// The remaining client connections once no new ones are accepted; `None` before that.
     fn remaining_connections(&self) -> Option<DownstreamConnections> {
         let gets_no_new_ones = self.drain.is_started() && !self.frontend.is_socket_shared;
         gets_no_new_ones.then(|| DownstreamConnections {
@@ -79,15 +82,16 @@
         })
     }
 
-    /// Whether new requests are welcome here.
+    /// Whether load balancers in front may send new requests to this listener.
     fn is_ready(&self) -> bool {
         let is_reachable = !self.drain.is_started() || self.frontend.is_socket_shared;
         is_reachable && self.frontend.router.is_ready()
     }
 }
 
-/// Serves clients until `stop` completes, then drains: returns once every request that was taken has its response.
-/// At most `max_connections` connections stay open; one more is accepted, and then a connection is closed for it.
+/// Serves clients until `stop` completes, then drains; returns once every accepted request has its response.
+/// At most `max_connections` connections stay open: one more is accepted, and then a connection is closed to
+/// make room.
 pub async fn run(
     frontend: Frontend,
     socket: TcpListener,
--- a/crates/proxy/src/downstream/registry.rs
+++ b/crates/proxy/src/downstream/registry.rs
@@ -12,7 +12,7 @@
 /// The open connections of a listener.
 pub struct ConnectionRegistry {
     max_connections: usize,
-    /// By the order in which they were accepted.
+    /// The connections by their serial number, in the order of acceptance.
     connections: RefCell<BTreeMap<u64, Rc<DownstreamConnection>>>,
     accepted_count: Cell<u64>,
     /// Notified when a connection has ended.
@@ -20,7 +20,7 @@
     clock: Clock,
 }
 
-/// Keeps a connection registered until this is dropped.
+/// Keeps a connection registered until dropped.
 pub struct Registration {
     registry: Rc<ConnectionRegistry>,
     id: u64,
@@ -34,7 +34,7 @@
 }
 
 impl ConnectionRegistry {
-    /// Has no connections yet; at most `max_connections` stay open.
+    /// Creates an empty registry. At most `max_connections` connections stay open.
     pub fn new(max_connections: usize, clock: Clock) -> ConnectionRegistry {
         ConnectionRegistry {
             max_connections,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds a connection.
+    /// Adds a connection until the returned registration is dropped.
     pub fn register(self: &Rc<Self>, connection: Rc<DownstreamConnection>) -> Registration {
         let id = self.accepted_count.get() + 1;
         self.accepted_count.set(id);
@@ -58,7 +58,7 @@
         self.connections.borrow().len()
     }
 
-    /// The number of connections that wait for a request.
+    /// The number of open connections without an open request.
     pub fn idle_count(&self) -> usize {
         self.connections.borrow().values().filter(|connection| !connection.is_busy()).count()
     }
@@ -68,7 +68,7 @@
         self.open_count() > self.max_connections
     }
 
-    /// Whether that stays so once all connections that are being closed have ended.
+    /// Whether the limit is still exceeded once all connections that are being closed have ended.
     pub fn stays_over_limit(&self) -> bool {
         let connections = self.connections.borrow();
         connections.values().filter(|connection| !connection.is_closing()).count() > self.max_connections
@@ -79,7 +79,7 @@
         self.connections.borrow().values().cloned().collect()
     }
 
-    /// Visits all open connections.
+    /// Calls `visit` for each open connection.
     pub fn for_each(&self, visit: impl FnMut(&Rc<DownstreamConnection>)) {
         self.connections.borrow().values().for_each(visit);
     }
@@ -89,8 +89,9 @@
         self.ended.notified().await;
     }
 
-    /// Closes a connection to make room: the one that is idle for longest, else one with a partial request, else a busy
-    /// one after its response. A new connection is spared, as its first request would cross the close.
+    /// Closes one connection to make room: the connection that has been idle for longest, else one with a
+    /// partial request, else a busy one after its response. A new connection is spared, because its first
+    /// request may already be on its way and would be lost.
     pub fn close_least_recently_used(&self) {
         let connections = self.connections.borrow();
         let now = self.clock.now();
--- a/crates/proxy/src/downstream/request/head.rs
+++ b/crates/proxy/src/downstream/request/head.rs
@@ -1,9 +1,9 @@
-//! Validates the head of a request against RFC 9112, so that no recipient behind this proxy can read it as a different
-//! request (request smuggling). hyper is lenient in places (a bare LF, transfer codings before `chunked`); a proxy that
-//! forwards requests to other parsers must not be.
+//! Validates the head of a request against RFC 9112, so that no recipient behind this proxy can read it as a
+//! different request (request smuggling). hyper is lenient in places (a bare LF, transfer codings before
+//! `chunked`); a proxy that forwards requests to other parsers must not be.
 
-/// Fields whose repeats mean the same as one comma-separated list (RFC 9110, section 5.3). Any other field that is
-/// repeated is ambiguous.
+/// Fields whose repeats mean the same as one comma-separated list (RFC 9110, section 5.3). Any other field
+/// that is repeated is ambiguous.
 const LIST_FIELDS: [&str; 24] = [
     "accept",
     "accept-charset",
@@ -30,28 +30,28 @@
     "x-forwarded-port",
     "x-forwarded-proto",
 ];
-/// hyper's limit on fields.
+/// The maximum number of fields; equals hyper's limit.
 const MAX_FIELDS: usize = 100;
-/// Fields that most requests have at most.
+/// The number of fields that memory is reserved for; most requests have at most as many.
 const TYPICAL_FIELDS: usize = 16;
-/// Digits of the longest `Content-Length`.
+/// The maximum number of digits of a `Content-Length`.
 const MAX_LENGTH_DIGITS: usize = 19;
 
-/// Why a head is rejected.
+/// The reason that a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// It is malformed or ambiguous.
+    /// The head is malformed or ambiguous.
     Malformed,
-    /// Its transfer codings are valid, and others than `chunked` alone.
+    /// The transfer codings are valid, but are not `chunked` alone.
     UnsupportedTransferCoding,
 }
 
 use HeadError::Malformed;
 
-/// Validates the head that `raw` begins with, and returns its length in bytes.
+/// Validates the head at the start of `raw` and returns its length in bytes.
 ///
 /// # Errors
-/// It is malformed, ambiguous, or has a transfer coding other than `chunked`.
+/// Returns an error if the head is malformed or ambiguous, or has a transfer coding other than `chunked`.
 pub fn validate_head(raw: &[u8]) -> Result<usize, HeadError> {
     // A server should skip an empty line before the request line (RFC 9112, section 2.2).
     let mut position = if raw.starts_with(b"\r\n") { 2 } else { 0 };
@@ -74,7 +74,7 @@
     Http11,
 }
 
-/// The fields of a head as far as they decide where the request ends.
+/// The fields of a head that decide where the request ends, and the names of all fields.
 struct Fields<'a> {
     names: Vec<&'a [u8]>,
     has_host: bool,
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Validates one field line. White space before the colon and folded lines are no tokens, and thus malformed.
+    /// Validates one field line. White space before the colon and folded lines are malformed, because neither
+    /// is part of a token.
     fn add(&mut self, line: &'a [u8]) -> Result<(), HeadError> {
         let colon = line.iter().position(|byte| *byte == b':').ok_or(Malformed)?;
         let name = &line[..colon];
@@ -131,7 +132,7 @@
     }
 }
 
-/// The next line without its end, which is CR LF and nothing else.
+/// Returns the next line without its end, which must be CR LF.
 fn next_line<'a>(raw: &'a [u8], position: &mut usize) -> Result<&'a [u8], HeadError> {
     let rest = raw.get(*position..).ok_or(Malformed)?;
     let end = rest.iter().position(|byte| *byte == b'\n').ok_or(Malformed)?;
@@ -161,7 +162,8 @@
     }
 }
 
-/// Origin form in the characters of RFC 3986, each percent sign followed by two hex digits.
+/// Whether the target is in origin form, in the characters of RFC 3986 with two hex digits after each percent
+/// sign.
 fn is_origin_form(target: &[u8]) -> bool {
     let is_valid_at = |(position, byte): (usize, &u8)| match byte {
         b'%' => {
@@ -191,8 +193,8 @@
     LIST_FIELDS.iter().any(|field| field.as_bytes().eq_ignore_ascii_case(name))
 }
 
-/// Accepts `chunked` alone. Where `chunked` ends a list of other codings, the end of the request is known but its content
-/// is not; otherwise not even its end is.
+/// Accepts `chunked` alone. If `chunked` follows other codings, the request's end is known but its content is
+/// encoded, so the codings are unsupported; otherwise the end is unknown, and the head is malformed.
 fn validate_transfer_codings(codings: &[u8]) -> Result<(), HeadError> {
     let is_chunked = |coding: &[u8]| coding.eq_ignore_ascii_case(b"chunked");
     if is_chunked(codings) {
--- a/crates/proxy/src/downstream/request/head/tests.rs
+++ b/crates/proxy/src/downstream/request/head/tests.rs
@@ -1,9 +1,9 @@
-//! Heads of requests, byte by byte.
+//! Validation of request heads: a head that is cut off is malformed, and no byte sequence panics.
 
 use super::*;
 
 #[test]
-fn a_head_ends_at_its_empty_line() {
+fn head_ends_at_its_empty_line() {
     let head =
         b"POST /a%20b/c?d=e&f HTTP/1.1\r\nHost: a\r\nAccept: x\r\nAccept: y\r\nContent-Length: 3\r\n\r\n";
     let mut raw = head.to_vec();
@@ -16,7 +16,8 @@
 
 #[test]
 fn no_byte_sequence_panics() {
-    // Each byte of a valid head replaced by each other one: accepted or rejected.
+    // Each byte of a valid head is replaced by each possible byte. The result must be accepted or rejected,
+    // not panic.
     let head = b"GET /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     for at in 0..head.len() {
         for byte in 0..=255 {
--- a/crates/proxy/src/downstream/request/mod.rs
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -1,7 +1,9 @@
-//! Reads requests over HTTP: each is accepted once it is complete and valid, or rejected before anything is sent upstream.
+//! Reads HTTP requests. Each request is accepted once it is valid and complete, or rejected before anything
+//! is sent upstream.
 //!
-//! Phases, in order: validate the head, route, read the body (buffered, or its beginning where it may be streamed), accept
-//! (reserve its id and idempotency key). Head and body together are bounded in bytes and by a deadline.
+//! The phases are, in order: validate the head, route the request, read the body (all of it, or only its
+//! start if it may be streamed), and accept the request (reserve its id and idempotency key). The size of
+//! head and body together is bounded, and so is the time to read them.
 
 mod head;
 mod routed;
@@ -27,43 +29,43 @@
 use crate::router::{PoolSequence, Router, RouterConnectionState};
 use crate::socket::{Socket, UnreadInput};
 
-/// A buffered request is complete within this time from its first byte, as clients may send too slowly or less than they
-/// announced.
+/// The maximum time from the first byte of a buffered request to its last; bounds clients that send slowly or
+/// less than they announce.
 const MAX_REQUEST_READ_TIME: Duration = Duration::from_millis(2500);
 
-/// A complete and valid request.
+/// A valid request that is ready to be submitted; a streamed body may still be arriving.
 pub struct AcceptedRequest {
-    /// What the decisions know of it.
+    /// The input for the decisions.
     pub decision_input: NewRequest,
-    /// What is sent to an endpoint.
+    /// The message to send to an endpoint.
     pub message: Rc<UpstreamRequest>,
-    /// The pools that it is submitted to in turn.
+    /// The pools to submit the request to, in order.
     pub pools: Box<dyn PoolSequence>,
-    /// How long the client waits for the response.
+    /// The time that the client waits for the response.
     pub client_timeout: Duration,
-    /// Its idempotency key, while it is open.
+    /// The reservation of the idempotency key while the request is open; `None` if the request has no key.
     pub reserved_key: Option<ReservedKey>,
-    /// Keeps its id from being used again while it is open.
+    /// Prevents other requests from using the same id while the request is open.
     pub id_claim: RequestIdClaim,
 }
 
-/// What becomes of a valid request.
+/// The result of accepting a valid request.
 pub enum AcceptOutcome {
-    /// It can be submitted.
+    /// The request can be submitted.
     Accepted(Box<AcceptedRequest>),
-    /// It was served before; this is the stored response.
+    /// A request with the same idempotency key was served before; holds the stored response.
     Replayed(FinalResponse),
 }
 
 /// Reads the requests of one HTTP connection.
 pub struct RequestReader<'a> {
-    /// Routes them.
+    /// Routes the requests.
     pub router: &'a dyn Router,
-    /// The ids of open requests of the listener.
+    /// The ids of the listener's open requests.
     pub open_ids: &'a OpenRequestIds,
-    /// Where they are read from.
+    /// The socket that the requests are read from.
     pub socket: &'a Socket,
-    /// What the router keeps with the connection.
+    /// State that the router attaches to the connection.
     pub router_state: &'a RouterConnectionState,
 }
 
@@ -71,7 +73,7 @@
     /// Reads and accepts a request.
     ///
     /// # Errors
-    /// It is invalid or rejected.
+    /// Returns an error if the request is invalid or rejected.
     pub async fn read(
         &self,
         request: Request<Incoming>,
@@ -84,7 +86,7 @@
         if head.uri.authority().is_some() {
             return Err(InvalidRequest::MalformedHead.into());
         }
-        // A body of unknown length is measured against the limit as it arrives.
+        // A body of unknown length is checked against the limit as it arrives.
         let body_bytes = body.size_hint().exact().unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
         let mut routed = routed::route(self.router, self.router_state, &mut head, body_bytes)?;
         recorder.set_counters(routed.counters.take());
@@ -107,7 +109,8 @@
         routed.accept(head, body, None, self.open_ids)
     }
 
-    /// Reads a body: all of it, or its beginning where it may be streamed.
+    /// Reads a body: all of it, or only its start if the body may be streamed and is larger than the buffer
+    /// limit or slow.
     async fn read_body(
         &self,
         routed: &RoutedRequest,
@@ -137,8 +140,8 @@
         Err(if is_in_time { InvalidRequest::BodyTooLarge } else { InvalidRequest::SlowBody }.into())
     }
 
-    /// Checks that nothing follows the message: clients send one request at a time, so more bytes were miscounted or are
-    /// hidden in it.
+    /// Checks that no bytes follow the message. Clients send one request at a time, so further bytes indicate
+    /// a wrong length or a smuggled request.
     fn check_message_end(&self, message_bytes: u64, is_chunked: bool) -> Result<(), InvalidRequest> {
         let has_extra_bytes = !is_chunked && self.socket.message_bytes() > message_bytes;
         if has_extra_bytes || self.socket.unread_input() == UnreadInput::Data {
--- a/crates/proxy/src/downstream/request/routed.rs
+++ b/crates/proxy/src/downstream/request/routed.rs
@@ -1,4 +1,4 @@
-//! A request between its head and its body: routed by the head, and accepted once the body has arrived.
+//! The state of a request between the routing of its head and the arrival of its body.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,40 +22,41 @@
 use crate::request_ids::OpenRequestIds;
 use crate::router::{single_header_value, PoolSequence, Rejection, Router, RouterConnectionState};
 
-/// The longest client timeout.
+/// The longest client timeout, in milliseconds: one day.
 const MAX_CLIENT_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
-/// The longest id or idempotency key of a request.
+/// The maximum length of a request id or an idempotency key, in bytes.
 const MAX_TOKEN_BYTES: usize = 128;
-/// The client's estimate of the work, in microseconds on a standard core.
+/// The header with the client's estimate of the work, in microseconds on a standard core.
 const WORK_HEADER: &str = "x-cost";
-/// Marks a retry by the client.
+/// The header by which a client marks a retry.
 const RETRY_HEADER: &str = "x-retried";
 const RETRY_VALUE: &str = "1";
 
-/// A request whose head was routed; its body may still be arriving.
+/// A request with a routed head; the body may still be arriving.
 pub struct RoutedRequest {
     decision_input: NewRequest,
     request_id: String,
     idempotency_key: Option<String>,
-    /// The ids that its own must differ from, where these are not all of the listener's.
+    /// The open ids that the request's id must differ from; `None` for all ids of the listener.
     open_ids: Option<OpenRequestIds>,
     key_scope: Option<KeyScope>,
     rpc_method: Option<Arc<str>>,
     pools: Box<dyn PoolSequence>,
-    /// Its class, by index.
+    /// The index of the class.
     pub class: usize,
-    /// Where it is counted.
+    /// The counters of the class; `None` if the request is not counted.
     pub counters: Option<Rc<RequestCounters>>,
-    /// How long the client waits for the response.
+    /// The time that the client waits for the response.
     pub client_timeout: Duration,
-    /// The largest body of it and of its response in bytes, where they may be streamed.
+    /// The maximum size of the request's and the response's body in bytes; `None` if they may not be
+    /// streamed.
     streaming_limit: Option<u64>,
 }
 
-/// Validates and routes a head. `announced_body_bytes` is as in [`Router::route`].
+/// Validates and routes a head. `announced_body_bytes` has the meaning that it has in [`Router::route`].
 ///
 /// # Errors
-/// The head is invalid, or the router rejects the request.
+/// Returns an error if the head is invalid or the router rejects the request.
 pub fn route(
     router: &dyn Router,
     router_state: &RouterConnectionState,
@@ -97,22 +98,22 @@
 }
 
 impl RoutedRequest {
-    /// Allows its bodies to be streamed where the router takes larger ones than are buffered. Endpoints that speak JSON-RPC
-    /// get complete messages only.
+    /// Allows the request's and the response's body to be streamed if the router accepts larger bodies than
+    /// are buffered. JSON-RPC endpoints receive complete messages only, so their requests are never streamed.
     pub fn allow_streaming(&mut self, router: &dyn Router) {
         let limit = Some(router.max_body_bytes()).filter(|bytes| *bytes > MAX_BUFFERED_BODY_BYTES as u64);
         self.streaming_limit = limit.filter(|_| self.rpc_method.is_none());
     }
 
-    /// Whether its body may be streamed.
+    /// Whether the body may be streamed.
     pub fn may_stream(&self) -> bool {
         self.streaming_limit.is_some()
     }
 
-    /// Accepts it with its body: reserves its id, and its idempotency key if it has one.
+    /// Accepts the request with its body: reserves the id, and the idempotency key if there is one.
     ///
     /// # Errors
-    /// Another open request has its id or key, or its key cannot be reserved.
+    /// Returns an error if another open request has the same id or key, or the key cannot be reserved.
     pub fn accept(
         mut self,
         mut head: Parts,
@@ -145,7 +146,7 @@
         })))
     }
 
-    /// Reserves its idempotency key. None where it has none.
+    /// Reserves the idempotency key; `None` if the request has no key.
     fn reserve_key(&mut self) -> Result<Option<KeyLookup>, Rejection> {
         match self.key_scope.take().zip(self.idempotency_key.take()) {
             Some((scope, key)) => scope.reserve(&key).map(Some),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Brings a head into the form in which it is sent upstream.
+    /// Converts a head to the form in which it is sent upstream.
     fn prepare_head(&self, head: &mut Parts, body: &MessageBody, call: Option<RpcCall>, has_key: bool) {
         remove_hop_by_hop(&mut head.headers);
         head.extensions.clear();
@@ -161,7 +162,7 @@
         if body.streaming().is_some() {
             head.extensions.insert(ClientTimeout(self.client_timeout));
         }
-        // A response that is stored for replay has to be buffered.
+        // A response that is stored for replay must be buffered.
         if let Some(bytes) = self.streaming_limit.filter(|_| !has_key) {
             head.extensions.insert(StreamedResponseLimit(bytes));
         }
@@ -171,7 +172,7 @@
     }
 }
 
-/// How long a body may still take to arrive.
+/// The maximum time that a body may still take to arrive, in microseconds.
 fn max_arrival_time(body: &MessageBody, streaming_limit: Option<u64>) -> Micros {
     let bytes = body.size_hint().exact().or(streaming_limit).unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
     body::max_transfer_time(bytes).as_micros() as Micros
@@ -181,7 +182,7 @@
     RpcCall { method, params: None, received_over_http: true }
 }
 
-/// The id of a request; a new one where it has none and the router gives ids.
+/// Returns the id of a request; generates one if the request has none and the router generates ids.
 fn ensure_request_id(router: &dyn Router, headers: &mut HeaderMap) -> Result<String, InvalidRequest> {
     if header_value(headers, REQUEST_ID_HEADER)?.is_none() {
         if let Some(id) = router.generate_request_id().and_then(|id| HeaderValue::try_from(id).ok()) {
@@ -192,7 +193,7 @@
     id.map(str::to_owned).ok_or(InvalidRequest::MalformedRequestId)
 }
 
-/// The idempotency key, of a class that has them. Other classes ignore it, but for its form.
+/// Returns the idempotency key if the class uses keys. For other classes the key is only validated.
 fn idempotency_key(headers: &HeaderMap, semantics: Semantics) -> Result<Option<String>, InvalidRequest> {
     let is_required = matches!(semantics, Semantics::Deduplicated { .. });
     let key = header_value(headers, IDEMPOTENCY_KEY_HEADER)?;
@@ -203,7 +204,7 @@
     Ok(key.filter(|_| is_required).map(str::to_owned))
 }
 
-/// How long the client waits; the deadline of its class where it does not say.
+/// Returns the time that the client waits; the deadline of the class if the request has no timeout header.
 fn client_timeout(headers: &HeaderMap, class_deadline: Micros) -> Result<Duration, InvalidRequest> {
     let range = 1..=MAX_CLIENT_TIMEOUT_MS;
     let milliseconds = match header_value(headers, TIMEOUT_HEADER)? {
@@ -215,27 +216,29 @@
     Ok(Duration::from_millis(milliseconds))
 }
 
-/// The client's estimate of the work. One that cannot be read is ignored: it is a hint only.
+/// Returns the client's estimate of the work in microseconds. Malformed or zero estimates are ignored,
+/// because the estimate is only a hint.
 ///
 /// # Errors
-/// The header is repeated or not text.
+/// Returns an error if the header is repeated or not text.
 fn estimated_work(headers: &HeaderMap) -> Result<Option<Micros>, InvalidRequest> {
     let work = header_value(headers, WORK_HEADER)?.and_then(parse_digits);
     Ok(work.and_then(|micros| Micros::try_from(micros).ok()).filter(|micros| *micros > 0))
 }
 
-/// The one value of a header, if it is there.
+/// Returns the only value of a header; `None` if the header is absent.
 fn header_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, InvalidRequest> {
     single_header_value(headers, name).map_err(|_| InvalidRequest::AmbiguousHeader)
 }
 
-/// Whether this can be an id or key: printable, without anything that ends or separates header values.
+/// Whether the text is a valid id or key: 1 to [`MAX_TOKEN_BYTES`] printable characters, none of which ends
+/// or separates header values.
 fn is_valid_token(text: &str) -> bool {
     let is_valid = |byte: u8| byte.is_ascii_graphic() && byte != b',';
     (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(is_valid)
 }
 
-/// A whole number in plain digits.
+/// Parses a whole number that consists of digits only.
 fn parse_digits(text: &str) -> Option<u64> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
 }
--- a/crates/proxy/src/downstream/rpc/batch.rs
+++ b/crates/proxy/src/downstream/rpc/batch.rs
@@ -1,4 +1,4 @@
-//! The calls of a batch, which are executed at the same time and answered together.
+//! Batches of calls, which are executed concurrently and answered together.
 
 use std::rc::Rc;
 
@@ -10,15 +10,16 @@
 use crate::downstream::ListenerState;
 use crate::exchange::DisconnectProbe;
 
-/// A call of a batch that has been executed.
+/// An executed call of a batch.
 struct BatchEntry {
-    /// Its place in the batch.
+    /// The position of the call in the batch.
     position: usize,
-    /// None where it gets no response.
+    /// `None` if the call gets no response.
     response: Option<CallResponse>,
 }
 
-/// Executes calls at the same time, and encodes their responses in the order of the calls. None where there are none.
+/// Executes calls concurrently and encodes their responses in the order of the calls; `None` if there are no
+/// responses.
 pub async fn execute_batch(
     mut calls: Vec<PreparedCall>,
     listener: Rc<ListenerState>,
@@ -44,7 +45,8 @@
     encode_bounded_batch(responses.into_iter().flatten())
 }
 
-/// All calls of a batch wait for the last of them, so none may take longer than the shortest client timeout.
+/// Limits all calls of a batch to the shortest client timeout among them, because the batch is answered only
+/// when its last call ends.
 fn limit_to_shortest_timeout(calls: &mut [PreparedCall]) {
     let Some(shortest) = calls.iter().filter_map(PreparedCall::client_timeout).min() else { return };
     for call in calls {
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -1,4 +1,4 @@
-//! One call of a JSON-RPC client: validated and accepted as a request, then submitted, then answered.
+//! One call of a JSON-RPC client: validated and accepted like a request, then submitted and answered.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,13 +18,14 @@
 use crate::panic_guard::catch_panic;
 use crate::rpc_mapping;
 
-/// A call that was validated; nothing was sent upstream.
+/// A validated call; nothing has been sent upstream.
 pub struct PreparedCall {
-    /// None of a notification.
+    /// The id as the client sent it; `None` for a notification or an unknown id.
     pub id: CallId,
-    /// Its id in normal form, while no other call of the connection may have it.
+    /// The normalized id that no other open call of the connection may have; `None` if the call reserves
+    /// none.
     pub open_id: Option<String>,
-    /// Nobody is sent its response.
+    /// Whether no response is sent.
     pub is_notification: bool,
     state: CallState,
     recorder: RequestRecorder,
@@ -33,21 +34,22 @@
 enum CallState {
     Accepted(Box<AcceptedRequest>),
     Replayed(FinalResponse),
-    /// It is invalid or rejected as a request.
+    /// The call is invalid or rejected as a request.
     Rejected(RequestError),
-    /// It is no valid message, and gets this response.
+    /// The message is invalid; holds the encoded response.
     Invalid(Vec<u8>),
-    /// It gets none.
+    /// The message gets no response.
     Ignored,
 }
 
 impl PreparedCall {
-    /// A message that is no call, and gets no response. `is_alone` says that it is no part of a batch.
+    /// Creates the entry of a message that is not a call and gets no response. `is_alone` is true if the
+    /// message is not part of a batch.
     pub fn ignored(is_alone: bool) -> PreparedCall {
         PreparedCall::new(None, is_alone, CallState::Ignored)
     }
 
-    /// A message that is not valid, and gets this response.
+    /// Creates the entry of an invalid message with its encoded response.
     pub fn invalid(id: CallId, response: Vec<u8>) -> PreparedCall {
         PreparedCall::new(id, false, CallState::Invalid(response))
     }
@@ -56,7 +58,8 @@
         PreparedCall { id, open_id: None, is_notification, state, recorder: RequestRecorder::default() }
     }
 
-    /// Validates a call and accepts it, or rejects it. `frame` is what it was read from; its bytes are shared, not copied.
+    /// Validates a call and accepts or rejects it. `frame` is the frame that the call was read from; its
+    /// bytes are shared, not copied.
     pub fn accept(
         listener: &ListenerState,
         connection: &DownstreamConnection,
@@ -77,12 +80,12 @@
         prepared
     }
 
-    /// Whether a limit on connections rejects it, so that its connection is to be closed.
+    /// Whether the limit on connections rejects the call, which closes its connection.
     pub fn is_over_connection_limit(&self) -> bool {
         matches!(&self.state, CallState::Rejected(error) if error.is_connection_limit())
     }
 
-    /// How long its client waits, if it is to be submitted.
+    /// The time that the client waits; `None` if the call is not submitted.
     pub fn client_timeout(&self) -> Option<Duration> {
         match &self.state {
             CallState::Accepted(accepted) => Some(accepted.client_timeout),
@@ -90,14 +93,14 @@
         }
     }
 
-    /// Has it take no longer than this.
+    /// Replaces the client timeout of a call that is submitted.
     pub fn limit_timeout(&mut self, timeout: Duration) {
         if let CallState::Accepted(accepted) = &mut self.state {
             accepted.client_timeout = timeout;
         }
     }
 
-    /// Submits it, waits for its final response, and encodes that. None where it gets no response.
+    /// Submits the call, waits for its final response and encodes that; `None` if the call gets no response.
     pub async fn execute(
         self,
         listener: &ListenerState,
@@ -128,7 +131,7 @@
     }
 }
 
-/// Routes a call by its form in HTTP, and accepts it.
+/// Routes a call by its equivalent HTTP request and accepts it.
 fn route_and_accept(
     listener: &ListenerState,
     connection: &DownstreamConnection,
--- a/crates/proxy/src/downstream/rpc/mod.rs
+++ b/crates/proxy/src/downstream/rpc/mod.rs
@@ -1,7 +1,8 @@
-//! Connections of clients that speak JSON-RPC: many calls at a time, each answered as soon as its response is there.
+//! JSON-RPC client connections, which carry many concurrent calls; each is answered as soon as its response
+//! is available.
 //!
-//! Bounded by the number of open calls: at the limit nothing more is read until a response is written. A connection that
-//! this side closes ends with a notification that says how many messages were read.
+//! The number of open calls is bounded: at the limit nothing more is read until a response has been written.
+//! Before this proxy closes a connection, it sends a notification with the number of messages read.
 
 mod batch;
 mod call;
@@ -32,9 +33,10 @@
 
 /// A client that reads nothing of its responses for this long is disconnected.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// After the last response a client has this long to close too; closing earlier would break off what is on its way.
+/// The time that a client has to close its side after the last response; closing earlier would lose data in
+/// transit.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The notification before this side closes a connection.
+/// The method of the notification that is sent before this proxy closes a connection.
 const CLOSING_METHOD: &str = "$/closing";
 
 /// Serves a connection until it ends. At most `max_open_calls` are open at a time.
@@ -59,7 +61,7 @@
         is_framing_broken: false,
         is_over_connection_limit: false,
     };
-    // Calls that are still open when this returns end with it, as their client has gone.
+    // Calls that are still open when this returns are cancelled, because their client has disconnected.
     tokio::select! {
         biased;
         () = rpc.run(socket) => {}
@@ -73,22 +75,22 @@
     framing: Framing,
     decoder: FrameDecoder,
     max_open_calls: usize,
-    /// Calls whose responses are not completely written.
+    /// The number of calls whose responses are not completely written.
     open_calls: usize,
-    /// Their ids, in normal form.
+    /// The normalized ids of executing calls.
     open_ids: BTreeSet<String>,
     running: JoinSet<FinishedCalls>,
     messages_read: u64,
     output: OutputQueue,
-    /// It is unknown where the next message begins.
+    /// Whether a framing error has made the start of the next message unknown.
     is_framing_broken: bool,
-    /// A limit on connections rejects this one.
+    /// Whether the limit on connections rejects this connection.
     is_over_connection_limit: bool,
 }
 
-/// Calls of one message that have been executed.
+/// The executed calls of one message.
 struct FinishedCalls {
-    /// Their response, unless they are notifications.
+    /// The encoded response; `None` if the calls are notifications.
     response: Option<Vec<u8>>,
     calls: usize,
     ids: Vec<String>,
@@ -111,7 +113,7 @@
                 break;
             }
             if can_read && is_paused {
-                // The client has not caused the pause, so its time for a message starts again.
+                // The client did not cause the pause, so the timeout of its message restarts.
                 socket.start_next_message(NO_HEAD_CAPTURE);
             }
             is_paused = !can_read;
@@ -133,7 +135,7 @@
                 },
                 () = sleep_until(last_progress_at + WRITE_STALL_TIMEOUT), if !self.output.is_empty() => return,
                 read = reader.read_some(|bytes| self.decoder.push(bytes)), if can_read => match read {
-                    // As over HTTP, a client that closes its sending side has gone.
+                    // A client that closes its sending side counts as disconnected, the same as over HTTP.
                     Ok(0) | Err(_) => return,
                     Ok(_) => {}
                 },
@@ -142,8 +144,8 @@
         self.close(&mut writer, &mut reader).await;
     }
 
-    /// Announces the close with the number of messages that were read, so that a client can tell it from a failure and
-    /// knows which of its messages were not read; then closes.
+    /// Announces the close with the number of messages read, then closes. The client can thus distinguish the
+    /// close from a failure and determine which of its messages were not read.
     async fn close(&mut self, writer: &mut Socket, reader: &mut Socket) {
         let params = json!({ "taken": self.messages_read }).to_string();
         let params = RawValue::from_string(params).ok();
@@ -165,7 +167,7 @@
         self.output.push(jsonrpc::encode_frame(self.framing, message).into(), calls);
     }
 
-    /// Answers a message from which no call was started.
+    /// Queues the response to a message that started no call.
     fn send_error(&mut self, response: &[u8]) {
         self.open_calls += 1;
         self.send(response, 1);
@@ -188,7 +190,7 @@
         self.open_calls < self.max_open_calls && !self.is_framing_broken
     }
 
-    /// Decodes and starts what was read, up to the limit on open calls.
+    /// Decodes received messages and starts their calls, up to the limit on open calls.
     fn decode_messages(&mut self) {
         while self.can_take_message() {
             match self.decoder.next_frame() {
@@ -225,11 +227,11 @@
 
     // ---- Calls ----
 
-    /// Validates a message and accepts its call.
+    /// Validates a message and accepts or rejects its call.
     fn prepare(&mut self, message: MessageResult<'_>, frame: &Bytes, is_alone: bool) -> PreparedCall {
         let call = match message {
             Ok(Message::Call(call)) => call,
-            // A response to nothing that was asked.
+            // The proxy sends no calls to clients, so a response matches none.
             Ok(Message::Response(_)) => return PreparedCall::ignored(is_alone),
             Err(invalid) => return PreparedCall::invalid(None, encode_invalid_message(&invalid)),
         };
@@ -255,7 +257,7 @@
         prepared
     }
 
-    /// Starts the call of a message that is no batch.
+    /// Starts the call of a message that is not a batch.
     fn start_one(&mut self, mut call: PreparedCall, received_at: Instant) {
         if call.is_notification {
             self.start_notification(call, received_at);
@@ -271,7 +273,7 @@
         });
     }
 
-    /// Starts a call that nobody waits for.
+    /// Starts a call that gets no response.
     fn start_notification(&mut self, call: PreparedCall, received_at: Instant) {
         self.open_calls += 1;
         let listener = Rc::clone(&self.listener);
@@ -282,7 +284,7 @@
         });
     }
 
-    /// Starts the calls of a batch at the same time; they are answered together, except for notifications.
+    /// Starts the calls of a batch concurrently; all but notifications are answered together.
     fn start_batch(&mut self, calls: Vec<PreparedCall>, received_at: Instant) {
         let (notifications, mut calls): (Vec<_>, Vec<_>) =
             calls.into_iter().partition(|call| call.is_notification);
@@ -304,7 +306,7 @@
     }
 }
 
-/// A form in which ids are equal if they mean the same, however they are written.
+/// Normalizes an id, so that differently escaped forms of the same string compare equal.
 fn normalize_id(id: &RawValue) -> String {
     match serde_json::from_str::<String>(id.get()) {
         Ok(text) => format!("\"{text}"),
--- a/crates/proxy/src/downstream/rpc/output.rs
+++ b/crates/proxy/src/downstream/rpc/output.rs
@@ -1,4 +1,4 @@
-//! Messages that are to be written to a JSON-RPC client.
+//! The queue of messages to write to a JSON-RPC client.
 
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -10,7 +10,7 @@
 
 use crate::socket::Socket;
 
-/// Messages that one write takes at most.
+/// The maximum number of messages per write.
 const MAX_MESSAGES_PER_WRITE: usize = 16;
 
 /// Messages in the order in which they are written.
@@ -20,9 +20,9 @@
 }
 
 struct OutputMessage {
-    /// What is still to be written of it.
+    /// The bytes that are not written yet.
     bytes: Bytes,
-    /// The calls that it answers.
+    /// The number of calls that the message answers.
     calls: usize,
 }
 
@@ -37,7 +37,7 @@
         self.messages.push_back(OutputMessage { bytes: frame, calls });
     }
 
-    /// Writes as much as the socket takes, and returns the number of bytes.
+    /// Writes as much as the socket accepts and returns the number of bytes.
     pub async fn write_to(&self, socket: &mut Socket) -> io::Result<usize> {
         poll_fn(|context| {
             let next = self.messages.iter().take(MAX_MESSAGES_PER_WRITE);
@@ -47,7 +47,8 @@
         .await
     }
 
-    /// Removes bytes that were written, and returns the number of calls whose responses are now complete.
+    /// Removes written bytes from the queue and returns the number of calls whose responses are now
+    /// completely written.
     pub fn remove_written(&mut self, mut bytes: usize) -> usize {
         let mut completed_calls = 0;
         while let Some(message) = self.messages.front_mut() {
--- a/crates/proxy/src/downstream/rpc/output/tests.rs
+++ b/crates/proxy/src/downstream/rpc/output/tests.rs
@@ -1,4 +1,5 @@
-//! Partial writes of several messages.
+//! Partial writes of several messages. A call that is counted too early or twice would break the limit on
+//! open calls.
 
 use super::*;
 
--- a/crates/proxy/src/downstream/rpc/response.rs
+++ b/crates/proxy/src/downstream/rpc/response.rs
@@ -9,20 +9,20 @@
 use crate::downstream::error::{DownstreamError, RequestError, UpstreamError};
 use crate::idempotency_keys;
 
-/// The response to a batch has at most this many bytes; responses that exceed it are replaced by errors.
+/// The maximum total size of a batch's responses, in bytes; responses beyond it are replaced by errors.
 const MAX_BATCH_BYTES: usize = 1 << 20;
-/// The cause that clients are given where load is shed.
+/// The cause that clients receive if load is shed.
 const LOAD_CAUSE: &str = "load";
 
 const REJECTED: &str = "refused; trying again is harmless";
 const INTERNAL_FAULT: &str = "a fault of the proxy";
 
-/// The id of a call as it was sent; None of a notification.
+/// The id of a call as the client sent it; `None` for a notification or an unknown id.
 pub type CallId = Option<Box<RawValue>>;
 
-/// The response to a call, with its id.
+/// The response to a call, with the call's id.
 pub struct CallResponse {
-    /// None where the id is unknown.
+    /// `None` if the id is unknown.
     pub id: CallId,
     /// The encoded message.
     pub message: Vec<u8>,
@@ -42,18 +42,18 @@
     }
 }
 
-/// The response to a call that failed.
+/// Encodes the response to a call that failed.
 pub fn encode_request_error(id: Option<&RawValue>, error: &RequestError) -> Vec<u8> {
     let RpcError { code, message, data } = rpc_error(error);
     encode_error(id, code, message, data.as_deref())
 }
 
-/// The response to what is no message.
+/// Encodes the response to an invalid message.
 pub fn encode_invalid_message(invalid: &InvalidMessage<'_>) -> Vec<u8> {
     encode_error(invalid.id, invalid.code, invalid.reason, None)
 }
 
-/// The response to a call whose id an open call of the connection has.
+/// Encodes the response to a call with the same id as an open call of the connection.
 pub fn encode_duplicate_id(id: &RawValue) -> Vec<u8> {
     encode_error(Some(id), code::CONFLICT, "a call with this id is open here", None)
 }
@@ -94,7 +94,8 @@
     RpcError::new(code, message)
 }
 
-/// Why a call is rejected, and when to retry.
+/// The `data` member of a rejection as JSON: the cause, and the time to wait before a retry unless
+/// `retry_after` is 0.
 fn rejection_data(cause: &str, retry_after: Micros) -> String {
     let mut data = json!({ "cause": cause });
     if retry_after > 0 {
@@ -104,7 +105,7 @@
     data.to_string()
 }
 
-/// The response to a batch, from the responses to its calls. None where there are none.
+/// Encodes the response to a batch from the responses to its calls; `None` if there are none.
 pub fn encode_bounded_batch(responses: impl Iterator<Item = CallResponse>) -> Option<Vec<u8>> {
     let mut total_bytes = 0;
     let bounded = responses.map(|CallResponse { id, message }| {
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! A listener whose decisions never answer.
+//! A listener whose decisions never answer: the request must still time out before its client does.
 
 use std::io::{BufRead, BufReader, Write};
 
@@ -16,7 +16,7 @@
     "request_classes":[{"name":"read","promise_ms":9000,"deadline_ms":9000,"semantics":"idempotent"}]}"#;
 
 #[test]
-fn a_request_without_decision_times_out() {
+fn request_without_decision_times_out() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let settings = platform_settings::parse(SETTINGS).expect("settings");
--- a/crates/proxy/src/downstream/timeouts.rs
+++ b/crates/proxy/src/downstream/timeouts.rs
@@ -1,5 +1,5 @@
-//! Ends connections whose client does not send a request in time, reads nothing of a response, or has gone. A connection
-//! that waits for its next request stays.
+//! Closes connections whose client does not send a request in time, stops reading a response, or has
+//! disconnected. A connection that waits for its next request stays open.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use super::connection::DownstreamConnection;
 use super::ListenerState;
 
-/// The head of a request is complete within this time: from the start of the connection for its first request, from the
-/// head's first byte for later ones.
+/// The maximum time until the head of a request is complete: from the start of the connection for its first
+/// request, from the head's first byte for later ones.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a connection that is closed to make room for another.
+/// The maximum time until a head is complete on a connection that is being closed to make room for another.
 const HEAD_TIMEOUT_AT_LIMIT: Duration = Duration::from_millis(500);
-/// How often connections are checked.
+/// The interval at which connections are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Enforces the timeouts of all connections for as long as it is polled.
@@ -43,7 +43,8 @@
     }
 }
 
-/// Since when a head is awaited. JSON-RPC connections may stay silent, but have to complete a message that they have started.
+/// The time from which the head timeout counts; `None` if no head is due. JSON-RPC connections may stay
+/// silent, but have to complete a message that they have started.
 fn head_awaited_since(listener: &ListenerState, connection: &DownstreamConnection) -> Option<Instant> {
     let is_first_awaited = !connection.has_received_request() && listener.frontend.protocol == Protocol::Http;
     if is_first_awaited {
--- a/tests/crossing.rs
+++ b/tests/crossing.rs
@@ -48,7 +48,7 @@
         assert_eq!(client.ask(&read(&format!("first-{number}"), 250)).status(), 200);
     }
     proxy.terminate();
-    proxy.wait_for_log("told to end");
+    proxy.wait_for_log("graceful shutdown started");
     // By its settings it takes requests for 0.5 s, and is killed after one second.
     thread::sleep(Duration::from_millis(300));
     proxy.signal("STOP");
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -212,7 +212,7 @@
     let new = listener.start(&config);
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
-    old.wait_for_log("told to end");
+    old.wait_for_log("graceful shutdown started");
     // The new one serves; the old one still has ten responses to finish, and is not gone before.
     let mut other = connect(&listener);
     other.get_mut().write_all(read("other", 9000).as_bytes()).expect("written");
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -440,7 +440,7 @@
     client.send(&format!("[{}]", calls.join(",")));
     (0..3).for_each(|_| drop(node.request()));
     proxy.process.terminate();
-    proxy.process.wait_for_log("told to end");
+    proxy.process.wait_for_log("graceful shutdown started");
     let responses = client.receive();
     let responses = responses.as_array().expect("one answer to the batch");
     assert_eq!(responses.len(), 3, "{responses:?}");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -161,7 +161,7 @@
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     assert_eq!(new.metric("edge_lb_pool_ejected"), 1, "handed on");
     old.terminate();
-    old.wait_for_log("told to end");
+    old.wait_for_log("graceful shutdown started");
     // The open connection gets a response with `Connection: close`; the next connection is accepted by the new process.
     let last = persistent.ask(&read("persistent-2", 9000));
     assert_eq!((last.status(), last.header("Connection")), (200, Some("close")));
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -782,7 +782,8 @@
         assert_eq!(client.ask("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     }
     proxy.terminate();
-    proxy.wait_for_log("told to end: serving on for 3.2 s, on 20 connections");
+    proxy
+        .wait_for_log("graceful shutdown started: accepting requests for another 3.2 s, 20 connections open");
     let (since, mut taken) = (Instant::now(), 0);
     for (n, client) in clients[..17].iter_mut().enumerate() {
         client.send(&read(&format!("id-{n}"), 9000));
@@ -853,7 +854,7 @@
     assert_eq!(client.ask(&read("id-1", 60_000)).status(), 200);
     let terminated_at = Instant::now();
     proxy.terminate();
-    proxy.wait_for_log("told to end: serving on for 1.2 s");
+    proxy.wait_for_log("graceful shutdown started: accepting requests for another 1.2 s");
     client.send(&read("id-2", 60_000));
     assert!(matches!(client.receive().status(), 502..=504));
     assert_exits_in_time(&mut proxy, terminated_at);
@@ -887,7 +888,7 @@
     assert_eq!(other.ask(&read("id-2", 900)).status(), 200);
     let terminated_at = Instant::now();
     proxy.terminate();
-    proxy.wait_for_log("told to end");
+    proxy.wait_for_log("graceful shutdown started");
     let request = read("id-3", 900);
     let (first, rest) = request.split_at(40);
     client.send(first);
