--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -151,6 +151,6 @@
     recorder.set_counters(routed.counters.take());
     recorder.on_received();
     let params = call.params.map(|params| frame.slice_ref(params.get().as_bytes()));
-    let called = RpcCall { method: (*call.method).into(), params, received_over_http: false };
-    routed.accept(head, body.into(), Some(called), &frontend.ids)
+    let rpc_call = RpcCall { method: (*call.method).into(), params, received_over_http: false };
+    routed.accept(head, body.into(), Some(rpc_call), &frontend.ids)
 }
--- a/crates/proxy/src/hosting/limits.rs
+++ b/crates/proxy/src/hosting/limits.rs
@@ -1,4 +1,4 @@
-//! The tenants' limits on connections, requests and attempts, as they apply to one connection or request.
+//! Enforcement of a tenant's limits on connections, requests and attempts for one connection or request.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::router::{PoolSequence, Rejection, RejectionOutcome};
 use crate::snapshot::PoolSelection;
 
-/// A connection that is counted as a tenant's until it is dropped.
+/// Counts a connection towards its tenant's limit until dropped.
 pub(super) struct ConnectionPermit {
     limiter: Rc<RefCell<Limiter>>,
     pub tenant: TenantId,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The response to a request or connection over a limit.
+/// Converts the limiter's rejection of a request or connection into a response.
 fn rejection(rejection: limit::Rejection) -> Rejection {
     Rejection {
         status: StatusCode::TOO_MANY_REQUESTS,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The priority weight of a class relative to the highest of its tenant, from 0 to 1.
+/// The priority weight of a class as a fraction of the tenant's highest, from 0 to 1; 1 if all weights are 0.
 pub(super) fn priority_rank(config: &Config, class: usize) -> f64 {
     let weight = config.classes[class].parameters.priority_weight;
     let weights = config.classes.iter().map(|class| class.parameters.priority_weight);
@@ -56,12 +56,13 @@
     }
 }
 
-/// The pools of an admitted request, within its tenant's limit on attempts. Returns the tenant's permit when dropped.
+/// The pools of an admitted request, within the tenant's limit on attempts. Releases the request's permit
+/// when dropped.
 pub(super) struct LimitedPools {
     selection: PoolSelection,
     limiter: Rc<RefCell<Limiter>>,
     clock: Clock,
-    /// Set until it is dropped.
+    /// The permit of the request; `None` only during the drop.
     permit: Option<Permit>,
     attempts: AttemptCounter,
 }
@@ -70,7 +71,7 @@
     /// Admits a request with a body of at most `body` bytes.
     ///
     /// # Errors
-    /// The tenant is over a limit.
+    /// Returns an error if the request exceeds a limit of the tenant.
     pub fn admit(
         hosted: &HostedTenants,
         tenant: TenantId,
@@ -90,7 +91,7 @@
         })
     }
 
-    /// The attempts that the tenant may still make. None where they are not limited.
+    /// The number of attempts that the request may still make; `None` if they are not limited.
     fn remaining_attempts(&self) -> Option<usize> {
         let max_attempts = self.permit.as_ref()?.max_attempts?;
         Some(max_attempts.saturating_sub(self.attempts.started()))
@@ -123,7 +124,7 @@
     }
 
     fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome {
-        // An attempt in another pool counts against the limit as well.
+        // Attempts in all pools count towards the same limit.
         match self.selection.on_rejected(execution) {
             RejectionOutcome::NextPool if self.remaining_attempts() == Some(0) => RejectionOutcome::Final,
             outcome => outcome,
--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -1,8 +1,9 @@
-//! The hosted mode: many tenants in one process, isolated from each other by limits, changed all at once.
+//! The hosted mode: many tenants in one process, isolated from each other by limits. All tenants change
+//! together, from one version to the next.
 //!
-//! A tenant's pools start with its first request and stop after `IDLE_TIMEOUT` without one, so that idle tenants cost
-//! next to nothing. Pools that get their endpoints from discovery start at once, as they need a list before the first
-//! request.
+//! A tenant's pools start with its first request and stop after `IDLE_TIMEOUT` without a request, so that
+//! idle tenants use almost no resources. If any of a tenant's pools gets its endpoints from discovery, the
+//! pools start immediately, because that pool needs a list before the first request.
 
 mod limits;
 mod router;
@@ -33,47 +34,47 @@
 
 /// The pools of a tenant are stopped after this time without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
-/// How often idle tenants are looked for.
+/// The interval at which the pools of idle tenants are stopped.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A command of the administration API to the data plane.
 pub enum Command {
-    /// Serve this version of the tenants from now on. `done` is notified once it is served.
+    /// Serves this version of the tenants from now on. `done` is notified once the version is in use.
     Apply { version: u64, tenants: Arc<Tenants>, done: oneshot::Sender<()> },
-    /// Report the status of each tenant, by name.
+    /// Reports the status of each tenant, by name.
     Status { reply: oneshot::Sender<BTreeMap<String, Status>> },
 }
 
 /// The status of a tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// The version under which its requests are routed.
+    /// The version with which the tenant's current configuration took effect.
     pub version: u64,
-    /// Whether its pools are running.
+    /// Whether the tenant's pools are running.
     pub started: bool,
-    /// What its requests have used.
+    /// The resources that the tenant's requests have used.
     pub usage: Usage,
 }
 
-/// What a process in the hosted mode is started with.
+/// The start parameters of a process in the hosted mode.
 pub struct Options<'a> {
-    /// Listeners and what the tenants share.
+    /// The listeners and the settings that all tenants share.
     pub setup: &'a HostedSettings,
     /// The version of the tenants that are served first.
     pub version: u64,
     /// The tenants that are served first.
     pub tenants: Arc<Tenants>,
-    /// Seeds request ids and the random numbers of the decisions.
+    /// The seed of request ids and of the random numbers of the decisions.
     pub seed: u64,
     /// Commands of the administration API.
     pub commands: mpsc::UnboundedReceiver<Command>,
 }
 
-/// Serves tenants until SIGTERM or SIGINT, then shuts down gracefully: every accepted request gets its answer.
-/// `on_started` gets the listeners' addresses.
+/// Serves tenants until SIGTERM or SIGINT, then shuts down gracefully: every accepted request gets its
+/// response. `on_started` is called with the listeners' addresses.
 ///
 /// # Errors
-/// The process could not start.
+/// Returns an error if the process cannot start.
 pub fn run(options: Options<'_>, on_started: impl FnOnce(&[SocketAddr])) -> Result<(), StartError> {
     process::block_on(serve(options, on_started))
 }
@@ -93,8 +94,8 @@
         spawn_local(operators::server::serve(listener, actions));
     }
     let serving = listeners.serve(max_downstream, |listener, index| {
-        let new_ids = RequestIdGenerator::new(seed, index);
-        Rc::new(TenantRouter { hosted: Rc::clone(&hosted), listener, new_ids })
+        let id_generator = RequestIdGenerator::new(seed, index);
+        Rc::new(TenantRouter { hosted: Rc::clone(&hosted), listener, id_generator })
     });
     let stopping_idle = spawn_local(stop_idle_tenants(Rc::clone(&hosted)));
     let executing = spawn_local(execute_commands(Rc::clone(&hosted), commands, hangup));
@@ -132,7 +133,9 @@
                 Some(Command::Status { reply }) => drop(reply.send(hosted.status())),
                 None => return,
             },
-            _ = hangup.recv() => log_line(format_args!("a hosted service is changed by its administration API")),
+            _ = hangup.recv() => log_line(format_args!(
+                "SIGHUP ignored: the configuration of a hosted service changes through its administration API"
+            )),
         }
     }
 }
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -1,4 +1,5 @@
-//! Routing of the requests of one listener: the tenant, its limits, then the route within its configuration.
+//! Routing of the requests of one listener in the hosted mode: determines the tenant, enforces its limits and
+//! looks up the route in its configuration.
 
 use std::rc::Rc;
 
@@ -21,11 +22,11 @@
 pub(super) struct TenantRouter {
     pub hosted: Rc<HostedTenants>,
     pub listener: Listener,
-    pub new_ids: RequestIdGenerator,
+    pub id_generator: RequestIdGenerator,
 }
 
 impl TenantRouter {
-    /// The tenant of a request. A tenant header must not claim another one.
+    /// Returns the tenant of a request; rejects the request if its tenant header names another tenant.
     fn tenant_of_request(&self, head: &Parts) -> Result<Rc<HostedTenant>, Rejection> {
         let host = single_header_value(&head.headers, header::HOST.as_str())?.unwrap_or_default();
         let tenant = self.tenant_of_host(host)?;
@@ -36,7 +37,7 @@
         Ok(tenant)
     }
 
-    /// The listener's tenant, or the one that has this host.
+    /// Returns the listener's tenant if it has one, else the tenant that owns this host.
     fn tenant_of_host(&self, host: &str) -> Result<Rc<HostedTenant>, Rejection> {
         let host = route::normalize::host(host).map_err(|_| StatusCode::BAD_REQUEST)?;
         let name = match &self.listener.tenant {
@@ -47,7 +48,8 @@
         Ok(tenant.ok_or(StatusCode::NOT_FOUND)?)
     }
 
-    /// Counts a connection as this tenant's. One that belonged to another tenant is counted as that one's no more.
+    /// Counts a connection towards this tenant's limit, and no longer towards that of another tenant that it
+    /// served before.
     fn admit_connection(
         &self,
         tenant: &HostedTenant,
@@ -59,7 +61,8 @@
             return Ok(());
         }
         let permit = ConnectionPermit::acquire(&self.hosted.limiter, tenant.id)?;
-        // Drops the permit of the former tenant, which borrows the limiter again.
+        // Drops the permit of the former tenant, which borrows the limiter, so the limiter must not be
+        // borrowed here.
         *state = Some(Box::new(permit));
         Ok(())
     }
@@ -100,7 +103,7 @@
     }
 
     fn generate_request_id(&self) -> Option<String> {
-        Some(self.new_ids.next())
+        Some(self.id_generator.next())
     }
 
     fn is_ready(&self) -> bool {
--- a/crates/proxy/src/hosting/tenant.rs
+++ b/crates/proxy/src/hosting/tenant.rs
@@ -1,4 +1,4 @@
-//! One tenant: its version, its share of connections, and its pools while they run.
+//! One tenant of a hosted service: the version, the share of connections, and the pools while they run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,22 +18,22 @@
 
 /// A tenant that is being served.
 pub(super) struct HostedTenant {
-    /// Identifies it to the limiter.
+    /// The id of the tenant in the limiter.
     pub id: TenantId,
     name: String,
     tenant: RefCell<Arc<Tenant>>,
     version: Cell<u64>,
     max_connections: Cell<usize>,
-    /// Set while its pools run.
+    /// Set while the tenant's pools run.
     snapshot: RefCell<Option<Rc<ServingSnapshot>>>,
     last_request: Cell<Instant>,
-    /// The ids of its requests in flight; other tenants may use the same ids.
+    /// The ids of the tenant's open requests; other tenants may use the same ids.
     pub request_ids: OpenRequestIds,
-    /// The idempotency keys of its requests, of all protocols.
+    /// The idempotency keys of the tenant's requests, shared by all protocols.
     pub keys: KeyTable,
 }
 
-/// What [`HostedTenant::replace`] changed.
+/// The changes made by [`HostedTenant::replace`].
 struct Change {
     tenant: bool,
     max_connections: bool,
@@ -65,8 +65,8 @@
         &self.name
     }
 
-    /// Takes over another configuration. Pools that run are changed over, pools that need a list from discovery are
-    /// started.
+    /// Applies another configuration. Running pools are reconfigured; pools that are not running are started
+    /// only if one of them gets its endpoints from discovery.
     pub fn update(
         &self,
         version: u64,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// The weight of another tenant changes the connections of this one, and not its version.
+    /// Replaces the configuration and the number of connections. A change of another tenant's weight changes
+    /// this tenant's connections, but not its version.
     fn replace(&self, version: u64, tenant: &Arc<Tenant>, max_connections: usize) -> Change {
         let is_same_tenant = Arc::ptr_eq(&self.tenant.borrow(), tenant);
         if !is_same_tenant {
@@ -93,7 +94,7 @@
         Change { tenant: !is_same_tenant, max_connections: previous_connections != max_connections }
     }
 
-    /// Starts its pools, or changes them over to its current configuration.
+    /// Starts the pools, or applies the current configuration to running ones.
     fn start(&self, context: &PoolContext<'_>) -> Rc<ServingSnapshot> {
         let operators: Option<OperatorContext> =
             context.operators.map(|operators| operators.for_tenant(&self.name));
@@ -110,43 +111,44 @@
         snapshot
     }
 
-    /// The snapshot for a request, whose arrival it notes. Starts the pools if they do not run.
+    /// Returns the snapshot for a request and records the request's arrival. Starts the pools if they are not
+    /// running.
     pub fn snapshot_for_request(&self, context: &PoolContext<'_>) -> Rc<ServingSnapshot> {
         self.last_request.set(Instant::now());
         self.running().unwrap_or_else(|| self.start(context))
     }
 
-    /// The snapshot, while its pools run.
+    /// The snapshot; `None` if the pools are not running.
     pub fn running(&self) -> Option<Rc<ServingSnapshot>> {
         self.snapshot.borrow().clone()
     }
 
-    /// The methods and other settings of its current configuration.
+    /// The current configuration.
     pub fn config(&self) -> Arc<config::Config> {
         Arc::clone(&self.tenant.borrow().config)
     }
 
-    /// Stops its pools if it has had no request for this long.
+    /// Stops the pools if the tenant has had no request for `idle_timeout`.
     pub fn stop_if_idle(&self, idle_timeout: Duration) {
         if self.last_request.get().elapsed() > idle_timeout {
             self.stop();
         }
     }
 
-    /// Stops its pools; requests in flight complete.
+    /// Stops the pools; open requests complete.
     pub fn stop(&self) {
         if let Some(snapshot) = self.snapshot.borrow_mut().take() {
             snapshot.retire();
         }
     }
 
-    /// Its status with this usage.
+    /// The status of the tenant with the given usage.
     pub fn status(&self, usage: limit::Usage) -> Status {
         Status { version: self.version.get(), started: self.running().is_some(), usage }
     }
 }
 
-/// Whether a tenant has pools that get their endpoints from discovery.
+/// Whether any pool of a tenant gets its endpoints from discovery.
 fn needs_discovery(tenant: &Tenant) -> bool {
     tenant.config.pools.iter().any(|pool| matches!(pool.source, Source::Discovery(_)))
 }
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -1,4 +1,5 @@
-//! All tenants of the process, what they share, and the change from one version of them to the next.
+//! All tenants of the process, their shared state, and the change from one version of the tenants to the
+//! next.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -50,12 +51,13 @@
         }
     }
 
-    /// What the pools of all tenants are started with.
+    /// The context in which the pools of all tenants are started.
     pub fn pool_context(&self) -> PoolContext<'_> {
         PoolContext { clock: self.clock, seed: self.seed, operators: self.operators.as_ref() }
     }
 
-    /// Serves another version of the tenants from the next request on. Requests in flight complete under the former.
+    /// Serves another version of the tenants from the next request on. Open requests complete under the
+    /// former version.
     pub fn apply(&self, version: u64, tenants: &Arc<Tenants>) {
         let now = self.clock.now();
         self.remove_missing(tenants);
@@ -63,7 +65,7 @@
             self.add_or_update(now, name, version, tenants);
         }
         *self.current.borrow_mut() = Arc::clone(tenants);
-        log_line(format_args!("version {version}: {} tenants", tenants.all.len()));
+        log_line(format_args!("serving version {version} with {} tenants", tenants.all.len()));
     }
 
     fn remove_missing(&self, tenants: &Tenants) {
@@ -95,29 +97,30 @@
         hosted.update(version, tenant, max_connections, &self.pool_context());
     }
 
-    /// The tenant of this name.
+    /// The tenant with this name.
     pub fn get(&self, name: &str) -> Option<Rc<HostedTenant>> {
         self.by_name.borrow().get(name).cloned()
     }
 
-    /// The name of the tenant that has this host.
+    /// The name of the tenant that owns this host.
     pub fn owner_of_host(&self, host: &str) -> Option<String> {
         self.current.borrow().hosts.owner(host).map(ToOwned::to_owned)
     }
 
-    /// Stops the pools of tenants that have had no request for this long.
+    /// Stops the pools of tenants without a request for `idle_timeout`.
     pub fn stop_idle(&self, idle_timeout: Duration) {
         for hosted in self.by_name.borrow().values() {
             hosted.stop_if_idle(idle_timeout);
         }
     }
 
-    /// Whether every running pool has received an endpoint list. Pools that do not run start with the first request.
+    /// Whether every running pool has received an endpoint list. Pools that are not running count as ready,
+    /// because they start with the first request.
     pub fn is_ready(&self) -> bool {
         self.running().iter().all(|snapshot| snapshot.is_ready())
     }
 
-    /// From here on the process reports that it is not serving.
+    /// Makes the process report from now on that it is not serving.
     pub fn begin_shutdown(&self) {
         self.shutting_down.set(true);
     }
--- a/crates/proxy/src/idempotency_keys.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -1,7 +1,7 @@
-//! The idempotency keys of keyed requests, as the downstream side uses them: one table for all protocols.
+//! Idempotency keys on the downstream side: one table shared by all protocols.
 //!
-//! See the crate `idempotency` for the rule and its limits. A request of a class with keys reserves its key before it is
-//! submitted; a key that is taken gives a rejection or the stored response.
+//! The crate `idempotency` defines the rules and limits. A request of a class with keys reserves its key
+//! before the request is submitted; a key that is in use results in a rejection or the stored response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 use crate::exchange::{FinalResponse, UpstreamResponse};
 use crate::router::Rejection;
 
-/// The rejection's cause while a request with the same key is in progress.
+/// The cause of a rejection while a request with the same key is in progress.
 pub const IN_PROGRESS_CAUSE: &str = "key-open";
-/// The rejection's cause once a request with the same key was served and its response is no longer stored.
+/// The cause of a rejection if a request with the same key was served and its response is no longer stored.
 pub const RESPONSE_EVICTED_CAUSE: &str = "key-done";
-/// The rejection's cause where the table has no room for another key.
+/// The cause of a rejection if the table has no room for another key.
 pub const TABLE_FULL_CAUSE: &str = "keys";
-/// When to retry while a request with the same key is in progress.
+/// Time to wait before a retry while a request with the same key is in progress, in microseconds.
 const IN_PROGRESS_RETRY_AFTER: Micros = 1_000_000;
-/// What a header takes in memory beside the bytes of its name and value, about.
+/// The approximate memory use of a stored header in addition to the bytes of its name and value.
 const HEADER_OVERHEAD_BYTES: usize = 64;
 
-/// A response as it is stored: complete, as what is streamed is never stored.
+/// A stored response. Always complete, because streamed responses are never stored.
 #[derive(Clone)]
 struct BufferedResponse {
     headers: HeaderMap,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A table of keys. Copies share it.
+/// A table of idempotency keys. Clones share the table.
 #[derive(Clone)]
 pub struct KeyTable {
     table: Rc<RefCell<IdempotencyTable<BufferedResponse>>>,
@@ -49,7 +49,7 @@
 }
 
 impl KeyTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: TableLimits, clock: Clock) -> KeyTable {
         KeyTable { table: Rc::new(RefCell::new(IdempotencyTable::new(limits))), clock }
     }
@@ -60,21 +60,22 @@
     }
 }
 
-/// Where the keys of a class are looked up, and for how long they are known.
+/// The table, the class and the retention of a request's idempotency key.
 pub struct KeyScope {
-    /// The table.
+    /// The table that holds the key.
     pub table: KeyTable,
     /// The name of the class.
     pub class: Rc<str>,
-    /// The retention of a key after its request was served.
+    /// The retention of a key after its request was served, in microseconds.
     pub window: Micros,
 }
 
 /// The result of [`KeyScope::reserve`].
 pub enum KeyLookup {
-    /// The key is new: its request is to be sent.
+    /// The key is new, and the request has to be sent.
     Reserved(ReservedKey),
-    /// A request with the key was served within the window: this is its response, and nothing is to be sent.
+    /// A request with the key was served within the window. Holds the stored response; nothing has to be
+    /// sent.
     Replayed(FinalResponse),
 }
 
@@ -82,7 +83,8 @@
     /// Reserves the key of a request.
     ///
     /// # Errors
-    /// A request with the key is in progress, its response is no longer stored, or the table is full.
+    /// Returns an error if a request with the key is in progress, if its response is no longer stored, or if
+    /// the table is full.
     pub fn reserve(self, key: &str) -> Result<KeyLookup, Rejection> {
         let now = self.table.clock.now();
         let outcome = self.table.table.borrow_mut().reserve(now, &self.class, key);
@@ -111,7 +113,7 @@
     Rejection { status, cause: Some(cause), retry_after }
 }
 
-/// The key of a request in progress. Released when dropped without a recorded response.
+/// The reserved key of a request in progress. Released on drop unless a response was recorded.
 pub struct ReservedKey {
     scope: KeyScope,
     reservation: ReservationId,
@@ -119,7 +121,7 @@
 }
 
 impl ReservedKey {
-    /// Stores the final response of the request, if it was served.
+    /// Stores the final response of the request if the request was served.
     pub fn record_response(&mut self, response: &FinalResponse) {
         let FinalResponse::Served(UpstreamResponse { headers, body }) = response else { return };
         // Responses of classes with keys are never streamed.
--- a/crates/proxy/src/inherited_socket.rs
+++ b/crates/proxy/src/inherited_socket.rs
@@ -1,41 +1,43 @@
-//! Listening sockets inherited from the process that started this one, so that a successor accepts on the same sockets.
+//! Listening sockets inherited from the process that started this one, so that a successor accepts on the
+//! same sockets.
 //!
-//! Two conventions: the platform names one descriptor in `LB_PASSED_SOCKET`; systemd's socket activation (`LISTEN_FDS`,
-//! `LISTEN_PID`) passes one socket for each configured listener, in their order.
+//! There are two conventions: the platform passes one descriptor and names it in `LB_PASSED_SOCKET`;
+//! systemd's socket activation (`LISTEN_FDS`, `LISTEN_PID`) passes one socket per configured listener, in the
+//! order of the listeners.
 
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
 
 use listenfd::ListenFd;
 
-/// The variable that names the platform's descriptor.
+/// The environment variable with the number of the platform's descriptor.
 const DESCRIPTOR_VARIABLE: &str = "LB_PASSED_SOCKET";
 /// The first descriptor of systemd's socket activation (`SD_LISTEN_FDS_START`).
 const FIRST_DESCRIPTOR: usize = 3;
-/// The largest number of descriptors that can be passed on.
+/// The maximum number of inherited descriptors.
 const MAX_DESCRIPTORS: usize = 64;
 
-/// Why an inherited socket cannot be used.
+/// The reason that inherited sockets cannot be used.
 #[derive(Debug)]
 pub enum InheritedSocketError {
     /// The descriptor named in `LB_PASSED_SOCKET` cannot be used.
     Descriptor { value: String, reason: SocketFault },
-    /// The number of sockets differs from that of the configured listeners.
+    /// The number of inherited sockets differs from the number of configured listeners.
     Count { passed: usize, configured: usize },
     /// The socket of one listener cannot be used.
     Socket { index: usize, reason: SocketFault },
 }
 
-/// What is wrong with one inherited socket.
+/// The reason that one inherited socket cannot be used.
 #[derive(Debug)]
 pub enum SocketFault {
-    /// Not a number within the range of descriptors that can be passed on.
+    /// The value is not a number in the range of descriptors that can be inherited.
     BadDescriptor,
-    /// There is no socket at this descriptor.
+    /// There is no socket at the descriptor.
     Missing,
-    /// The socket was taken before.
+    /// The socket has already been taken.
     AlreadyTaken,
-    /// The socket listens on another address than the configured one.
+    /// The socket does not listen on the configured address.
     Address {
         bound: SocketAddr,
         configured: SocketAddr,
@@ -46,11 +48,14 @@
 impl fmt::Display for SocketFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SocketFault::BadDescriptor => f.write_str("not a descriptor that can be passed on"),
-            SocketFault::Missing => f.write_str("nothing was passed on"),
-            SocketFault::AlreadyTaken => f.write_str("taken before"),
+            SocketFault::BadDescriptor => {
+                let last = FIRST_DESCRIPTOR + MAX_DESCRIPTORS - 1;
+                write!(f, "not a descriptor number from {FIRST_DESCRIPTOR} to {last}")
+            }
+            SocketFault::Missing => f.write_str("no socket was inherited at this descriptor"),
+            SocketFault::AlreadyTaken => f.write_str("the inherited socket was already taken"),
             SocketFault::Address { bound, configured } => {
-                write!(f, "listens on {bound}, and `listen` says {configured}")
+                write!(f, "the inherited socket listens on {bound}, but `listen` is {configured}")
             }
             SocketFault::Io(source) => source.fmt(f),
         }
@@ -64,7 +69,10 @@
                 write!(f, "{DESCRIPTOR_VARIABLE}={value:?}: {reason}")
             }
             InheritedSocketError::Count { passed, configured } => {
-                write!(f, "LISTEN_FDS: {passed} sockets were passed on, and `listen` has {configured}")
+                write!(
+                    f,
+                    "LISTEN_FDS: {passed} sockets were inherited, but `listen` has {configured} addresses"
+                )
             }
             InheritedSocketError::Socket { index, reason } => {
                 write!(f, "LISTEN_FDS: socket {}: {reason}", index + 1)
@@ -83,11 +91,11 @@
     }
 }
 
-/// The platform's inherited socket, if there is one. To be called once, before another thread is started: it sets
-/// environment variables.
+/// Takes the platform's inherited socket; `None` if `LB_PASSED_SOCKET` is not set. Call this once, before any
+/// other thread is started, because it sets environment variables.
 ///
 /// # Errors
-/// The named descriptor is no listening socket.
+/// Returns an error if the named descriptor is not a listening socket.
 pub fn platform_listener() -> Result<Option<TcpListener>, InheritedSocketError> {
     let Some(value) = std::env::var_os(DESCRIPTOR_VARIABLE) else { return Ok(None) };
     let value = value.to_string_lossy().into_owned();
@@ -101,7 +109,7 @@
     let range = FIRST_DESCRIPTOR..FIRST_DESCRIPTOR + MAX_DESCRIPTORS;
     let descriptor = value.trim().parse().ok().filter(|number| range.contains(number));
     let index = descriptor.ok_or(SocketFault::BadDescriptor)? - FIRST_DESCRIPTOR;
-    // The library reads nothing but systemd's variables.
+    // `listenfd` only reads systemd's variables.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", (index + 1).to_string());
     let listener = ListenFd::from_env().take_tcp_listener(index).map_err(SocketFault::Io)?;
@@ -110,11 +118,12 @@
     Ok(listener)
 }
 
-/// The sockets passed on by systemd's socket activation for listeners at these addresses, in their order. None where
-/// no socket was passed on.
+/// Takes the sockets inherited by systemd's socket activation for listeners at these addresses, in the same
+/// order; `None` if no socket was inherited.
 ///
 /// # Errors
-/// Their number or an address differs from the configured ones, or one is no listening socket.
+/// Returns an error if the number of sockets or an address differs from the configuration, or if one is not a
+/// listening socket.
 pub fn systemd_listeners(
     configured: &[SocketAddr],
 ) -> Result<Option<Vec<TcpListener>>, InheritedSocketError> {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,18 +1,21 @@
-//! The data plane: the I/O around the load balancing decisions of the `decide` crate. The [`driver`] passes events
-//! to the decisions and carries out their actions.
+//! The data plane: the I/O around the load balancing decisions of the `decide` crate. The [`driver`] passes
+//! events to the decisions and executes their actions.
 //!
 //! - Modes: [`standalone`], [`hosting`] and [`platform`], which share `process`, `inherited_socket` and
 //!   [`start_error`].
-//! - Downstream, the side of the clients: [`downstream`] serves connections, [`router`] defines what it needs of a
-//!   mode, `route_lookup` and `platform_router` find a request's pool, `request_ids` and `idempotency_keys` keep the
-//!   ids and keys in use.
+//! - Downstream, the side of the clients: [`downstream`] serves connections, [`router`] defines the interface
+//!   that each mode implements for it, `route_lookup` and `platform_router` find a request's pool,
+//!   `request_ids` and `idempotency_keys` hold the ids and keys in use.
 //! - Upstream, the side of the endpoints: [`upstream`] keeps the connections and sends attempts.
-//! - Between the two, which do not depend on each other: the types of [`exchange`], and the driver's [`inbox`].
-//! - Messages: [`body`] carries bodies, `rpc_mapping` maps between JSON-RPC and HTTP.
-//! - Pools: `pool` assembles one, `snapshot` holds all pools of a configuration, [`membership`] feeds their endpoint
-//!   lists, and [`gossip`] is the socket for gossip with the other proxies of a tier.
-//! - State across restarts: `learned_state` in a folder, `handover` to the successor, `maintenance` by operators.
-//! - Operations: `operators` serves their address, `metrics` counts, [`log`] writes lines.
+//! - Between downstream and upstream, which do not depend on each other: the types of [`exchange`], and the
+//!   driver's [`inbox`].
+//! - Messages: [`body`] transfers bodies, `rpc_mapping` maps between JSON-RPC and HTTP.
+//! - Pools: `pool` assembles one, `snapshot` holds all pools of a configuration, [`membership`] updates their
+//!   endpoint lists, and [`gossip`] is the socket for gossip with the other proxies of a tier.
+//! - State across restarts: `learned_state` in a folder, `handover` to the successor, `maintenance` by
+//!   operators.
+//! - Operations: `operators` serves the operators' address, `metrics` counts requests and attempts, [`log`]
+//!   writes lines.
 //! - Foundations: [`clock`], `socket`, `panic_guard`.
 
 pub mod body;
--- a/crates/proxy/src/metrics/attempt_write.rs
+++ b/crates/proxy/src/metrics/attempt_write.rs
@@ -1,4 +1,4 @@
-//! Counting of attempts at the moment their last byte is written.
+//! Counting of attempts when their last byte is written.
 
 use std::cell::RefCell;
 
@@ -9,17 +9,17 @@
 pub struct WriteCompletionCounter(RefCell<Option<Counter>>);
 
 impl WriteCompletionCounter {
-    /// The next write is the last one of a message that `counter` counts.
+    /// Marks the next write as the last one of a message that `counter` counts.
     pub fn count_next_write(&self, counter: &Counter) {
         *self.0.borrow_mut() = Some(counter.clone());
     }
 
-    /// The message is not counted after all.
+    /// Cancels the counting of the message.
     pub fn cancel(&self) {
         self.0.take();
     }
 
-    /// The kernel has accepted bytes.
+    /// Counts a marked message; called when the kernel has accepted bytes.
     pub fn on_write(&self) {
         if let Some(counter) = self.0.take() {
             counter.inc();
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Metrics of the process: requests by outcome, attempts, requests in flight and the size of each pool.
 //!
-//! One [`Metrics`] registry a process, exposed in the OpenMetrics text format. Label sets are bounded by
-//! [`MAX_LABEL_SETS`]; whatever comes beyond that is counted under the label value [`OVERFLOW_LABEL`].
+//! There is one [`Metrics`] registry per process, exposed in the OpenMetrics text format. The number of label
+//! sets is bounded by [`MAX_LABEL_SETS`]; further ones are counted under the label value [`OVERFLOW_LABEL`].
 
 mod attempt_write;
 mod pool_metric;
@@ -33,16 +33,16 @@
 
 /// The state of one pool at the time of a scrape.
 pub struct PoolGauges {
-    /// Identifies the pool; empty in a process with a single pool.
+    /// The labels that identify the pool; empty in a process with a single pool.
     pub labels: Labels,
-    /// Endpoints in the current list.
+    /// The number of endpoints in the current list.
     pub endpoints: usize,
-    /// Listed endpoints that operators drained, and listed endpoints that outlier detection ejected, added up. The
-    /// metric is `pool_ejected`.
+    /// The number of listed endpoints that operators drained plus the number that outlier detection ejected.
+    /// Exposed as `pool_ejected`.
     pub unused: usize,
 }
 
-/// A class, and the pool that its requests go to first.
+/// The class of a request and the labels of the first pool on its route.
 type RequestCounterKey = (String, Labels);
 
 /// The metrics registry of a process.
@@ -56,13 +56,13 @@
     pool_size: PoolMetric<Gauge>,
     pool_ejected: PoolMetric<Gauge>,
     request_counters: RefCell<BTreeMap<RequestCounterKey, Rc<RequestCounters>>>,
-    /// Pools whose attempts have a time series of their own.
+    /// The pools whose attempts have a separate time series.
     pools_with_attempts: RefCell<BTreeSet<Labels>>,
 }
 
 impl Metrics {
-    /// Registers all metrics. With `labeled_by_pool` each pool has its own time series, otherwise the only pool of the
-    /// process has no label.
+    /// Registers all metrics. If `labeled_by_pool`, each pool has its own time series; otherwise the only
+    /// pool of the process has no label.
     pub fn new(labeled_by_pool: bool) -> Metrics {
         let mut registry = Registry::with_prefix("edge_lb");
         let ok = register_request_counter(&mut registry, "ok", "Requests served");
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The counter of attempts that were written completely to endpoints of a pool. A pool that is started again gets
-    /// the same counter.
+    /// The counter of attempts that were written completely to endpoints of a pool. A restarted pool gets the
+    /// same counter.
     pub fn attempts(&self, pool: &Labels) -> Counter {
         let mut known = self.pools_with_attempts.borrow_mut();
         if known.len() >= MAX_LABEL_SETS && !known.contains(pool) {
@@ -124,9 +124,9 @@
         self.attempts.with_labels(pool)
     }
 
-    /// Encodes all metrics in the OpenMetrics text format, with these pools' gauges.
+    /// Encodes all metrics in the OpenMetrics text format, with the gauges of the given pools.
     pub fn encode(&self, pools: &[PoolGauges]) -> String {
-        // Pools that a reload has removed must not be exposed any more.
+        // Pools that a reload has removed must not be exposed anymore.
         self.pool_size.clear();
         self.pool_ejected.clear();
         for pool in pools.iter().take(MAX_LABEL_SETS) {
@@ -146,7 +146,7 @@
     family
 }
 
-/// The label set that stands for all pools beyond [`MAX_LABEL_SETS`].
+/// The label set that is shared by all pools beyond [`MAX_LABEL_SETS`].
 fn overflow_labels(pool: &Labels) -> Labels {
     pool.iter().map(|(name, _)| (*name, OVERFLOW_LABEL.to_owned())).collect()
 }
--- a/crates/proxy/src/metrics/pool_metric.rs
+++ b/crates/proxy/src/metrics/pool_metric.rs
@@ -1,4 +1,4 @@
-//! A metric of a pool, labeled only where the process has several pools.
+//! A metric of a pool, labeled only if the process can have several pools.
 
 use std::fmt::Debug;
 
@@ -9,7 +9,7 @@
 
 use super::Labels;
 
-/// A metric of the only pool of the process, or one time series for each pool.
+/// A metric with one time series for the only pool of the process, or one for each pool.
 pub(super) enum PoolMetric<M> {
     Unlabeled(M),
     PerPool(Family<Labels, M>),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Drops all labeled time series.
+    /// Removes all labeled time series.
     pub fn clear(&self) {
         if let PoolMetric::PerPool(family) = self {
             family.clear();
--- a/crates/proxy/src/metrics/request.rs
+++ b/crates/proxy/src/metrics/request.rs
@@ -6,14 +6,14 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// How a request ended, as seen by the client.
+/// The outcome of a request from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered by an endpoint.
+    /// The request was answered by an endpoint.
     Served,
-    /// Rejected with 429 or 503: the client may retry safely.
+    /// The request was rejected with 429 or 503; a retry is safe.
     Rejected,
-    /// Anything else.
+    /// The request ended in any other way.
     Failed,
 }
 
@@ -29,7 +29,8 @@
 
 /// Records the outcome of one request exactly once.
 ///
-/// Nothing is recorded before [`Self::set_counters`]. A request that is dropped without an outcome has failed.
+/// Nothing is recorded before [`Self::set_counters`]. A recorder that is dropped without an outcome records a
+/// failure.
 #[derive(Default)]
 pub struct RequestRecorder {
     counters: RefCell<Option<Rc<RequestCounters>>>,
@@ -37,12 +38,13 @@
 }
 
 impl RequestRecorder {
-    /// Sets the counters of the request's class, once that is known. With `None` the request is not counted.
+    /// Sets the counters of the request's class once the class is known. If `None`, the request is not
+    /// counted.
     pub fn set_counters(&self, counters: Option<Rc<RequestCounters>>) {
         *self.counters.borrow_mut() = counters;
     }
 
-    /// The request has been received completely and is in flight from now on.
+    /// Counts the request as in flight from now on; called when it has been received completely.
     pub fn on_received(&self) {
         if let (Some(counters), false) = (&*self.counters.borrow(), self.is_active.replace(true)) {
             counters.active.inc();
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -1,24 +1,25 @@
-//! Counting under random sequences of events, and the exposed text.
+//! Counting under random sequences of events, and the exposed text. Guards against an outcome that is counted
+//! twice or not at all, a gauge that does not return to 0, and an unbounded number of time series.
 
 use super::*;
 
 #[test]
-fn each_outcome_is_counted_once_and_requests_in_flight_in_between() {
+fn outcomes_are_counted_once_and_open_requests_are_in_flight() {
     let metrics = Metrics::new(false);
     let classes = ["C", "D"].map(|class| metrics.request_counters(class, &vec![]));
     let mut rng = fastrand::Rng::with_seed(11);
-    let (mut open, mut taken, mut known) = (Vec::new(), 0, 0);
+    let (mut open, mut received, mut counted) = (Vec::new(), 0, 0);
     for _ in 0..10_000 {
         match rng.u8(0..4) {
             0 => {
                 let recorder = RequestRecorder::default();
                 if rng.u8(0..9) > 0 {
                     recorder.set_counters(Some(Rc::clone(&classes[rng.usize(0..2)])));
-                    known += 1;
+                    counted += 1;
                     if rng.bool() {
                         recorder.on_received();
                         recorder.on_received();
-                        taken += 1;
+                        received += 1;
                         open.push(recorder);
                     }
                 }
@@ -35,9 +36,9 @@
         }
         let ended: u64 = classes.iter().map(|c| c.ok.get() + c.shed.get() + c.errors.get()).sum();
         assert_eq!(metrics.active.get(), open.len() as i64);
-        assert_eq!(ended + open.len() as u64, known);
+        assert_eq!(ended + open.len() as u64, counted);
     }
-    assert!(taken > 100);
+    assert!(received > 100);
 }
 
 fn assert_contains_lines(text: &str, lines: &[&str]) {
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn pools_have_labels_while_they_exist_and_up_to_a_bound() {
+fn removed_pools_lose_their_gauges_and_label_sets_are_bounded() {
     let metrics = Metrics::new(true);
     let labels = |pool: &str| vec![("pool", pool.to_owned())];
     metrics.request_counters("C", &labels("p")).ok.inc();
@@ -83,8 +84,8 @@
             "edge_lb_pool_size{pool=\"q\"} 3",
         ],
     );
-    assert!(!metrics.encode(&[gauges("q")]).contains("pool_size{pool=\"p\"}"), "it has gone");
-    // A pool that starts time and again is one.
+    assert!(!metrics.encode(&[gauges("q")]).contains("pool_size{pool=\"p\"}"), "a removed pool is exposed");
+    // A pool that is restarted many times still has one time series.
     for _ in 0..2 * MAX_LABEL_SETS {
         metrics.attempts(&labels("p")).inc();
     }
--- a/crates/proxy/src/operators/context.rs
+++ b/crates/proxy/src/operators/context.rs
@@ -1,4 +1,4 @@
-//! What pools need of the operators' address: metrics to count in, and the maintenance store.
+//! The state that pools share with the operators' address: the metrics and the maintenance store.
 
 use std::rc::Rc;
 
@@ -17,21 +17,22 @@
 pub struct OperatorContext {
     pub metrics: Rc<Metrics>,
     pub maintenance: Rc<MaintenanceStore>,
-    /// The tenant whose pools are started; only in a hosted service.
+    /// The tenant whose pools are started; `None` outside a hosted service.
     pub tenant: Option<String>,
 }
 
-/// The operators' address, bound but not served yet.
+/// The bound operators' address, which is not served yet.
 pub struct OperatorEndpoint {
     pub listener: TcpListener,
     pub context: OperatorContext,
 }
 
 impl OperatorEndpoint {
-    /// Binds the configured address, if there is one, and loads the maintenance state of earlier processes.
+    /// Binds the configured address and loads the maintenance state of earlier processes; `None` if no
+    /// address is configured.
     ///
     /// # Errors
-    /// The address cannot be bound or the folder cannot be created.
+    /// Returns an error if the address cannot be bound or the folder cannot be created.
     pub async fn open(settings: Option<&Operators>) -> Result<Option<OperatorEndpoint>, StartError> {
         let Some(Operators { listen, folder }) = settings else { return Ok(None) };
         let listener = server::bind(*listen).await?;
@@ -40,20 +41,20 @@
                 .map_err(|source| StartError::OperatorsFolder { path: path.clone(), source })?;
         }
         let maintenance = Rc::new(MaintenanceStore::new(folder.clone()));
-        let followed = Rc::clone(&maintenance);
-        spawn_local(async move { followed.follow().await });
+        let followed_store = Rc::clone(&maintenance);
+        spawn_local(async move { followed_store.follow().await });
         let context = OperatorContext { metrics: Rc::new(Metrics::new(true)), maintenance, tenant: None };
         Ok(Some(OperatorEndpoint { listener, context }))
     }
 
-    /// The listener to serve, and what pools need.
+    /// Splits the endpoint into the listener to serve and the context for pools.
     pub fn into_parts(self) -> (TcpListener, OperatorContext) {
         (self.listener, self.context)
     }
 }
 
 impl OperatorContext {
-    /// The same for the pools of one tenant.
+    /// The same context for the pools of one tenant.
     pub fn for_tenant(&self, tenant: &str) -> OperatorContext {
         OperatorContext { tenant: Some(tenant.to_owned()), ..self.clone() }
     }
@@ -65,7 +66,7 @@
         labels
     }
 
-    /// Maintenance of a pool's endpoints, which operators call `POOL/NAME` or `TENANT/POOL/NAME`.
+    /// The maintenance of a pool's endpoints, which operators refer to as `POOL/NAME` or `TENANT/POOL/NAME`.
     pub fn pool_maintenance(&self, pool: &str) -> PoolMaintenance {
         let qualified_pool = match &self.tenant {
             Some(tenant) => format!("{tenant}/{pool}"),
@@ -75,7 +76,7 @@
     }
 }
 
-/// Subscribes an applier of maintenance to the store, for as long as the applier exists.
+/// Creates an applier of maintenance and subscribes it to the store until it is dropped.
 pub fn observe_maintenance(
     registry: &EndpointRegistry,
     maintenance: PoolMaintenance,
--- a/crates/proxy/src/operators/mod.rs
+++ b/crates/proxy/src/operators/mod.rs
@@ -25,7 +25,7 @@
     /// Resolves the endpoint that an operator names in a maintenance request.
     ///
     /// # Errors
-    /// Several pools have an endpoint of this name, or maintenance is not available.
+    /// Returns an error if several pools have an endpoint with this name, or maintenance is not available.
     fn maintenance_target(&self, id: &str) -> Result<MaintenanceTarget<'_>, MaintenanceRejection>;
 }
 
@@ -36,10 +36,10 @@
     pub endpoint: String,
 }
 
-/// The only one of the qualified names that match `id`, or `id` itself where none matches.
+/// Returns the only qualified name that matches `id`, or `id` itself if none matches.
 ///
 /// # Errors
-/// Several endpoints match.
+/// Returns an error if several endpoints match.
 pub fn unique_endpoint(id: &str, mut matches: Vec<String>) -> Result<String, MaintenanceRejection> {
     match matches.pop() {
         None => Ok(id.to_owned()),
--- a/crates/proxy/src/operators/server.rs
+++ b/crates/proxy/src/operators/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP server of the operators' address: one request a connection, with a bounded number of connections.
+//! The HTTP server of the operators' address: one request per connection, with a bounded number of
+//! connections.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -25,28 +26,28 @@
 use crate::panic_guard::catch_panic;
 use crate::start_error::StartError;
 
-/// File descriptors that the address uses at most.
+/// The maximum number of file descriptors that the address uses.
 pub const SOCKETS: usize = config::OPERATORS_SOCKETS;
-/// The listener.
+/// The number of descriptors for the listener.
 const LISTENER_SOCKETS: usize = 1;
-/// The connection that replaces the oldest: for a moment both are open.
+/// The number of descriptors for a connection that replaces the oldest: for a moment both are open.
 const REPLACEMENT_SOCKETS: usize = 1;
-/// Concurrent connections; a further one replaces the oldest.
+/// The maximum number of concurrent connections; a further one replaces the oldest.
 const MAX_CONNECTIONS: usize = SOCKETS - LISTENER_SOCKETS - REPLACEMENT_SOCKETS;
-/// The time limit of a request, connection included.
+/// The maximum duration of a connection, request and response included.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// The largest request body, in bytes: an endpoint's id.
+/// The largest request body, in bytes. A body is the id of an endpoint.
 const MAX_BODY_BYTES: usize = 512;
-/// Pause after a failed accept, which would otherwise be repeated in a busy loop.
+/// The pause after a failed accept; an immediate retry would loop without a pause.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const OPEN_METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 type Reply = Response<Full<Bytes>>;
 
-/// The requests that the address knows.
+/// The operations that the address serves.
 #[derive(Clone, Copy)]
 enum Operation {
     Status,
@@ -54,7 +55,7 @@
     Maintenance(MaintenanceChange),
 }
 
-/// What an operator changes about an endpoint.
+/// A change of an endpoint's maintenance state by an operator.
 #[derive(Clone, Copy)]
 enum MaintenanceChange {
     Drain,
@@ -83,7 +84,7 @@
 /// Binds the operators' address and logs it.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
     let listen_error = |source| StartError::Listen { address, source };
     let listener = TcpListener::bind(address).await.map_err(listen_error)?;
@@ -95,7 +96,7 @@
 /// Serves operators for as long as it is polled.
 pub async fn serve(listener: TcpListener, actions: Rc<dyn OperatorActions>) {
     let mut connections = JoinSet::new();
-    // Oldest first.
+    // The open connections, oldest first.
     let mut open = VecDeque::<AbortHandle>::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -121,7 +122,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
-    // The client has gone, or hyper has answered a malformed head with 400.
+    // An error means that the client disconnected, or that hyper answered a malformed head with 400.
     let _ = timeout(REQUEST_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
 }
 
@@ -143,15 +144,16 @@
 
 async fn metrics(actions: &dyn OperatorActions) -> Reply {
     let mut reply = Response::new(Full::from(actions.metrics_text().await));
-    reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
+    reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS_CONTENT_TYPE));
     reply
 }
 
-/// Why a request body has no endpoint id.
+/// The reason that a request body is not an endpoint's id.
 enum BodyError {
     TooLong,
-    /// Too long, or the client closed the connection.
+    /// The body is too long, or the client closed the connection early.
     Incomplete,
+    /// The body is empty or not UTF-8.
     Empty,
 }
 
@@ -217,7 +219,7 @@
     reply
 }
 
-/// A reply with one line of text.
+/// Builds a reply with one line of text.
 fn text(status: StatusCode, line: &str) -> Reply {
     let mut reply = Response::new(Full::from(format!("{line}\n")));
     *reply.status_mut() = status;
--- a/crates/proxy/src/panic_guard/mod.rs
+++ b/crates/proxy/src/panic_guard/mod.rs
@@ -1,4 +1,4 @@
-//! Contains panics: a panic ends the task in which it happens, and nothing else.
+//! Containment of panics: a panic ends only the future in which it occurs.
 
 #[cfg(test)]
 mod tests;
@@ -8,7 +8,7 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// Runs a future to its end; `None` if it panics.
+/// Runs a future to completion; returns `None` if it panics.
 pub async fn catch_panic<T>(future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     poll_fn(|cx| match catch_unwind(AssertUnwindSafe(|| future.as_mut().poll(cx))) {
