--- a/crates/proxy/src/platform/config_file.rs
+++ b/crates/proxy/src/platform/config_file.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file: its JSON form, checks and errors.
+//! The platform's configuration file: the JSON form, the checks and the errors.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,28 +12,28 @@
 
 use crate::operators;
 
-/// Names the configuration file.
+/// The environment variable with the path of the configuration file.
 const PATH_VARIABLE: &str = "LB_CONFIG";
-/// Sockets of the process where the configuration does not say.
+/// The number of sockets of the process if the configuration does not set it.
 const DEFAULT_SOCKETS: usize = 1024;
 
 /// The configuration of a process in the platform's mode.
 pub struct Config {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The operators' address, if there is one.
     pub operators: Option<SocketAddr>,
-    /// Seeds the random numbers of the decisions and of discovery.
+    /// The seed of the random numbers of the decisions and of discovery.
     pub seed: u64,
-    /// Connections of clients.
+    /// The maximum number of client connections.
     pub max_downstream_connections: usize,
-    /// Connections to endpoints.
+    /// The maximum number of connections to endpoints.
     pub max_upstream_connections: usize,
-    /// The endpoints known before discovery has answered.
+    /// The endpoint list to use before discovery has answered.
     pub initial_list: Option<ParsedEndpointList>,
-    /// Set only where the settings allow gossip.
+    /// The gossip settings; `None` if gossip is not configured or not allowed by the platform's settings.
     pub gossip: Option<GossipConfig>,
     /// The platform's settings object.
     pub platform: PlatformSettings,
@@ -41,13 +41,13 @@
 
 /// The gossip between the proxies of a tier.
 pub struct GossipConfig {
-    /// Where messages of peers arrive.
+    /// The address that receives messages of peers.
     pub listen: SocketAddr,
-    /// By rank.
+    /// The addresses of the proxies of the tier, ordered by rank.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Why the configuration cannot be used.
+/// The reason that the configuration cannot be loaded.
 #[derive(Debug)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
@@ -58,27 +58,29 @@
     Invalid { path: String, source: InvalidConfig },
 }
 
-/// What is invalid in a configuration.
+/// The reason that the content of a configuration file is invalid.
 #[derive(Debug)]
 pub enum InvalidConfig {
-    /// Not JSON, or not of the expected form.
+    /// The file is not JSON or does not have the expected form.
     Json(serde_json::Error),
-    /// Too few sockets to serve with.
+    /// The number of sockets is too small to serve clients.
     Sockets(usize),
-    /// The settings object cannot be used.
+    /// The settings object is invalid.
     Settings(PlatformSettingsError),
-    /// Peers are identified by their addresses.
+    /// An address occurs twice among the peers, which are identified by their addresses.
     DuplicatePeer(SocketAddr),
-    /// The seed is no 64-bit number in hexadecimal digits.
+    /// The seed is not a 64-bit number in hexadecimal digits.
     Seed(String),
-    /// The list of known endpoints cannot be read.
+    /// The initial endpoint list is invalid.
     InitialList(String),
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConfigError::NoPath => write!(f, "{PATH_VARIABLE} does not name a configuration file"),
+            ConfigError::NoPath => {
+                write!(f, "{PATH_VARIABLE} is not set; it must name the configuration file")
+            }
             ConfigError::Read { path, source } => write!(f, "cannot read {path}: {source}"),
             ConfigError::Invalid { path, source } => write!(f, "{path}: {source}"),
         }
@@ -98,14 +100,14 @@
 impl fmt::Display for InvalidConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidConfig::Json(source) => write!(f, "bad configuration: {source}"),
+            InvalidConfig::Json(source) => write!(f, "invalid configuration: {source}"),
             InvalidConfig::Sockets(sockets) => {
-                write!(f, "limits.sockets: too few to serve with: {sockets}")
+                write!(f, "limits.sockets: {sockets} sockets are too few to serve clients and endpoints")
             }
             InvalidConfig::Settings(source) => source.fmt(f),
-            InvalidConfig::DuplicatePeer(address) => write!(f, "peers: {address} stands in it twice"),
+            InvalidConfig::DuplicatePeer(address) => write!(f, "peers: {address} occurs twice"),
             InvalidConfig::Seed(seed) => {
-                write!(f, "seed: not a 64-bit number in hex digits: {seed:?}")
+                write!(f, "seed: {seed:?} is not a 64-bit number in hexadecimal digits")
             }
             InvalidConfig::InitialList(message) => write!(f, "known: {message}"),
         }
@@ -156,10 +158,10 @@
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names.
+    /// Reads the file named by `LB_CONFIG`.
     ///
     /// # Errors
-    /// There is no such file, or its content is invalid.
+    /// Returns an error if `LB_CONFIG` is not set, or the file cannot be read or is invalid.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::NoPath)?;
         let shown_path = path.to_string_lossy().into_owned();
@@ -206,7 +208,7 @@
     parse_endpoint_list(json.get().as_bytes()).map_err(InvalidConfig::InitialList)
 }
 
-/// The sender of a gossip message is identified by its address.
+/// Checks that no peer occurs twice, because the sender of a gossip message is identified by its address.
 fn check_unique(peers: &[SocketAddr]) -> Result<(), InvalidConfig> {
     let mut addresses = BTreeSet::new();
     match peers.iter().find(|peer| !addresses.insert(**peer)) {
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's mode: one pool, configured by the JSON file that `LB_CONFIG` names.
+//! The platform's mode: one pool, configured by the JSON file named by `LB_CONFIG`.
 //!
-//! `serve` assembles the process; its parts are below and in the sibling modules.
+//! `serve` assembles the process from the parts in this module and its submodules.
 
 mod config_file;
 mod operations;
@@ -35,27 +35,29 @@
 
 pub use config_file::{Config, ConfigError, GossipConfig};
 
-/// The deadline for polls of discovery that is assumed where the settings have a shorter one or none, in microseconds.
+/// The shortest deadline for polls of discovery, in microseconds; used if the settings have a shorter one or
+/// none.
 const MIN_POLL_DEADLINE: Micros = 10_000_000;
-/// Forwarding by an expired list stays suspended for at most this many poll deadlines after the last reason to suspend
-/// it, then resumes with the old list.
+/// Forwarding with an expired list stays suspended for at most this many poll deadlines after the last reason
+/// to suspend it, then resumes with the old list.
 const MAX_SUSPENSION_POLL_DEADLINES: Micros = 4;
-/// A discovery that ends standing watches with errors is presumed down for this part of a poll deadline: the longest
-/// outage of discovery that operators name is eight seconds.
+/// Discovery that ends standing watches with errors is presumed down for this fraction of a poll deadline,
+/// 4/5: the longest outage of discovery that operators specify is eight seconds.
 const PRESUMED_OUTAGE_NUMERATOR: Micros = 4;
 const PRESUMED_OUTAGE_DENOMINATOR: Micros = 5;
-/// Names the one folder that a process of the platform shares with its successor; unset: neither learned state nor
-/// maintenance outlives the process.
+/// The environment variable with the folder that a process of the platform shares with its successor. If
+/// unset, neither learned state nor maintenance outlives the process.
 const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// Runs the proxy configured by `LB_CONFIG` until it is asked to shut down and every accepted request has its answer.
+/// Runs the proxy configured by `LB_CONFIG` until SIGTERM or SIGINT, then shuts down gracefully: every
+/// accepted request gets its response.
 ///
 /// # Errors
-/// The process could not start.
+/// Returns an error if the process cannot start.
 pub fn run() -> Result<(), StartError> {
     let config = Config::from_env()?;
     let inherited = inherited_socket::platform_listener()?;
-    // A proxy has one core: further threads would only move work between caches.
+    // A proxy has one core, so further threads would only move work between caches.
     process::block_on(serve(config, inherited))
 }
 
@@ -105,12 +107,12 @@
     Ok(())
 }
 
-/// The only pool of the process, assembled and not started yet.
+/// The only pool of the process, assembled but not started yet.
 struct PlatformPool {
     driver: Driver,
     upstreams: Rc<UpstreamPool>,
     registry: EndpointRegistry,
-    /// Notified when the decisions want discovery to be polled.
+    /// Notified when the decisions request a poll of discovery.
     poll_requested: Rc<Notify>,
 }
 
@@ -173,7 +175,7 @@
     }
 }
 
-/// Listens on the inherited socket, or binds the configured address where there is none.
+/// Listens on the inherited socket, or binds the configured address if no socket is inherited.
 async fn bind(
     address: SocketAddr,
     inherited: Option<std::net::TcpListener>,
@@ -191,7 +193,8 @@
     Ok(Some(Rc::new(socket)))
 }
 
-/// Imports what the previous process learned, and leaves this one's learned state to the next until shutdown.
+/// Imports the state that the previous process learned, and exports this process's learned state to the next
+/// one until shutdown.
 fn hand_over_learned_state(folder: PathBuf, registry: &EndpointRegistry, shutting_down: Rc<Cell<bool>>) {
     let endpoints = Rc::clone(&registry.endpoints);
     let driver = registry.driver.clone();
@@ -203,24 +206,27 @@
     });
 }
 
-/// Reloads the configuration on each SIGHUP. Only the address of discovery changes in a running proxy; everything else
-/// takes effect at the next start.
+/// Reloads the configuration on each SIGHUP. Only the address of discovery changes in a running proxy;
+/// everything else takes effect at the next start.
 async fn reload_on_hangup(mut hangup: Signal, discovery_address: watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
         match Config::from_env() {
             Ok(config) => {
-                log_line(format_args!("configuration read again: discovery is at {}", config.discovery));
+                log_line(format_args!("configuration reloaded: discovery address is {}", config.discovery));
                 discovery_address.send_if_modified(|address| {
                     let former = std::mem::replace(address, config.discovery);
                     former != config.discovery
                 });
             }
-            Err(error) => log_line(format_args!("going on with the old configuration: {error}")),
+            Err(error) => {
+                log_line(format_args!("configuration reload failed, keeping the old configuration: {error}"));
+            }
         }
     }
 }
 
-/// How discovery is polled, and when an unconfirmed list stops being forwarded by, and for how long at most.
+/// The policy for watching discovery: the mode, and the lease that limits the use of an unconfirmed list and
+/// the suspension after it.
 fn discovery_policy(platform: &PlatformSettings) -> WatchPolicy {
     let poll_deadline = platform.settings.max_poll_interval.max(MIN_POLL_DEADLINE);
     let terms = LeaseTerms {
--- a/crates/proxy/src/platform/operations.rs
+++ b/crates/proxy/src/platform/operations.rs
@@ -1,4 +1,4 @@
-//! What operators see and do in the platform's mode.
+//! The operators' actions in the platform's mode.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -38,7 +38,8 @@
     }
 }
 
-/// Serves operators, and puts the registry under the maintenance state kept in this folder.
+/// Serves operators and applies the maintenance state kept in `state_folder` to the registry. If `None`, the
+/// state is not kept.
 pub fn serve(
     listener: TcpListener,
     state_folder: Option<PathBuf>,
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -1,5 +1,5 @@
-//! The router of the platform: one pool for all requests; the class stands in the path or in a header, and determines
-//! the HTTP method.
+//! The router of the platform's mode: one pool for all requests. The class is given by a header or the path,
+//! and determines the HTTP method.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,14 +28,15 @@
     pub names: NameTable,
     /// The settings of the classes and tenants.
     pub settings: Settings,
-    /// Whether there is an endpoint list.
+    /// Whether an endpoint list has been received.
     pub ready: Rc<Cell<bool>>,
-    /// The counters of each class.
+    /// The request counters, by class index.
     pub class_counters: Vec<Rc<RequestCounters>>,
 }
 
 impl PlatformRouter {
-    /// The index of the class that the header names, or else the first segment of the path.
+    /// The index of the class named by the header, or by the first path segment if there is no header.
+    /// Rejects a request whose header and path name different classes.
     fn class(&self, head: &Parts) -> Result<usize, StatusCode> {
         let path = head.uri.path().trim_start_matches('/');
         let first_segment = path.split('/').next().unwrap_or_default();
@@ -47,7 +48,7 @@
         Ok(class)
     }
 
-    /// The index of the tenant that the header names. Without configured tenants the header has no meaning.
+    /// The index of the tenant named by the header. If no tenants are configured, the header is ignored.
     fn tenant(&self, headers: &HeaderMap) -> Result<Option<usize>, StatusCode> {
         match single_header_value(headers, TENANT_HEADER)? {
             Some(name) if !self.settings.tenants.is_empty() => {
@@ -58,7 +59,7 @@
     }
 }
 
-/// The HTTP method of requests with these semantics.
+/// The HTTP method that requests with these semantics must have.
 fn http_method(semantics: Semantics) -> Method {
     match semantics {
         Semantics::Idempotent => Method::GET,
@@ -123,7 +124,7 @@
     }
 }
 
-/// The pool sequence of a request that has one pool and may use every endpoint of it.
+/// A pool sequence of one pool without an endpoint filter.
 struct SinglePool {
     driver: DriverHandle,
 }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! What every mode of the process shares: the runtime, signals, listeners, and their graceful shutdown.
+//! The parts that all modes share: the runtime, the signals, and the listeners with their graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,21 +19,22 @@
 /// Runs a future on a single-threaded runtime until it completes.
 ///
 /// # Errors
-/// The runtime cannot be created, or the future's own error.
+/// Returns an error if the runtime cannot be created, or the error of the future.
 pub fn block_on(work: impl std::future::Future<Output = Result<(), StartError>>) -> Result<(), StartError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// The signals that the process handles. Once installed, none of them ends the process by itself.
+/// The signals that the process handles. Once the handlers are installed, none of the signals ends the
+/// process directly.
 pub struct Signals {
     pub shutdown: ShutdownSignal,
-    /// SIGHUP: reload the configuration.
+    /// SIGHUP, which requests a reload of the configuration.
     pub hangup: Signal,
 }
 
-/// SIGTERM and SIGINT.
+/// SIGTERM and SIGINT, which request a graceful shutdown.
 pub struct ShutdownSignal {
     terminate: Signal,
     interrupt: Signal,
@@ -43,7 +44,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// A handler cannot be installed.
+    /// Returns an error if a handler cannot be installed.
     pub fn install() -> Result<Signals, StartError> {
         let install = |kind| signal(kind).map_err(StartError::Signals);
         let shutdown = ShutdownSignal {
@@ -55,7 +56,7 @@
 }
 
 impl ShutdownSignal {
-    /// Completes when the process is asked to shut down.
+    /// Completes when either signal arrives.
     pub async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -71,18 +72,18 @@
     address: SocketAddr,
 }
 
-/// The configured listeners, bound in their order and not served yet.
+/// The configured listeners in their order, bound but not served yet.
 pub struct BoundListeners {
     listeners: Vec<BoundListener>,
-    /// The sockets were inherited, and the next process accepts on them as well.
+    /// Whether the sockets were inherited, so that the next process accepts on them too.
     shared: bool,
 }
 
 impl BoundListeners {
-    /// Takes the inherited sockets, or binds the configured addresses where there are none.
+    /// Takes the inherited sockets, or binds the configured addresses if no socket is inherited.
     ///
     /// # Errors
-    /// An address cannot be bound, or an inherited socket does not match.
+    /// Returns an error if an address cannot be bound or an inherited socket does not match.
     pub async fn bind(configured: &[Listener]) -> Result<BoundListeners, StartError> {
         let addresses: Vec<SocketAddr> = configured.iter().map(|listener| listener.address).collect();
         let inherited = inherited_socket::systemd_listeners(&addresses)?;
@@ -101,13 +102,13 @@
         Ok(BoundListeners { listeners, shared })
     }
 
-    /// The addresses in use.
+    /// The bound addresses, in the order of the listeners.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.listeners.iter().map(|listener| listener.address).collect()
     }
 
-    /// Serves each listener with the router that `router` makes for it and its index. `max_connections` are divided
-    /// evenly between the listeners.
+    /// Serves each listener with the router that `router` creates for the listener and its index.
+    /// `max_connections` is divided evenly between the listeners.
     pub fn serve(
         self,
         max_connections: usize,
@@ -138,7 +139,7 @@
 }
 
 impl ServingListeners {
-    /// Shuts down gracefully: completes once every accepted request has its answer.
+    /// Shuts down gracefully; completes once every accepted request has its response.
     pub async fn shut_down(mut self) {
         drop(self.stop);
         while self.tasks.join_next().await.is_some() {}
--- a/crates/proxy/src/route_lookup.rs
+++ b/crates/proxy/src/route_lookup.rs
@@ -1,4 +1,4 @@
-//! From the head of a request over HTTP to its route under a configuration snapshot.
+//! Lookup of an HTTP request's route in a configuration snapshot.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use crate::router::{single_header_value, Rejection, CLASS_HEADER, TENANT_HEADER};
 use crate::snapshot::{PoolSelection, ServingSnapshot};
 
-/// The port that a `Host` field need not name.
+/// The port that is omitted from a normalized `Host` field.
 const DEFAULT_PORT: u16 = 80;
 
-/// The headers of a request, as routes read them.
+/// The headers of a request, in the form that the route table reads.
 struct RequestHeaders<'a>(&'a HeaderMap);
 
 impl HeaderFields for RequestHeaders<'_> {
@@ -27,25 +27,25 @@
     }
 }
 
-/// What follows from the route of a request.
+/// The properties of a request that follow from its route.
 pub struct ResolvedRoute {
-    /// The index of its class.
+    /// The index of the class.
     pub class: usize,
-    /// Whether it may be retried.
+    /// The semantics of the class, which decide whether the request may be retried.
     pub semantics: Semantics,
-    /// The deadline of its class, from its arrival.
+    /// The deadline of the class, in microseconds from the arrival of the request.
     pub deadline: Micros,
-    /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
+    /// The JSON-RPC method to call; `None` if the class has none or no pool speaks JSON-RPC.
     pub rpc_method: Option<Arc<str>>,
-    /// Where its idempotency key is looked up, if its class has keys.
+    /// The scope of the idempotency key; `None` if the class has no keys.
     pub key_scope: Option<KeyScope>,
 }
 
-/// Finds the route of a request, and normalizes its head: the endpoint is sent the host and path that were routed by.
-/// `id` is the id of the request, `keys` the table of the idempotency keys.
+/// Finds the route of a request and normalizes the head, so that the endpoint receives the host and path that
+/// the route was looked up by. `id` is the id of the request, `keys` the table of the idempotency keys.
 ///
 /// # Errors
-/// The rejection to answer with.
+/// Returns the rejection to answer with if the head is ambiguous or no route matches.
 pub fn resolve(
     snapshot: Rc<ServingSnapshot>,
     listener: &Listener,
@@ -87,7 +87,7 @@
     Ok(RawRequest { host, path: head.uri.path(), attributes })
 }
 
-/// What differs between a request as sent and its normal form.
+/// The differences between a request as received and its normal form.
 struct HeadChanges {
     path: Option<String>,
     host: Option<String>,
@@ -122,7 +122,7 @@
     }
 }
 
-/// What follows from the class of a route.
+/// The properties of a request that follow from the class of its route.
 fn resolved_route(snapshot: &ServingSnapshot, class: usize, keys: &KeyTable) -> ResolvedRoute {
     let class_config = &snapshot.config.classes[class];
     let semantics = class_config.parameters.semantics;
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -1,4 +1,5 @@
-//! What the downstream side needs of the rest: where a request is routed, and what follows when a pool rejects it.
+//! The interface between the downstream side and the modes: the routing of requests, and the handling of a
+//! pool's rejection.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -24,12 +25,13 @@
 
 /// Routes requests.
 pub trait Router {
-    /// Routes a request by its head, which it may normalize. `id` is the id of the request,
-    /// `announced_body_bytes` the announced length of its body ([`MAX_BUFFERED_BODY_BYTES`] where none is announced, which
-    /// is then not an upper bound), `router_state` the state that the router keeps for the client's connection.
+    /// Routes a request by its head, which the router may normalize. `id` is the id of the request,
+    /// `announced_body_bytes` the announced length of its body ([`MAX_BUFFERED_BODY_BYTES`] if none is
+    /// announced; the body may then be longer), `router_state` the state that the router attaches to the
+    /// client's connection.
     ///
     /// # Errors
-    /// The rejection to answer with.
+    /// Returns the rejection to answer with.
     fn route(
         &self,
         head: &mut Parts,
@@ -38,64 +40,66 @@
         router_state: &RouterConnectionState,
     ) -> Result<RouteDecision, Rejection>;
 
-    /// The HTTP head by which a JSON-RPC call is routed, and the index of its class where the method alone determines
-    /// it.
+    /// Returns the HTTP head by which a JSON-RPC call is routed, and the index of its class if the method
+    /// alone determines the class.
     ///
     /// # Errors
-    /// There is no such method, or its `params` cannot be read.
+    /// Returns an error if there is no such method or its `params` cannot be converted.
     fn route_call(&self, _call: &Call<'_>) -> Result<(Parts, Option<usize>), Rejection> {
         Err(StatusCode::NOT_FOUND.into())
     }
 
-    /// An id for a request that came without one; none where clients have to give it.
+    /// Generates an id for a request that arrived without one; `None` if clients must send an id.
     fn generate_request_id(&self) -> Option<String>;
 
-    /// Whether there is an endpoint list.
+    /// Whether the pools have endpoint lists, so that requests can be served.
     fn is_ready(&self) -> bool;
 
-    /// The longest time that a client may wait for a response, as far as that is known before it sends a request.
+    /// The longest client timeout that is known before any request arrives; 0 if none is known.
     fn max_request_deadline(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Whether the process is killed no later than [`Router::max_request_deadline`] after the signal to terminate.
+    /// Whether the process is killed no later than [`Router::max_request_deadline`] after the signal to
+    /// terminate.
     fn has_termination_deadline(&self) -> bool {
         false
     }
 
-    /// Whether clients may have no other proxy to go to while this one shuts down.
+    /// Whether this proxy may be the only one available to clients while it shuts down.
     fn may_shut_down_alone(&self) -> bool {
         false
     }
 
-    /// The largest request body, in bytes. One over [`MAX_BUFFERED_BODY_BYTES`] is streamed.
+    /// The largest request body, in bytes. Bodies over [`MAX_BUFFERED_BODY_BYTES`] are streamed.
     fn max_body_bytes(&self) -> u64 {
         MAX_BUFFERED_BODY_BYTES as u64
     }
 
-    /// Whether `Retry-After` is in whole seconds, as the HTTP standard has it.
+    /// Whether `Retry-After` is in whole seconds, as the HTTP standard requires.
     fn retry_after_in_whole_seconds(&self) -> bool;
 }
 
-/// The state that a router keeps with a client's connection for as long as that is open.
+/// State that a router attaches to a client's connection while the connection is open.
 pub type RouterConnectionState = RefCell<Option<Box<dyn Any>>>;
 
-/// In place of a time to retry where none is stated.
+/// The value of a retry time if none is known.
 pub const NO_RETRY_AFTER: Micros = 0;
 
-/// Why a request is rejected before any attempt is made.
+/// The rejection of a request before any attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The status to answer with.
     pub status: StatusCode,
-    /// The limit, or the state of the idempotency key, that rejects it; as in `x-refusal-cause`.
+    /// The limit or the state of the idempotency key that rejects the request; the value of
+    /// `x-refusal-cause`.
     pub cause: Option<&'static str>,
-    /// When capacity is expected, in microseconds from now, or [`NO_RETRY_AFTER`].
+    /// The expected time until capacity is available, in microseconds, or [`NO_RETRY_AFTER`].
     pub retry_after: Micros,
 }
 
 impl Rejection {
-    /// The outcome that the request is counted under.
+    /// The outcome under which the request is counted.
     pub fn request_outcome(&self) -> RequestOutcome {
         if self.status == StatusCode::TOO_MANY_REQUESTS {
             RequestOutcome::Rejected
@@ -111,66 +115,69 @@
     }
 }
 
-/// Where a request is routed, and what follows from its route.
+/// The route of a request: the pools, and the properties that follow from the route.
 pub struct RouteDecision {
-    /// The open request ids among which its own must be unique, where these are not all of the listener's.
+    /// The open ids among which the request's id must be unique; `None` for all ids of the listener.
     pub open_request_ids: Option<OpenRequestIds>,
-    /// The index of its class.
+    /// The index of the class.
     pub class: usize,
-    /// Whether it may be retried.
+    /// The semantics of the class, which decide whether the request may be retried.
     pub semantics: Semantics,
-    /// The deadline of its class, from its arrival.
+    /// The deadline of the class, in microseconds from the arrival of the request.
     pub deadline: Micros,
-    /// The index of its tenant.
+    /// The index of the tenant in the settings of the decisions; `None` if the request has none there.
     pub tenant: Option<usize>,
-    /// The JSON-RPC method to call, where a pool speaks JSON-RPC.
+    /// The JSON-RPC method to call; `None` if the class has none or no pool speaks JSON-RPC.
     pub rpc_method: Option<Arc<str>>,
-    /// Where its idempotency key is looked up, if its class has keys.
+    /// The scope of the idempotency key; `None` if the class has no keys.
     pub key_scope: Option<KeyScope>,
-    /// The counters of its route, if it has any.
+    /// The counters of the route; `None` if requests are not counted.
     pub counters: Option<Rc<RequestCounters>>,
-    /// The pools that it may be sent to.
+    /// The pools that the request may be sent to.
     pub pools: Box<dyn PoolSequence>,
 }
 
-/// The pools that a request may be sent to, one after the other as they reject it.
+/// The pools that a request may be sent to, in order; the next pool is tried if the current one rejects the
+/// request.
 pub trait PoolSequence {
     /// The driver of the current pool.
     fn driver(&self) -> &DriverHandle;
 
-    /// The endpoints of the current pool that the request may use, where not all.
+    /// The endpoints of the current pool that the request may use; `None` for all.
     fn endpoint_filter(&self) -> Option<Arc<EndpointFilter>>;
 
-    /// The most attempts in the current and later pools; 0 leaves that to the settings.
+    /// The maximum number of attempts in the current and later pools; 0 for the number in the settings.
     fn max_attempts(&self) -> usize {
         0
     }
 
-    /// Counts the attempts that are started.
+    /// The counter of the attempts that are started.
     fn attempt_counter(&self) -> AttemptCounter {
         AttemptCounter::default()
     }
 
-    /// What follows when the current pool rejects the request; with [`RejectionOutcome::NextPool`] the next one is
-    /// current. `execution` tells whether an attempt can have been executed in the current pool.
+    /// Handles the rejection of the request by the current pool. On [`RejectionOutcome::NextPool`] the next
+    /// pool becomes current. `execution` indicates whether an attempt may have been executed in the current
+    /// pool.
     fn on_rejected(&mut self, execution: Execution) -> RejectionOutcome;
 }
 
-/// What follows when a pool rejects a request.
+/// The consequence of a pool's rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionOutcome {
     /// The rejection is the final response.
     Final,
     /// The next pool is tried.
     NextPool,
-    /// It may have been executed and must not be tried again, so it fails.
+    /// The request may have been executed and must not be tried again, so it fails.
     Failed,
 }
 
-/// The one value of a header, if it is present.
+/// Returns the only value of a header; `None` if the header is absent.
 ///
 /// # Errors
-/// 400 if it is repeated, as clients and endpoints could pick different values, or is not text.
+/// Returns 400 if the header is not text, or is repeated: this proxy and endpoints could then pick different
+/// values.
 pub fn single_header_value<'a>(
     headers: &'a hyper::HeaderMap,
     name: &str,
--- a/crates/proxy/src/rpc_mapping/call_to_http.rs
+++ b/crates/proxy/src/rpc_mapping/call_to_http.rs
@@ -1,4 +1,4 @@
-//! Calls of clients as HTTP requests, and HTTP responses as their results.
+//! Conversion of clients' JSON-RPC calls to HTTP requests, and of HTTP responses to results of the calls.
 
 use std::borrow::Cow;
 
@@ -17,14 +17,16 @@
 use crate::exchange::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, TIMEOUT_HEADER};
 use crate::router::{CLASS_HEADER, TENANT_HEADER};
 
-/// The longest path and query of a call whose `params` are in the query, in bytes as encoded.
+/// The maximum length of path and query if a call's `params` are in the query, in encoded bytes.
 const MAX_QUERY_BYTES: usize = 8 << 10;
 const JSON_MEDIA_TYPE: &[u8] = b"application/json";
 
-/// The head of a call in HTTP, and its class by index where the method alone determines it.
+/// Converts a call to an HTTP head. Also returns the index of the class if the method alone determines the
+/// class.
 ///
 /// # Errors
-/// 404 where there is no such method; 400 where `params` are ambiguous or cannot be headers; 413 where they are too long.
+/// Returns 404 if there is no such method, 400 if `params` are ambiguous or cannot be converted to headers,
+/// and 413 if they are too long for the query.
 pub fn call_to_http_head(
     methods: &Methods,
     host: &str,
@@ -44,7 +46,7 @@
     Ok((head, (!has_class).then_some(method.class)))
 }
 
-/// The body of a call in HTTP. Shares the bytes of `frame`, from which the call was parsed.
+/// Returns the HTTP body of a call. Shares the bytes of `frame`, from which the call was parsed.
 pub fn call_to_http_body(head: &Parts, call: &Call<'_>, frame: &Bytes) -> Bytes {
     match call.params {
         Some(params) if head.method == hyper::Method::POST => frame.slice_ref(params.get().as_bytes()),
@@ -52,7 +54,8 @@
     }
 }
 
-/// An HTTP response as a result: JSON unchanged, text as a string, other bytes in Base64.
+/// Converts an HTTP response to a result: JSON unchanged, other text as a string, an empty body as `null`,
+/// other bytes in Base64.
 pub fn http_response_to_result(headers: &HeaderMap, body: &[u8]) -> String {
     match std::str::from_utf8(body) {
         Ok(text) if has_json_type(headers) && is_json(text) => text.trim().to_owned(),
@@ -76,7 +79,7 @@
     }
 }
 
-/// The path of a call, which its members fill in; of a GET all `params` follow in the query.
+/// The path of a call, with the members of `params` filled in. For GET, the query contains all `params`.
 fn path_and_query(
     method: &Method,
     params: &Params<'_>,
@@ -93,7 +96,8 @@
     Ok(path)
 }
 
-/// Inserts the headers that members of `params` stand for, and says whether the class is among them.
+/// Inserts the headers that correspond to members of `params`. Returns whether the class header is among
+/// them.
 fn insert_headers(
     methods: &Methods,
     params: &Params<'_>,
@@ -113,11 +117,11 @@
     insert(&members.class, CLASS_HEADER)
 }
 
-/// The members of `params` by name; none where they are positional.
+/// The members of `params` by name; empty if `params` are absent or positional.
 struct Params<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'a> Params<'a> {
-    /// None where a member is repeated.
+    /// Parses `params`; returns `None` if a member is repeated.
     fn parse(params: Option<&'a RawValue>) -> Option<Params<'a>> {
         match params.map(RawValue::get) {
             Some(raw) if raw.starts_with('{') => object_members(raw).map(Params),
@@ -140,7 +144,7 @@
     members.iter().find(|(other, _)| other == name).map(|(_, value)| *value)
 }
 
-/// A string, or a whole number in its digits.
+/// The text of a string or of a whole number; `None` for any other value.
 fn scalar_text(raw: &RawValue) -> Option<String> {
     let text = raw.get();
     if text.starts_with('"') {
--- a/crates/proxy/src/rpc_mapping/http_to_call.rs
+++ b/crates/proxy/src/rpc_mapping/http_to_call.rs
@@ -1,4 +1,4 @@
-//! HTTP requests as calls to endpoints that speak JSON-RPC, and their results as HTTP responses.
+//! Conversion of HTTP requests to calls to JSON-RPC endpoints, and of the calls' results to HTTP responses.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -12,10 +12,11 @@
 use crate::exchange::{RpcCall, UpstreamRequest, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 use crate::router::single_header_value;
 
-/// The member of `params` that holds what HTTP has in the head.
+/// The member of `params` that contains the information from the HTTP head.
 const META_MEMBER: &str = "_meta";
 
-/// A request as a call to an endpoint. `id` is JSON; `time_left_ms` is what remains of the client's time, in milliseconds.
+/// Converts a request to a call to an endpoint. `id` is JSON; `time_left_ms` is the remaining time of the
+/// client in milliseconds.
 pub fn http_request_to_call(request: &UpstreamRequest, body: &Bytes, id: &str, time_left_ms: u64) -> Vec<u8> {
     let call = request.extensions().get::<RpcCall>();
     let method = call.map_or("", |call| &*call.method);
@@ -32,27 +33,28 @@
     jsonrpc::encode_request(Some(id), method, params.as_deref())
 }
 
-/// A result as an HTTP response.
+/// Converts a result to the headers and body of an HTTP response.
 pub fn result_to_http_response(result: &RawValue) -> (HeaderMap, Bytes) {
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, JSON_CONTENT_TYPE);
     (headers, Bytes::copy_from_slice(result.get().as_bytes()))
 }
 
-/// The body of a request to an endpoint that speaks JSON-RPC, which is always buffered.
+/// The body of a request to a JSON-RPC endpoint, which is always buffered.
 pub fn buffered_body(request: &UpstreamRequest) -> Bytes {
     request.body().buffered().unwrap_or_default()
 }
 
-/// What a client sent, as `params` in JSON.
+/// The `params` that a client sent, as JSON.
 enum SentParams {
     /// An array, which is forwarded unchanged.
     Positional(String),
-    /// An object.
+    /// An object, to which [`META_MEMBER`] is added.
     ByName(String),
 }
 
-/// A JSON object or array as it is; anything else as the member `body`, in Base64 where it is no text.
+/// Converts received bytes to `params`: a JSON object or array unchanged; anything else as the member `body`,
+/// in Base64 if it is not text.
 fn sent_params(sent: Option<&Bytes>) -> SentParams {
     let Some(bytes) = sent.filter(|bytes| !bytes.is_empty()) else {
         return SentParams::ByName("{}".to_owned());
@@ -70,7 +72,7 @@
     }
 }
 
-/// What this proxy says of a request in [`META_MEMBER`].
+/// The members that this proxy sets in [`META_MEMBER`].
 fn meta_members(
     request: &UpstreamRequest,
     received_over_http: bool,
@@ -88,8 +90,8 @@
     members
 }
 
-/// Adds the proxy's own members of [`META_MEMBER`] to an object; they replace the client's of the same name, and its other
-/// ones stay.
+/// Adds this proxy's members of [`META_MEMBER`] to an object. They replace the client's members with the same
+/// name; the client's other members are kept.
 fn add_meta(object: &str, own_meta: &[(&str, Value)]) -> String {
     let members = object_members(object).unwrap_or_default();
     let client_meta = members.iter().find(|(name, _)| name == META_MEMBER);
--- a/crates/proxy/src/rpc_mapping/mod.rs
+++ b/crates/proxy/src/rpc_mapping/mod.rs
@@ -1,7 +1,8 @@
-//! The mapping between JSON-RPC and HTTP in both directions, as the table in `docs/operators/jsonrpc.md` defines it.
+//! The mapping between JSON-RPC and HTTP in both directions, as the table in `docs/operators/jsonrpc.md`
+//! defines it.
 //!
-//! A call has a form in HTTP, by which it is routed and decided like any other request; a request has a form as a call, in
-//! which it is sent to endpoints that speak JSON-RPC. Nothing here does I/O.
+//! A call from a client is converted to an HTTP request, to be routed and admitted like any other request. A
+//! request to a JSON-RPC endpoint is converted to a call. Nothing here does I/O.
 
 mod call_to_http;
 mod http_to_call;
--- a/crates/proxy/src/rpc_mapping/tests.rs
+++ b/crates/proxy/src/rpc_mapping/tests.rs
@@ -1,4 +1,5 @@
-//! The mapping in both directions, as its table has it.
+//! The mapping in both directions, as the table in `docs/operators/jsonrpc.md` defines it. A difference would
+//! lose members of a call, or let a client overwrite members that only this proxy may set.
 
 use std::sync::Arc;
 
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -1,6 +1,6 @@
 //! A configuration together with the pools that serve it: versioned, immutable and replaced as a whole.
 //!
-//! A request keeps the snapshot under which it was routed until it is complete.
+//! Each request holds the snapshot under which it was routed until the request is complete.
 
 mod pool_selection;
 
@@ -19,29 +19,29 @@
 
 pub use pool_selection::PoolSelection;
 
-/// The low bits of a seed that tell the pools of one version apart.
+/// The number of low bits of a seed that distinguish the pools of one version.
 const POOL_INDEX_BITS: u32 = 16;
 
-/// The filter of one route in each pool, by pool index; None where the route may use the whole pool.
+/// The endpoint filters of one route, by pool index; `None` if the route may use the whole pool.
 type PoolFilters = Vec<Option<Arc<EndpointFilter>>>;
 /// The request counters of one route, by pool index.
 type PoolCounters = BTreeMap<usize, Rc<RequestCounters>>;
 
 /// A configuration that is being served.
 pub struct ServingSnapshot {
-    /// Counts from 1.
+    /// The version of the configuration, counted from 1 in this process.
     pub version: u64,
     pub config: Arc<Config>,
-    /// The JSON-RPC method of each class; None for all where no pool speaks JSON-RPC.
+    /// The JSON-RPC method of each class; `None` for all classes if no pool speaks JSON-RPC.
     pub methods: Vec<Option<Arc<str>>>,
     pools: Vec<Rc<Pool>>,
-    /// By route index.
+    /// The endpoint filters, by route index.
     filters: Vec<PoolFilters>,
-    /// By route index; empty maps where the process has no operators' address.
+    /// The request counters, by route index; empty maps if the process has no operators' address.
     counters: Vec<PoolCounters>,
 }
 
-/// Changes with every configuration and with every endpoint list.
+/// A version of the endpoint lists in use, which changes with every configuration and every list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersion {
     configuration: u64,
@@ -49,8 +49,9 @@
 }
 
 impl ServingSnapshot {
-    /// Starts the pools of a configuration. Unchanged pools are carried over from `previous`, removed ones retired.
-    /// `max_connections` are divided between the pools.
+    /// Starts the pools of a configuration. Pools that `previous` has with compatible settings are carried
+    /// over and reconfigured, all others of `previous` are retired. `max_connections` is divided between the
+    /// pools.
     pub fn start(
         config: Arc<Config>,
         max_connections: usize,
@@ -89,7 +90,7 @@
         learned
     }
 
-    /// The names by which operators refer to endpoints of this name, over all pools.
+    /// The qualified names by which operators refer to the endpoints with this name, over all pools.
     pub fn operator_names(&self, endpoint: &str) -> Vec<String> {
         self.pools.iter().filter_map(|pool| pool.operator_name(endpoint)).collect()
     }
@@ -109,7 +110,7 @@
         ListVersion { configuration: self.version, lists }
     }
 
-    /// The endpoints of the pools behind announced addresses, by pool name.
+    /// The endpoint lists of the pools behind announced addresses, by pool name.
     pub fn announced_endpoints(&self) -> BTreeMap<String, bgp::PoolEndpointList> {
         let addresses = self.config.bgp.iter().flat_map(|bgp| &bgp.addresses);
         let announced: BTreeSet<&String> = addresses.flat_map(|address| &address.pools).collect();
@@ -118,7 +119,7 @@
         pools.map(|pool| (pool.name.clone(), pool.announced_endpoints(slow_start_duration))).collect()
     }
 
-    /// No configuration has these pools any more: requests in flight complete.
+    /// Retires all pools, because no configuration has them anymore; open requests complete.
     pub fn retire(&self) {
         self.pools.iter().for_each(|pool| pool.retire());
     }
@@ -162,7 +163,7 @@
     pools
 }
 
-/// The seed of a pool's random numbers. Differs for each pool and version.
+/// The seed of a pool's random numbers, which is different for each pool and version.
 fn pool_seed(process_seed: u64, version: u64, pool_index: usize) -> u64 {
     process_seed.wrapping_add((version << POOL_INDEX_BITS) + pool_index as u64)
 }
--- a/crates/proxy/src/snapshot/pool_selection.rs
+++ b/crates/proxy/src/snapshot/pool_selection.rs
@@ -1,4 +1,4 @@
-//! The pools that a request passes through along its route.
+//! The sequence of pools that a request is submitted to along its route.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::metrics::RequestCounters;
 use crate::router::{PoolSequence, RejectionOutcome};
 
-/// The current pool of a request, under the snapshot by which it was routed.
+/// The current pool of a request, in the snapshot by which the request was routed.
 pub struct PoolSelection {
     snapshot: Rc<ServingSnapshot>,
     /// The index of the route.
@@ -21,14 +21,15 @@
 }
 
 impl PoolSelection {
-    /// Starts with the route's first usable pool, beginning at the preferred one.
+    /// Creates a selection that starts with the first usable pool of the route, beginning at the preferred
+    /// pool.
     pub fn new(snapshot: Rc<ServingSnapshot>, route: usize, preferred: PoolId) -> PoolSelection {
         let choice = snapshot.config.table.routes()[route]
             .first_pool(preferred, |pool| snapshot.endpoint_counts(route, pool));
         PoolSelection { snapshot, route, choice }
     }
 
-    /// The counters of the current pool, if requests are counted.
+    /// The counters of the current pool; `None` if requests are not counted.
     pub fn counters(&self) -> Option<Rc<RequestCounters>> {
         self.snapshot.counters[self.route].get(&self.choice.pool.0).cloned()
     }
@@ -48,8 +49,8 @@
         let route = &config.table.routes()[self.route];
         let is_idempotent = config.classes[route.class].parameters.semantics == Semantics::Idempotent;
         if execution == Execution::Possible && !is_idempotent {
-            // Duplicates are detected within one pool only. Where a client's retry could reach another pool, the
-            // rejection would promise that it is safe.
+            // Duplicates are detected within one pool only. If a client's retry could reach another pool, a
+            // rejection would wrongly indicate that the retry is safe.
             let has_other_pool = route.pools().nth(1).is_some();
             return if has_other_pool { RejectionOutcome::Failed } else { RejectionOutcome::Final };
         }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,8 +1,8 @@
-//! A TCP socket whose state can be read while hyper owns its reading and writing side.
+//! A TCP socket whose state can be inspected while hyper reads from it and writes to it.
 //!
-//! Clones share the socket. One owner reads and writes; any clone may look at what has not been read yet, how many bytes
-//! were written, and whether the peer has closed. A downstream socket also keeps the bytes of the message that is being
-//! read, since hyper shows only what it made of them.
+//! Clones share the socket. One owner reads and writes; any clone can check for unread input, for the number
+//! of bytes written, and for a close by the peer. A downstream socket also keeps the first bytes of the
+//! message that is being read, because hyper only exposes its parsed form.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -19,7 +19,7 @@
 
 use crate::metrics::WriteCompletionCounter;
 
-/// Bytes that [`Socket::read_some`] reads at a time.
+/// The maximum number of bytes that [`Socket::read_some`] reads at a time.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// A shared TCP socket.
@@ -30,20 +30,21 @@
     stream: TcpStream,
     bytes_written: Cell<u64>,
     write_counter: WriteCompletionCounter,
-    /// Only of a downstream socket.
+    /// Set for a downstream socket only.
     inbound: Option<RefCell<InboundMessage>>,
     _descriptor: Option<DescriptorGuard>,
 }
 
-/// The message that is being read, as its bytes arrived.
+/// The message that is being read.
 #[derive(Default)]
 struct InboundMessage {
+    /// The first bytes of the message, unparsed.
     head: Vec<u8>,
-    /// The most bytes of the head to keep.
+    /// The maximum number of bytes to keep in `head`.
     max_head_bytes: usize,
-    /// Bytes read of it and of what follows it.
+    /// The number of bytes read of the message and of any bytes that follow it.
     bytes: u64,
-    /// When its first byte arrived.
+    /// When the first byte of the message arrived.
     started_at: Option<Instant>,
 }
 
@@ -62,14 +63,14 @@
     }
 }
 
-/// The number of bytes of the head to keep where heads are not validated byte by byte.
+/// The number of head bytes to keep if heads are not validated byte by byte.
 pub const NO_HEAD_CAPTURE: usize = 0;
 
-/// Counts a descriptor for as long as it is open.
+/// Counts a descriptor while it is open.
 pub struct DescriptorGuard(Rc<Cell<usize>>);
 
 impl DescriptorGuard {
-    /// Adds one to `count` until this is dropped.
+    /// Adds one to `count` until the guard is dropped.
     pub fn new(count: &Rc<Cell<usize>>) -> DescriptorGuard {
         count.set(count.get() + 1);
         DescriptorGuard(Rc::clone(count))
@@ -82,24 +83,24 @@
     }
 }
 
-/// What the kernel holds of a socket that nobody has read yet.
+/// The state of a socket's input that the kernel holds and the process has not read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum UnreadInput {
-    /// Nothing.
+    /// No input is available.
     Empty,
-    /// Bytes.
+    /// Bytes are available.
     Data,
-    /// The peer has closed or reset the connection.
+    /// The peer has closed or reset the connection, and no bytes are left.
     Closed,
 }
 
 impl Socket {
-    /// A socket whose `descriptor` is counted while it is open.
+    /// Wraps a stream; `descriptor` counts the socket while it is open.
     pub fn new(stream: TcpStream, descriptor: Option<DescriptorGuard>) -> Socket {
         Socket::with_inbound(stream, None, descriptor)
     }
 
-    /// A socket that keeps up to `max_head_bytes` of each message that arrives.
+    /// Wraps a client's stream; up to `max_head_bytes` of each received message are kept.
     pub fn for_downstream(stream: TcpStream, max_head_bytes: usize) -> Socket {
         let inbound = RefCell::new(InboundMessage::new(max_head_bytes));
         Socket::with_inbound(stream, Some(inbound), None)
@@ -110,7 +111,7 @@
         inbound: Option<RefCell<InboundMessage>>,
         descriptor: Option<DescriptorGuard>,
     ) -> Socket {
-        // A message is one write, and must not wait for the acknowledgement of the one before.
+        // Each message is one write and must not wait for the acknowledgement of the previous one.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(Shared {
             stream,
@@ -121,7 +122,7 @@
         }))
     }
 
-    /// Takes the first bytes of the current message, and captures no more of it.
+    /// Takes the kept bytes of the current message; no more bytes of the message are kept.
     pub fn take_head(&self) -> Vec<u8> {
         self.0.inbound.as_ref().map_or_else(Vec::new, |inbound| {
             let mut inbound = inbound.borrow_mut();
@@ -130,25 +131,26 @@
         })
     }
 
-    /// Bytes read of the current message, and of what follows it.
+    /// The number of bytes read of the current message and of any bytes that follow it.
     pub fn message_bytes(&self) -> u64 {
         self.0.inbound.as_ref().map_or(0, |inbound| inbound.borrow().bytes)
     }
 
-    /// When the first byte of the current message arrived, if any has.
+    /// When the first byte of the current message arrived; `None` if none has.
     pub fn message_started_at(&self) -> Option<Instant> {
         self.0.inbound.as_ref().and_then(|inbound| inbound.borrow().started_at)
     }
 
-    /// What is read from now on belongs to the next message, of which it keeps up to `max_head_bytes`.
+    /// Starts the next message: bytes read from now on belong to it, and up to `max_head_bytes` of them are
+    /// kept.
     pub fn start_next_message(&self, max_head_bytes: usize) {
         if let Some(inbound) = &self.0.inbound {
             *inbound.borrow_mut() = InboundMessage::new(max_head_bytes);
         }
     }
 
-    /// Reads what is there, hands it to `consume`, and returns the number of bytes. The buffer exists only during the read,
-    /// so that an idle connection costs none.
+    /// Reads available bytes, passes them to `consume` and returns their number; 0 at the end of input. The
+    /// buffer exists only during the read, so that an idle connection needs none.
     pub async fn read_some(&mut self, mut consume: impl FnMut(&[u8])) -> io::Result<usize> {
         poll_fn(|context| {
             let mut bytes = [0; READ_BUFFER_BYTES];
@@ -160,17 +162,18 @@
         .await
     }
 
-    /// Counts messages as they are written.
+    /// The counter of completely written messages.
     pub fn write_counter(&self) -> &WriteCompletionCounter {
         &self.0.write_counter
     }
 
-    /// Bytes that the kernel has accepted for sending so far.
+    /// The number of bytes that the kernel has accepted for sending.
     pub fn bytes_written(&self) -> u64 {
         self.0.bytes_written.get()
     }
 
-    /// Whether the runtime knows that the peer has closed or reset the connection, also where unread bytes precede that.
+    /// Whether the runtime has observed that the peer closed or reset the connection, even if unread bytes
+    /// precede the close.
     pub fn is_peer_closed(&self) -> bool {
         let ready = pin!(self.0.stream.ready(Interest::READABLE));
         match ready.poll(&mut Context::from_waker(Waker::noop())) {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Asks the kernel what is unread; it knows of a close before the runtime does.
+    /// Reads the state of unread input from the kernel, which registers a close before the runtime does.
     pub fn unread_input(&self) -> UnreadInput {
         match SockRef::from(&self.0.stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => UnreadInput::Closed,
--- a/crates/proxy/src/socket/tests.rs
+++ b/crates/proxy/src/socket/tests.rs
@@ -1,4 +1,5 @@
-//! Sockets over loopback.
+//! Unread input and a close are detected over loopback without reading. A stale connection would otherwise
+//! get a request.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -6,7 +7,7 @@
 use super::*;
 
 #[test]
-fn unread_input_is_seen_before_it_is_read() {
+fn unread_input_and_close_are_detected_before_a_read() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -15,7 +16,7 @@
         let socket = Socket::new(stream, None);
         assert_eq!(socket.unread_input(), UnreadInput::Empty);
         peer.write_all(b"x").expect("written");
-        // Even on loopback what was sent may take a moment to arrive.
+        // Even on loopback, sent bytes may take a moment to arrive.
         while socket.unread_input() == UnreadInput::Empty {
             std::thread::yield_now();
         }
--- a/crates/proxy/src/standalone/announcer.rs
+++ b/crates/proxy/src/standalone/announcer.rs
@@ -1,4 +1,4 @@
-//! Keeps the announcer of this proxy's addresses informed about the endpoints behind them.
+//! Publication of the endpoints behind this proxy's addresses to the announcer of the addresses.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,25 +15,27 @@
 
 /// Announces the addresses at which this process serves.
 pub trait AddressAnnouncer {
-    /// Publishes the state of the data plane. Called at a fixed interval, which doubles as a liveness signal.
+    /// Publishes the state of the data plane. Called at a fixed interval, so that each call is also a
+    /// liveness signal.
     fn update(&self, status: DataPlaneStatus);
 
-    /// Another configuration is being served.
+    /// Applies the BGP settings of another configuration.
     fn reconfigure(&self, bgp: &Bgp);
 
-    /// The process is shutting down: completes once no traffic is directed here any more, while this process still
-    /// serves.
+    /// Withdraws the addresses while this process still serves; completes once no traffic is directed to this
+    /// process anymore.
     fn withdraw(&self) -> Pin<Box<dyn Future<Output = ()>>>;
 
-    /// Ends the wait of [`Self::withdraw`] early.
+    /// Makes the wait of [`Self::withdraw`] end early.
     fn withdraw_now(&self);
 }
 
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// Endpoints are published with every such update even if no list has changed, as some may have warmed up meanwhile.
+/// The number of updates per update that includes the endpoints although no list has changed, because
+/// endpoints may have warmed up in the meantime.
 const UPDATES_PER_FULL_UPDATE: u32 = 10;
 
-/// The task that keeps the announcer informed.
+/// The task that publishes updates to the announcer.
 pub(super) struct Announcing {
     announcer: Rc<dyn AddressAnnouncer>,
     task: JoinHandle<()>,
@@ -41,12 +43,13 @@
 
 impl Announcing {
     pub fn start(announcer: Rc<dyn AddressAnnouncer>, current: &CurrentSnapshot) -> Announcing {
-        let (current, informed) = (Rc::clone(current), Rc::clone(&announcer));
-        let task = spawn_local(async move { publish_endpoints(&current, &*informed).await });
+        let (current, publish_target) = (Rc::clone(current), Rc::clone(&announcer));
+        let task = spawn_local(async move { publish_endpoints(&current, &*publish_target).await });
         Announcing { announcer, task }
     }
 
-    /// Has the addresses withdrawn while this process still serves. A further shutdown signal ends the wait early.
+    /// Withdraws the addresses while this process still serves. A further shutdown signal ends the wait
+    /// early.
     pub async fn stop(self, shutdown: &mut ShutdownSignal) {
         let mut withdrawn = self.announcer.withdraw();
         tokio::select! {
@@ -60,7 +63,7 @@
     }
 }
 
-/// Publishes the endpoints for as long as it is polled.
+/// Publishes updates for as long as it is polled.
 async fn publish_endpoints(current: &CurrentSnapshot, announcer: &dyn AddressAnnouncer) {
     let mut published_version = None;
     for update in 0u32.. {
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -1,6 +1,7 @@
-//! The standalone mode: listeners, routes and pools of one configuration file, reloaded without loss on SIGHUP.
+//! The standalone mode: listeners, routes and pools of one configuration file, reloaded on SIGHUP without
+//! losing requests.
 //!
-//! `serve` assembles the process; its parts are in the sibling modules.
+//! `serve` assembles the process from the parts in the submodules.
 
 mod announcer;
 mod operations;
@@ -36,23 +37,23 @@
 /// The snapshot that new requests are routed by.
 type CurrentSnapshot = Rc<RefCell<Rc<ServingSnapshot>>>;
 
-/// What a process in the standalone mode is started with.
+/// The start parameters of a process in the standalone mode.
 pub struct Options {
     /// The configuration that is served first.
     pub config: Config,
-    /// Seeds request ids and the random numbers of the decisions.
+    /// The seed of request ids and of the random numbers of the decisions.
     pub seed: u64,
-    /// Reads the configuration again on SIGHUP.
+    /// Loads the configuration on SIGHUP.
     pub load_config: LoadConfig,
-    /// Set where the configuration announces addresses.
+    /// The announcer; `None` if the configuration announces no addresses.
     pub announcer: Option<Rc<dyn AddressAnnouncer>>,
 }
 
-/// Serves a configuration until SIGTERM or SIGINT, then shuts down gracefully: every accepted request gets its answer.
-/// `on_started` gets the listeners' addresses.
+/// Serves a configuration until SIGTERM or SIGINT, then shuts down gracefully: every accepted request gets
+/// its response. `on_started` is called with the listeners' addresses.
 ///
 /// # Errors
-/// The process could not start.
+/// Returns an error if the process cannot start.
 pub fn run(options: Options, on_started: impl FnOnce(&[SocketAddr])) -> Result<(), StartError> {
     process::block_on(serve(options, on_started))
 }
@@ -77,8 +78,8 @@
     }
     let state_saver = StateSaver::start(&current);
     let serving = listeners.serve(max_downstream, |listener, index| {
-        let new_ids = RequestIdGenerator::new(seed, index);
-        Rc::new(ListenerRouter { current: Rc::clone(&current), listener, new_ids, keys: keys.clone() })
+        let id_generator = RequestIdGenerator::new(seed, index);
+        Rc::new(ListenerRouter { current: Rc::clone(&current), listener, id_generator, keys: keys.clone() })
     });
     let announcing = announcer.clone().map(|announcer| Announcing::start(announcer, &current));
     let reloader =
--- a/crates/proxy/src/standalone/operations.rs
+++ b/crates/proxy/src/standalone/operations.rs
@@ -1,4 +1,4 @@
-//! What operators see and do in the standalone mode.
+//! The operators' actions in the standalone mode.
 
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/proxy/src/standalone/reload.rs
+++ b/crates/proxy/src/standalone/reload.rs
@@ -41,7 +41,10 @@
         let previous = Rc::clone(&self.current.borrow());
         match self.load_compatible(&previous.config) {
             Ok(config) => self.replace(config, &previous),
-            Err(fault) => log_line(format_args!("configuration {} stays: {fault}", previous.version)),
+            Err(fault) => {
+                let version = previous.version;
+                log_line(format_args!("configuration reload failed, keeping version {version}: {fault}"));
+            }
         }
         let current = self.current.borrow();
         self.keys.set_limits(current.config.idempotency_keys);
@@ -50,11 +53,11 @@
         }
     }
 
-    /// Loads a configuration that a running process can change to.
+    /// Loads the configuration; rejects one that a running process cannot change to.
     fn load_compatible(&self, previous: &Config) -> Result<Config, String> {
         let config = (self.load_config)()?;
         match setting_that_needs_restart(previous, &config) {
-            Some(key) => Err(format!("another `{key}` takes a restart")),
+            Some(key) => Err(format!("a change of `{key}` requires a restart")),
             None => Ok(config),
         }
     }
@@ -67,11 +70,12 @@
         let routes = snapshot.config.table.routes().len();
         let pools = snapshot.config.pools.len();
         *self.current.borrow_mut() = Rc::new(snapshot);
-        log_line(format_args!("configuration {version}: {routes} routes, {pools} pools"));
+        log_line(format_args!("configuration reloaded: version {version}, {routes} routes, {pools} pools"));
     }
 }
 
-/// The first setting that differs and that a running process cannot change.
+/// The first setting that differs and cannot be changed in a running process; `None` if there is no such
+/// setting.
 fn setting_that_needs_restart(previous: &Config, next: &Config) -> Option<&'static str> {
     if previous.listeners != next.listeners {
         Some("server.listen")
@@ -90,7 +94,7 @@
     }
 }
 
-/// The addresses that the BGP speaker listens on: for sessions and for its API.
+/// The addresses that the BGP speaker listens on: for BGP sessions and for its API.
 fn bgp_addresses(bgp: &Option<Bgp>) -> Option<[Option<SocketAddr>; 2]> {
     bgp.as_ref().map(|bgp| [bgp.listen, bgp.api])
 }
--- a/crates/proxy/src/standalone/router.rs
+++ b/crates/proxy/src/standalone/router.rs
@@ -1,4 +1,4 @@
-//! Routing of the requests of one listener.
+//! Routing of the requests of one listener in the standalone mode.
 
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
 pub(super) struct ListenerRouter {
     pub current: CurrentSnapshot,
     pub listener: Listener,
-    pub new_ids: RequestIdGenerator,
+    pub id_generator: RequestIdGenerator,
     pub keys: KeyTable,
 }
 
@@ -55,7 +55,7 @@
     }
 
     fn generate_request_id(&self) -> Option<String> {
-        Some(self.new_ids.next())
+        Some(self.id_generator.next())
     }
 
     fn is_ready(&self) -> bool {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Rejects requests of tenants that the configuration does not have, where it has any.
+/// Rejects a request of an unknown tenant if the configuration has tenants.
 fn check_tenant(config: &Config, head: &Parts) -> Result<(), Rejection> {
     let Some(tenant) = single_header_value(&head.headers, TENANT_HEADER)? else { return Ok(()) };
     let is_known = config.tenants.is_empty() || config.tenants.iter().any(|known| known == tenant);
--- a/crates/proxy/src/standalone/state_saver.rs
+++ b/crates/proxy/src/standalone/state_saver.rs
@@ -1,4 +1,4 @@
-//! Saving of the learned state, for the next process.
+//! Saving of the learned state for the next process.
 
 use std::rc::Rc;
 
@@ -7,14 +7,15 @@
 use super::CurrentSnapshot;
 use crate::learned_state::{SavedState, StateWriter};
 
-/// Saves the learned state periodically and at the end.
+/// Saves the learned state periodically and at shutdown.
 pub(super) struct StateSaver {
     writer: Rc<StateWriter>,
     periodic: JoinHandle<()>,
 }
 
 impl StateSaver {
-    /// Imports the state saved by an earlier process and starts saving, where the configuration says so.
+    /// Imports the state saved by an earlier process and starts saving; `None` if the configuration does not
+    /// enable this.
     pub fn start(current: &CurrentSnapshot) -> Option<StateSaver> {
         let snapshot = Rc::clone(&current.borrow());
         let settings = snapshot.config.learned_state.as_ref()?;
@@ -29,7 +30,7 @@
         Some(StateSaver { writer, periodic })
     }
 
-    /// Saves for the last time.
+    /// Stops periodic saving and saves the state for the last time.
     pub async fn finish(self, current: &CurrentSnapshot) {
         self.periodic.abort();
         self.writer.write_last(learned_state(current).await).await;
--- a/crates/proxy/src/start_error.rs
+++ b/crates/proxy/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a process cannot start to serve.
+//! The errors that prevent a process from starting.
 
 use std::fmt;
 use std::io;
@@ -8,18 +8,18 @@
 use crate::inherited_socket::InheritedSocketError;
 use crate::platform::ConfigError;
 
-/// The reason that a process could not start.
+/// The reason that a process cannot start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The asynchronous runtime could not be created.
+    /// The asynchronous runtime cannot be created.
     Runtime(io::Error),
-    /// Signal handlers could not be installed.
+    /// A signal handler cannot be installed.
     Signals(io::Error),
-    /// An address cannot be listened on.
+    /// The process cannot listen on an address.
     Listen { address: SocketAddr, source: io::Error },
     /// The address of a bound socket cannot be read.
     LocalAddress(io::Error),
-    /// A listening socket that another process passed on cannot be used.
+    /// An inherited listening socket cannot be used.
     InheritedSocket(InheritedSocketError),
     /// The folder of the maintenance state cannot be created.
     OperatorsFolder { path: PathBuf, source: io::Error },
@@ -32,13 +32,15 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StartError::Runtime(source) => write!(f, "no runtime: {source}"),
-            StartError::Signals(source) => write!(f, "no signals: {source}"),
+            StartError::Runtime(source) => write!(f, "cannot create the asynchronous runtime: {source}"),
+            StartError::Signals(source) => write!(f, "cannot install a signal handler: {source}"),
             StartError::Listen { address, source } => write!(f, "cannot listen on {address}: {source}"),
-            StartError::LocalAddress(source) => write!(f, "cannot listen: {source}"),
+            StartError::LocalAddress(source) => {
+                write!(f, "cannot read the address of a listening socket: {source}")
+            }
             StartError::InheritedSocket(source) => source.fmt(f),
             StartError::OperatorsFolder { path, source } => {
-                write!(f, "[operators] {}: {source}", path.display())
+                write!(f, "[operators] cannot create the folder {}: {source}", path.display())
             }
             StartError::Gossip(message) => f.write_str(message),
             StartError::Config(source) => source.fmt(f),
--- a/tests/announce.rs
+++ b/tests/announce.rs
@@ -260,7 +260,7 @@
     let rest =
         peer(&stays, "") + &peer(&comes, "") + &address("2001:db8::1/128", "p") + &address(PREFIX, "p");
     proxy.reload(&config("", pools, &rest));
-    proxy.wait_for_log("configuration 2");
+    proxy.wait_for_log("configuration reloaded: version 2");
     assert_eq!(goes.wait_for_notification(place).1, (6, 3));
     comes.wait_for_announcement(0, PREFIX);
     let next_hop = "next_hop_v6 = \"2001:db8::9\"";
@@ -275,7 +275,7 @@
     // Without an address of that family at its own end, it is not announced there.
     assert!(status(&proxy)["peers"][0]["told"].as_array().is_some_and(Vec::is_empty));
     proxy.reload(&config("", pools, "[[bgp.address]]\nprefix = \"192.0.2.1/33\"\npools = [\"q\"]\n"));
-    proxy.wait_for_log("configuration 3 stays");
+    proxy.wait_for_log("configuration reload failed, keeping version 3");
     let log = proxy.log();
     assert!(log.contains("`prefix`: \"192.0.2.1/33\" is none"), "{log}");
 }
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -404,7 +404,7 @@
     client.send(&request(1, "close-round", json!({})));
     node.request();
     proxy.process.reload(&other.config());
-    proxy.process.wait_for_log("configuration 2:");
+    proxy.process.wait_for_log("configuration reloaded: version 2, ");
     assert_eq!(
         client.call(2, "close-round", json!({}))["result"],
         "new",
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -72,7 +72,7 @@
     send_requests(10, "b", "out");
     // The pool is replaced: its endpoint stays in maintenance.
     process.reload(&text.replace("\"b\"\nnodes", "\"b\"\nshare = 2\nnodes"));
-    process.wait_for_log("configuration 2");
+    process.wait_for_log("configuration reloaded: version 2");
     send_requests(10, "b", "reloaded");
     send_requests(5, "a", "other");
     assert_eq!(nodes.each_ref().map(|n| n.requests().len()), [5, 0, 20]);
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -519,7 +519,7 @@
     assert_eq!((old.request().0, old.request().0), (0, 0));
     // What can't be read changes nothing, and the program goes on.
     proxy.reload("{");
-    proxy.wait_for_log("old configuration");
+    proxy.wait_for_log("configuration reload failed, keeping the old configuration");
 
     let moved = MockDiscovery::new();
     let second = Setup::with_endpoints(&[&old]).config(moved.address);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -50,7 +50,7 @@
     old.request();
     assert_eq!(persistent.ask(&post("/new/1", "")).body, b"new");
     proxy.reload(&config(&[("new", &new)], ""));
-    proxy.wait_for_log("configuration 2: 1 routes, 1 pools");
+    proxy.wait_for_log("configuration reloaded: version 2, 1 routes, 1 pools");
     // No new request goes there, on open connections either.
     assert_eq!(proxy.request(&post("/old/3", "")).status(), 404);
     assert_eq!(persistent.ask(&post("/new/2", "")).body, b"new");
@@ -81,7 +81,7 @@
     }
     // Another setting of its class: a new pool.
     proxy.reload(&config(&[("same", &same)], "").replace("aim_ms = 8000", "aim_ms = 7000"));
-    proxy.wait_for_log("configuration 6: ");
+    proxy.wait_for_log("configuration reloaded: version 6, ");
     caller.ask(&post("/same/1", ""));
     assert_eq!(same.request().0, 1);
 }
@@ -94,14 +94,14 @@
     let good = good.replacen("\n\n[[class]]", "\nexpectations = [\"expect.toml\"]\n\n[[class]]", 1);
     let proxy = start_standalone(&good, &[("expect.toml", expect)]);
     let bad = [
-        ("[server]".to_owned(), "configuration 1 stays: "),
+        ("[server]".to_owned(), "configuration reload failed, keeping version 1: "),
         (
             good.replace("\"/p/*\"", "\"/q/*\""),
             "`p stays`: expected pool `p`, but it would be refused with 404",
         ),
         (
             good.replace("listen = [", "listen = [{ address = \"127.0.0.1:1\" }, "),
-            "another `server.listen` takes a restart",
+            "a change of `server.listen` requires a restart",
         ),
         (good.replace("pool = \"p\"\n", "pool = \"q\"\n"), "there is no pool `q` (there are `p`)"),
     ];
@@ -110,9 +110,14 @@
         proxy.wait_for_log(words);
         assert_eq!(proxy.request(&post("/p/1", "")).status(), 200, "{words}");
     }
-    assert_eq!(proxy.log().matches("configuration 1 stays: ").count(), bad.len(), "{}", proxy.log());
+    assert_eq!(
+        proxy.log().matches("configuration reload failed, keeping version 1: ").count(),
+        bad.len(),
+        "{}",
+        proxy.log()
+    );
     proxy.reload(&good);
-    proxy.wait_for_log("configuration 2: ");
+    proxy.wait_for_log("configuration reloaded: version 2, ");
 }
 
 /// A pool that stays, and one that changes its name and endpoint. Every third round starts both anew.
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -149,7 +149,7 @@
     // Without an endpoint in its zone a request is rejected, not sent to another zone.
     let text = std::fs::read_to_string(&proxy.path).expect("there");
     proxy.reload(&text.replace("zone = \"south\" }, {", "zone = \"south\", state = \"draining\" }, {"));
-    proxy.wait_for_log("configuration 2: ");
+    proxy.wait_for_log("configuration reloaded: version 2, ");
     assert_eq!(proxy.request(&post("/close", "")).status(), 503);
     assert_eq!(proxy.request(&post("/close", "x-zone: north\r\n")).body, b"north");
 }
@@ -172,10 +172,10 @@
     assert!((5..=27).contains(&count_b), "{count_b} of 60");
     // A smaller weight moves clients off that pool, and none onto it.
     proxy.reload(&config(LOOPBACK, &rest.replace("weight = 1 }", "weight = 0 }")));
-    proxy.wait_for_log("configuration 2: ");
+    proxy.wait_for_log("configuration reloaded: version 2, ");
     assert!(chosen_pools().iter().all(|s| *s == b'a'));
     proxy.reload(&config(LOOPBACK, &rest));
-    proxy.wait_for_log("configuration 3: ");
+    proxy.wait_for_log("configuration reloaded: version 3, ");
     assert_eq!(before, chosen_pools());
 }
 
@@ -197,15 +197,15 @@
     let draining = rest
         .replace(&format!("\"{}\"", main.address), &format!("\"{}\", state = \"draining\"", main.address));
     proxy.reload(&config(LOOPBACK, &draining));
-    proxy.wait_for_log("configuration 2: ");
+    proxy.wait_for_log("configuration reloaded: version 2, ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
     // A removed endpoint is not draining: the preferred pool rejects the request.
     let node = format!("{{ name = \"m\", address = \"{}\" }}", main.address);
     proxy.reload(&config(LOOPBACK, &rest.replace(&node, "")));
-    proxy.wait_for_log("configuration 3: ");
+    proxy.wait_for_log("configuration reloaded: version 3, ");
     assert_eq!(proxy.request(&get("/x", "")).status(), 503);
     proxy.reload(&config(LOOPBACK, &rest.replace(&node, "").replace("all-draining", "none-ready")));
-    proxy.wait_for_log("configuration 4: ");
+    proxy.wait_for_log("configuration reloaded: version 4, ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
 }
 
