--- a/crates/bgp/src/announce/mod.rs
+++ b/crates/bgp/src/announce/mod.rs
@@ -5,7 +5,7 @@
 //! penalty decays with a half-life (route flap damping). A withdrawal is never delayed.
 //!
 //! Inputs are the health of the process and of the pools, and the time in microseconds. Unknown health, such as a stale
-//! endpoint list, neither withdraws an address nor announces one. Bounded by [`MOST_ADDRESSES`].
+//! endpoint list, neither withdraws an address nor announces one. Bounded by [`MAX_ADDRESSES`].
 
 mod address;
 mod entry;
@@ -25,7 +25,7 @@
 pub use reason::StateReason;
 
 /// Addresses that one process announces at most.
-pub const MOST_ADDRESSES: usize = 1024;
+pub const MAX_ADDRESSES: usize = 1024;
 
 /// All addresses and their states.
 #[derive(Clone, Debug, Default)]
@@ -39,7 +39,7 @@
     /// Sets the addresses. Those that were there before keep their state.
     pub fn set(&mut self, now: Micros, addresses: &[Address]) {
         self.entries.retain(|prefix, _| addresses.iter().any(|address| address.prefix == *prefix));
-        for address in addresses.iter().take(MOST_ADDRESSES) {
+        for address in addresses.iter().take(MAX_ADDRESSES) {
             let entry =
                 self.entries.entry(address.prefix).or_insert_with(|| Entry::new(now, address.clone()));
             entry.address = address.clone();
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use announce::{
     Address, AddressView, AnnouncementLevel, Announcer, Damping, EndpointHealth, PoolHealth, ProcessHealth,
-    StateReason, Thresholds, MOST_ADDRESSES,
+    StateReason, Thresholds, MAX_ADDRESSES,
 };
 pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
 pub use health_check::{HealthCheckSettings, HealthChecker};
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -33,9 +33,9 @@
         sections: &[AddressFile],
         pools: &NameIndex,
     ) -> Vec<bgp::Address> {
-        if sections.len() > bgp::MOST_ADDRESSES {
-            let message = format!("{} addresses are more than {}", sections.len(), bgp::MOST_ADDRESSES);
-            self.report(sections[bgp::MOST_ADDRESSES].prefix.span(), message, None);
+        if sections.len() > bgp::MAX_ADDRESSES {
+            let message = format!("{} addresses are more than {}", sections.len(), bgp::MAX_ADDRESSES);
+            self.report(sections[bgp::MAX_ADDRESSES].prefix.span(), message, None);
         }
         let mut addresses: Vec<bgp::Address> = Vec::new();
         for section in sections {
