--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use bgp::{frame, Kind, Notification, HEADER, MOST_MESSAGE};
+use bgp::{frame, Kind, Notification, HEADER, MAX_MESSAGE_LENGTH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpSocket, TcpStream};
@@ -80,7 +80,7 @@
 
 async fn read_messages(reader: &mut OwnedReadHalf, report: &impl AsyncFn(ConnectionEvent)) {
     let mut header = [0; HEADER];
-    let mut body = vec![0; MOST_MESSAGE - HEADER];
+    let mut body = vec![0; MAX_MESSAGE_LENGTH - HEADER];
     loop {
         if reader.read_exact(&mut header).await.is_err() {
             return report(ConnectionEvent::Closed).await;
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -5,7 +5,7 @@
 /// The length of a header in octets.
 pub const HEADER: usize = 19;
 /// The largest message in octets. The extended messages of RFC 8654 are not negotiated.
-pub const MOST_MESSAGE: usize = 4096;
+pub const MAX_MESSAGE_LENGTH: usize = 4096;
 /// The longest shutdown text in octets (RFC 9003); longer ones are truncated.
 const MAX_SHUTDOWN_TEXT: usize = 255;
 
@@ -30,15 +30,15 @@
     }
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
     let (kind, min_length, max_length) = match header[18] {
-        1 => (Kind::Open, 29, MOST_MESSAGE),
-        2 => (Kind::Update, 23, MOST_MESSAGE),
-        3 => (Kind::Notification, 21, MOST_MESSAGE),
+        1 => (Kind::Open, 29, MAX_MESSAGE_LENGTH),
+        2 => (Kind::Update, 23, MAX_MESSAGE_LENGTH),
+        3 => (Kind::Notification, 21, MAX_MESSAGE_LENGTH),
         4 => (Kind::Keepalive, HEADER, HEADER),
         5 => (Kind::RouteRefresh, 23, 23),
-        other if (HEADER..=MOST_MESSAGE).contains(&length) => {
+        other if (HEADER..=MAX_MESSAGE_LENGTH).contains(&length) => {
             return Err(Notification::new(1, 3, &[other]));
         }
-        _ => (Kind::Open, HEADER, MOST_MESSAGE),
+        _ => (Kind::Open, HEADER, MAX_MESSAGE_LENGTH),
     };
     if !(min_length..=max_length).contains(&length) {
         return Err(Notification::new(1, 2, &header[16..18]));
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -20,12 +20,12 @@
 use netgauze_iana::address_family::AddressType;
 use netgauze_parse_utils::WritablePdu;
 
-use crate::message::{Notification, HEADER, MOST_MESSAGE};
+use crate::message::{Notification, HEADER, MAX_MESSAGE_LENGTH};
 use crate::table::{Attributes, Speaker};
 
 /// The two-octet AS number that stands in for one of four octets (RFC 6793).
 const AS_TRANS: u16 = 23456;
-/// Prefixes a message at most, so that it stays within [`MOST_MESSAGE`] with the largest attributes.
+/// Prefixes a message at most, so that it stays within [`MAX_MESSAGE_LENGTH`] with the largest attributes.
 const MAX_PREFIXES_V4: usize = 500;
 const MAX_PREFIXES_V6: usize = 150;
 
@@ -33,7 +33,7 @@
     let mut octets = Vec::with_capacity(message.len());
     // Writing to memory fails only for a message that is too long, and prefixes are split over messages.
     let written = message.write(&mut octets);
-    debug_assert!(written.is_ok() && octets.len() <= MOST_MESSAGE);
+    debug_assert!(written.is_ok() && octets.len() <= MAX_MESSAGE_LENGTH);
     octets
 }
 
@@ -61,7 +61,7 @@
 /// A NOTIFICATION; data that does not fit is truncated.
 #[must_use]
 pub fn notification(notification: &Notification) -> Vec<u8> {
-    let data = &notification.data[..notification.data.len().min(MOST_MESSAGE - HEADER - 2)];
+    let data = &notification.data[..notification.data.len().min(MAX_MESSAGE_LENGTH - HEADER - 2)];
     let mut octets = vec![0xff; 16];
     octets.extend(((HEADER + 2 + data.len()) as u16).to_be_bytes());
     octets.extend([3, notification.code, notification.subcode]);
