--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use bgp::{frame, Kind, Notification, HEADER, MAX_MESSAGE_LENGTH};
+use bgp::{frame, Kind, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpSocket, TcpStream};
@@ -79,8 +79,8 @@
 }
 
 async fn read_messages(reader: &mut OwnedReadHalf, report: &impl AsyncFn(ConnectionEvent)) {
-    let mut header = [0; HEADER];
-    let mut body = vec![0; MAX_MESSAGE_LENGTH - HEADER];
+    let mut header = [0; HEADER_LENGTH];
+    let mut body = vec![0; MAX_MESSAGE_LENGTH - HEADER_LENGTH];
     loop {
         if reader.read_exact(&mut header).await.is_err() {
             return report(ConnectionEvent::Closed).await;
@@ -89,7 +89,7 @@
             Ok(framed) => framed,
             Err(notification) => return report(ConnectionEvent::Malformed(notification)).await,
         };
-        let body = &mut body[..length - HEADER];
+        let body = &mut body[..length - HEADER_LENGTH];
         if reader.read_exact(body).await.is_err() {
             return report(ConnectionEvent::Closed).await;
         }
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// The length of a header in octets.
-pub const HEADER: usize = 19;
+pub const HEADER_LENGTH: usize = 19;
 /// The largest message in octets. The extended messages of RFC 8654 are not negotiated.
 pub const MAX_MESSAGE_LENGTH: usize = 4096;
 /// The longest shutdown text in octets (RFC 9003); longer ones are truncated.
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// The NOTIFICATION to send before the connection is closed.
-pub fn frame(header: &[u8; HEADER]) -> Result<(usize, Kind), Notification> {
+pub fn frame(header: &[u8; HEADER_LENGTH]) -> Result<(usize, Kind), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
         return Err(Notification::new(1, 1, &[]));
     }
@@ -33,12 +33,12 @@
         1 => (Kind::Open, 29, MAX_MESSAGE_LENGTH),
         2 => (Kind::Update, 23, MAX_MESSAGE_LENGTH),
         3 => (Kind::Notification, 21, MAX_MESSAGE_LENGTH),
-        4 => (Kind::Keepalive, HEADER, HEADER),
+        4 => (Kind::Keepalive, HEADER_LENGTH, HEADER_LENGTH),
         5 => (Kind::RouteRefresh, 23, 23),
-        other if (HEADER..=MAX_MESSAGE_LENGTH).contains(&length) => {
+        other if (HEADER_LENGTH..=MAX_MESSAGE_LENGTH).contains(&length) => {
             return Err(Notification::new(1, 3, &[other]));
         }
-        _ => (Kind::Open, HEADER, MAX_MESSAGE_LENGTH),
+        _ => (Kind::Open, HEADER_LENGTH, MAX_MESSAGE_LENGTH),
     };
     if !(min_length..=max_length).contains(&length) {
         return Err(Notification::new(1, 2, &header[16..18]));
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -20,7 +20,7 @@
 use netgauze_iana::address_family::AddressType;
 use netgauze_parse_utils::WritablePdu;
 
-use crate::message::{Notification, HEADER, MAX_MESSAGE_LENGTH};
+use crate::message::{Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use crate::table::{Attributes, Speaker};
 
 /// The two-octet AS number that stands in for one of four octets (RFC 6793).
@@ -61,9 +61,9 @@
 /// A NOTIFICATION; data that does not fit is truncated.
 #[must_use]
 pub fn notification(notification: &Notification) -> Vec<u8> {
-    let data = &notification.data[..notification.data.len().min(MAX_MESSAGE_LENGTH - HEADER - 2)];
+    let data = &notification.data[..notification.data.len().min(MAX_MESSAGE_LENGTH - HEADER_LENGTH - 2)];
     let mut octets = vec![0xff; 16];
-    octets.extend(((HEADER + 2 + data.len()) as u16).to_be_bytes());
+    octets.extend(((HEADER_LENGTH + 2 + data.len()) as u16).to_be_bytes());
     octets.extend([3, notification.code, notification.subcode]);
     octets.extend_from_slice(data);
     octets
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use bgp::{
     frame, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin, Peer,
-    PeerAction, PeerSettings, PrefixCounts, State, HEADER, SECOND,
+    PeerAction, PeerSettings, PrefixCounts, State, HEADER_LENGTH, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -143,10 +143,10 @@
                 }
                 match what {
                     Some(octets) => {
-                        let header: &[u8; HEADER] = octets.first_chunk().expect("a header");
+                        let header: &[u8; HEADER_LENGTH] = octets.first_chunk().expect("a header");
                         match frame(header) {
                             Ok((_, kind)) => {
-                                self.give(who, Input::Message(direction, kind, &octets[HEADER..]))
+                                self.give(who, Input::Message(direction, kind, &octets[HEADER_LENGTH..]))
                             }
                             Err(why) => self.give(who, Input::HeaderError(direction, why)),
                         }
@@ -226,7 +226,7 @@
             let second = if first == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             let octets = open(64513, [10, 0, 0, 2]);
             for direction in [first, second] {
-                alone.give(0, Input::Message(direction, bgp::Kind::Open, &octets[HEADER..]));
+                alone.give(0, Input::Message(direction, bgp::Kind::Open, &octets[HEADER_LENGTH..]));
             }
             assert_eq!(alone.notified(), Some((6, 7)));
             let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, PeerAction::Close(_))).collect();
@@ -335,7 +335,7 @@
 
     fn message(&mut self, now: Micros, whole: &[u8]) {
         let (_, kind) = frame(whole.first_chunk().expect("a header")).expect("sound");
-        self.give(now, Input::Message(Direction::Outbound, kind, &whole[HEADER..]));
+        self.give(now, Input::Message(Direction::Outbound, kind, &whole[HEADER_LENGTH..]));
     }
 
     fn notified(&self) -> Option<(u8, u8)> {
@@ -395,7 +395,7 @@
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
         let (_, kind) = frame(octets.first_chunk().expect("a header")).expect("sound");
-        alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER..]));
+        alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER_LENGTH..]));
     }
     assert_eq!(alone.peer.view().state, State::Established);
     assert!(!alone.peer.accepts_inbound(0));
