--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use bgp::{frame, Kind, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
+use bgp::{frame, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpSocket, TcpStream};
@@ -26,7 +26,7 @@
 /// What a connection reports.
 pub enum ConnectionEvent {
     /// A message, without its header.
-    Message(Kind, Vec<u8>),
+    Message(MessageType, Vec<u8>),
     /// A header that is not valid, with the NOTIFICATION that answers it.
     Malformed(Notification),
     /// The connection has ended.
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -12,7 +12,7 @@
 /// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum MessageType {
     Open,
     Update,
     Notification,
@@ -24,21 +24,21 @@
 ///
 /// # Errors
 /// The NOTIFICATION to send before the connection is closed.
-pub fn frame(header: &[u8; HEADER_LENGTH]) -> Result<(usize, Kind), Notification> {
+pub fn frame(header: &[u8; HEADER_LENGTH]) -> Result<(usize, MessageType), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
         return Err(Notification::new(1, 1, &[]));
     }
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
     let (kind, min_length, max_length) = match header[18] {
-        1 => (Kind::Open, 29, MAX_MESSAGE_LENGTH),
-        2 => (Kind::Update, 23, MAX_MESSAGE_LENGTH),
-        3 => (Kind::Notification, 21, MAX_MESSAGE_LENGTH),
-        4 => (Kind::Keepalive, HEADER_LENGTH, HEADER_LENGTH),
-        5 => (Kind::RouteRefresh, 23, 23),
+        1 => (MessageType::Open, 29, MAX_MESSAGE_LENGTH),
+        2 => (MessageType::Update, 23, MAX_MESSAGE_LENGTH),
+        3 => (MessageType::Notification, 21, MAX_MESSAGE_LENGTH),
+        4 => (MessageType::Keepalive, HEADER_LENGTH, HEADER_LENGTH),
+        5 => (MessageType::RouteRefresh, 23, 23),
         other if (HEADER_LENGTH..=MAX_MESSAGE_LENGTH).contains(&length) => {
             return Err(Notification::new(1, 3, &[other]));
         }
-        _ => (Kind::Open, HEADER_LENGTH, MAX_MESSAGE_LENGTH),
+        _ => (MessageType::Open, HEADER_LENGTH, MAX_MESSAGE_LENGTH),
     };
     if !(min_length..=max_length).contains(&length) {
         return Err(Notification::new(1, 2, &header[16..18]));
--- a/crates/bgp/src/peer/interface.rs
+++ b/crates/bgp/src/peer/interface.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 use crate::machine::MachineSettings;
-use crate::message::{Kind, Notification};
+use crate::message::{MessageType, Notification};
 
 /// Who opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// A TCP connection could not be established, or has ended.
     Failed(Direction),
     /// A message, without its header.
-    Message(Direction, Kind, &'a [u8]),
+    Message(Direction, MessageType, &'a [u8]),
     /// An invalid message header, with the NOTIFICATION that answers it.
     HeaderError(Direction, Notification),
 }
--- a/crates/bgp/src/peer/receive.rs
+++ b/crates/bgp/src/peer/receive.rs
@@ -2,7 +2,7 @@
 
 use super::{Direction, NotificationOrigin, NotificationRecord, Peer, PeerAction};
 use crate::machine::{Event, State};
-use crate::message::{Kind, Notification};
+use crate::message::{MessageType, Notification};
 use crate::open::Open;
 use crate::update::scan;
 use crate::Micros;
@@ -21,24 +21,24 @@
         &mut self,
         now: Micros,
         direction: Direction,
-        kind: Kind,
+        kind: MessageType,
         body: &[u8],
         out: &mut Vec<PeerAction>,
     ) {
         match kind {
-            Kind::Open => match Open::read(body).and_then(|open| self.validate(open)) {
+            MessageType::Open => match Open::read(body).and_then(|open| self.validate(open)) {
                 Ok(open) => self.on_open(now, direction, open, out),
                 Err(notification) => {
                     self.handle_event(now, direction, Event::OpenError(notification), out);
                 }
             },
-            Kind::Keepalive => {
+            MessageType::Keepalive => {
                 self.received.keepalives += 1;
                 self.handle_event(now, direction, Event::KeepaliveReceived, out);
             }
-            Kind::Notification => self.on_notification(now, direction, body, out),
-            Kind::Update => self.on_update(now, direction, body, out),
-            Kind::RouteRefresh => self.on_route_refresh(now, direction, body, out),
+            MessageType::Notification => self.on_notification(now, direction, body, out),
+            MessageType::Update => self.on_update(now, direction, body, out),
+            MessageType::RouteRefresh => self.on_route_refresh(now, direction, body, out),
         }
     }
 
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 
 use bgp::{
-    frame, notification, scan, Attributes, Kind, Notification, Open, SessionParameters, Speaker, Table,
+    frame, notification, scan, Attributes, MessageType, Notification, Open, SessionParameters, Speaker, Table,
 };
 use proptest::prelude::*;
 use testkit::bgp_router::{self, BgpMessage};
@@ -53,9 +53,9 @@
         header[18] = kind;
         header
     };
-    assert_eq!(frame(&header(19, 4)), Ok((19, Kind::Keepalive)));
-    assert_eq!(frame(&header(4096, 2)), Ok((4096, Kind::Update)));
-    assert_eq!(frame(&header(23, 5)), Ok((23, Kind::RouteRefresh)));
+    assert_eq!(frame(&header(19, 4)), Ok((19, MessageType::Keepalive)));
+    assert_eq!(frame(&header(4096, 2)), Ok((4096, MessageType::Update)));
+    assert_eq!(frame(&header(23, 5)), Ok((23, MessageType::RouteRefresh)));
     for marked in 0..16 {
         let mut wrong = header(19, 4);
         wrong[marked] = 0xfe;
@@ -296,7 +296,7 @@
         let mut announced = Vec::new();
         let read = |message: &Vec<u8>| {
             let header = message[..19].try_into().expect("a header");
-            assert_eq!(frame(header), Ok((message.len(), Kind::Update)));
+            assert_eq!(frame(header), Ok((message.len(), MessageType::Update)));
             let seen = scan(&message[19..], &session).expect("sound");
             assert!(!seen.treated_as_withdraw && seen.discarded == 0);
             let BgpMessage::Routes(routes) = bgp_router::decode(message, wide) else { panic!("an UPDATE") };
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -226,13 +226,13 @@
             let second = if first == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             let octets = open(64513, [10, 0, 0, 2]);
             for direction in [first, second] {
-                alone.give(0, Input::Message(direction, bgp::Kind::Open, &octets[HEADER_LENGTH..]));
+                alone.give(0, Input::Message(direction, bgp::MessageType::Open, &octets[HEADER_LENGTH..]));
             }
             assert_eq!(alone.notified(), Some((6, 7)));
             let closed: Vec<_> = alone.out.iter().filter(|d| matches!(d, PeerAction::Close(_))).collect();
             let lost = if kept == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             assert_eq!(closed, [&PeerAction::Close(lost)], "{id:?}, first {first:?}");
-            alone.give(0, Input::Message(kept, bgp::Kind::Keepalive, &[]));
+            alone.give(0, Input::Message(kept, bgp::MessageType::Keepalive, &[]));
             assert_eq!(alone.peer.view().state, State::Established);
         }
     }
