--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use bgp::{frame, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
+use bgp::{parse_header, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpSocket, TcpStream};
@@ -85,7 +85,7 @@
         if reader.read_exact(&mut header).await.is_err() {
             return report(ConnectionEvent::Closed).await;
         }
-        let (length, kind) = match frame(&header) {
+        let (length, kind) = match parse_header(&header) {
             Ok(framed) => framed,
             Err(notification) => return report(ConnectionEvent::Malformed(notification)).await,
         };
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -25,7 +25,7 @@
 pub use data_plane::{DataPlaneStatus, ListedEndpoint, PoolEndpointList};
 pub use health_check::{HealthCheckSettings, HealthChecker};
 pub use machine::{Action, Event, Machine, MachineSettings, State, Timer};
-pub use message::{frame, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
+pub use message::{parse_header, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use open::Open;
 pub use peer::{
     Counts, Direction, Input, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// The NOTIFICATION to send before the connection is closed.
-pub fn frame(header: &[u8; HEADER_LENGTH]) -> Result<(usize, MessageType), Notification> {
+pub fn parse_header(header: &[u8; HEADER_LENGTH]) -> Result<(usize, MessageType), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
         return Err(Notification::new(1, 1, &[]));
     }
@@ -85,7 +85,7 @@
         Notification { code: 6, subcode, data }
     }
 
-    /// Reads the body of a NOTIFICATION. [`frame`] ensures that it has at least two octets.
+    /// Reads the body of a NOTIFICATION. [`parse_header`] ensures that it has at least two octets.
     #[must_use]
     pub fn read(body: &[u8]) -> Notification {
         let at = |i: usize| body.get(i).copied().unwrap_or(0);
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -4,7 +4,8 @@
 use std::net::IpAddr;
 
 use bgp::{
-    frame, notification, scan, Attributes, MessageType, Notification, Open, SessionParameters, Speaker, Table,
+    notification, parse_header, scan, Attributes, MessageType, Notification, Open, SessionParameters,
+    Speaker, Table,
 };
 use proptest::prelude::*;
 use testkit::bgp_router::{self, BgpMessage};
@@ -53,22 +54,26 @@
         header[18] = kind;
         header
     };
-    assert_eq!(frame(&header(19, 4)), Ok((19, MessageType::Keepalive)));
-    assert_eq!(frame(&header(4096, 2)), Ok((4096, MessageType::Update)));
-    assert_eq!(frame(&header(23, 5)), Ok((23, MessageType::RouteRefresh)));
+    assert_eq!(parse_header(&header(19, 4)), Ok((19, MessageType::Keepalive)));
+    assert_eq!(parse_header(&header(4096, 2)), Ok((4096, MessageType::Update)));
+    assert_eq!(parse_header(&header(23, 5)), Ok((23, MessageType::RouteRefresh)));
     for marked in 0..16 {
         let mut wrong = header(19, 4);
         wrong[marked] = 0xfe;
-        assert_eq!(frame(&wrong), Err(Notification::new(1, 1, &[])));
+        assert_eq!(parse_header(&wrong), Err(Notification::new(1, 1, &[])));
     }
     let lengths =
         [(0, 4), (18, 4), (20, 4), (4097, 2), (65535, 2), (28, 1), (22, 2), (20, 3), (22, 5), (24, 5)];
     for (length, kind) in lengths {
         let data = u16::to_be_bytes(length);
-        assert_eq!(frame(&header(length, kind)), Err(Notification::new(1, 2, &data)), "{length} of {kind}");
+        assert_eq!(
+            parse_header(&header(length, kind)),
+            Err(Notification::new(1, 2, &data)),
+            "{length} of {kind}"
+        );
     }
     for kind in [0, 6, 255] {
-        assert_eq!(frame(&header(19, kind)), Err(Notification::new(1, 3, &[kind])));
+        assert_eq!(parse_header(&header(19, kind)), Err(Notification::new(1, 3, &[kind])));
     }
 }
 
@@ -296,7 +301,7 @@
         let mut announced = Vec::new();
         let read = |message: &Vec<u8>| {
             let header = message[..19].try_into().expect("a header");
-            assert_eq!(frame(header), Ok((message.len(), MessageType::Update)));
+            assert_eq!(parse_header(header), Ok((message.len(), MessageType::Update)));
             let seen = scan(&message[19..], &session).expect("sound");
             assert!(!seen.treated_as_withdraw && seen.discarded == 0);
             let BgpMessage::Routes(routes) = bgp_router::decode(message, wide) else { panic!("an UPDATE") };
@@ -334,7 +339,7 @@
         let _ = Open::read(&octets);
         let _ = Notification::read(&octets).to_string();
         if let Some(header) = octets.first_chunk() {
-            let _ = frame(header);
+            let _ = parse_header(header);
         }
     }
 
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bgp::{
-    frame, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin, Peer,
-    PeerAction, PeerSettings, PrefixCounts, State, HEADER_LENGTH, SECOND,
+    parse_header, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin,
+    Peer, PeerAction, PeerSettings, PrefixCounts, State, HEADER_LENGTH, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -144,7 +144,7 @@
                 match what {
                     Some(octets) => {
                         let header: &[u8; HEADER_LENGTH] = octets.first_chunk().expect("a header");
-                        match frame(header) {
+                        match parse_header(header) {
                             Ok((_, kind)) => {
                                 self.give(who, Input::Message(direction, kind, &octets[HEADER_LENGTH..]))
                             }
@@ -334,7 +334,7 @@
     }
 
     fn message(&mut self, now: Micros, whole: &[u8]) {
-        let (_, kind) = frame(whole.first_chunk().expect("a header")).expect("sound");
+        let (_, kind) = parse_header(whole.first_chunk().expect("a header")).expect("sound");
         self.give(now, Input::Message(Direction::Outbound, kind, &whole[HEADER_LENGTH..]));
     }
 
@@ -394,7 +394,7 @@
         alone.give(0, Input::Connected(Direction::Inbound, local));
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
-        let (_, kind) = frame(octets.first_chunk().expect("a header")).expect("sound");
+        let (_, kind) = parse_header(octets.first_chunk().expect("a header")).expect("sound");
         alone.give(0, Input::Message(Direction::Inbound, kind, &octets[HEADER_LENGTH..]));
     }
     assert_eq!(alone.peer.view().state, State::Established);
