--- a/crates/bgp/src/announce/address.rs
+++ b/crates/bgp/src/announce/address.rs
@@ -25,7 +25,7 @@
     /// The hold-up time: ready without a break for this long before the address is announced.
     pub hold_up: Micros,
     /// The longest hold-up time after flaps.
-    pub most: Micros,
+    pub max_hold_up: Micros,
     /// The half-life of the penalty of flaps.
     pub half_life: Micros,
 }
--- a/crates/bgp/src/announce/entry.rs
+++ b/crates/bgp/src/announce/entry.rs
@@ -205,9 +205,9 @@
     }
 
     fn add_penalty(&mut self, now: Micros) {
-        let Damping { hold_up, most, .. } = self.address.damping;
+        let Damping { hold_up, max_hold_up, .. } = self.address.damping;
         // A larger penalty than the longest hold-up time needs would only take longer to decay.
-        let penalty_of_longest = (most.max(1) as f64 / hold_up.max(1) as f64).log2().max(0.0);
+        let penalty_of_longest = (max_hold_up.max(1) as f64 / hold_up.max(1) as f64).log2().max(0.0);
         let max_penalty = penalty_of_longest + FLAP_PENALTY;
         self.penalty = (self.penalty(now) + FLAP_PENALTY).min(max_penalty);
         self.penalty_at = now;
@@ -215,8 +215,8 @@
 
     /// The hold-up time that applies now.
     fn hold_up(&self, now: Micros) -> Micros {
-        let Damping { hold_up, most, .. } = self.address.damping;
+        let Damping { hold_up, max_hold_up, .. } = self.address.damping;
         let grown = hold_up as f64 * self.penalty(now).exp2();
-        (grown as Micros).min(most).max(hold_up)
+        (grown as Micros).min(max_hold_up).max(hold_up)
     }
 }
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1000;
 const WELL: ProcessHealth = ProcessHealth { accepting: true, alive: true, memory_full: false };
-const DAMPING: Damping = Damping { hold_up: 5 * SECOND, most: 60 * SECOND, half_life: 60 * SECOND };
+const DAMPING: Damping = Damping { hold_up: 5 * SECOND, max_hold_up: 60 * SECOND, half_life: 60 * SECOND };
 
 fn address(pools: &[&str]) -> Address {
     Address {
@@ -289,12 +289,12 @@
         // Every few hundred milliseconds: quicker than any hold-up, so nothing is announced at all.
         let (last, announced, mut site) = flapping(seed, 100 * MS, 500 * MS);
         assert_eq!(announced.len(), 0, "seed {seed}");
-        site.until(last + DAMPING.most);
+        site.until(last + DAMPING.max_hold_up);
         assert_eq!(site.level(), AnnouncementLevel::Normal, "seed {seed}");
         // Just slower than the hold-up, the worst there is: each flap makes the next hold-up longer.
         let (last, announced, mut site) = flapping(seed, 5 * SECOND, 12 * SECOND);
         assert!(announced.len() <= 3, "seed {seed}: {announced:?}");
-        site.until(last + DAMPING.most);
+        site.until(last + DAMPING.max_hold_up);
         assert_eq!(site.level(), AnnouncementLevel::Normal, "seed {seed}");
     }
 }
@@ -355,7 +355,7 @@
                 broken_at = site.now;
             }
             let view = site.announcer.views(site.now).next().expect("one");
-            assert!(view.hold_up >= DAMPING.hold_up && view.hold_up <= DAMPING.most);
+            assert!(view.hold_up >= DAMPING.hold_up && view.hold_up <= DAMPING.max_hold_up);
             if view.level == AnnouncementLevel::Normal && before == AnnouncementLevel::Withdrawn {
                 assert!(site.now - broken_at >= DAMPING.hold_up, "seed {seed}");
             }
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -100,8 +100,8 @@
 
 fn address(policy: Policy) -> Address {
     let damping = match policy {
-        Policy::Calm => Damping { hold_up: 5 * SECOND, most: 120 * SECOND, half_life: 60 * SECOND },
-        _ => Damping { hold_up: 1, most: 1, half_life: 1 },
+        Policy::Calm => Damping { hold_up: 5 * SECOND, max_hold_up: 120 * SECOND, half_life: 60 * SECOND },
+        _ => Damping { hold_up: 1, max_hold_up: 1, half_life: 1 },
     };
     Address {
         prefix: "192.0.2.1/32".parse().expect("a prefix"),
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -126,7 +126,7 @@
         let hold_up = duration("hold_up_ms", &section.hold_up_ms, DEFAULT_HOLD_UP_MS);
         let max_hold_up = duration("hold_up_most_ms", &section.hold_up_most_ms, DEFAULT_MAX_HOLD_UP_MS);
         let half_life = duration("half_life_ms", &section.half_life_ms, DEFAULT_HALF_LIFE_MS);
-        bgp::Damping { hold_up, most: max_hold_up.max(hold_up), half_life }
+        bgp::Damping { hold_up, max_hold_up: max_hold_up.max(hold_up), half_life }
     }
 
     /// The attributes with which a degraded address is announced.
--- a/crates/config/tests/bgp.rs
+++ b/crates/config/tests/bgp.rs
@@ -63,7 +63,7 @@
     assert_eq!(address.attributes.communities, [64512 << 16 | 100]);
     assert_eq!((address.degraded.med, address.degraded.prepend), (Some(200), 3));
     assert_eq!(address.degraded.communities, address.attributes.communities);
-    assert_eq!((address.damping.hold_up, address.damping.most), (5_000_000, 120_000_000));
+    assert_eq!((address.damping.hold_up, address.damping.max_hold_up), (5_000_000, 120_000_000));
     assert_eq!((bgp.peers[0].settings.hold_s, bgp.peers[0].settings.peer_asn), (9, 65001));
 }
 
