--- a/crates/bgp/src/announce/address.rs
+++ b/crates/bgp/src/announce/address.rs
@@ -16,7 +16,7 @@
     /// Announced as degraded if less than this part is available; at least `withdraw`. Never with 0.
     pub degrade: f64,
     /// The least number of endpoints, to announce and not to withdraw.
-    pub least_nodes: usize,
+    pub min_endpoints: usize,
 }
 
 /// Route flap damping, with times in microseconds.
--- a/crates/bgp/src/announce/health.rs
+++ b/crates/bgp/src/announce/health.rs
@@ -111,7 +111,7 @@
     let available = Capacity::of(endpoints.iter().filter(is_available));
     let confirmed = Capacity::of(endpoints.iter().filter(is_confirmed));
     let available_fraction = available.fraction_of(total);
-    let least_endpoints = thresholds.least_nodes.max(1);
+    let least_endpoints = thresholds.min_endpoints.max(1);
     let suffices = |capacity: Capacity, least_fraction: f64| {
         capacity.fraction_of(total) >= least_fraction && capacity.count >= least_endpoints
     };
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -15,7 +15,7 @@
     Address {
         prefix: "192.0.2.1/32".parse().expect("a prefix"),
         pools: pools.iter().map(|p| (*p).to_owned()).collect(),
-        thresholds: Thresholds { announce: 0.5, withdraw: 0.3, degrade: 0.8, least_nodes: 1 },
+        thresholds: Thresholds { announce: 0.5, withdraw: 0.3, degrade: 0.8, min_endpoints: 1 },
         damping: DAMPING,
         attributes: Attributes { med: Some(10), ..Attributes::default() },
         degraded: Attributes { med: Some(100), prepend: 2, ..Attributes::default() },
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -106,7 +106,7 @@
     Address {
         prefix: "192.0.2.1/32".parse().expect("a prefix"),
         pools: vec!["p".to_owned()],
-        thresholds: Thresholds { announce: 0.5, withdraw: 0.25, degrade: 0.0, least_nodes: 1 },
+        thresholds: Thresholds { announce: 0.5, withdraw: 0.25, degrade: 0.0, min_endpoints: 1 },
         damping,
         attributes: Attributes::default(),
         degraded: Attributes::default(),
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -72,7 +72,7 @@
             ..bgp::Attributes::default()
         };
         let degraded = self.degraded(section, &attributes);
-        thresholds.least_nodes = self.bounded("least_nodes", &section.least_nodes, 1, MAX_LEAST_NODES);
+        thresholds.min_endpoints = self.bounded("least_nodes", &section.least_nodes, 1, MAX_LEAST_NODES);
         let pools = section.pools.get_ref().iter().map(|pool| pool.get_ref().clone()).collect();
         Some(bgp::Address { prefix: prefix?, pools, thresholds, damping, attributes, degraded })
     }
@@ -89,7 +89,7 @@
             let message = format!("`withdraw_share`: {withdraw} is more than `announce_share`, {announce}");
             self.report(span, message, Some(help));
         }
-        bgp::Thresholds { announce, withdraw, degrade, least_nodes: 1 }
+        bgp::Thresholds { announce, withdraw, degrade, min_endpoints: 1 }
     }
 
     fn share(&mut self, key: &str, value: &Option<Spanned<f64>>, default: f64) -> f64 {
