--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -251,7 +251,7 @@
             return;
         }
         for view in self.announcer.views(now).filter(|view| view.since == now) {
-            (self.log)(&format!("bgp: {} {}: {}", view.prefix, view.level.name(), view.why));
+            (self.log)(&format!("bgp: {} {}: {}", view.prefix, view.level.name(), view.reason));
         }
         self.sessions.announce(&self.announcer.wanted());
     }
--- a/crates/bgp-speaker/src/status.rs
+++ b/crates/bgp-speaker/src/status.rs
@@ -148,7 +148,7 @@
     AddressStatus {
         prefix: view.prefix.to_string(),
         state: view.level.name(),
-        reason: view.why.to_string(),
+        reason: view.reason.to_string(),
         for_s: seconds(now - view.since),
         flaps: view.flaps,
         hold_up_s: seconds(view.hold_up),
--- a/crates/bgp/src/announce/address.rs
+++ b/crates/bgp/src/announce/address.rs
@@ -81,7 +81,7 @@
     /// How it is announced.
     pub level: AnnouncementLevel,
     /// Why.
-    pub why: StateReason,
+    pub reason: StateReason,
     /// When it entered this level.
     pub since: Micros,
     /// Withdrawals because it could not serve, since the start.
--- a/crates/bgp/src/announce/entry.rs
+++ b/crates/bgp/src/announce/entry.rs
@@ -74,7 +74,7 @@
         AddressView {
             prefix: self.address.prefix,
             level: self.level,
-            why: self.reason.clone(),
+            reason: self.reason.clone(),
             since: self.since,
             flaps: self.flaps,
             hold_up: self.hold_up(now),
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -76,7 +76,7 @@
     }
 
     fn why(&self) -> StateReason {
-        self.announcer.views(self.now).next().expect("an address").why
+        self.announcer.views(self.now).next().expect("an address").reason
     }
 
     fn up() -> Site {
