--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -206,7 +206,8 @@
 
     fn next_wake_up(&self) -> Instant {
         let now = self.clock.now();
-        let timers = [self.sessions.next_timer(), self.health_checker.next_check(), self.announcer.next(now)];
+        let timers =
+            [self.sessions.next_timer(), self.health_checker.next_check(), self.announcer.next_decision(now)];
         let next_timer = timers.into_iter().flatten().min();
         let next_evaluation = self.evaluated_at.map_or_else(Instant::now, |at| at + EVALUATION_INTERVAL);
         next_timer.map_or(next_evaluation, |at| self.clock.instant_at(at).min(next_evaluation))
@@ -221,7 +222,7 @@
             self.data_plane.check_memory(self.config.memory_bytes);
             self.decision_due = true;
         }
-        if self.decision_due || self.announcer.next(now).is_some_and(|at| at <= now) {
+        if self.decision_due || self.announcer.next_decision(now).is_some_and(|at| at <= now) {
             self.decide();
         }
         if self.is_shutting_down() {
--- a/crates/bgp/src/announce/mod.rs
+++ b/crates/bgp/src/announce/mod.rs
@@ -63,7 +63,7 @@
 
     /// When a decision may change without a change of health.
     #[must_use]
-    pub fn next(&self, now: Micros) -> Option<Micros> {
+    pub fn next_decision(&self, now: Micros) -> Option<Micros> {
         let mut entries = self.entries.values();
         match self.shutdown_at {
             Some(shutdown_at) => {
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -57,7 +57,7 @@
     /// Goes on to this time, as the shell does: decides at once and whenever the announcer asks for it.
     fn until(&mut self, then: Micros) -> &mut Site {
         self.announcer.decide(self.now, self.process, &self.pools);
-        while let Some(at) = self.announcer.next(self.now).filter(|at| *at <= then) {
+        while let Some(at) = self.announcer.next_decision(self.now).filter(|at| *at <= then) {
             self.now = at.max(self.now);
             self.announcer.decide(self.now, self.process, &self.pools);
         }
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -165,7 +165,7 @@
             }
             if policy == Policy::Never {
                 this.level = AnnouncementLevel::Normal;
-            } else if changed || this.announcer.next(now).is_some_and(|at| at <= now) {
+            } else if changed || this.announcer.next_decision(now).is_some_and(|at| at <= now) {
                 this.announcer.decide(now, WELL, &this.health);
                 let level =
                     this.announcer.views(now).next().map_or(AnnouncementLevel::Withdrawn, |v| v.level);
