--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -122,7 +122,7 @@
         self.announcer.set(now, &config.addresses);
         self.health_checker.update_settings(config.probe);
         self.config = config;
-        let wanted = self.announcer.wanted();
+        let wanted = self.announcer.announcements();
         self.sessions.announce(&wanted);
         if !self.config.dry_run {
             let start = !self.is_shutting_down();
@@ -254,11 +254,11 @@
         for view in self.announcer.views(now).filter(|view| view.since == now) {
             (self.log)(&format!("bgp: {} {}: {}", view.prefix, view.level.name(), view.reason));
         }
-        self.sessions.announce(&self.announcer.wanted());
+        self.sessions.announce(&self.announcer.announcements());
     }
 
     fn stop_sessions_once_withdrawn(&mut self) {
-        if self.sessions_stopped_at.is_some() || !self.announcer.wanted().is_empty() {
+        if self.sessions_stopped_at.is_some() || !self.announcer.announcements().is_empty() {
             return;
         }
         self.sessions_stopped_at = Some(Instant::now());
--- a/crates/bgp/src/announce/mod.rs
+++ b/crates/bgp/src/announce/mod.rs
@@ -90,7 +90,7 @@
 
     /// The prefixes to announce, with their path attributes.
     #[must_use]
-    pub fn wanted(&self) -> BTreeMap<IpNet, Attributes> {
+    pub fn announcements(&self) -> BTreeMap<IpNet, Attributes> {
         let announced = |(prefix, entry): (&IpNet, &Entry)| Some((*prefix, entry.announced_attributes()?));
         self.entries.iter().filter_map(announced).collect()
     }
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -94,7 +94,7 @@
     assert_eq!((site.level(), site.why()), (AnnouncementLevel::Withdrawn, StateReason::HoldUp));
     site.until(5 * SECOND);
     assert_eq!((site.level(), site.why()), (AnnouncementLevel::Normal, StateReason::Ready));
-    assert_eq!(site.announcer.wanted().values().next().expect("one").med, Some(10));
+    assert_eq!(site.announcer.announcements().values().next().expect("one").med, Some(10));
 }
 
 #[test]
@@ -190,7 +190,7 @@
     let mut site = Site::up();
     site.health("p", of_ten(7)).now_on();
     assert_eq!(site.level(), AnnouncementLevel::Degraded);
-    let told = site.announcer.wanted().into_values().next().expect("one");
+    let told = site.announcer.announcements().into_values().next().expect("one");
     assert_eq!((told.med, told.prepend), (Some(100), 2));
     let then = site.now + 100 * SECOND;
     site.until(then).health("p", of_ten(9)).until(then + 4 * SECOND);
@@ -226,7 +226,7 @@
     let start = site.now;
     site.announcer.begin_shutdown(start, 3 * SECOND);
     site.until(start);
-    let told = site.announcer.wanted().into_values().next().expect("one");
+    let told = site.announcer.announcements().into_values().next().expect("one");
     assert_eq!(
         (site.level(), told.communities, told.local_pref),
         (AnnouncementLevel::GracefulShutdown, vec![0xffff_0000], 0)
@@ -234,7 +234,7 @@
     site.until(start + 3 * SECOND - 1);
     assert_eq!(site.level(), AnnouncementLevel::GracefulShutdown);
     site.until(start + 3 * SECOND);
-    assert!(site.announcer.wanted().is_empty());
+    assert!(site.announcer.announcements().is_empty());
     // One whose nodes go in the meantime does not wait, and one that was down does not come up.
     let mut site = Site::up();
     site.announcer.begin_shutdown(site.now, 3 * SECOND);
@@ -257,9 +257,9 @@
     assert_eq!(levels[0], (AnnouncementLevel::Normal, since));
     assert_eq!(levels[1].0, AnnouncementLevel::Withdrawn);
     site.until(site.now + 5 * SECOND);
-    assert_eq!(site.announcer.wanted().len(), 2);
+    assert_eq!(site.announcer.announcements().len(), 2);
     site.announcer.set(site.now, &[other]);
-    assert_eq!(site.announcer.wanted().len(), 1);
+    assert_eq!(site.announcer.announcements().len(), 1);
 }
 
 /// Plays nodes that come and go for a minute, and says when they last changed and each time of an announcement.
