--- a/crates/bgp/src/table.rs
+++ b/crates/bgp/src/table.rs
@@ -19,7 +19,7 @@
     /// Communities (RFC 1997).
     pub communities: Vec<u32>,
     /// Large communities (RFC 8092).
-    pub large: Vec<[u32; 3]>,
+    pub large_communities: Vec<[u32; 3]>,
     /// LOCAL_PREF; sent only in internal sessions.
     pub local_pref: u32,
 }
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -183,8 +183,9 @@
     if !speaker.four_octet && short.is_err() && path_length > 0 {
         all.push(attribute(true, true, PathAttributeValue::As4Path(As4Path::new(wide))));
     }
-    if !attributes.large.is_empty() {
-        let each: Vec<_> = attributes.large.iter().map(|[a, b, c]| LargeCommunity::new(*a, *b, *c)).collect();
+    if !attributes.large_communities.is_empty() {
+        let each: Vec<_> =
+            attributes.large_communities.iter().map(|[a, b, c]| LargeCommunity::new(*a, *b, *c)).collect();
         all.push(attribute(true, true, PathAttributeValue::LargeCommunities(LargeCommunities::new(each))));
     }
     all.into_iter().flatten().collect()
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -276,7 +276,7 @@
             med,
             prepend,
             communities,
-            large,
+            large_communities: large,
             local_pref,
         },
     )
@@ -316,7 +316,7 @@
             prop_assert_eq!(routes.med, attributes.med);
             prop_assert_eq!(routes.local_pref, internal.then_some(attributes.local_pref));
             prop_assert_eq!(&routes.communities, &attributes.communities);
-            prop_assert_eq!(&routes.large_communities, &attributes.large);
+            prop_assert_eq!(&routes.large_communities, &attributes.large_communities);
             announced.extend(routes.announced);
         }
         announced.sort();
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -68,7 +68,7 @@
         let attributes = bgp::Attributes {
             med: section.med,
             communities: self.communities(&section.communities),
-            large: self.large_communities(&section.large_communities),
+            large_communities: self.large_communities(&section.large_communities),
             ..bgp::Attributes::default()
         };
         let degraded = self.degraded(section, &attributes);
