--- a/crates/bgp-speaker/src/clock.rs
+++ b/crates/bgp-speaker/src/clock.rs
@@ -1,4 +1,5 @@
-//! The monotonic clock of the speaker: converts between `Instant` and the microseconds that the `bgp` crate takes.
+//! The monotonic clock of the speaker: converts between `Instant` and the microseconds that the `bgp` crate
+//! takes.
 
 use std::time::Duration;
 
--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -1,7 +1,8 @@
-//! One TCP connection to a BGP peer: frames incoming messages, writes outgoing ones, and closes so that the last
-//! message (usually a NOTIFICATION) can still be read.
+//! One TCP connection to a BGP peer: frames incoming messages, writes outgoing ones, and closes so that the
+//! last message (usually a NOTIFICATION) can still be read.
 //!
-//! Memory is bounded by [`MAX_QUEUED_MESSAGES`] outgoing messages and one incoming message of the largest size.
+//! Memory is bounded by [`MAX_QUEUED_MESSAGES`] outgoing messages and one incoming message of the largest
+//! size.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -17,8 +18,8 @@
 pub const MAX_QUEUED_MESSAGES: usize = 256;
 /// A write that takes longer has failed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Input is drained for this long after the last write: closing with unread input would reset the connection and
-/// discard that write.
+/// Input is drained for this long after the last write: closing with unread input would reset the connection
+/// and discard that write.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Size in bytes of the buffer for drained input.
 const DRAIN_BUFFER_SIZE: usize = 1024;
@@ -49,8 +50,8 @@
     timeout(connect_timeout, socket.connect(address)).await.map_err(|_| std::io::ErrorKind::TimedOut)?
 }
 
-/// Serves a connection until `outgoing` is closed and fully written, or the peer closes it. `report` receives what
-/// happens; while it waits, nothing more is read from the peer.
+/// Serves a connection until `outgoing` is closed and fully written, or the peer closes it. `report` receives
+/// what happens; while it waits, nothing more is read from the peer.
 pub async fn serve(
     stream: TcpStream,
     outgoing: mpsc::Receiver<Vec<u8>>,
--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -1,5 +1,5 @@
-//! What the speaker knows of its data plane: whether it accepts and makes progress, and the endpoint lists of its
-//! pools; and the memory of the process.
+//! What the speaker knows of its data plane: whether it accepts and makes progress, and the endpoint lists of
+//! its pools; and the memory of the process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/bgp-speaker/src/health_check.rs
+++ b/crates/bgp-speaker/src/health_check.rs
@@ -1,4 +1,5 @@
-//! An active health check of one endpoint: a TCP connection alone, or an HTTP GET that must be answered with 200.
+//! An active health check of one endpoint: a TCP connection alone, or an HTTP GET that must be answered with
+//! 200.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/bgp-speaker/src/lib.rs
+++ b/crates/bgp-speaker/src/lib.rs
@@ -1,8 +1,8 @@
 //! A BGP speaker that announces addresses according to the health of the data plane and of its endpoints.
 //!
-//! It runs on a thread and a runtime of its own, so that a busy data plane delays no KEEPALIVE, and so that a data plane
-//! that has stalled is noticed. The decisions are those of the `bgp` crate; this crate adds sockets and a clock. All it
-//! knows of the data plane is [`bgp::DataPlaneStatus`].
+//! It runs on a thread and a runtime of its own, so that a busy data plane delays no KEEPALIVE, and so that a
+//! data plane that has stalled is noticed. The decisions are those of the `bgp` crate; this crate adds
+//! sockets and a clock. All it knows of the data plane is [`bgp::DataPlaneStatus`].
 #![warn(missing_docs)]
 
 mod clock;
@@ -109,8 +109,8 @@
         reply.await.unwrap_or_default()
     }
 
-    /// Shuts down gracefully: announces GRACEFUL_SHUTDOWN, waits, withdraws, and ends the sessions. Returns once that is
-    /// written.
+    /// Shuts down gracefully: announces GRACEFUL_SHUTDOWN, waits, withdraws, and ends the sessions. Returns
+    /// once that is written.
     pub async fn shut_down(&self) {
         let (finished, reply) = oneshot::channel();
         self.send(Command::ShutDown(finished));
--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -1,5 +1,5 @@
-//! The event loop of the speaker: passes commands, reports of tasks and time to the sessions, the health checks and the
-//! announcer, and makes the announcer's decisions the announcements of all sessions.
+//! The event loop of the speaker: passes commands, reports of tasks and time to the sessions, the health
+//! checks and the announcer, and makes the announcer's decisions the announcements of all sessions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,8 +42,8 @@
     let mut manager = SessionManager::new(config.clone(), seed, event_sender, log);
     manager.configure(config);
     loop {
-        // Queued messages count before any timer expires: the hold timer of a peer whose KEEPALIVE has arrived in time
-        // must not end its session because the loop was busy.
+        // Queued messages count before any timer expires: the hold timer of a peer whose KEEPALIVE has
+        // arrived in time must not end its session because the loop was busy.
         yield_now().await;
         manager.handle_queued_events(&mut events);
         manager.run_due_work();
--- a/crates/bgp-speaker/src/sessions.rs
+++ b/crates/bgp-speaker/src/sessions.rs
@@ -1,5 +1,5 @@
-//! The sessions to all configured peers: dials, accepts and closes their connections, feeds what happens to the peers'
-//! state machines, and carries out the actions that these return.
+//! The sessions to all configured peers: dials, accepts and closes their connections, feeds what happens to
+//! the peers' state machines, and carries out the actions that these return.
 //!
 //! Bounds: one dial and two connections (one in each direction) a peer.
 
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Adds a peer, which is to announce `wanted`, unless there is one of its name. It connects only if `start` is set.
+    /// Adds a peer, which is to announce `wanted`, unless there is one of its name. It connects only if
+    /// `start` is set.
     pub fn add(&mut self, config: &BgpPeer, wanted: &Announcements, start: bool) {
         if self.sessions.contains_key(&config.name) {
             return;
--- a/crates/bgp-speaker/tests/stuck.rs
+++ b/crates/bgp-speaker/tests/stuck.rs
@@ -1,4 +1,5 @@
-//! Addresses are withdrawn when the data plane stalls, and not announced before it accepts or above the memory limit.
+//! Addresses are withdrawn when the data plane stalls, and not announced before it accepts or above the
+//! memory limit.
 
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/bgp/src/announce/address.rs
+++ b/crates/bgp/src/announce/address.rs
@@ -1,4 +1,4 @@
-//! The settings of an announced address, and the state that operators read.
+//! The settings of an announced address, and its state as shown to operators.
 
 use ipnet::IpNet;
 
@@ -6,27 +6,29 @@
 use crate::table::Attributes;
 use crate::Micros;
 
-/// Parts of a pool's capacity, from 0 to 1.
+/// The conditions for announcing an address. Fractions are of a pool's capacity, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Announced if at least this part is ready, past slow start and healthy.
+    /// The address is announced if at least this fraction is ready, past slow start and healthy.
     pub announce: f64,
-    /// Withdrawn if less than this part is available; at most `announce`.
+    /// The address is withdrawn if less than this fraction is available; at most `announce`.
     pub withdraw: f64,
-    /// Announced as degraded if less than this part is available; at least `withdraw`. Never with 0.
+    /// The address is announced as degraded if less than this fraction is available. Values up to `withdraw`,
+    /// such as 0, have no effect.
     pub degrade: f64,
-    /// The least number of endpoints, to announce and not to withdraw.
+    /// The minimum number of endpoints, both for announcing an address and for keeping it announced.
     pub min_endpoints: usize,
 }
 
-/// Route flap damping, with times in microseconds.
+/// The settings of route flap damping. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damping {
-    /// The hold-up time: ready without a break for this long before the address is announced.
+    /// The hold-up time without flaps: how long all pools must be ready without interruption before the
+    /// address is announced.
     pub hold_up: Micros,
-    /// The longest hold-up time after flaps.
+    /// The maximum hold-up time after flaps.
     pub max_hold_up: Micros,
-    /// The half-life of the penalty of flaps.
+    /// The half-life of the penalty that flaps add.
     pub half_life: Micros,
 }
 
@@ -37,31 +39,31 @@
     pub prefix: IpNet,
     /// The names of the pools, all of which must be able to serve.
     pub pools: Vec<String>,
-    /// When a pool can serve.
+    /// The thresholds at which a pool can serve.
     pub thresholds: Thresholds,
     /// Route flap damping.
     pub damping: Damping,
     /// The path attributes.
     pub attributes: Attributes,
-    /// The path attributes while it is degraded.
+    /// The path attributes while the address is degraded.
     pub degraded: Attributes,
 }
 
 /// How an address is announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementLevel {
-    /// Not at all.
+    /// Not announced.
     Withdrawn,
-    /// With the attributes of a degraded address.
+    /// Announced with the attributes of a degraded address.
     Degraded,
-    /// With its normal attributes.
+    /// Announced with the normal attributes.
     Normal,
-    /// With the community GRACEFUL_SHUTDOWN, before it is withdrawn.
+    /// Announced with the community GRACEFUL_SHUTDOWN (RFC 8326) before it is withdrawn.
     GracefulShutdown,
 }
 
 impl AnnouncementLevel {
-    /// Its name for operators.
+    /// Returns the name that is shown to operators.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -73,21 +75,21 @@
     }
 }
 
-/// The state of an address.
+/// The state of an address, as shown to operators.
 #[derive(Clone, Debug)]
 pub struct AddressView {
     /// The prefix.
     pub prefix: IpNet,
-    /// How it is announced.
+    /// The level at which the address is announced.
     pub level: AnnouncementLevel,
-    /// Why.
+    /// The reason for the level.
     pub reason: StateReason,
-    /// When it entered this level.
+    /// When the address entered this level.
     pub since: Micros,
-    /// Withdrawals because it could not serve, since the start.
+    /// The number of withdrawals since the start because the address could not be served.
     pub flaps: u64,
     /// The hold-up time that would apply now.
     pub hold_up: Micros,
-    /// Since when it has been ready, while its hold-up time runs.
+    /// When the hold-up time of a withdrawn address began; `None` if it is not running.
     pub ready_since: Option<Micros>,
 }
--- a/crates/bgp/src/announce/entry.rs
+++ b/crates/bgp/src/announce/entry.rs
@@ -13,7 +13,7 @@
 const LOCAL_PREF: u32 = 100;
 /// LOCAL_PREF of announcements about to be withdrawn (RFC 8326).
 const GRACEFUL_SHUTDOWN_LOCAL_PREF: u32 = 0;
-/// What a flap adds to the penalty, which is the exponent of the growth of the hold-up time.
+/// The penalty that a flap adds. A penalty of `p` multiplies the hold-up time by 2 to the power of `p`.
 const FLAP_PENALTY: f64 = 1.0;
 
 /// An address and its state.
@@ -24,15 +24,15 @@
     pub(super) level: AnnouncementLevel,
     since: Micros,
     reason: StateReason,
-    /// Since when it could be raised to a better level without a break.
-    better_since: Option<Micros>,
+    /// When the running hold-up time before a better level began; `None` if it is not running.
+    hold_up_since: Option<Micros>,
     flaps: u64,
     penalty: f64,
     penalty_at: Micros,
 }
 
 impl Entry {
-    /// An address that is withdrawn.
+    /// Creates the entry of a withdrawn address.
     pub(super) fn new(now: Micros, address: Address) -> Entry {
         Entry {
             address,
@@ -40,19 +40,19 @@
             level: AnnouncementLevel::Withdrawn,
             since: now,
             reason: StateReason::HoldUp,
-            better_since: None,
+            hold_up_since: None,
             flaps: 0,
             penalty: 0.0,
             penalty_at: now,
         }
     }
 
-    /// When its hold-up time ends, if it runs.
+    /// Returns when the hold-up time ends, if it is running.
     pub(super) fn hold_up_ends_at(&self, now: Micros) -> Option<Micros> {
-        Some(self.better_since? + self.hold_up(now))
+        Some(self.hold_up_since? + self.hold_up(now))
     }
 
-    /// The path attributes to announce now, if any.
+    /// Returns the path attributes to announce now, if any.
     pub(super) fn announced_attributes(&self) -> Option<Attributes> {
         let with_preference =
             |attributes: &Attributes| Attributes { local_pref: LOCAL_PREF, ..attributes.clone() };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Its state, for operators.
+    /// Returns the state as shown to operators.
     pub(super) fn view(&self, now: Micros) -> AddressView {
         AddressView {
             prefix: self.address.prefix,
@@ -78,12 +78,12 @@
             since: self.since,
             flaps: self.flaps,
             hold_up: self.hold_up(now),
-            ready_since: self.better_since.filter(|_| self.level == AnnouncementLevel::Withdrawn),
+            ready_since: self.hold_up_since.filter(|_| self.level == AnnouncementLevel::Withdrawn),
         }
     }
 
-    /// Decides its level. `shutdown_at` is when the address is withdrawn for a shutdown that has begun. True if the level
-    /// has changed.
+    /// Decides the level and returns whether it has changed. `shutdown_at` is when the address is withdrawn
+    /// for a shutdown; `None` if none has begun.
     pub(super) fn decide(
         &mut self,
         now: Micros,
@@ -104,7 +104,7 @@
         changed
     }
 
-    /// The worst of the assessments of the process and of the pools.
+    /// Returns the worst of the assessments of the process and of the pools.
     fn assess(&self, process: ProcessHealth, pools: &BTreeMap<String, PoolHealth>) -> Assessment {
         if self.held {
             return Assessment::Unavailable(StateReason::HeldByOperator);
@@ -122,7 +122,7 @@
     fn shut_down(&mut self, now: Micros, shutdown_at: Micros, assessment: &Assessment) {
         let can_serve = !matches!(assessment, Assessment::Unavailable(_));
         let is_announced = self.level != AnnouncementLevel::Withdrawn;
-        self.better_since = None;
+        self.hold_up_since = None;
         self.reason = StateReason::ShuttingDown;
         self.level = if is_announced && can_serve && now < shutdown_at {
             AnnouncementLevel::GracefulShutdown
@@ -134,10 +134,10 @@
     fn apply(&mut self, now: Micros, assessment: Assessment) {
         match assessment {
             Assessment::Unavailable(reason) => self.withdraw(now, reason),
-            // Ends a running hold-up time, and leaves the level as it is.
+            // Cancels a running hold-up time and keeps the level.
             Assessment::Unconfirmed(reason) => {
                 self.reason = reason;
-                self.better_since = None;
+                self.hold_up_since = None;
             }
             Assessment::Available(fraction) => {
                 let is_degraded = fraction < self.address.thresholds.degrade;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Withdraws it at once. An operator's hold does not count as a flap.
+    /// Withdraws the address at once. An operator's hold does not count as a flap.
     fn withdraw(&mut self, now: Micros, reason: StateReason) {
         let is_announced = self.level != AnnouncementLevel::Withdrawn;
         if is_announced && reason != StateReason::HeldByOperator {
@@ -155,10 +155,10 @@
         }
         self.level = AnnouncementLevel::Withdrawn;
         self.reason = reason;
-        self.better_since = None;
+        self.hold_up_since = None;
     }
 
-    /// Degrades at once, and improves only after the hold-up time.
+    /// Lowers the level at once, and raises it only after the hold-up time.
     fn apply_available(&mut self, now: Micros, is_degraded: bool) {
         match self.level {
             AnnouncementLevel::Normal | AnnouncementLevel::GracefulShutdown => {
@@ -167,16 +167,16 @@
                 if is_degraded {
                     self.add_penalty(now);
                     self.level = AnnouncementLevel::Degraded;
-                    self.better_since = None;
+                    self.hold_up_since = None;
                 }
             }
             AnnouncementLevel::Degraded => {
                 self.reason = StateReason::Ready;
                 if is_degraded {
-                    self.better_since = None;
+                    self.hold_up_since = None;
                 } else if self.hold_up_is_over(now) {
                     self.level = AnnouncementLevel::Normal;
-                    self.better_since = None;
+                    self.hold_up_since = None;
                 }
             }
             AnnouncementLevel::Withdrawn => {
@@ -185,19 +185,19 @@
                     self.level =
                         if is_degraded { AnnouncementLevel::Degraded } else { AnnouncementLevel::Normal };
                     self.reason = StateReason::Ready;
-                    self.better_since = None;
+                    self.hold_up_since = None;
                 }
             }
         }
     }
 
-    /// Starts the hold-up time unless it runs, and returns whether it is over.
+    /// Starts the hold-up time unless it is running, and returns whether it is over.
     fn hold_up_is_over(&mut self, now: Micros) -> bool {
-        let since = *self.better_since.get_or_insert(now);
+        let since = *self.hold_up_since.get_or_insert(now);
         now - since >= self.hold_up(now)
     }
 
-    /// The penalty of past flaps, decayed by now.
+    /// Returns the penalty of past flaps after its decay up to `now`.
     fn penalty(&self, now: Micros) -> f64 {
         let half_life = self.address.damping.half_life.max(1) as f64;
         let elapsed = (now - self.penalty_at).max(0) as f64;
@@ -206,14 +206,15 @@
 
     fn add_penalty(&mut self, now: Micros) {
         let Damping { hold_up, max_hold_up, .. } = self.address.damping;
-        // A larger penalty than the longest hold-up time needs would only take longer to decay.
-        let penalty_of_longest = (max_hold_up.max(1) as f64 / hold_up.max(1) as f64).log2().max(0.0);
-        let max_penalty = penalty_of_longest + FLAP_PENALTY;
+        // A penalty beyond that of the maximum hold-up time would not lengthen it, but would take longer to
+        // decay.
+        let penalty_at_max_hold_up = (max_hold_up.max(1) as f64 / hold_up.max(1) as f64).log2().max(0.0);
+        let max_penalty = penalty_at_max_hold_up + FLAP_PENALTY;
         self.penalty = (self.penalty(now) + FLAP_PENALTY).min(max_penalty);
         self.penalty_at = now;
     }
 
-    /// The hold-up time that applies now.
+    /// Returns the hold-up time that applies now.
     fn hold_up(&self, now: Micros) -> Micros {
         let Damping { hold_up, max_hold_up, .. } = self.address.damping;
         let grown = hold_up as f64 * self.penalty(now).exp2();
--- a/crates/bgp/src/announce/health.rs
+++ b/crates/bgp/src/announce/health.rs
@@ -1,45 +1,45 @@
 //! The health of the process and of the pools, and whether a pool can serve an address with given thresholds.
 //!
-//! Endpoints that fail their health checks count as unavailable, however old the endpoint list is. What is unknown
-//! neither withdraws an address nor announces one.
+//! Endpoints that fail their health checks count as unavailable, however old the endpoint list is. Unknown
+//! health neither withdraws an address nor announces one.
 
 use super::{StateReason, Thresholds};
 
-/// An endpoint, as it is listed and as its health checks find it.
+/// The state of an endpoint according to the endpoint list and its health checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointHealth {
-    /// Its capacity, relative to the other endpoints of the pool.
+    /// The capacity, relative to the other endpoints of the pool.
     pub weight: f64,
-    /// It is listed as ready, not as draining.
+    /// Whether the endpoint is listed as ready, not as draining.
     pub ready: bool,
-    /// It has completed slow start.
+    /// Whether the endpoint has completed slow start.
     pub warm: bool,
-    /// Whether it passes its health checks; none before the first result.
+    /// Whether the endpoint passes its health checks; `None` before the first conclusive result.
     pub healthy: Option<bool>,
 }
 
-/// What is known of a pool.
+/// The health of a pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolHealth {
-    /// The endpoints of the last list; none before there was one.
+    /// The endpoints of the last list; `None` before the first list.
     pub endpoints: Option<Vec<EndpointHealth>>,
-    /// The list is older than it may be.
+    /// Whether the list is older than its maximum age.
     pub stale: bool,
 }
 
-/// What is known of the process.
+/// The health of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessHealth {
-    /// Its listeners accept.
+    /// Whether the listeners accept connections.
     pub accepting: bool,
-    /// Its data plane makes progress.
+    /// Whether the data plane makes progress.
     pub alive: bool,
-    /// It exceeds its memory limit.
+    /// Whether the process exceeds its memory limit.
     pub memory_full: bool,
 }
 
 impl ProcessHealth {
-    /// Why the process cannot serve, if it cannot.
+    /// Returns the reason why the process cannot serve, if it cannot.
     pub(super) fn fault(self) -> Option<StateReason> {
         match self {
             ProcessHealth { alive: false, .. } => Some(StateReason::DataPlaneStalled),
@@ -50,18 +50,18 @@
     }
 }
 
-/// Whether an address can be served.
+/// An assessment of whether an address can be served.
 pub(super) enum Assessment {
-    /// It cannot: the address is withdrawn.
+    /// It cannot be served, so it is withdrawn.
     Unavailable(StateReason),
-    /// Not known for sure: the address stays as it is.
+    /// It is not certain whether it can be served, so it keeps its level.
     Unconfirmed(StateReason),
-    /// It can, with this part of the capacity, from 0 to 1.
+    /// It can be served with this fraction of the capacity, from 0 to 1.
     Available(f64),
 }
 
 impl Assessment {
-    /// The worse of two; the first where both are equally bad.
+    /// Returns the worse of two assessments, the first if both are equally bad.
     pub(super) fn worse(self, other: Assessment) -> Assessment {
         use Assessment::{Available, Unavailable, Unconfirmed};
         match (self, other) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Weight and number of some endpoints of a pool.
+/// The total weight and the number of some endpoints of a pool.
 #[derive(Clone, Copy)]
 struct Capacity {
     weight: f64,
@@ -88,7 +88,7 @@
         })
     }
 
-    /// The part of the total weight, from 0 to 1.
+    /// Returns the weight as a fraction of the total weight, from 0 to 1.
     fn fraction_of(self, total: Capacity) -> f64 {
         if total.weight > 0.0 {
             self.weight / total.weight
@@ -98,22 +98,23 @@
     }
 }
 
-/// Whether the pool of this name can serve an address with these thresholds.
+/// Assesses whether the pool of this name can serve an address with these thresholds.
 pub(super) fn assess(pool: &str, health: &PoolHealth, thresholds: &Thresholds) -> Assessment {
     let Some(endpoints) = &health.endpoints else {
-        // After a reload, for instance; what was announced before it stays announced.
+        // After a reload, for example: an address that was announced before stays announced.
         return Assessment::Unconfirmed(StateReason::NoEndpointList(pool.to_owned()));
     };
-    // A stale list does not say which endpoints are ready; the health checks still say which answer.
+    // A stale list does not show which endpoints are ready now, but the health checks still show which
+    // respond.
     let is_available = |e: &&EndpointHealth| (e.ready || health.stale) && e.healthy != Some(false);
     let is_confirmed = |e: &&EndpointHealth| e.ready && e.warm && e.healthy == Some(true);
     let total = Capacity::of(endpoints.iter());
     let available = Capacity::of(endpoints.iter().filter(is_available));
     let confirmed = Capacity::of(endpoints.iter().filter(is_confirmed));
     let available_fraction = available.fraction_of(total);
-    let least_endpoints = thresholds.min_endpoints.max(1);
-    let suffices = |capacity: Capacity, least_fraction: f64| {
-        capacity.fraction_of(total) >= least_fraction && capacity.count >= least_endpoints
+    let min_endpoints = thresholds.min_endpoints.max(1);
+    let suffices = |capacity: Capacity, min_fraction: f64| {
+        capacity.fraction_of(total) >= min_fraction && capacity.count >= min_endpoints
     };
     let insufficient =
         || StateReason::InsufficientCapacity(pool.to_owned(), (available_fraction * 100.0) as u8);
@@ -127,7 +128,8 @@
         return Assessment::Unconfirmed(StateReason::StaleEndpointList(pool.to_owned()));
     }
     if suffices(confirmed, thresholds.announce) {
-        // By what is available: a single endpoint in slow start does not degrade the address.
+        // The available fraction, not the confirmed one, so that an endpoint in slow start does not degrade
+        // the address.
         return Assessment::Available(available_fraction);
     }
     if suffices(available, thresholds.announce) {
--- a/crates/bgp/src/announce/mod.rs
+++ b/crates/bgp/src/announce/mod.rs
@@ -1,11 +1,14 @@
-//! Decides which addresses are announced, and with which path attributes, by the health of the pools behind them.
+//! Decides which addresses are announced, and with which path attributes, by the health of the pools behind
+//! them.
 //!
-//! An address is withdrawn at once when a pool behind it cannot serve, and announced only when all of them have been
-//! ready for the hold-up time without a break. Each withdrawal doubles the next hold-up time up to a bound, and this
-//! penalty decays with a half-life (route flap damping). A withdrawal is never delayed.
+//! An address is withdrawn at once when a pool behind it cannot serve, and announced only when all of them
+//! have been ready for the hold-up time without interruption. Each withdrawal doubles the next hold-up time
+//! up to a bound, and this penalty decays with a half-life (route flap damping). A withdrawal is never
+//! delayed.
 //!
-//! Inputs are the health of the process and of the pools, and the time in microseconds. Unknown health, such as a stale
-//! endpoint list, neither withdraws an address nor announces one. Bounded by [`MAX_ADDRESSES`].
+//! Inputs are the health of the process and of the pools, and the time in microseconds. Unknown health, such
+//! as a stale endpoint list, neither withdraws an address nor announces one. Memory is bounded by
+//! [`MAX_ADDRESSES`].
 
 mod address;
 mod entry;
@@ -24,10 +27,10 @@
 pub use health::{EndpointHealth, PoolHealth, ProcessHealth};
 pub use reason::StateReason;
 
-/// Addresses that one process announces at most.
+/// The maximum number of addresses that one process announces.
 pub const MAX_ADDRESSES: usize = 1024;
 
-/// All addresses and their states.
+/// The addresses that can be announced, and their states.
 #[derive(Clone, Debug, Default)]
 pub struct Announcer {
     entries: BTreeMap<IpNet, Entry>,
@@ -36,7 +39,7 @@
 }
 
 impl Announcer {
-    /// Sets the addresses. Those that were there before keep their state.
+    /// Replaces the addresses. Those whose prefix is already present keep their state.
     pub fn set(&mut self, now: Micros, addresses: &[Address]) {
         self.entries.retain(|prefix, _| addresses.iter().any(|address| address.prefix == *prefix));
         for address in addresses.iter().take(MAX_ADDRESSES) {
@@ -46,12 +49,14 @@
         }
     }
 
-    /// Holds an address down on behalf of an operator, or releases it. False where there is no such address.
+    /// Holds an address down on behalf of an operator, or releases it. Returns false if there is no such
+    /// address.
     pub fn hold(&mut self, prefix: IpNet, held: bool) -> bool {
         self.entries.get_mut(&prefix).map(|entry| entry.held = held).is_some()
     }
 
-    /// Begins a graceful shutdown: what is announced carries GRACEFUL_SHUTDOWN for `delay`, and is then withdrawn.
+    /// Begins a graceful shutdown: announced addresses carry the community GRACEFUL_SHUTDOWN for `delay`, and
+    /// are then withdrawn.
     pub fn begin_shutdown(&mut self, now: Micros, delay: Micros) {
         self.shutdown_at.get_or_insert(now + delay);
     }
@@ -61,7 +66,7 @@
         self.shutdown_at = self.shutdown_at.map(|shutdown_at| shutdown_at.min(now));
     }
 
-    /// When a decision may change without a change of health.
+    /// Returns when a decision may change without a change of health; `None` if none can.
     #[must_use]
     pub fn next_decision(&self, now: Micros) -> Option<Micros> {
         let mut entries = self.entries.values();
@@ -74,7 +79,7 @@
         }
     }
 
-    /// Decides the level of each address. True if what is to be announced has changed.
+    /// Decides the level of each address. Returns whether any level has changed.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -88,14 +93,14 @@
         changed
     }
 
-    /// The prefixes to announce, with their path attributes.
+    /// Returns the prefixes to announce, with their path attributes.
     #[must_use]
     pub fn announcements(&self) -> BTreeMap<IpNet, Attributes> {
         let announced = |(prefix, entry): (&IpNet, &Entry)| Some((*prefix, entry.announced_attributes()?));
         self.entries.iter().filter_map(announced).collect()
     }
 
-    /// The state of each address.
+    /// Returns the state of each address.
     pub fn views(&self, now: Micros) -> impl Iterator<Item = AddressView> + '_ {
         self.entries.values().map(move |entry| entry.view(now))
     }
--- a/crates/bgp/src/announce/reason.rs
+++ b/crates/bgp/src/announce/reason.rs
@@ -1,13 +1,13 @@
-//! Why an address is announced as it is, with the texts that operators read.
+//! The reasons for the announcement level of an address, with the texts shown to operators.
 
 use std::fmt;
 
-/// Why an address is in its state. Pools are given by name.
+/// The reason for the announcement level of an address. Pools are identified by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateReason {
     /// All pools can serve.
     Ready,
-    /// All pools can serve, but not yet for the hold-up time.
+    /// All pools can serve, but the hold-up time is not over.
     HoldUp,
     /// An operator holds the address down.
     HeldByOperator,
@@ -27,9 +27,9 @@
     StaleEndpointList(String),
     /// No endpoint is available.
     NoEndpointAvailable(String),
-    /// Too little capacity is available, in percent.
+    /// The pool has too little available capacity; the number is the available percentage.
     InsufficientCapacity(String, u8),
-    /// Enough is available, but is in slow start or has not passed a health check yet.
+    /// Enough capacity is available, but part of it is in slow start or has not passed a health check yet.
     WarmingUp(String),
 }
 
@@ -47,8 +47,8 @@
             StateReason::NoEndpointList(pool) => write!(f, "pool `{pool}` has had no list of nodes"),
             StateReason::StaleEndpointList(pool) => write!(f, "pool `{pool}` has an old list of nodes"),
             StateReason::NoEndpointAvailable(pool) => write!(f, "pool `{pool}` has no node that answers"),
-            StateReason::InsufficientCapacity(pool, part) => {
-                write!(f, "pool `{pool}` has {part} % of its capacity")
+            StateReason::InsufficientCapacity(pool, percent) => {
+                write!(f, "pool `{pool}` has {percent} % of its capacity")
             }
             StateReason::WarmingUp(pool) => write!(f, "pool `{pool}` is not warm, or has not answered yet"),
         }
--- a/crates/bgp/src/data_plane.rs
+++ b/crates/bgp/src/data_plane.rs
@@ -4,35 +4,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Reported periodically: that a report arrives shows that the data plane makes progress.
+/// A periodic report; its arrival shows that the data plane makes progress.
 #[derive(Clone, Debug, Default)]
 pub struct DataPlaneStatus {
-    /// Its listeners accept connections.
+    /// Whether the listeners accept connections.
     pub accepting: bool,
-    /// The endpoint lists of its pools by name; none where nothing can have changed.
+    /// The endpoint lists by the name of the pool; `None` if they cannot have changed since the last report.
     pub pools: Option<BTreeMap<String, PoolEndpointList>>,
 }
 
 /// The endpoint list of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct PoolEndpointList {
-    /// A list has been received.
+    /// Whether a list has been received.
     pub received: bool,
-    /// The time since the source of the list was last heard. None where the configuration lists the endpoints.
+    /// The time since the source of the list last responded; `None` if the configuration lists the endpoints.
     pub source_silent_for: Option<Duration>,
     /// The listed endpoints.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An endpoint on the list.
+/// An entry of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its capacity, relative to the other endpoints of the pool.
+    /// The capacity, relative to the other endpoints of the pool.
     pub weight: f64,
-    /// It is ready, not draining.
+    /// Whether the endpoint is ready, not draining.
     pub ready: bool,
-    /// It has completed slow start.
+    /// Whether the endpoint has completed slow start.
     pub warm: bool,
 }
--- a/crates/bgp/src/health_check.rs
+++ b/crates/bgp/src/health_check.rs
@@ -1,10 +1,11 @@
-//! Schedules the active health checks of endpoints, and decides from their results which endpoints are healthy.
+//! Schedules the active health checks of endpoints, and determines from their results which endpoints are
+//! healthy.
 //!
-//! Each endpoint is checked at an interval, sooner after a failure, and is unhealthy after a number of consecutive
-//! failures. When an endpoint becomes unhealthy, some others are checked at once, and again some for each of those that
-//! is unhealthy: a fault that affects many endpoints is found in little more time than that of one.
+//! Each endpoint is checked at an interval, sooner after a failure, and is unhealthy after a number of
+//! consecutive failures. Whenever an endpoint becomes unhealthy, some others are checked at once, so that a
+//! fault of many endpoints is detected in little more time than a fault of one.
 //!
-//! Times are in microseconds. Bounded by the number of endpoints and by the checks in flight.
+//! Times are in microseconds. Memory is bounded by the number of endpoints.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +15,13 @@
 /// Settings of health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthCheckSettings {
-    /// The time between two checks of a healthy endpoint.
+    /// The time between two checks of an endpoint, unless the last one failed without being conclusive.
     pub interval: Micros,
-    /// A check that takes longer has failed.
+    /// The duration after which a check fails.
     pub timeout: Micros,
     /// Consecutive failures after which an endpoint is unhealthy; at least 1.
     pub unhealthy_threshold: u32,
-    /// Checks in flight at most; at least 1.
+    /// The maximum number of checks in flight; at least 1.
     pub max_in_flight: usize,
 }
 
@@ -35,7 +36,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct EndpointState {
-    /// When the next check is due.
+    /// When the next check of the endpoint is due.
     due: Micros,
     in_flight: bool,
     consecutive_failures: u32,
@@ -57,7 +58,7 @@
 }
 
 impl HealthChecker {
-    /// A health checker without endpoints.
+    /// Creates a health checker without endpoints.
     #[must_use]
     pub fn new(settings: HealthCheckSettings) -> HealthChecker {
         HealthChecker { settings, endpoints: BTreeMap::new(), in_flight: 0 }
@@ -68,7 +69,7 @@
         self.settings = settings;
     }
 
-    /// Sets the endpoints. Those that were there before keep their state; new ones are due at once.
+    /// Replaces the endpoints. Those already present keep their state; checks of new ones are due at once.
     pub fn set_endpoints(&mut self, now: Micros, addresses: impl Iterator<Item = SocketAddr>) {
         let mut previous = std::mem::take(&mut self.endpoints);
         for address in addresses {
@@ -79,13 +80,13 @@
         self.in_flight = self.endpoints.values().filter(|endpoint| endpoint.in_flight).count();
     }
 
-    /// Whether an endpoint is healthy; none before that is known.
+    /// Returns whether an endpoint is healthy; `None` before the first conclusive result.
     #[must_use]
     pub fn is_healthy(&self, address: &SocketAddr) -> Option<bool> {
         self.endpoints.get(address).and_then(|endpoint| endpoint.healthy)
     }
 
-    /// When the next check is due; none while the limit of checks in flight is reached.
+    /// Returns when the next check is due; `None` while the maximum number of checks is in flight.
     #[must_use]
     pub fn next_check(&self) -> Option<Micros> {
         if self.in_flight >= self.settings.in_flight_limit() {
@@ -95,7 +96,7 @@
         idle.map(|endpoint| endpoint.due).min()
     }
 
-    /// Starts the checks that are due, those that have waited longest first. Returns the endpoints to check.
+    /// Starts the checks that are due, the longest overdue first. Returns the endpoints to check.
     pub fn start_due(&mut self, now: Micros) -> Vec<SocketAddr> {
         let capacity = self.settings.in_flight_limit().saturating_sub(self.in_flight);
         let is_due = |endpoint: &EndpointState| !endpoint.in_flight && endpoint.due <= now;
@@ -115,10 +116,10 @@
         due.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// A check has completed. True if that changes whether the endpoint is healthy.
+    /// Records the result of a check. Returns whether the health of the endpoint has changed.
     pub fn on_result(&mut self, now: Micros, address: &SocketAddr, passed: bool) -> bool {
         let HealthCheckSettings { interval, unhealthy_threshold, .. } = self.settings;
-        // The check of an endpoint that was removed since is no longer counted as in flight.
+        // An endpoint that was removed during its check is no longer counted as in flight.
         let checked = self.endpoints.get_mut(address).filter(|endpoint| endpoint.in_flight);
         let Some(endpoint) = checked else { return false };
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -138,7 +139,7 @@
         changed
     }
 
-    /// Makes some endpoints without failures due at once.
+    /// Makes the checks of up to `max_in_flight` endpoints without failures due at once.
     fn check_others(&mut self, now: Micros) {
         let is_eligible = |endpoint: &&mut EndpointState| {
             !endpoint.in_flight && endpoint.consecutive_failures == 0 && endpoint.due > now
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,9 +1,10 @@
-//! BGP-4 for a speaker that announces addresses and never forwards: messages, sessions, and the decisions which addresses
-//! are announced.
+//! BGP-4 for a speaker that announces addresses and never forwards packets: messages, sessions, and the
+//! decision which addresses are announced.
 //!
-//! Without I/O: no sockets, no clock, and randomness only from a seed. Times are microseconds of one monotonic clock.
-//! [`Peer`] takes what connections report and returns actions, [`Announcer`] takes the health of pools and decides what is
-//! announced. Neither depends on the other; [`Table`] holds what is advertised.
+//! The crate does no I/O: it has no sockets and no clock, and its randomness comes from a seed. Times are
+//! microseconds of one monotonic clock. [`Peer`] turns the events of connections into actions, and
+//! [`Announcer`] decides from the health of pools which addresses are announced. Neither depends on the
+//! other; [`Table`] holds the prefixes advertised to a peer.
 #![warn(missing_docs)]
 
 mod announce;
@@ -36,7 +37,7 @@
 pub use update::{scan, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
 
-/// A time or a span in microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = i64;
 
 /// One second.
--- a/crates/bgp/src/machine/interface.rs
+++ b/crates/bgp/src/machine/interface.rs
@@ -16,7 +16,7 @@
 }
 
 impl State {
-    /// Its name in RFC 4271.
+    /// Returns the name of the state in RFC 4271.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -40,10 +40,10 @@
     IdleHold,
 }
 
-/// An event, with its numbers in RFC 4271 section 8.1.
+/// An event. The numbers are those of RFC 4271 section 8.1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Start (1, 3; 4 and 5 where it is passive).
+    /// Start (1 and 3; 4 and 5 for a passive machine).
     Start,
     /// Stop, with the NOTIFICATION to send (2, 8).
     Stop(Notification),
@@ -60,7 +60,7 @@
     },
     /// An invalid message header (21).
     HeaderError(Notification),
-    /// An invalid OPEN, or one of an unexpected peer (22).
+    /// An invalid OPEN, or one from an unexpected peer (22).
     OpenError(Notification),
     /// Collision detection keeps the other connection to this peer (23).
     CollisionLost,
@@ -76,7 +76,7 @@
     UpdateError(Notification),
 }
 
-/// An action for the caller; a list is carried out in order.
+/// An action to carry out. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open a TCP connection.
@@ -87,7 +87,7 @@
     SendKeepalive,
     /// Send a NOTIFICATION.
     SendNotification(Notification),
-    /// Close the connection once everything queued is written.
+    /// Close the connection once all queued messages are written.
     Close,
     /// The session is established.
     SessionUp,
@@ -98,10 +98,10 @@
 /// Settings of a state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineSettings {
-    /// Never dial: wait for the peer to connect.
+    /// Whether the machine waits for the peer to connect and never dials.
     pub passive: bool,
-    /// The connect retry time, and the first idle hold time, in microseconds.
+    /// The connect retry time in microseconds, which is also the idle hold time after the first failure.
     pub connect_retry_time: Micros,
-    /// The longest idle hold time, in microseconds.
+    /// The maximum idle hold time in microseconds.
     pub max_idle_hold_time: Micros,
 }
--- a/crates/bgp/src/machine/mod.rs
+++ b/crates/bgp/src/machine/mod.rs
@@ -1,11 +1,12 @@
 //! The finite state machine of one connection (RFC 4271 section 8).
 //!
-//! Optional session attributes in use: AllowAutomaticStart, DampPeerOscillations (the idle hold time doubles with each
-//! consecutive failure, up to a maximum), PassiveTcpEstablishment (never dials). Not in use: DelayOpen, TrackTcpState,
-//! SendNOTIFICATIONwithoutOPEN, CollisionDetectEstablishedState.
+//! Optional session attributes in use: AllowAutomaticStart, DampPeerOscillations (the idle hold time doubles
+//! with each consecutive failure, up to a maximum), PassiveTcpEstablishment (never dials). Not in use:
+//! DelayOpen, TrackTcpState, SendNOTIFICATIONwithoutOPEN, CollisionDetectEstablishedState.
 //!
-//! Deviations: a NOTIFICATION is never answered with one, as the peer has closed the connection; an error in a header or
-//! an OPEN is reported as such in every state (section 6), not as a finite state machine error.
+//! Deviations: a NOTIFICATION is never answered with one, because the peer has closed the connection; an
+//! error in a header or an OPEN is reported as such in every state (section 6), not as a finite state machine
+//! error.
 //!
 //! Inputs are events and the time in microseconds; the state is of constant size.
 
@@ -16,14 +17,14 @@
 
 pub use interface::{Action, Event, MachineSettings, State, Timer};
 
-/// All timers, in the order in which those due at the same time expire.
+/// All timers, in the order in which timers due at the same time expire.
 const TIMERS: [Timer; 4] = [Timer::Hold, Timer::Keepalive, Timer::ConnectRetry, Timer::IdleHold];
 
 /// The hold time until the peer's OPEN arrives, as RFC 4271 suggests.
 const OPEN_SENT_HOLD_TIME: Micros = 240 * SECOND;
 /// A session established for this long resets the count of consecutive failures.
 const STABLE_SESSION_TIME: Micros = 60 * SECOND;
-/// The largest exponent of the growth of the idle hold time.
+/// The maximum exponent of the exponential growth of the idle hold time.
 const MAX_BACKOFF_EXPONENT: u32 = 20;
 /// Error code of a finite state machine error (RFC 4271 section 6.6).
 const FSM_ERROR: u8 = 5;
@@ -31,9 +32,9 @@
 const CEASE_COLLISION_RESOLUTION: u8 = 7;
 /// The first start is spread over the connect retry time divided by this.
 const START_SPREAD_DIVISOR: Micros = 4;
-/// KEEPALIVEs a hold time (RFC 4271 section 10).
+/// The number of KEEPALIVEs per hold time (RFC 4271 section 10).
 const KEEPALIVES_PER_HOLD_TIME: Micros = 3;
-/// The part of a time that jitter may subtract (RFC 4271 section 10).
+/// The maximum fraction of a duration that jitter subtracts (RFC 4271 section 10).
 const MAX_JITTER: f64 = 0.25;
 
 /// The state machine of one connection.
@@ -51,7 +52,7 @@
 }
 
 impl Machine {
-    /// A machine in state Idle; `seed` is that of its jitter.
+    /// Creates a machine in state Idle. `seed` is the seed of the jitter of its timers.
     #[must_use]
     pub fn new(settings: MachineSettings, seed: u64) -> Machine {
         let rng = fastrand::Rng::with_seed(seed);
@@ -66,37 +67,37 @@
         }
     }
 
-    /// Its state.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When it entered its state.
+    /// Returns when the machine entered the current state.
     #[must_use]
     pub fn since(&self) -> Micros {
         self.since
     }
 
-    /// The negotiated hold time in microseconds; 0 before the peer's OPEN.
+    /// Returns the negotiated hold time in microseconds; 0 before the peer's OPEN.
     #[must_use]
     pub fn hold_time(&self) -> Micros {
         self.hold_time
     }
 
-    /// When a timer expires.
+    /// Returns when this timer expires; `None` if it is not running.
     #[must_use]
     pub fn timer(&self, timer: Timer) -> Option<Micros> {
         self.timers[timer as usize]
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires; `None` if no timer is running.
     #[must_use]
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.iter().flatten().min().copied()
     }
 
-    /// Expires all timers that are due.
+    /// Expires all timers that are due and appends the resulting actions to `out`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         for timer in TIMERS {
             if self.timer(timer).is_some_and(|at| at <= now) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Takes in an event and appends the actions that follow.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match self.state {
             State::Idle => self.on_idle(now, &event, out),
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Handles what has the same effect in OpenSent, OpenConfirm and Established.
+    /// Handles the events that have the same effect in OpenSent, OpenConfirm and Established.
     fn on_connected(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Start => {}
@@ -167,7 +168,7 @@
                 self.failures = self.failures.saturating_sub(1);
                 self.fail(now, out);
             }
-            Event::TimerExpired(Timer::Hold) => self.fail_with(now, Notification::hold_timer(), out),
+            Event::TimerExpired(Timer::Hold) => self.fail_with(now, Notification::hold_timer_expired(), out),
             Event::HeaderError(notification) | Event::OpenError(notification) => {
                 self.fail_with(now, notification, out);
             }
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Handles what is valid only in some of OpenSent, OpenConfirm and Established.
+    /// Handles the events that are valid in only some of OpenSent, OpenConfirm and Established.
     fn on_session_message(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match (self.state, event) {
             (State::OpenSent, Event::OpenReceived { hold_time_s }) => {
@@ -207,7 +208,7 @@
         }
     }
 
-    /// The idle hold time after the failures so far, with jitter.
+    /// Returns the idle hold time after the consecutive failures so far, with jitter.
     pub fn idle_hold_time(&mut self) -> Micros {
         let MachineSettings { connect_retry_time, max_idle_hold_time, .. } = self.settings;
         let exponent = self.failures.saturating_sub(1).min(MAX_BACKOFF_EXPONENT);
@@ -215,19 +216,20 @@
         self.jittered(backoff.clamp(connect_retry_time, max_idle_hold_time))
     }
 
-    /// Counts the failure of a connection of another machine.
+    /// Increments the number of consecutive failures, for example after a failure of another machine's
+    /// connection.
     pub fn count_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Starts an idle machine after this time.
+    /// Starts an idle machine after the duration `wait`. Has no effect in other states.
     pub fn start_after(&mut self, now: Micros, wait: Micros) {
         if self.state == State::Idle {
             self.set_timer(now, Timer::IdleHold, wait);
         }
     }
 
-    /// Starts an idle machine for the first time, after a short random time.
+    /// Starts an idle machine for the first time, after a short random delay unless it is passive.
     pub fn start_with_jitter(&mut self, now: Micros) {
         self.failures = 0;
         let max_wait = self.settings.connect_retry_time.max(0) / START_SPREAD_DIVISOR;
@@ -308,13 +310,13 @@
         self.set_timer(now, Timer::Keepalive, interval);
     }
 
-    /// This time less a random part of at most [`MAX_JITTER`].
+    /// Returns this duration less a random fraction of at most [`MAX_JITTER`].
     fn jittered(&mut self, time: Micros) -> Micros {
         time - (time as f64 * MAX_JITTER * self.rng.f64()) as Micros
     }
 }
 
-/// The subcode for a message that is not valid in this state (RFC 6608).
+/// Returns the subcode for a message that is not valid in this state (RFC 6608).
 fn unexpected_message_subcode(state: State) -> u8 {
     match state {
         State::OpenSent => 1,
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -4,10 +4,10 @@
 
 /// The length of a header in octets.
 pub const HEADER_LENGTH: usize = 19;
-/// The largest message in octets. The extended messages of RFC 8654 are not negotiated.
+/// The maximum length of a message in octets. The extended messages of RFC 8654 are not negotiated.
 pub const MAX_MESSAGE_LENGTH: usize = 4096;
-/// The longest shutdown text in octets (RFC 9003); longer ones are truncated.
-const MAX_SHUTDOWN_TEXT: usize = 255;
+/// The maximum length of a shutdown text in octets (RFC 9003); longer texts are truncated.
+const MAX_SHUTDOWN_TEXT_LENGTH: usize = 255;
 
 /// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,10 +20,10 @@
     RouteRefresh,
 }
 
-/// The length and type of the message with this header.
+/// Parses a message header. Returns the length of the whole message in octets, and its type.
 ///
 /// # Errors
-/// The NOTIFICATION to send before the connection is closed.
+/// Returns the NOTIFICATION to send before the connection is closed.
 pub fn parse_header(header: &[u8; HEADER_LENGTH]) -> Result<(usize, MessageType), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
         return Err(Notification::new(1, 1, &[]));
@@ -46,34 +46,34 @@
     Ok((length, kind))
 }
 
-/// A NOTIFICATION: why one side ends the session.
+/// A NOTIFICATION: the error or request for which its sender ends the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
     /// The error code.
     pub code: u8,
-    /// The subcode.
+    /// The error subcode.
     pub subcode: u8,
     /// The faulty field, or a shutdown text.
     pub data: Vec<u8>,
 }
 
 impl Notification {
-    /// A NOTIFICATION with these codes.
+    /// Creates a NOTIFICATION with these codes.
     #[must_use]
     pub fn new(code: u8, subcode: u8, data: &[u8]) -> Notification {
         Notification { code, subcode, data: data.to_vec() }
     }
 
-    /// The hold timer has expired.
+    /// Creates a NOTIFICATION of an expired hold timer.
     #[must_use]
-    pub fn hold_timer() -> Notification {
+    pub fn hold_timer_expired() -> Notification {
         Notification::new(4, 0, &[])
     }
 
-    /// A Cease with this subcode (RFC 4486) and shutdown text (RFC 9003); an empty text is left out.
+    /// Creates a Cease with this subcode (RFC 4486) and shutdown text (RFC 9003); an empty text is omitted.
     #[must_use]
     pub fn cease(subcode: u8, text: &str) -> Notification {
-        let mut end = text.len().min(MAX_SHUTDOWN_TEXT);
+        let mut end = text.len().min(MAX_SHUTDOWN_TEXT_LENGTH);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -85,20 +85,21 @@
         Notification { code: 6, subcode, data }
     }
 
-    /// Reads the body of a NOTIFICATION. [`parse_header`] ensures that it has at least two octets.
+    /// Parses the body of a NOTIFICATION. [`parse_header`] ensures that it has at least two octets.
     #[must_use]
     pub fn read(body: &[u8]) -> Notification {
-        let at = |i: usize| body.get(i).copied().unwrap_or(0);
-        Notification { code: at(0), subcode: at(1), data: body.get(2..).unwrap_or_default().to_vec() }
+        let octet = |i: usize| body.get(i).copied().unwrap_or(0);
+        Notification { code: octet(0), subcode: octet(1), data: body.get(2..).unwrap_or_default().to_vec() }
     }
 
-    /// Whether it reports an unsupported version.
+    /// Returns whether the error is an unsupported version.
     #[must_use]
     pub fn is_version_error(&self) -> bool {
         (self.code, self.subcode) == (2, 1)
     }
 
-    /// The shutdown text, if there is one. Control characters, which the peer may send, are replaced by spaces.
+    /// Returns the shutdown text, if there is one. Control characters, which a peer may send, are replaced by
+    /// spaces because the text is shown on terminals.
     #[must_use]
     pub fn text(&self) -> Option<String> {
         if self.code != 6 || !matches!(self.subcode, 2 | 4) {
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -6,9 +6,9 @@
 
 /// The two-octet AS number that stands in for one of four octets (RFC 6793).
 const AS_TRANS: u32 = 23456;
-/// The least hold time in seconds that is accepted.
+/// The smallest hold time in seconds that is accepted.
 const MIN_HOLD_TIME_S: u16 = 3;
-/// The version of BGP.
+/// The supported version of BGP.
 const VERSION: u8 = 4;
 /// Type of the optional parameter that holds capabilities (RFC 5492).
 const CAPABILITIES_PARAMETER: u8 = 2;
@@ -55,15 +55,16 @@
     }
 }
 
-fn four(x: &[u8]) -> Option<[u8; 4]> {
-    x.try_into().ok()
+fn four_octets(octets: &[u8]) -> Option<[u8; 4]> {
+    octets.try_into().ok()
 }
 
 impl Open {
-    /// Reads the body of an OPEN.
+    /// Parses the body of an OPEN. The AS number and the identifier are not compared with those of the
+    /// configured peer.
     ///
     /// # Errors
-    /// The NOTIFICATION to send. Whether AS number and identifier are those of the configured peer is not checked.
+    /// Returns the NOTIFICATION to send.
     pub fn read(body: &[u8]) -> Result<Open, Notification> {
         let unspecific = || Notification::new(2, 0, &[]);
         let mut octets = Octets(body);
@@ -71,11 +72,11 @@
         if version != VERSION {
             return Err(Notification::new(2, 1, &[0, 4]));
         }
-        let short = octets.u16().ok_or_else(unspecific)?;
+        let two_octet_asn = octets.u16().ok_or_else(unspecific)?;
         let hold_s = octets.u16().ok_or_else(unspecific)?;
-        let id = octets.take(4).and_then(four).ok_or_else(unspecific)?;
+        let id = octets.take(4).and_then(four_octets).ok_or_else(unspecific)?;
         let mut open = Open {
-            asn: u32::from(short),
+            asn: u32::from(two_octet_asn),
             hold_s,
             id: Ipv4Addr::from(id),
             four_octet: false,
@@ -83,24 +84,25 @@
             ipv6: false,
             refresh: false,
         };
-        // RFC 4271 permits to reject a hold time of zero: such a session would outlive a peer that is gone.
+        // RFC 4271 permits rejecting a hold time of zero, which disables the hold timer: the session would
+        // outlast a peer that fails without closing the connection.
         if hold_s < MIN_HOLD_TIME_S {
             return Err(Notification::new(2, 6, &[]));
         }
         if open.id.is_unspecified() || open.id.is_broadcast() || open.id.is_multicast() {
             return Err(Notification::new(2, 3, &[]));
         }
-        let families = open.parameters(&mut octets)?;
+        let has_multiprotocol = open.parse_parameters(&mut octets)?;
         // Without multiprotocol capabilities the session is for IPv4 unicast.
-        open.ipv4 |= !families;
+        open.ipv4 |= !has_multiprotocol;
         if open.asn == 0 || (open.asn == AS_TRANS && !open.four_octet) {
             return Err(Notification::new(2, 2, &[]));
         }
         Ok(open)
     }
 
-    /// Reads the optional parameters. True if there are multiprotocol capabilities.
-    fn parameters(&mut self, octets: &mut Octets<'_>) -> Result<bool, Notification> {
+    /// Parses the optional parameters. Returns whether they contain a multiprotocol capability.
+    fn parse_parameters(&mut self, octets: &mut Octets<'_>) -> Result<bool, Notification> {
         let unspecific = || Notification::new(2, 0, &[]);
         let mut length = usize::from(octets.u8().ok_or_else(unspecific)?);
         let extended = length == 255 && octets.0.first() == Some(&255);
@@ -111,7 +113,7 @@
         if length != octets.0.len() {
             return Err(unspecific());
         }
-        let mut families = false;
+        let mut has_multiprotocol = false;
         while let Some(parameter_type) = octets.u8() {
             let length = if extended { octets.u16() } else { octets.u8().map(u16::from) };
             let value = length.and_then(|n| octets.take(usize::from(n))).ok_or_else(unspecific)?;
@@ -123,21 +125,21 @@
                 let value = capabilities.u8().and_then(|n| capabilities.take(usize::from(n)));
                 match (code, value.ok_or_else(unspecific)?) {
                     (MULTIPROTOCOL, &[0, family, _, 1]) => {
-                        families = true;
+                        has_multiprotocol = true;
                         self.ipv4 |= family == 1;
                         self.ipv6 |= family == 2;
                     }
                     (MULTIPROTOCOL, value) if value.len() != 4 => return Err(unspecific()),
-                    (MULTIPROTOCOL, _) => families = true,
+                    (MULTIPROTOCOL, _) => has_multiprotocol = true,
                     (ROUTE_REFRESH, _) => self.refresh = true,
                     (FOUR_OCTET_AS, value) => {
-                        self.asn = u32::from_be_bytes(four(value).ok_or_else(unspecific)?);
+                        self.asn = u32::from_be_bytes(four_octets(value).ok_or_else(unspecific)?);
                         self.four_octet = true;
                     }
                     _ => {}
                 }
             }
         }
-        Ok(families)
+        Ok(has_multiprotocol)
     }
 }
--- a/crates/bgp/src/peer/mod.rs
+++ b/crates/bgp/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! The session to one peer: up to two connections, the collision detection between them (RFC 4271 section 6.8), and what
-//! is advertised to the peer.
+//! The session to one peer: up to two connections, the collision detection between them (RFC 4271 section
+//! 6.8), and what is advertised to the peer.
 //!
-//! Inputs are what the connections report and the prefixes to announce; times are in microseconds. Routes of the peer
-//! are counted and discarded, so memory is bounded by the announced prefixes.
+//! Inputs are what the connections report and the prefixes to announce; times are in microseconds. Routes of
+//! the peer are counted and discarded, so memory is bounded by the announced prefixes.
 
 mod interface;
 mod receive;
@@ -149,8 +149,8 @@
         match input {
             Input::Start => {
                 self.stopped = false;
-                // With jitter, as two speakers started together would dial each other at the same moment and lose one
-                // of the two connections to collision detection.
+                // With jitter, as two speakers started together would dial each other at the same moment and
+                // lose one of the two connections to collision detection.
                 self.connection_mut(Direction::Outbound).machine.start_with_jitter(now);
             }
             Input::Stop(notification) => {
@@ -288,7 +288,8 @@
         self.write_updates(direction, messages, out);
     }
 
-    /// A connection has ended. Inbound connections are rejected for as long as this speaker would wait itself.
+    /// A connection has ended. Inbound connections are rejected for as long as this speaker would wait
+    /// itself.
     fn on_closed(&mut self, now: Micros, direction: Direction) {
         let restart_at = self.connection(direction).machine.next_timer();
         let was_connected = self.connection_mut(direction).local.take().is_some();
@@ -300,7 +301,8 @@
         }
         let outbound = &mut self.connections[Direction::Outbound as usize].machine;
         match (direction, restart_at) {
-            // Not after a failed dial: two speakers that reject each other after each failed dial would never connect.
+            // Not after a failed dial: two speakers that reject each other after each failed dial would never
+            // connect.
             (Direction::Outbound, Some(restart_at)) if was_connected => {
                 self.reject_inbound_until = restart_at;
             }
--- a/crates/bgp/src/peer/receive.rs
+++ b/crates/bgp/src/peer/receive.rs
@@ -1,4 +1,5 @@
-//! The messages of a peer: validation of its OPEN, collision detection, and the events that each message causes.
+//! The messages of a peer: validation of its OPEN, collision detection, and the events that each message
+//! causes.
 
 use super::{Direction, NotificationOrigin, NotificationRecord, Peer, PeerAction};
 use crate::machine::{Event, State};
@@ -68,9 +69,9 @@
         self.handle_event(now, direction, Event::OpenReceived { hold_time_s }, out);
     }
 
-    /// Whether the connection on which this OPEN arrived is to be closed in favour of the other one. Of two that are not
-    /// established, the one opened by the speaker with the higher identifier stays, or the higher AS number where the
-    /// identifiers are equal (RFC 6286).
+    /// Whether the connection on which this OPEN arrived is to be closed in favour of the other one. Of two
+    /// that are not established, the one opened by the speaker with the higher identifier stays, or the
+    /// higher AS number where the identifiers are equal (RFC 6286).
     fn loses_collision(&self, direction: Direction, open: &Open) -> bool {
         let opposite = direction.opposite();
         let local_is_higher = (self.settings.id, self.settings.asn) > (open.id, open.asn);
@@ -109,7 +110,8 @@
         self.handle_event(now, direction, event, out);
     }
 
-    /// Advertises a family again (RFC 2918). Families that are not in use, and the subtypes of RFC 7313, are ignored.
+    /// Advertises a family again (RFC 2918). Families that are not in use, and the subtypes of RFC 7313, are
+    /// ignored.
     fn on_route_refresh(
         &mut self,
         now: Micros,
--- a/crates/bgp/src/update.rs
+++ b/crates/bgp/src/update.rs
@@ -1,5 +1,5 @@
-//! Received UPDATEs: checked as RFC 7606 requires, counted and discarded. Nothing is allocated, whatever they contain,
-//! except the data of a NOTIFICATION that ends the session.
+//! Received UPDATEs: checked as RFC 7606 requires, counted and discarded. Nothing is allocated, whatever they
+//! contain, except the data of a NOTIFICATION that ends the session.
 
 use crate::message::Notification;
 use crate::open::Octets;
@@ -97,7 +97,8 @@
     let mut present = [0u64; 4];
     let mut rest = Octets(attributes);
     while !rest.0.is_empty() {
-        // An attribute that exceeds the list leaves the others unknown; the prefixes are still found by the total length.
+        // An attribute that exceeds the list leaves the others unknown; the prefixes are still found by the
+        // total length.
         let Some((flags, code, value)) = read_attribute(&mut rest) else {
             summary.treated_as_withdraw = true;
             break;
@@ -241,7 +242,8 @@
     AttributeError::SessionReset(Notification::new(UPDATE_ERROR, OPTIONAL_ATTRIBUTE_ERROR, &[]))
 }
 
-/// Reads the address family of MP_REACH_NLRI or MP_UNREACH_NLRI. True if it was negotiated; with the octets that follow.
+/// Reads the address family of MP_REACH_NLRI or MP_UNREACH_NLRI. True if it was negotiated; with the octets
+/// that follow.
 fn read_family<'a>(
     value: &'a [u8],
     session: &SessionParameters,
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -1,5 +1,5 @@
-//! Encodes messages with netgauze-bgp-pkt. NOTIFICATIONs are encoded here, as the library has no variant for an unknown
-//! subcode.
+//! Encodes messages with netgauze-bgp-pkt. NOTIFICATIONs are encoded here, as the library has no variant for
+//! an unknown subcode.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -118,7 +118,8 @@
     messages
 }
 
-/// The UPDATEs that announce these prefixes with the same attributes. A family without a next hop is left out.
+/// The UPDATEs that announce these prefixes with the same attributes. A family without a next hop is left
+/// out.
 #[must_use]
 pub fn updates(speaker: &Speaker, attributes: &Attributes, prefixes: &[IpNet]) -> Vec<Vec<u8>> {
     let common = common_attributes(speaker, attributes);
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -262,7 +262,8 @@
     assert_eq!(site.announcer.announcements().len(), 1);
 }
 
-/// Plays nodes that come and go for a minute, and says when they last changed and each time of an announcement.
+/// Plays nodes that come and go for a minute, and says when they last changed and each time of an
+/// announcement.
 fn flapping(seed: u64, least: Micros, most: Micros) -> (Micros, Vec<Micros>, Site) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut site = Site::up();
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -1,8 +1,9 @@
-//! Fifty sites that announce one address to two routers, in simulated time: what fails, what is announced, and where
-//! requests go. The announcer is the real one; nodes, routers and clients are a model.
+//! Fifty sites that announce one address to two routers, in simulated time: what fails, what is announced,
+//! and where requests go. The announcer is the real one; nodes, routers and clients are a model.
 //!
-//! Each router sends what its clients ask evenly to the sites near it that announce, and to the far ones where none of
-//! those does. It acts on what it is told after 100 ms. A site knows of its nodes what they were 350 ms before.
+//! Each router sends what its clients ask evenly to the sites near it that announce, and to the far ones
+//! where none of those does. It acts on what it is told after 100 ms. A site knows of its nodes what they
+//! were 350 ms before.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
--- a/crates/bgp/tests/machine.rs
+++ b/crates/bgp/tests/machine.rs
@@ -1,4 +1,5 @@
-//! Every pair of state and event, against a table that was written from RFC 4271 section 8.2.2, and what the timers do.
+//! Every pair of state and event, against a table that was written from RFC 4271 section 8.2.2, and what the
+//! timers do.
 
 use bgp::{Action, Event, Machine, MachineSettings, Micros, Notification, State, Timer, SECOND};
 
@@ -151,7 +152,7 @@
         assert_eq!(machine.state(), State::Idle);
         assert_eq!(
             out[0],
-            Action::SendNotification(Notification::hold_timer()),
+            Action::SendNotification(Notification::hold_timer_expired()),
             "before anything else is due"
         );
     }
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Two speakers over a network of simulated time: collisions, failures at any moment, silence, and what each was told.
+//! Two speakers over a network of simulated time: collisions, failures at any moment, silence, and what each
+//! was told.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -251,8 +252,8 @@
         collided += usize::from(ceases > 0);
         let open: Vec<&Wire> = world.wires.iter().filter(|w| w.open == [true; 2]).collect();
         assert_eq!(open.len(), 1, "seed {seed}");
-        // One side may count a connection as established that the other gives up at that moment: RFC 4271 section 6.8
-        // leaves this open where the established state is not looked at.
+        // One side may count a connection as established that the other gives up at that moment: RFC 4271
+        // section 6.8 leaves this open where the established state is not looked at.
         lost += usize::from(world.peers.iter().any(|p| p.view().sessions_established > 1));
     }
     assert!(collided > 20 && lost < 15, "{collided} collided, {lost} lost");
