--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -33,8 +33,8 @@
     PeerView, PrefixCounts,
 };
 
-pub use table::{Attributes, Speaker, Table};
-pub use update::{scan, SessionParameters, UpdateSummary};
+pub use table::{Attributes, EncodingParameters, Table};
+pub use update::{scan_update, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
 
 /// A time or a duration in microseconds.
--- a/crates/bgp/src/peer/mod.rs
+++ b/crates/bgp/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! The session to one peer: up to two connections, the collision detection between them (RFC 4271 section
-//! 6.8), and what is advertised to the peer.
+//! 6.8), and the prefixes advertised to the peer.
 //!
-//! Inputs are what the connections report and the prefixes to announce; times are in microseconds. Routes of
+//! Inputs are the events of the connections and the prefixes to announce; times are in microseconds. Routes of
 //! the peer are counted and discarded, so memory is bounded by the announced prefixes.
 
 mod interface;
@@ -16,7 +16,7 @@
 use crate::machine::{Action, Event, Machine, MachineSettings, State, Timer};
 use crate::message::Notification;
 use crate::open::Open;
-use crate::table::{Attributes, Speaker, Table};
+use crate::table::{Attributes, EncodingParameters, Table};
 use crate::update::SessionParameters;
 use crate::{write, Micros};
 
@@ -27,12 +27,13 @@
 /// Code and subcode of a Cease for connection collision resolution (RFC 4486).
 const CEASE: u8 = 6;
 const COLLISION_RESOLUTION: u8 = 7;
+
 /// A connection, or the machine that waits for one.
 struct Connection {
     machine: Machine,
-    /// The local address while there is a TCP connection.
+    /// The local address; `None` while there is no TCP connection.
     local: Option<IpAddr>,
-    /// The peer's OPEN.
+    /// The peer's OPEN, once it has arrived.
     open: Option<Open>,
 }
 
@@ -42,10 +43,11 @@
     settings: PeerSettings,
     /// Indexed by [`Direction`].
     connections: [Connection; 2],
-    /// Inbound connections are rejected until then.
+    /// Inbound connections are rejected until this time.
     reject_inbound_until: Micros,
     stopped: bool,
-    wanted: BTreeMap<IpNet, Attributes>,
+    /// The prefixes to announce, with their path attributes.
+    desired: BTreeMap<IpNet, Attributes>,
     table: Table,
     sessions_established: u64,
     received: Counts,
@@ -53,12 +55,12 @@
     prefixes: PrefixCounts,
     malformed_updates: u64,
     last_notification: Option<NotificationRecord>,
-    /// A buffer that is reused for the machines' actions.
+    /// A buffer that is reused for the actions of the state machines.
     actions: Vec<Action>,
 }
 
 impl Peer {
-    /// A peer whose session is not started; `seed` is that of the timers' jitter.
+    /// Creates a peer whose session is not started. `seed` is the seed of the jitter of its timers.
     #[must_use]
     pub fn new(name: String, settings: PeerSettings, seed: u64) -> Peer {
         let connection = |passive, seed| Connection {
@@ -73,7 +75,7 @@
             connections,
             reject_inbound_until: Micros::MIN,
             stopped: true,
-            wanted: BTreeMap::new(),
+            desired: BTreeMap::new(),
             table: Table::default(),
             sessions_established: 0,
             received: Counts::default(),
@@ -85,19 +87,20 @@
         }
     }
 
-    /// Its settings.
+    /// Returns the settings.
     #[must_use]
     pub fn settings(&self) -> &PeerSettings {
         &self.settings
     }
 
-    /// Whether an inbound connection is accepted now. It replaces one on which the peer has sent nothing yet.
+    /// Returns whether an inbound connection is accepted now. It replaces an inbound connection on which the
+    /// peer has sent nothing yet.
     #[must_use]
     pub fn accepts_inbound(&self, now: Micros) -> bool {
         !self.stopped && now >= self.reject_inbound_until && self.state(Direction::Inbound) <= State::OpenSent
     }
 
-    /// Its state, for operators.
+    /// Returns the state as shown to operators.
     #[must_use]
     pub fn view(&self) -> PeerView {
         let inbound_leads = self.state(Direction::Inbound) > self.state(Direction::Outbound);
@@ -119,38 +122,38 @@
         }
     }
 
-    /// When its next timer expires.
+    /// Returns when the next timer expires; `None` if no timer is running.
     #[must_use]
     pub fn next_timer(&self) -> Option<Micros> {
         self.connections.iter().filter_map(|connection| connection.machine.next_timer()).min()
     }
 
-    /// Expires the timers that are due.
+    /// Expires the timers that are due and appends the resulting actions to `out`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         for direction in DIRECTIONS {
             let mut actions = std::mem::take(&mut self.actions);
             self.connection_mut(direction).machine.tick(now, &mut actions);
-            self.carry_out(now, direction, actions, out);
+            self.carry_out_all(now, direction, actions, out);
         }
     }
 
-    /// Sets what is announced to the peer, and sends the difference if the session is established.
-    pub fn announce(&mut self, wanted: &BTreeMap<IpNet, Attributes>, out: &mut Vec<PeerAction>) {
-        self.wanted.clone_from(wanted);
+    /// Sets the prefixes to announce to the peer, and sends the difference if the session is established.
+    pub fn announce(&mut self, desired: &BTreeMap<IpNet, Attributes>, out: &mut Vec<PeerAction>) {
+        self.desired.clone_from(desired);
         if let Some(direction) = self.established_direction() {
-            let speaker = self.speaker(direction);
-            let messages = self.table.update(&self.wanted, &speaker);
+            let parameters = self.encoding_parameters(direction);
+            let messages = self.table.update(&self.desired, &parameters);
             self.write_updates(direction, messages, out);
         }
     }
 
-    /// Handles an input and appends the actions that follow.
+    /// Handles an input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<PeerAction>) {
         match input {
             Input::Start => {
                 self.stopped = false;
-                // With jitter, as two speakers started together would dial each other at the same moment and
-                // lose one of the two connections to collision detection.
+                // With jitter, because two speakers started together would otherwise dial each other at the
+                // same time and lose one of the two connections to collision detection.
                 self.connection_mut(Direction::Outbound).machine.start_with_jitter(now);
             }
             Input::Stop(notification) => {
@@ -180,7 +183,7 @@
         self.connection(direction).machine.state()
     }
 
-    /// The connection of the established session.
+    /// Returns the direction of the connection of the established session.
     fn established_direction(&self) -> Option<Direction> {
         DIRECTIONS.into_iter().find(|direction| self.state(*direction) == State::Established)
     }
@@ -190,7 +193,7 @@
             if !self.accepts_inbound(now) {
                 return;
             }
-            // Replaces a connection on which the peer has sent nothing yet.
+            // Replaces an inbound connection on which the peer has sent nothing yet.
             self.connection_mut(direction).machine = self.passive_machine(now);
             self.handle_event(now, direction, Event::Start, out);
         }
@@ -203,10 +206,10 @@
     fn handle_event(&mut self, now: Micros, direction: Direction, event: Event, out: &mut Vec<PeerAction>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.connection_mut(direction).machine.handle(now, event, &mut actions);
-        self.carry_out(now, direction, actions, out);
+        self.carry_out_all(now, direction, actions, out);
     }
 
-    fn carry_out(
+    fn carry_out_all(
         &mut self,
         now: Micros,
         direction: Direction,
@@ -216,7 +219,7 @@
         let closes = actions.contains(&Action::Close);
         let session_up = actions.contains(&Action::SessionUp);
         for action in actions.drain(..) {
-            self.carry_out_one(now, direction, action, out);
+            self.carry_out_action(now, direction, action, out);
         }
         self.actions = actions;
         if session_up {
@@ -231,7 +234,7 @@
         }
     }
 
-    fn carry_out_one(
+    fn carry_out_action(
         &mut self,
         now: Micros,
         direction: Direction,
@@ -252,11 +255,11 @@
                 self.send_notification(now, direction, notification, out);
             }
             Action::Close => out.push(PeerAction::Close(direction)),
-            // Handled once all actions are carried out.
+            // Handled after all other actions.
             Action::SessionUp => {}
             Action::SessionDown => {
                 self.table = Table::default();
-                out.push(PeerAction::Log(format!("peer `{}`: down", self.name)));
+                out.push(PeerAction::Log(format!("peer `{}`: session down", self.name)));
             }
         }
     }
@@ -273,7 +276,10 @@
         if (notification.code, notification.subcode) == (CEASE, COLLISION_RESOLUTION) {
             return;
         }
-        out.push(PeerAction::Log(format!("peer `{}`: ended by us: {notification}", self.name)));
+        out.push(PeerAction::Log(format!(
+            "peer `{}`: sent NOTIFICATION, closing the connection: {notification}",
+            self.name
+        )));
         let origin = NotificationOrigin::Sent;
         self.last_notification = Some(NotificationRecord { at: now, origin, notification });
     }
@@ -281,15 +287,15 @@
     fn on_established(&mut self, now: Micros, direction: Direction, out: &mut Vec<PeerAction>) {
         self.sessions_established += 1;
         self.table = Table::default();
-        let state = if self.sessions_established == 1 { "up" } else { "up again" };
-        out.push(PeerAction::Log(format!("peer `{}`: {state}", self.name)));
+        let state = if self.sessions_established == 1 { "established" } else { "re-established" };
+        out.push(PeerAction::Log(format!("peer `{}`: session {state}", self.name)));
         self.handle_event(now, direction.opposite(), Event::CollisionLost, out);
-        let messages = self.table.update(&self.wanted, &self.speaker(direction));
+        let messages = self.table.update(&self.desired, &self.encoding_parameters(direction));
         self.write_updates(direction, messages, out);
     }
 
-    /// A connection has ended. Inbound connections are rejected for as long as this speaker would wait
-    /// itself.
+    /// Handles the end of a connection. Inbound connections are rejected for as long as this speaker waits
+    /// before it dials again.
     fn on_closed(&mut self, now: Micros, direction: Direction) {
         let restart_at = self.connection(direction).machine.next_timer();
         let was_connected = self.connection_mut(direction).local.take().is_some();
@@ -301,12 +307,12 @@
         }
         let outbound = &mut self.connections[Direction::Outbound as usize].machine;
         match (direction, restart_at) {
-            // Not after a failed dial: two speakers that reject each other after each failed dial would never
-            // connect.
+            // Not after a failed dial, because two speakers that reject each other after each failed dial
+            // would never connect.
             (Direction::Outbound, Some(restart_at)) if was_connected => {
                 self.reject_inbound_until = restart_at;
             }
-            // The outbound machine restarts, unless it is running anyway.
+            // The outbound machine restarts unless it is already running.
             (Direction::Inbound, Some(restart_at)) => {
                 outbound.count_failure();
                 let wait = outbound.idle_hold_time().max(restart_at - now);
@@ -317,12 +323,12 @@
                 let wait = outbound.idle_hold_time();
                 outbound.start_after(now, wait);
             }
-            // The other connection of a collision goes on.
+            // The other connection of a collision continues.
             _ => {}
         }
     }
 
-    /// A machine for an inbound connection.
+    /// Creates the state machine of an inbound connection.
     fn passive_machine(&self, now: Micros) -> Machine {
         Machine::new(MachineSettings { passive: true, ..self.settings.machine }, now as u64)
     }
@@ -342,14 +348,14 @@
         }
     }
 
-    fn speaker(&self, direction: Direction) -> Speaker {
+    fn encoding_parameters(&self, direction: Direction) -> EncodingParameters {
         let connection = self.connection(direction);
         let (local_v4, local_v6) = connection.local.map_or((None, None), write::next_hops);
         let next_hop_v4 = self.settings.next_hop_v4.or(local_v4);
         let next_hop_v6 = self.settings.next_hop_v6.or(local_v6);
         let open = connection.open.as_ref();
         let SessionParameters { asn, internal, four_octet, .. } = self.session_parameters(direction);
-        Speaker {
+        EncodingParameters {
             asn,
             internal,
             four_octet,
--- a/crates/bgp/src/peer/receive.rs
+++ b/crates/bgp/src/peer/receive.rs
@@ -1,11 +1,11 @@
-//! The messages of a peer: validation of its OPEN, collision detection, and the events that each message
+//! Received messages of a peer: validation of its OPEN, collision detection, and the events that each message
 //! causes.
 
 use super::{Direction, NotificationOrigin, NotificationRecord, Peer, PeerAction};
 use crate::machine::{Event, State};
 use crate::message::{MessageType, Notification};
 use crate::open::Open;
-use crate::update::scan;
+use crate::update::scan_update;
 use crate::Micros;
 
 /// Error code of an error in an OPEN, and its subcodes (RFC 4271 section 6.2).
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Checks that an OPEN is of the configured peer.
+    /// Checks that an OPEN comes from the configured peer.
     fn validate(&self, open: Open) -> Result<Open, Notification> {
         if open.asn != self.settings.peer_asn {
             return Err(Notification::new(OPEN_ERROR, BAD_PEER_AS, &[]));
@@ -69,9 +69,9 @@
         self.handle_event(now, direction, Event::OpenReceived { hold_time_s }, out);
     }
 
-    /// Whether the connection on which this OPEN arrived is to be closed in favour of the other one. Of two
-    /// that are not established, the one opened by the speaker with the higher identifier stays, or the
-    /// higher AS number where the identifiers are equal (RFC 6286).
+    /// Returns whether collision detection closes the connection on which this OPEN arrived. Of two
+    /// connections that are not established, the one opened by the speaker with the higher identifier is
+    /// kept, or with the higher AS number if the identifiers are equal (RFC 6286).
     fn loses_collision(&self, direction: Direction, open: &Open) -> bool {
         let opposite = direction.opposite();
         let local_is_higher = (self.settings.id, self.settings.asn) > (open.id, open.asn);
@@ -87,7 +87,10 @@
         self.received.notifications += 1;
         let notification = Notification::read(body);
         let is_version_error = notification.is_version_error();
-        out.push(PeerAction::Log(format!("peer `{}` ends: {notification}", self.name)));
+        out.push(PeerAction::Log(format!(
+            "peer `{}`: received NOTIFICATION, closing the connection: {notification}",
+            self.name
+        )));
         let origin = NotificationOrigin::Received;
         self.last_notification = Some(NotificationRecord { at: now, origin, notification });
         let event = if is_version_error { Event::VersionErrorReceived } else { Event::NotificationReceived };
@@ -96,7 +99,7 @@
 
     fn on_update(&mut self, now: Micros, direction: Direction, body: &[u8], out: &mut Vec<PeerAction>) {
         self.received.updates += 1;
-        let event = match scan(body, &self.session_parameters(direction)) {
+        let event = match scan_update(body, &self.session_parameters(direction)) {
             Ok(summary) => {
                 self.prefixes.announced += u64::from(summary.announced);
                 self.prefixes.withdrawn += u64::from(summary.withdrawn);
@@ -110,8 +113,8 @@
         self.handle_event(now, direction, event, out);
     }
 
-    /// Advertises a family again (RFC 2918). Families that are not in use, and the subtypes of RFC 7313, are
-    /// ignored.
+    /// Handles a ROUTE-REFRESH by advertising the family again (RFC 2918). Families that are not in use, and
+    /// the subtypes of RFC 7313, are ignored.
     fn on_route_refresh(
         &mut self,
         now: Micros,
@@ -125,7 +128,7 @@
             return;
         }
         if let &[0, family @ (AFI_IPV4 | AFI_IPV6), 0, 1] = body {
-            let messages = self.table.refresh(&self.speaker(direction), family == AFI_IPV6);
+            let messages = self.table.refresh(&self.encoding_parameters(direction), family == AFI_IPV6);
             self.write_updates(direction, messages, out);
         }
     }
--- a/crates/bgp/src/peer/view.rs
+++ b/crates/bgp/src/peer/view.rs
@@ -1,4 +1,4 @@
-//! The state of a peer as operators read it.
+//! The state of a peer as shown to operators.
 
 use std::net::Ipv4Addr;
 
@@ -8,7 +8,7 @@
 use crate::message::Notification;
 use crate::Micros;
 
-/// Messages by type, since the start.
+/// The numbers of messages by type since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Counts {
@@ -18,16 +18,16 @@
     pub refreshes: u64,
 }
 
-/// Prefixes in UPDATEs of the peer, since the start. They are counted and discarded.
+/// The numbers of prefixes in UPDATEs of the peer since the start. The prefixes themselves are discarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixCounts {
-    /// Prefixes announced.
+    /// The number of announced prefixes.
     pub announced: u64,
-    /// Prefixes withdrawn.
+    /// The number of withdrawn prefixes.
     pub withdrawn: u64,
 }
 
-/// Who sent a NOTIFICATION.
+/// The side that sent a NOTIFICATION.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotificationOrigin {
     /// This speaker.
@@ -39,38 +39,39 @@
 /// A NOTIFICATION that ended a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotificationRecord {
-    /// When it was sent or received.
+    /// When the NOTIFICATION was sent or received.
     pub at: Micros,
-    /// Who sent it.
+    /// The side that sent it.
     pub origin: NotificationOrigin,
-    /// What it says.
+    /// The NOTIFICATION.
     pub notification: Notification,
 }
 
-/// The state of a peer.
+/// The state of a peer as shown to operators.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    /// The state of the connection that has progressed further.
+    /// The state of that of the two connections that has progressed further.
     pub state: State,
-    /// When it entered this state.
+    /// When that connection entered this state.
     pub since: Micros,
-    /// The negotiated hold time in microseconds; 0 without one.
+    /// The negotiated hold time in microseconds; 0 before it is negotiated.
     pub hold_time: Micros,
-    /// Sessions established since the start.
+    /// The number of sessions established since the start.
     pub sessions_established: u64,
     /// The peer's BGP identifier, once its OPEN has arrived.
     pub id: Option<Ipv4Addr>,
-    /// IPv6 unicast was negotiated.
+    /// Whether IPv6 unicast was negotiated.
     pub ipv6: bool,
-    /// Messages received.
+    /// The received messages.
     pub received: Counts,
-    /// Messages sent.
+    /// The sent messages.
     pub sent: Counts,
-    /// Prefixes received.
+    /// The received prefixes.
     pub prefixes: PrefixCounts,
-    /// Malformed UPDATEs that did not end the session.
+    /// The number of malformed UPDATEs that did not end the session.
     pub malformed_updates: u64,
-    /// The last NOTIFICATION.
+    /// The last NOTIFICATION that was sent or received, except for the resolution of collisions by this
+    /// speaker.
     pub last_notification: Option<NotificationRecord>,
     /// The prefixes announced to the peer.
     pub advertised: Vec<IpNet>,
--- a/crates/bgp/src/update.rs
+++ b/crates/bgp/src/update.rs
@@ -1,34 +1,35 @@
-//! Received UPDATEs: checked as RFC 7606 requires, counted and discarded. Nothing is allocated, whatever they
-//! contain, except the data of a NOTIFICATION that ends the session.
+//! Checks received UPDATEs as RFC 7606 requires, and counts their prefixes. The routes are discarded: nothing
+//! is allocated, whatever an UPDATE contains, except the data of a NOTIFICATION that ends the session.
 
 use crate::message::Notification;
 use crate::open::Octets;
 
-/// The parameters of a session that the encoding of UPDATEs depends on.
+/// The parameters of a session for checking received UPDATEs.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionParameters {
     /// The local AS number.
     pub asn: u32,
-    /// The session is internal: the peer has the same AS number.
+    /// Whether the session is internal: the peer has the same AS number.
     pub internal: bool,
-    /// AS numbers have four octets (RFC 6793).
+    /// Whether AS numbers have four octets (RFC 6793).
     pub four_octet: bool,
-    /// IPv6 unicast was negotiated.
+    /// Whether IPv6 unicast was negotiated.
     pub ipv6: bool,
 }
 
-/// What an UPDATE contains.
+/// The result of checking an UPDATE.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateSummary {
-    /// Prefixes announced.
+    /// The number of announced prefixes.
     pub announced: u32,
-    /// Prefixes withdrawn.
+    /// The number of withdrawn prefixes.
     pub withdrawn: u32,
-    /// Malformed attributes that were discarded.
+    /// The number of malformed or repeated attributes that were discarded.
     pub discarded: u32,
-    /// Its announcements count as withdrawn, as a required attribute is malformed or missing (RFC 7606).
+    /// Whether the announced prefixes count as withdrawn, because an attribute is malformed or a required one
+    /// is missing (RFC 7606).
     pub treated_as_withdraw: bool,
-    /// Its AS_PATH contains the local AS number.
+    /// Whether AS_PATH contains the local AS number.
     pub looped: bool,
 }
 
@@ -62,7 +63,7 @@
 const OPTIONAL_ATTRIBUTE_ERROR: u8 = 9;
 const INVALID_NETWORK_FIELD: u8 = 10;
 
-/// The longest prefixes in bits.
+/// The maximum lengths of prefixes in bits.
 const MAX_PREFIX_LENGTH_V4: u8 = 32;
 const MAX_PREFIX_LENGTH_V6: u8 = 128;
 /// Address family and subsequent address family of IPv6 unicast.
@@ -72,22 +73,22 @@
 enum AttributeError {
     /// The attribute is discarded.
     Discard,
-    /// The announcements count as withdrawn.
+    /// The announced prefixes count as withdrawn.
     TreatAsWithdraw,
     /// The session ends with this NOTIFICATION.
     SessionReset(Notification),
 }
 
-/// Checks and counts the body of an UPDATE.
+/// Checks the body of an UPDATE and counts its prefixes.
 ///
 /// # Errors
-/// The NOTIFICATION that ends the session, where RFC 7606 requires a session reset.
-pub fn scan(body: &[u8], session: &SessionParameters) -> Result<UpdateSummary, Notification> {
+/// Returns the NOTIFICATION that ends the session if RFC 7606 requires a session reset.
+pub fn scan_update(body: &[u8], session: &SessionParameters) -> Result<UpdateSummary, Notification> {
     let malformed = || Notification::new(UPDATE_ERROR, MALFORMED_ATTRIBUTE_LIST, &[]);
     let mut octets = Octets(body);
-    let mut part = || octets.u16().and_then(|n| octets.take(usize::from(n))).ok_or_else(malformed);
-    let withdrawn = part()?;
-    let attributes = part()?;
+    let mut read_section = || octets.u16().and_then(|n| octets.take(usize::from(n))).ok_or_else(malformed);
+    let withdrawn = read_section()?;
+    let attributes = read_section()?;
     let mut summary = UpdateSummary {
         withdrawn: count_prefixes(withdrawn, MAX_PREFIX_LENGTH_V4)?,
         ..UpdateSummary::default()
@@ -97,8 +98,8 @@
     let mut present = [0u64; 4];
     let mut rest = Octets(attributes);
     while !rest.0.is_empty() {
-        // An attribute that exceeds the list leaves the others unknown; the prefixes are still found by the
-        // total length.
+        // An attribute that exceeds the list makes the rest of the list unreadable, but the announced
+        // prefixes are still located by the total length of the list.
         let Some((flags, code, value)) = read_attribute(&mut rest) else {
             summary.treated_as_withdraw = true;
             break;
@@ -128,7 +129,7 @@
     Ok(summary)
 }
 
-/// Reads flags, type code and value of the next attribute.
+/// Reads the flags, type code and value of the next attribute; `None` if it exceeds the list.
 fn read_attribute<'a>(rest: &mut Octets<'a>) -> Option<(u8, u8, &'a [u8])> {
     let flags = rest.u8()?;
     let code = rest.u8()?;
@@ -137,7 +138,7 @@
     Some((flags, code, rest.take(length)?))
 }
 
-/// Counts prefixes of up to `max_length` bits.
+/// Counts prefixes, each of at most `max_length` bits.
 fn count_prefixes(octets: &[u8], max_length: u8) -> Result<u32, Notification> {
     let mut octets = Octets(octets);
     let mut count = 0;
@@ -150,7 +151,7 @@
     Ok(count)
 }
 
-/// The flags that a known attribute must have.
+/// Returns the flags that a known attribute must have; `None` for an unknown one.
 fn expected_flags(code: u8) -> Option<u8> {
     match code {
         ORIGIN | AS_PATH | NEXT_HOP | LOCAL_PREF | ATOMIC_AGGREGATE => Some(TRANSITIVE),
@@ -172,7 +173,7 @@
 ) -> Result<(), AttributeError> {
     // The partial bit is not checked.
     let expected_flags = expected_flags(code);
-    // RFC 7606 discards only the attribute.
+    // If one of these is malformed, RFC 7606 requires that only the attribute is discarded.
     let is_internal_only = matches!(code, LOCAL_PREF | ORIGINATOR_ID | CLUSTER_LIST);
     let is_discardable = matches!(code, ATOMIC_AGGREGATE | AGGREGATOR | AS4_PATH | AS4_AGGREGATOR)
         || (!session.internal && is_internal_only);
@@ -222,7 +223,7 @@
     }
 }
 
-/// Whether an AS_PATH is valid; sets `looped` if it contains the local AS number.
+/// Returns whether an AS_PATH is valid; sets `looped` if it contains the local AS number.
 fn check_as_path(value: &[u8], asn_length: usize, local_asn: u32, looped: &mut bool) -> bool {
     let mut octets = Octets(value);
     while let Some(segment_type) = octets.u8() {
@@ -237,13 +238,13 @@
     true
 }
 
-/// A malformed MP_REACH_NLRI or MP_UNREACH_NLRI.
+/// Returns the error for a malformed MP_REACH_NLRI or MP_UNREACH_NLRI.
 fn malformed_multiprotocol() -> AttributeError {
     AttributeError::SessionReset(Notification::new(UPDATE_ERROR, OPTIONAL_ATTRIBUTE_ERROR, &[]))
 }
 
-/// Reads the address family of MP_REACH_NLRI or MP_UNREACH_NLRI. True if it was negotiated; with the octets
-/// that follow.
+/// Reads the address family of MP_REACH_NLRI or MP_UNREACH_NLRI. Returns whether it was negotiated, and the
+/// octets that follow it.
 fn read_family<'a>(
     value: &'a [u8],
     session: &SessionParameters,
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -1,5 +1,5 @@
-//! Encodes messages with netgauze-bgp-pkt. NOTIFICATIONs are encoded here, as the library has no variant for
-//! an unknown subcode.
+//! Encodes messages with netgauze-bgp-pkt. NOTIFICATIONs are encoded without it, because it has no
+//! variant for an unknown subcode.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -21,23 +21,25 @@
 use netgauze_parse_utils::WritablePdu;
 
 use crate::message::{Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
-use crate::table::{Attributes, Speaker};
+use crate::table::{Attributes, EncodingParameters};
 
 /// The two-octet AS number that stands in for one of four octets (RFC 6793).
 const AS_TRANS: u16 = 23456;
-/// Prefixes a message at most, so that it stays within [`MAX_MESSAGE_LENGTH`] with the largest attributes.
+/// The maximum number of prefixes per message, so that a message stays within [`MAX_MESSAGE_LENGTH`] with the
+/// largest attributes.
 const MAX_PREFIXES_V4: usize = 500;
 const MAX_PREFIXES_V6: usize = 150;
 
 fn encode(message: &BgpMessage) -> Vec<u8> {
     let mut octets = Vec::with_capacity(message.len());
-    // Writing to memory fails only for a message that is too long, and prefixes are split over messages.
+    // Writing to memory fails only for a message that is too long. Prefixes are split over messages to
+    // prevent that.
     let written = message.write(&mut octets);
     debug_assert!(written.is_ok() && octets.len() <= MAX_MESSAGE_LENGTH);
     octets
 }
 
-/// An OPEN with the capabilities of this speaker; `hold_s` is the proposed hold time in seconds.
+/// Encodes an OPEN with the capabilities of this speaker; `hold_s` is the proposed hold time in seconds.
 #[must_use]
 pub fn open_message(asn: u32, hold_s: u16, id: Ipv4Addr) -> Vec<u8> {
     let family = |f| BgpCapability::MultiProtocolExtensions(MultiProtocolExtensionsCapability::new(f));
@@ -47,18 +49,18 @@
         BgpCapability::RouteRefresh,
         BgpCapability::FourOctetAs(FourOctetAsCapability::new(asn)),
     ];
-    let short = u16::try_from(asn).unwrap_or(AS_TRANS);
+    let two_octet_asn = u16::try_from(asn).unwrap_or(AS_TRANS);
     let parameters = vec![BgpOpenMessageParameter::new_capabilities(capabilities)];
-    encode(&BgpMessage::Open(BgpOpenMessage::new(short, hold_s, id, parameters)))
+    encode(&BgpMessage::Open(BgpOpenMessage::new(two_octet_asn, hold_s, id, parameters)))
 }
 
-/// A KEEPALIVE.
+/// Encodes a KEEPALIVE.
 #[must_use]
 pub fn keepalive() -> Vec<u8> {
     encode(&BgpMessage::KeepAlive)
 }
 
-/// A NOTIFICATION; data that does not fit is truncated.
+/// Encodes a NOTIFICATION; data that does not fit is truncated.
 #[must_use]
 pub fn notification(notification: &Notification) -> Vec<u8> {
     let data = &notification.data[..notification.data.len().min(MAX_MESSAGE_LENGTH - HEADER_LENGTH - 2)];
@@ -105,40 +107,40 @@
     encode(&BgpMessage::Update(BgpUpdateMessage::new(withdrawn, attributes, nlri)))
 }
 
-/// The UPDATEs that withdraw these prefixes.
+/// Encodes the UPDATEs that withdraw these prefixes.
 pub(crate) fn withdrawals(prefixes: &[IpNet]) -> Vec<Vec<u8>> {
     let mut messages: Vec<Vec<u8>> = ipv4_nlri(prefixes)
         .chunks(MAX_PREFIXES_V4)
-        .map(|some| update(some.to_vec(), Vec::new(), Vec::new()))
+        .map(|chunk| update(chunk.to_vec(), Vec::new(), Vec::new()))
         .collect();
-    for some in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
-        let value = PathAttributeValue::MpUnreach(MpUnreach::Ipv6Unicast { nlri: some.into() });
+    for chunk in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
+        let value = PathAttributeValue::MpUnreach(MpUnreach::Ipv6Unicast { nlri: chunk.into() });
         messages.push(update(Vec::new(), attribute(true, false, value).into_iter().collect(), Vec::new()));
     }
     messages
 }
 
-/// The UPDATEs that announce these prefixes with the same attributes. A family without a next hop is left
-/// out.
+/// Encodes the UPDATEs that announce these prefixes with the same attributes. A family without a next hop is
+/// omitted.
 #[must_use]
-pub fn updates(speaker: &Speaker, attributes: &Attributes, prefixes: &[IpNet]) -> Vec<Vec<u8>> {
-    let common = common_attributes(speaker, attributes);
+pub fn updates(parameters: &EncodingParameters, attributes: &Attributes, prefixes: &[IpNet]) -> Vec<Vec<u8>> {
+    let common = common_attributes(parameters, attributes);
     let mut messages = Vec::new();
-    if let Some(hop) = speaker.next_hop_v4 {
-        for some in ipv4_nlri(prefixes).chunks(MAX_PREFIXES_V4) {
+    if let Some(hop) = parameters.next_hop_v4 {
+        for chunk in ipv4_nlri(prefixes).chunks(MAX_PREFIXES_V4) {
             let mut all = common.clone();
             let hop = PathAttributeValue::NextHop(NextHop::new(hop));
             // In ascending order of type codes (RFC 4271 section 5).
             all.splice(2..2, attribute(false, true, hop));
-            messages.push(update(Vec::new(), all, some.to_vec()));
+            messages.push(update(Vec::new(), all, chunk.to_vec()));
         }
     }
-    if let Some(hop) = speaker.next_hop_v6 {
-        for some in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
+    if let Some(hop) = parameters.next_hop_v6 {
+        for chunk in ipv6_nlri(prefixes).chunks(MAX_PREFIXES_V6) {
             let reach = MpReach::Ipv6Unicast {
                 next_hop_global: hop,
                 next_hop_local: None,
-                nlri: some.to_vec().into_boxed_slice(),
+                nlri: chunk.to_vec().into_boxed_slice(),
             };
             // First, so that a receiver finds the prefixes even if another attribute is malformed (RFC 7606).
             let mut all: Vec<_> =
@@ -150,30 +152,39 @@
     messages
 }
 
-/// The path attributes that do not depend on the family; the first two are ORIGIN and AS_PATH.
-fn common_attributes(speaker: &Speaker, attributes: &Attributes) -> Vec<PathAttribute> {
+/// Returns the path attributes that do not depend on the family; the first two are ORIGIN and AS_PATH.
+fn common_attributes(parameters: &EncodingParameters, attributes: &Attributes) -> Vec<PathAttribute> {
     let mut all = vec![attribute(false, true, PathAttributeValue::Origin(Origin::IGP))];
-    let path_length = if speaker.internal { 0 } else { 1 + usize::from(attributes.prepend) };
-    let four = |times| vec![As4PathSegment::new(AsPathSegmentType::AsSequence, vec![speaker.asn; times])];
-    let wide = if path_length == 0 { Vec::new() } else { four(path_length) };
-    let short = u16::try_from(speaker.asn);
-    if speaker.four_octet {
-        all.push(attribute(false, true, PathAttributeValue::AsPath(AsPath::as4_path_segments(wide.clone()))));
+    let path_length = if parameters.internal { 0 } else { 1 + usize::from(attributes.prepend) };
+    let four_octet_sequence =
+        |times| vec![As4PathSegment::new(AsPathSegmentType::AsSequence, vec![parameters.asn; times])];
+    let four_octet_segments = if path_length == 0 { Vec::new() } else { four_octet_sequence(path_length) };
+    let two_octet_asn = u16::try_from(parameters.asn);
+    if parameters.four_octet {
+        all.push(attribute(
+            false,
+            true,
+            PathAttributeValue::AsPath(AsPath::as4_path_segments(four_octet_segments.clone())),
+        ));
     } else {
-        let narrow = match path_length {
+        let two_octet_segments = match path_length {
             0 => Vec::new(),
             times => vec![As2PathSegment::new(
                 AsPathSegmentType::AsSequence,
-                vec![short.unwrap_or(AS_TRANS); times],
+                vec![two_octet_asn.unwrap_or(AS_TRANS); times],
             )],
         };
-        all.push(attribute(false, true, PathAttributeValue::AsPath(AsPath::as2_path_segments(narrow))));
+        all.push(attribute(
+            false,
+            true,
+            PathAttributeValue::AsPath(AsPath::as2_path_segments(two_octet_segments)),
+        ));
     }
     if let Some(med) = attributes.med {
         let med = PathAttributeValue::MultiExitDiscriminator(MultiExitDiscriminator::new(med));
         all.push(attribute(true, false, med));
     }
-    if speaker.internal {
+    if parameters.internal {
         let preference = PathAttributeValue::LocalPreference(LocalPreference::new(attributes.local_pref));
         all.push(attribute(false, true, preference));
     }
@@ -181,8 +192,8 @@
         let each: Vec<_> = attributes.communities.iter().map(|c| Community::new(*c)).collect();
         all.push(attribute(true, true, PathAttributeValue::Communities(Communities::new(each))));
     }
-    if !speaker.four_octet && short.is_err() && path_length > 0 {
-        all.push(attribute(true, true, PathAttributeValue::As4Path(As4Path::new(wide))));
+    if !parameters.four_octet && two_octet_asn.is_err() && path_length > 0 {
+        all.push(attribute(true, true, PathAttributeValue::As4Path(As4Path::new(four_octet_segments))));
     }
     if !attributes.large_communities.is_empty() {
         let each: Vec<_> =
@@ -192,7 +203,8 @@
     all.into_iter().flatten().collect()
 }
 
-/// The next hops of both families that follow from the local address of a connection.
+/// Returns the IPv4 and IPv6 next hops given by the local address of a connection. An IPv4-mapped address
+/// gives an IPv4 next hop.
 pub(crate) fn next_hops(local: IpAddr) -> (Option<Ipv4Addr>, Option<std::net::Ipv6Addr>) {
     match local {
         IpAddr::V4(a) => (Some(a), None),
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -4,8 +4,8 @@
 use std::net::IpAddr;
 
 use bgp::{
-    notification, parse_header, scan, Attributes, MessageType, Notification, Open, SessionParameters,
-    Speaker, Table,
+    notification, parse_header, scan_update, Attributes, EncodingParameters, MessageType, Notification, Open,
+    SessionParameters, Table,
 };
 use proptest::prelude::*;
 use testkit::bgp_router::{self, BgpMessage};
@@ -125,9 +125,9 @@
 
 #[test]
 fn what_a_malformed_update_does_follows_rfc_7606() {
-    let seen = |attributes: Vec<u8>| scan(&update(&[], &attributes, &ROUTE), &SESSION);
+    let seen = |attributes: Vec<u8>| scan_update(&update(&[], &attributes, &ROUTE), &SESSION);
     let withdrawn = |attributes: Vec<u8>| seen(attributes).expect("no reset").treated_as_withdraw;
-    let good = scan(&update(&ROUTE, &sound(), &ROUTE), &SESSION).expect("good");
+    let good = scan_update(&update(&ROUTE, &sound(), &ROUTE), &SESSION).expect("good");
     assert_eq!((good.announced, good.withdrawn, good.treated_as_withdraw), (1, 1, false));
     // A well-known mandatory one is missing.
     assert!(withdrawn([origin(), path()].concat()));
@@ -170,11 +170,11 @@
     assert!(seen(instead(2, attribute(0x40, 2, &[2, 2, 0, 0, 0, 1, 0, 0, 0xfc, 0]))).expect("good").looped);
     // Within an AS the preference has to be there.
     let internal = SessionParameters { internal: true, ..SESSION };
-    assert!(scan(&update(&[], &sound(), &ROUTE), &internal).expect("no reset").treated_as_withdraw);
+    assert!(scan_update(&update(&[], &sound(), &ROUTE), &internal).expect("no reset").treated_as_withdraw);
     let with = other(attribute(0x40, 5, &[0, 0, 0, 100]));
-    assert!(!scan(&update(&[], &with, &ROUTE), &internal).expect("no reset").treated_as_withdraw);
+    assert!(!scan_update(&update(&[], &with, &ROUTE), &internal).expect("no reset").treated_as_withdraw);
     // Routes that cannot be found, and families that cannot be read, end the session.
-    let reset = |body: Vec<u8>| scan(&body, &SESSION).expect_err("a reset");
+    let reset = |body: Vec<u8>| scan_update(&body, &SESSION).expect_err("a reset");
     let reset = |body: Vec<u8>| (reset(body.clone()).code, reset(body).subcode);
     assert_eq!(reset(update(&[], &sound(), &[33, 1, 2, 3, 4, 5])), (3, 10));
     assert_eq!(reset(update(&[24, 1], &[], &[])), (3, 10));
@@ -187,11 +187,13 @@
     assert_eq!(reset(update(&[], &attribute(0x80, 14, &[0, 2, 1, 9]), &[])), (3, 9));
     assert_eq!(reset(update(&[], &attribute(0x80, 15, &[0, 2, 1, 129, 0]), &[])), (3, 9));
     let unknown = attribute(0x40, 99, &[7]);
-    let told = scan(&update(&[], &unknown, &[]), &SESSION).expect_err("a reset");
+    let told = scan_update(&update(&[], &unknown, &[]), &SESSION).expect_err("a reset");
     assert_eq!(told, Notification::new(3, 2, &[0x40, 99, 1, 7]));
     // A family that is not spoken is none of ours.
     assert_eq!(
-        scan(&update(&[], &attribute(0x80, 15, &[0, 25, 65, 9]), &[]), &SESSION).expect("good").withdrawn,
+        scan_update(&update(&[], &attribute(0x80, 15, &[0, 25, 65, 9]), &[]), &SESSION)
+            .expect("good")
+            .withdrawn,
         0
     );
 }
@@ -207,7 +209,7 @@
             one.extend([4, 0, 0, 0, 1]);
             let optional = flags & 0x80 != 0;
             let known = matches!(code, 1..=10 | 14..=18 | 32);
-            match scan(&update(&[], &[sound(), one].concat(), &ROUTE), &SESSION) {
+            match scan_update(&update(&[], &[sound(), one].concat(), &ROUTE), &SESSION) {
                 Ok(seen) => {
                     let transitive = flags & 0x40 != 0;
                     let wanted = match code {
@@ -231,7 +233,7 @@
     let whole = update(&ROUTE, &sound(), &ROUTE);
     for length in 0..whole.len() {
         // Cut before its routes it is one without, if only the lengths agree.
-        match scan(&whole[..length], &SESSION) {
+        match scan_update(&whole[..length], &SESSION) {
             Ok(seen) => assert_eq!((length, seen.announced), (whole.len() - ROUTE.len(), 0)),
             Err(why) => assert_eq!(why.code, 3),
         }
@@ -288,7 +290,7 @@
         prefixes in prefixes(), attributes in attributes(), internal: bool, four_octet: bool, big: bool,
     ) {
         let asn = if big { 4_200_000_001 } else { 64512 };
-        let speaker = Speaker {
+        let speaker = EncodingParameters {
             asn, internal, four_octet,
             next_hop_v4: Some([192, 0, 2, 7].into()),
             next_hop_v6: Some("2001:db8::7".parse().expect("an address")),
@@ -302,7 +304,7 @@
         let read = |message: &Vec<u8>| {
             let header = message[..19].try_into().expect("a header");
             assert_eq!(parse_header(header), Ok((message.len(), MessageType::Update)));
-            let seen = scan(&message[19..], &session).expect("sound");
+            let seen = scan_update(&message[19..], &session).expect("sound");
             assert!(!seen.treated_as_withdraw && seen.discarded == 0);
             let BgpMessage::Routes(routes) = bgp_router::decode(message, wide) else { panic!("an UPDATE") };
             routes
@@ -333,7 +335,7 @@
     #[test]
     fn no_octets_make_a_reader_panic(octets in proptest::collection::vec(any::<u8>(), 0..600), v6: bool, wide: bool) {
         let session = SessionParameters { four_octet: wide, ipv6: v6, ..SESSION };
-        if let Ok(seen) = scan(&octets, &session) {
+        if let Ok(seen) = scan_update(&octets, &session) {
             prop_assert!((seen.announced + seen.withdrawn) as usize <= octets.len());
         }
         let _ = Open::read(&octets);
@@ -349,6 +351,6 @@
         let mut whole = update(&ROUTE, &[sound(), rest].concat(), &ROUTE);
         let place = place % whole.len();
         whole[place] = octet;
-        let _ = scan(&whole, &SESSION);
+        let _ = scan_update(&whole, &SESSION);
     }
 }
