--- a/crates/bgp/tests/health_checks.rs
+++ b/crates/bgp/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! How soon it is known that nodes do not answer, and what finding out costs.
+//! The time until failed endpoints are detected, and the number of checks that this takes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,122 +9,133 @@
 const SETTINGS: HealthCheckSettings =
     HealthCheckSettings { interval: 250 * MS, timeout: 250 * MS, unhealthy_threshold: 2, max_in_flight: 16 };
 
-fn node(i: usize) -> SocketAddr {
+fn endpoint(i: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80))
 }
 
-/// Nodes that answer, refuse, or keep silent, in simulated time.
+/// Endpoints that accept, refuse or ignore connections, in simulated time.
 struct Fleet {
     checker: HealthChecker,
     now: Micros,
-    refuse: BTreeSet<SocketAddr>,
+    refusing: BTreeSet<SocketAddr>,
     silent: BTreeSet<SocketAddr>,
-    ends: BTreeMap<(Micros, SocketAddr), bool>,
-    asked: usize,
+    /// The results of the checks in flight, by the time when they arrive.
+    results: BTreeMap<(Micros, SocketAddr), bool>,
+    checks_started: usize,
 }
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
         let mut checker = HealthChecker::new(SETTINGS);
-        checker.set_endpoints(0, (0..count).map(node));
-        let (refuse, silent) = Default::default();
-        Fleet { checker, now: 0, refuse, silent, ends: BTreeMap::new(), asked: 0 }
+        checker.set_endpoints(0, (0..count).map(endpoint));
+        let (refusing, silent) = Default::default();
+        Fleet { checker, now: 0, refusing, silent, results: BTreeMap::new(), checks_started: 0 }
     }
 
-    /// Goes on until `done` or this time; when it stopped.
-    fn until(&mut self, then: Micros, done: impl Fn(&HealthChecker) -> bool) -> Micros {
+    /// Runs until `done` returns true, or until `then`. Returns the time at the end.
+    fn run_until(&mut self, then: Micros, done: impl Fn(&HealthChecker) -> bool) -> Micros {
         while !done(&self.checker) {
-            let end = self.ends.keys().next().map(|(at, _)| *at);
+            let next_result = self.results.keys().next().map(|(at, _)| *at);
             let Some(at) =
-                [end, self.checker.next_check()].into_iter().flatten().min().filter(|at| *at <= then)
+                [next_result, self.checker.next_check()].into_iter().flatten().min().filter(|at| *at <= then)
             else {
                 self.now = then;
                 return then;
             };
             self.now = self.now.max(at);
-            while let Some(((at, node), good)) = self.ends.pop_first() {
+            while let Some(((at, endpoint), passed)) = self.results.pop_first() {
                 if at > self.now {
-                    self.ends.insert((at, node), good);
+                    self.results.insert((at, endpoint), passed);
                     break;
                 }
-                self.checker.on_result(at, &node, good);
+                self.checker.on_result(at, &endpoint, passed);
             }
             let started = self.checker.start_due(self.now);
-            self.asked += started.len();
-            for node in started {
-                let silent = self.silent.contains(&node);
-                let takes = if silent { SETTINGS.timeout } else { MS };
-                self.ends.insert((self.now + takes, node), !silent && !self.refuse.contains(&node));
+            self.checks_started += started.len();
+            for endpoint in started {
+                let silent = self.silent.contains(&endpoint);
+                let duration = if silent { SETTINGS.timeout } else { MS };
+                let passed = !silent && !self.refusing.contains(&endpoint);
+                self.results.insert((self.now + duration, endpoint), passed);
             }
-            assert!(self.ends.len() <= SETTINGS.max_in_flight);
+            assert!(self.results.len() <= SETTINGS.max_in_flight);
         }
         self.now
     }
 }
 
+/// Covers endpoints that refuse connections and endpoints that do not respond, which fail at any moment
+/// between two checks.
 #[test]
-fn a_node_that_refuses_or_falls_silent_is_known_within_the_stated_time() {
-    for begin in 0..50 {
+fn failed_endpoints_are_detected_within_the_documented_time() {
+    for offset in 0..50 {
         for silent in [false, true] {
             let mut fleet = Fleet::new(10);
-            fleet.until(SECOND + begin * 5 * MS, |_| false);
-            assert!((0..10).all(|i| fleet.checker.is_healthy(&node(i)) == Some(true)));
+            fleet.run_until(SECOND + offset * 5 * MS, |_| false);
+            assert!((0..10).all(|i| fleet.checker.is_healthy(&endpoint(i)) == Some(true)));
             let failed = fleet.now;
-            let which = if silent { &mut fleet.silent } else { &mut fleet.refuse };
-            which.extend((0..10).map(node));
-            let known = fleet.until(10 * SECOND, |p| (0..10).all(|i| p.is_healthy(&node(i)) == Some(false)));
-            let most = if silent { 900 * MS } else { 330 * MS };
-            assert!(known - failed <= most, "{} ms, silent: {silent}", (known - failed) / MS);
+            let failing = if silent { &mut fleet.silent } else { &mut fleet.refusing };
+            failing.extend((0..10).map(endpoint));
+            let detected =
+                fleet.run_until(10 * SECOND, |c| (0..10).all(|i| c.is_healthy(&endpoint(i)) == Some(false)));
+            let max_delay = if silent { 900 * MS } else { 330 * MS };
+            assert!(detected - failed <= max_delay, "{} ms, silent: {silent}", (detected - failed) / MS);
         }
     }
 }
 
+/// Guards against a detection time that grows with the number of endpoints because of the limit of checks in
+/// flight.
 #[test]
-fn a_thousand_that_fail_together_are_found_in_little_more_time() {
+fn simultaneous_failure_of_1000_endpoints_is_detected_in_little_more_time() {
     let mut fleet = Fleet::new(1000);
-    fleet.until(30 * SECOND, |_| false);
+    fleet.run_until(30 * SECOND, |_| false);
     let failed = fleet.now;
-    fleet.refuse.extend((0..1000).map(node));
-    let bad = |p: &HealthChecker| (0..1000).filter(|i| p.is_healthy(&node(*i)) == Some(false)).count();
-    let known = fleet.until(60 * SECOND, |p| bad(p) >= 750);
-    assert!(known - failed <= 600 * MS, "{} ms", (known - failed) / MS);
+    fleet.refusing.extend((0..1000).map(endpoint));
+    let unhealthy =
+        |c: &HealthChecker| (0..1000).filter(|i| c.is_healthy(&endpoint(*i)) == Some(false)).count();
+    let detected = fleet.run_until(60 * SECOND, |c| unhealthy(c) >= 750);
+    assert!(detected - failed <= 600 * MS, "{} ms", (detected - failed) / MS);
 }
 
+/// Guards against a storm of checks: each time an endpoint becomes unhealthy, others are checked at once.
 #[test]
-fn one_that_comes_and_goes_costs_few_questions() {
-    let asked = |flaps: bool| {
+fn one_flapping_endpoint_causes_few_extra_checks() {
+    let checks_started = |flaps: bool| {
         let mut fleet = Fleet::new(1000);
-        fleet.until(30 * SECOND, |_| false);
-        fleet.asked = 0;
+        fleet.run_until(30 * SECOND, |_| false);
+        fleet.checks_started = 0;
         for round in 0..100 {
             if flaps && round % 2 == 0 {
-                fleet.refuse.insert(node(7));
+                fleet.refusing.insert(endpoint(7));
             } else {
-                fleet.refuse.clear();
+                fleet.refusing.clear();
             }
-            fleet.until(30 * SECOND + round * 600 * MS, |_| false);
+            fleet.run_until(30 * SECOND + round * 600 * MS, |_| false);
         }
-        fleet.asked
+        fleet.checks_started
     };
-    let (calm, restless) = (asked(false), asked(true));
-    assert!(restless as f64 <= 1.1 * calm as f64, "{restless} beside {calm}");
+    let (steady, flapping) = (checks_started(false), checks_started(true));
+    assert!(flapping as f64 <= 1.1 * steady as f64, "flapping {flapping}, steady {steady}");
 }
 
+/// Guards against an endpoint that counts as unhealthy after one failed check, and against a result for a
+/// removed endpoint that corrupts the number of checks in flight.
 #[test]
-fn a_single_lost_answer_proves_nothing_and_a_node_that_leaves_is_forgotten() {
+fn single_failure_is_inconclusive_and_removed_endpoint_is_forgotten() {
     let mut checker = HealthChecker::new(SETTINGS);
-    checker.set_endpoints(0, [node(1), node(2), node(1)].into_iter());
-    assert_eq!(checker.start_due(0), [node(1), node(2)]);
-    assert!(checker.on_result(0, &node(1), true));
-    assert!(checker.on_result(0, &node(2), true));
-    assert_eq!(checker.start_due(250 * MS), [node(1), node(2)]);
-    assert!(!checker.on_result(250 * MS, &node(1), false));
-    assert_eq!(checker.is_healthy(&node(1)), Some(true));
-    // While one is out its node leaves; another takes its place at once.
-    checker.set_endpoints(300 * MS, [node(1), node(3)].into_iter());
-    assert!(!checker.on_result(400 * MS, &node(2), false));
-    assert_eq!(checker.is_healthy(&node(2)), None);
-    assert_eq!(checker.start_due(400 * MS), [node(3), node(1)]);
-    assert!(checker.on_result(401 * MS, &node(1), false), "twice in a row");
-    assert_eq!(checker.is_healthy(&node(1)), Some(false));
+    checker.set_endpoints(0, [endpoint(1), endpoint(2), endpoint(1)].into_iter());
+    assert_eq!(checker.start_due(0), [endpoint(1), endpoint(2)]);
+    assert!(checker.on_result(0, &endpoint(1), true));
+    assert!(checker.on_result(0, &endpoint(2), true));
+    assert_eq!(checker.start_due(250 * MS), [endpoint(1), endpoint(2)]);
+    assert!(!checker.on_result(250 * MS, &endpoint(1), false));
+    assert_eq!(checker.is_healthy(&endpoint(1)), Some(true));
+    // An endpoint is removed during its check; its replacement is checked at once.
+    checker.set_endpoints(300 * MS, [endpoint(1), endpoint(3)].into_iter());
+    assert!(!checker.on_result(400 * MS, &endpoint(2), false));
+    assert_eq!(checker.is_healthy(&endpoint(2)), None);
+    assert_eq!(checker.start_due(400 * MS), [endpoint(3), endpoint(1)]);
+    assert!(checker.on_result(401 * MS, &endpoint(1), false), "twice in a row");
+    assert_eq!(checker.is_healthy(&endpoint(1)), Some(false));
 }
--- a/crates/bgp/tests/machine.rs
+++ b/crates/bgp/tests/machine.rs
@@ -1,10 +1,11 @@
-//! Every pair of state and event, against a table that was written from RFC 4271 section 8.2.2, and what the
-//! timers do.
+//! Every pair of state and event, compared with a table from RFC 4271 section 8.2.2, and the timers.
 
 use bgp::{Action, Event, Machine, MachineSettings, Micros, Notification, State, Timer, SECOND};
 
-/// A state's letter, then actions: d dial, o OPEN, k KEEPALIVE, nC.S a NOTIFICATION, c close, u up, D down.
-const TABLE: &str = "
+/// The letter of the next state, then the actions: `d` dial, `o` send OPEN, `k` send KEEPALIVE, `nC.S` send
+/// NOTIFICATION with this code and subcode, `c` close, `u` session up, `D` session down. OpenConfirm has the
+/// letter `F`.
+const TRANSITIONS: &str = "
 event         Idle  Connect  Active  OpenSent   OpenConfirm  Established
 Start         C:d   C:       A:      S:         F:           E:
 Stop          I:    I:c      I:c     I:n6.2,c   I:n6.2,c     I:n6.2,c,D
@@ -56,10 +57,10 @@
     MachineSettings { passive: false, connect_retry_time: SECOND, max_idle_hold_time: 60 * SECOND }
 }
 
-/// A machine that has been brought into this state.
+/// A machine in this state, reached by events from Idle.
 fn in_state(state: State, seed: u64) -> Machine {
     let mut machine = Machine::new(settings(), seed);
-    let way: &[Event] = match state {
+    let events: &[Event] = match state {
         State::Idle => &[],
         State::Connect => &[Event::Start],
         State::Active => &[Event::Start, Event::ConnectionEstablished, Event::ConnectionFailed],
@@ -74,14 +75,15 @@
             Event::KeepaliveReceived,
         ],
     };
-    for event in way {
+    for event in events {
         machine.handle(0, event.clone(), &mut Vec::new());
     }
     assert_eq!(machine.state(), state);
     machine
 }
 
-fn written(state: State, actions: &[Action]) -> String {
+/// Formats a state and actions as in [`TRANSITIONS`].
+fn format_transition(state: State, actions: &[Action]) -> String {
     let letter = match state {
         State::Idle => "I",
         State::Connect => "C",
@@ -90,7 +92,7 @@
         State::OpenConfirm => "F",
         State::Established => "E",
     };
-    let word = |action: &Action| match action {
+    let symbol = |action: &Action| match action {
         Action::Connect => "d".to_owned(),
         Action::SendOpen => "o".to_owned(),
         Action::SendKeepalive => "k".to_owned(),
@@ -99,41 +101,43 @@
         Action::SessionUp => "u".to_owned(),
         Action::SessionDown => "D".to_owned(),
     };
-    format!("{letter}:{}", actions.iter().map(word).collect::<Vec<_>>().join(","))
+    format!("{letter}:{}", actions.iter().map(symbol).collect::<Vec<_>>().join(","))
 }
 
 #[test]
-fn every_event_in_every_state_does_what_the_rfc_says() {
+fn every_event_in_every_state_follows_rfc_4271() {
     let mut pairs = 0;
-    for row in TABLE.lines().skip(2) {
+    for row in TRANSITIONS.lines().skip(2) {
         let mut cells = row.split_whitespace();
         let name = cells.next().expect("a name");
-        for (state, wanted) in STATES.into_iter().zip(cells) {
+        for (state, expected) in STATES.into_iter().zip(cells) {
             let mut machine = in_state(state, 7);
             let mut actions = Vec::new();
             machine.handle(SECOND, event(name), &mut actions);
-            assert_eq!(written(machine.state(), &actions), wanted, "{name} in {}", state.name());
-            let set = |timer| machine.timer(timer).is_some();
-            let running = [set(Timer::ConnectRetry), set(Timer::Hold), set(Timer::Keepalive)];
-            let due = match machine.state() {
+            assert_eq!(format_transition(machine.state(), &actions), expected, "{name} in {}", state.name());
+            let is_set = |timer| machine.timer(timer).is_some();
+            let running = [is_set(Timer::ConnectRetry), is_set(Timer::Hold), is_set(Timer::Keepalive)];
+            let expected_running = match machine.state() {
                 State::Idle => [false; 3],
                 State::Connect | State::Active => [true, false, false],
                 State::OpenSent => [false, true, false],
                 State::OpenConfirm | State::Established => [false, true, true],
             };
-            assert_eq!(running, due, "timers after {name} in {}", state.name());
-            // It begins again by itself after all but what was asked for.
-            let asked = matches!(name, "Stop" | "Collision") || state == State::Idle;
+            assert_eq!(running, expected_running, "timers after {name} in {}", state.name());
+            // The machine restarts by itself after every event except an intended stop.
+            let stopped = matches!(name, "Stop" | "Collision") || state == State::Idle;
             let idle = machine.state() == State::Idle;
-            assert_eq!(set(Timer::IdleHold), idle && !asked, "{name} in {}", state.name());
+            assert_eq!(is_set(Timer::IdleHold), idle && !stopped, "{name} in {}", state.name());
             pairs += 1;
         }
     }
     assert_eq!(pairs, 17 * 6);
 }
 
+/// Guards against ending a session whose KEEPALIVE arrives at the last moment, and against a hold timer that
+/// jitter shortens or other timers delay.
 #[test]
-fn timers_are_jittered_and_the_hold_timer_ends_a_silent_session_to_the_microsecond() {
+fn keepalive_is_jittered_and_hold_timer_is_exact() {
     for seed in 0..200 {
         let mut machine = in_state(State::Established, seed);
         let keepalive = machine.timer(Timer::Keepalive).expect("runs");
@@ -143,7 +147,7 @@
         let mut out = Vec::new();
         machine.tick(hold - 1, &mut out);
         assert_eq!((machine.state(), &out[..]), (State::Established, &[Action::SendKeepalive][..]));
-        // What is heard just then is in time.
+        // A KEEPALIVE that arrives exactly at the hold time is in time.
         machine.handle(hold, Event::KeepaliveReceived, &mut out);
         machine.tick(hold, &mut out);
         assert_eq!(machine.state(), State::Established);
@@ -153,13 +157,13 @@
         assert_eq!(
             out[0],
             Action::SendNotification(Notification::hold_timer_expired()),
-            "before anything else is due"
+            "the hold timer expires before other timers"
         );
     }
 }
 
 #[test]
-fn waits_grow_with_failures_in_a_row_and_a_session_that_stood_ends_the_row() {
+fn idle_hold_time_doubles_per_failure_and_stable_session_resets_it() {
     let mut machine = Machine::new(settings(), 3);
     let mut now: Micros = 0;
     let mut waits = Vec::new();
@@ -173,8 +177,8 @@
         assert_eq!(machine.state(), State::Connect);
     }
     for (nth, wait) in waits.iter().enumerate() {
-        let longest = (SECOND << nth).min(60 * SECOND);
-        assert!((longest * 3 / 4..=longest).contains(wait), "{waits:?}");
+        let max_wait = (SECOND << nth).min(60 * SECOND);
+        assert!((max_wait * 3 / 4..=max_wait).contains(wait), "{waits:?}");
     }
     for event in
         [Event::ConnectionEstablished, Event::OpenReceived { hold_time_s: 90 }, Event::KeepaliveReceived]
@@ -187,7 +191,7 @@
 }
 
 #[test]
-fn a_passive_machine_never_dials() {
+fn passive_machine_never_dials() {
     let mut machine = Machine::new(MachineSettings { passive: true, ..settings() }, 1);
     let mut out = Vec::new();
     machine.handle(0, Event::Start, &mut out);
