--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -1,5 +1,5 @@
-//! One TCP connection to a BGP peer: frames incoming messages, writes outgoing ones, and closes so that the
-//! last message (usually a NOTIFICATION) can still be read.
+//! One TCP connection to a BGP peer: frames incoming messages, writes outgoing ones, and closes in such a way
+//! that the peer can still read the last message (usually a NOTIFICATION).
 //!
 //! Memory is bounded by [`MAX_QUEUED_MESSAGES`] outgoing messages and one incoming message of the largest
 //! size.
@@ -14,21 +14,21 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Outgoing messages that may wait to be written; a peer that falls further behind counts as failed.
+/// The maximum number of outgoing messages that wait to be written. A connection that exceeds it has failed.
 pub const MAX_QUEUED_MESSAGES: usize = 256;
-/// A write that takes longer has failed.
+/// The duration after which a write fails.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Input is drained for this long after the last write: closing with unread input would reset the connection
 /// and discard that write.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Size in bytes of the buffer for drained input.
+/// The size in bytes of the buffer for drained input.
 const DRAIN_BUFFER_SIZE: usize = 1024;
 
-/// What a connection reports.
+/// An event of a connection.
 pub enum ConnectionEvent {
     /// A message, without its header.
     Message(MessageType, Vec<u8>),
-    /// A header that is not valid, with the NOTIFICATION that answers it.
+    /// An invalid header, with the NOTIFICATION to send.
     Malformed(Notification),
     /// The connection has ended.
     Closed,
@@ -37,7 +37,7 @@
 /// Connects to a peer, from `source` if one is given.
 ///
 /// # Errors
-/// The system's error, or `TimedOut` after `connect_timeout`.
+/// Returns the error of the operating system, or `TimedOut` after `connect_timeout`.
 pub async fn dial(
     address: SocketAddr,
     source: Option<IpAddr>,
@@ -51,7 +51,7 @@
 }
 
 /// Serves a connection until `outgoing` is closed and fully written, or the peer closes it. `report` receives
-/// what happens; while it waits, nothing more is read from the peer.
+/// the events; nothing more is read from the peer until it returns.
 pub async fn serve(
     stream: TcpStream,
     outgoing: mpsc::Receiver<Vec<u8>>,
@@ -64,19 +64,19 @@
         let writing = write_messages(writer, outgoing);
         tokio::pin!(reading, writing);
         tokio::select! {
-            // The NOTIFICATION that answers a malformed message is still written.
+            // The NOTIFICATION for a malformed message is still written.
             () = &mut reading => writing.await,
             () = &mut writing => {}
         }
     }
     let _ = timeout(LINGER_TIMEOUT, drain(&mut reader)).await;
-    // Reported here as well, as a failed write ends the connection without the reader noticing.
+    // Reported here as well, because a failed write ends the connection while the reader waits for input.
     report(ConnectionEvent::Closed).await;
 }
 
 async fn drain(reader: &mut OwnedReadHalf) {
-    let mut scratch = [0; DRAIN_BUFFER_SIZE];
-    while reader.read(&mut scratch).await.is_ok_and(|length| length > 0) {}
+    let mut discarded = [0; DRAIN_BUFFER_SIZE];
+    while reader.read(&mut discarded).await.is_ok_and(|length| length > 0) {}
 }
 
 async fn read_messages(reader: &mut OwnedReadHalf, report: &impl AsyncFn(ConnectionEvent)) {
--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -1,5 +1,5 @@
-//! What the speaker knows of its data plane: whether it accepts and makes progress, and the endpoint lists of
-//! its pools; and the memory of the process.
+//! The last reported status of the data plane (whether it accepts connections and makes progress, and the
+//! endpoint lists of its pools), and the memory use of the process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use config::Bgp;
 use tokio::time::Instant;
 
-/// An endpoint list, and when it was received.
+/// An endpoint list with the time when it was received.
 struct ReceivedList {
     received_at: Instant,
     list: PoolEndpointList,
 }
 
-/// The last status of the data plane.
+/// The last reported status of the data plane.
 pub struct DataPlane {
     accepting: bool,
     updated_at: Instant,
@@ -26,7 +26,7 @@
 }
 
 impl DataPlane {
-    /// A data plane that has not reported yet.
+    /// Creates the status of a data plane that has not reported yet.
     pub fn new() -> DataPlane {
         DataPlane {
             accepting: false,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes in a status. True where it may change what is announced.
+    /// Stores a reported status. Returns whether it may change which addresses are announced.
     pub fn update(&mut self, status: DataPlaneStatus) -> bool {
         let now = Instant::now();
         let accepting_changed = self.accepting != status.accepting;
@@ -48,12 +48,13 @@
         true
     }
 
-    /// Compares the process's resident memory with this limit in bytes.
+    /// Compares the resident memory of the process with this limit in bytes; `None` means no limit.
     pub fn check_memory(&mut self, limit: Option<u64>) {
         self.memory_limit_exceeded = limit.is_some_and(|limit| resident_bytes() > Some(limit));
     }
 
-    /// The health of the process. The data plane is alive if its last status is younger than `config.stuck`.
+    /// Returns the health of the process. The data plane is alive if its last status is younger than
+    /// `config.stuck`.
     pub fn process_health(&self, config: &Bgp) -> ProcessHealth {
         ProcessHealth {
             accepting: self.accepting,
@@ -62,13 +63,13 @@
         }
     }
 
-    /// The health of the pools that announced addresses depend on.
+    /// Returns the health of the pools that the configured addresses depend on.
     pub fn pool_health(&self, config: &Bgp, health_checker: &HealthChecker) -> BTreeMap<String, PoolHealth> {
         let pools = self.required_pools(config);
         pools.map(|(name, pool)| (name.clone(), pool.health(config, health_checker))).collect()
     }
 
-    /// The endpoints of those pools.
+    /// Returns the endpoints of the pools that the configured addresses depend on.
     pub fn endpoints<'a>(&'a self, config: &'a Bgp) -> impl Iterator<Item = SocketAddr> + 'a {
         let pools = self.required_pools(config);
         pools.flat_map(|(_, pool)| pool.list.endpoints.iter().map(|endpoint| endpoint.address))
@@ -101,7 +102,7 @@
     }
 }
 
-/// The process's resident memory in bytes, where the system reports it.
+/// Returns the resident memory of the process in bytes; `None` if the operating system does not report it.
 fn resident_bytes() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
--- a/crates/bgp-speaker/src/event.rs
+++ b/crates/bgp-speaker/src/event.rs
@@ -1,4 +1,4 @@
-//! What the speaker's own tasks report to its event loop.
+//! The events that the tasks of the speaker send to its event loop.
 
 use std::net::SocketAddr;
 
@@ -7,30 +7,30 @@
 
 use crate::connection::ConnectionEvent;
 
-/// Identifies a dial or a connection, so that reports of one that was replaced can be ignored.
+/// Identifies a dial or a connection, so that events of one that was replaced can be ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(pub u64);
 
-/// A report of a task.
+/// An event of a task.
 pub enum Event {
     /// A dial has completed.
     Dialed {
         /// The peer's name.
         peer: String,
-        /// Which dial.
+        /// The dial.
         id: ConnectionId,
-        /// The connection, or why there is none.
+        /// The connection, or the error of the dial.
         result: std::io::Result<TcpStream>,
     },
     /// A connection reports something.
     Connection {
         /// The peer's name.
         peer: String,
-        /// Who opened it.
+        /// The side that opened the connection.
         direction: Direction,
-        /// Which connection.
+        /// The connection.
         id: ConnectionId,
-        /// What happened.
+        /// The event of the connection.
         event: ConnectionEvent,
     },
     /// A health check has completed.
--- a/crates/bgp-speaker/src/health_check.rs
+++ b/crates/bgp-speaker/src/health_check.rs
@@ -1,5 +1,5 @@
-//! An active health check of one endpoint: a TCP connection alone, or an HTTP GET that must be answered with
-//! 200.
+//! An active health check of one endpoint: either only a TCP connection, or an HTTP GET that must return
+//! status 200.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes of the response that are read at most: the status line is all that counts.
+/// The maximum number of bytes to read from a response, of which only the status line is needed.
 const MAX_RESPONSE_BYTES: usize = 64;
 
-/// Whether the endpoint is healthy, decided within `check_timeout`. Without a path, a connection is enough.
+/// Returns whether the endpoint passes the check within `check_timeout`. Without a path, a TCP connection is
+/// sufficient.
 pub async fn check(endpoint: SocketAddr, path: Option<&str>, check_timeout: Duration) -> bool {
     let result = timeout(check_timeout, connect_and_get(endpoint, path)).await;
     matches!(result, Ok(Ok(true)))
--- a/crates/bgp-speaker/src/lib.rs
+++ b/crates/bgp-speaker/src/lib.rs
@@ -1,8 +1,8 @@
 //! A BGP speaker that announces addresses according to the health of the data plane and of its endpoints.
 //!
-//! It runs on a thread and a runtime of its own, so that a busy data plane delays no KEEPALIVE, and so that a
-//! data plane that has stalled is noticed. The decisions are those of the `bgp` crate; this crate adds
-//! sockets and a clock. All it knows of the data plane is [`bgp::DataPlaneStatus`].
+//! It runs on a thread and a runtime of its own, so that a busy data plane does not delay KEEPALIVEs and a
+//! stalled data plane is detected. The `bgp` crate makes the decisions; this crate adds sockets and a clock.
+//! Its only input from the data plane is [`bgp::DataPlaneStatus`].
 #![warn(missing_docs)]
 
 mod clock;
@@ -24,7 +24,7 @@
 
 pub use status::{AddressStatus, PeerStatus, Status};
 
-/// A request to the event loop.
+/// A command to the event loop.
 pub(crate) enum Command {
     UpdateDataPlane(DataPlaneStatus),
     Reload(Box<Bgp>),
@@ -34,20 +34,22 @@
     SkipShutdownDelay,
 }
 
-/// Why the speaker could not start.
+/// An error when starting the speaker.
 #[derive(Debug)]
 pub enum StartError {
-    /// It cannot listen on the configured address.
+    /// The speaker cannot listen on the configured address.
     Listen(SocketAddr, std::io::Error),
-    /// There is no thread or runtime for it.
+    /// The thread or the runtime of the speaker cannot be created.
     Thread(std::io::Error),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StartError::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
-            StartError::Thread(error) => write!(f, "no thread for BGP: {error}"),
+            StartError::Listen(address, error) => {
+                write!(f, "BGP speaker cannot listen on {address}: {error}")
+            }
+            StartError::Thread(error) => write!(f, "cannot create the thread of the BGP speaker: {error}"),
         }
     }
 }
@@ -67,10 +69,10 @@
 }
 
 impl Speaker {
-    /// Starts the speaker. `log` receives lines for the log.
+    /// Starts the speaker. `seed` is the seed of the jitter of timers, and `log` receives the log lines.
     ///
     /// # Errors
-    /// It cannot listen, or cannot get a thread.
+    /// Returns an error if the speaker cannot listen, or if its thread or runtime cannot be created.
     pub fn start(config: Bgp, seed: u64, log: fn(&str)) -> Result<Speaker, StartError> {
         let (command_sender, commands) = mpsc::unbounded_channel();
         let mut builder = tokio::runtime::Builder::new_current_thread();
@@ -85,44 +87,45 @@
         Ok(Speaker { commands: command_sender })
     }
 
-    /// Updates the status of the data plane. It has to come more often than the configured `stuck` time.
+    /// Updates the status of the data plane, which counts as stalled if no update arrives for the configured
+    /// `stuck` time.
     pub fn update_data_plane(&self, status: DataPlaneStatus) {
         self.send(Command::UpdateDataPlane(status));
     }
 
-    /// Applies another configuration. Sessions and addresses that it does not change stay as they are.
+    /// Applies a new configuration. Sessions and addresses that it does not change keep their state.
     pub fn reload(&self, config: Bgp) {
         self.send(Command::Reload(Box::new(config)));
     }
 
-    /// Withdraws an address until it is released, or releases it. False where there is no such address.
+    /// Withdraws an address until it is released, or releases it. Returns false if there is no such address.
     pub async fn hold(&self, prefix: IpNet, held: bool) -> bool {
         let (found, reply) = oneshot::channel();
         self.send(Command::Hold { prefix, held, found });
         reply.await.unwrap_or(false)
     }
 
-    /// The status of all sessions and addresses; an empty one if the speaker has ended.
+    /// Returns the status of all sessions and addresses; an empty one if the speaker has ended.
     pub async fn status(&self) -> Status {
         let (status, reply) = oneshot::channel();
         self.send(Command::Status(status));
         reply.await.unwrap_or_default()
     }
 
-    /// Shuts down gracefully: announces GRACEFUL_SHUTDOWN, waits, withdraws, and ends the sessions. Returns
-    /// once that is written.
+    /// Shuts down gracefully: announces GRACEFUL_SHUTDOWN, waits, withdraws the addresses, and ends the
+    /// sessions. Returns once the last messages are written or have timed out.
     pub async fn shut_down(&self) {
         let (finished, reply) = oneshot::channel();
         self.send(Command::ShutDown(finished));
         let _ = reply.await;
     }
 
-    /// Ends the wait of a shutdown that has begun.
+    /// Ends the delay of a shutdown that has begun.
     pub fn skip_shutdown_delay(&self) {
         self.send(Command::SkipShutdownDelay);
     }
 
-    /// A speaker that has ended takes no more commands; that is not an error of the caller.
+    /// Sends a command. It is discarded if the speaker has ended, which is not an error.
     fn send(&self, command: Command) {
         let _ = self.commands.send(command);
     }
--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -1,5 +1,5 @@
-//! The event loop of the speaker: passes commands, reports of tasks and time to the sessions, the health
-//! checks and the announcer, and makes the announcer's decisions the announcements of all sessions.
+//! The event loop of the speaker: dispatches commands, events and timers to the sessions, the health checker
+//! and the announcer, and passes the decisions of the announcer to all sessions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,18 +18,18 @@
 use crate::sessions::Sessions;
 use crate::{status, Command, Status};
 
-/// Reports of tasks that may wait; beyond that, connections are not read.
+/// The maximum number of queued events. While the queue is full, nothing is read from connections.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// Everything is evaluated again after this time, whether or not something has changed.
+/// The interval at which memory use and announcements are evaluated even if no event arrives.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// The wait after a failed accept, such as for want of file descriptors.
+/// The delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_BACKOFF: Duration = EVALUATION_INTERVAL;
-/// How long the last messages to peers may take to be written at shutdown.
+/// The maximum time for writing the last messages to peers at shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Subcode of the Cease NOTIFICATION: administrative shutdown (RFC 4486).
 const CEASE_ADMINISTRATIVE_SHUTDOWN: u8 = 2;
 
-/// Runs the speaker until it has shut down, or all senders of commands are gone.
+/// Runs the speaker until it has shut down, or all senders of commands are dropped.
 pub async fn run(
     config: Bgp,
     seed: u64,
@@ -42,8 +42,8 @@
     let mut manager = SessionManager::new(config.clone(), seed, event_sender, log);
     manager.configure(config);
     loop {
-        // Queued messages count before any timer expires: the hold timer of a peer whose KEEPALIVE has
-        // arrived in time must not end its session because the loop was busy.
+        // Queued messages are handled before timers expire: the hold timer must not end the session of a peer
+        // whose KEEPALIVE has arrived in time while the loop was busy.
         yield_now().await;
         manager.handle_queued_events(&mut events);
         manager.run_due_work();
@@ -82,11 +82,11 @@
     health_checker: HealthChecker,
     data_plane: DataPlane,
     events: mpsc::Sender<Event>,
-    /// None where the evaluation is due at once.
+    /// When memory use and announcements were last evaluated; `None` if the evaluation is due at once.
     evaluated_at: Option<Instant>,
-    /// An input of the decisions has changed.
+    /// Whether an input of the decisions has changed since the last one.
     decision_due: bool,
-    /// Those who wait for the shutdown; there are some if and only if it has begun.
+    /// Notified when the shutdown is complete; not empty if and only if a shutdown has begun.
     shutdown_waiters: Vec<oneshot::Sender<()>>,
     /// When the sessions were ended for the shutdown.
     sessions_stopped_at: Option<Instant>,
@@ -115,19 +115,19 @@
         !self.shutdown_waiters.is_empty()
     }
 
-    /// Applies a configuration. Sessions and addresses that it does not change stay as they are.
+    /// Applies a configuration. Sessions and addresses that it does not change keep their state.
     fn configure(&mut self, config: Bgp) {
         let now = self.clock.now();
         self.sessions.stop_changed(&config);
         self.announcer.set(now, &config.addresses);
         self.health_checker.update_settings(config.probe);
         self.config = config;
-        let wanted = self.announcer.announcements();
-        self.sessions.announce(&wanted);
+        let announcements = self.announcer.announcements();
+        self.sessions.announce(&announcements);
         if !self.config.dry_run {
             let start = !self.is_shutting_down();
             for peer in &self.config.peers {
-                self.sessions.add(peer, &wanted, start);
+                self.sessions.add(peer, &announcements, start);
             }
         }
         self.update_health_checks();
@@ -149,7 +149,7 @@
             Command::Hold { prefix, held, found } => {
                 let _ = found.send(self.announcer.hold(prefix, held));
                 let action = if held { "held" } else { "released" };
-                (self.log)(&format!("bgp: {prefix} is {action} by an operator"));
+                (self.log)(&format!("bgp: {prefix} {action} by an operator"));
                 self.decision_due = true;
             }
             Command::Status(reply) => drop(reply.send(self.status())),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Health checks cover the endpoints that announced addresses depend on.
+    /// Sets the endpoints to check to those that the configured addresses depend on.
     fn update_health_checks(&mut self) {
         let now = self.clock.now();
         self.health_checker.set_endpoints(now, self.data_plane.endpoints(&self.config));
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Decides what is announced, and announces what has changed.
+    /// Decides which addresses are announced, and passes changes to the sessions.
     fn decide(&mut self) {
         self.decision_due = false;
         let now = self.clock.now();
@@ -266,10 +266,10 @@
         self.sessions.stop_all(&notification);
     }
 
-    /// Whether the shutdown is finished, or has taken as long as it may.
+    /// Returns whether the shutdown is complete or has timed out.
     fn is_shut_down(&self) -> bool {
-        let finished = |at: Instant| self.sessions.all_closed() || at.elapsed() >= SHUTDOWN_TIMEOUT;
-        self.sessions_stopped_at.is_some_and(finished)
+        let is_complete = |at: Instant| self.sessions.all_closed() || at.elapsed() >= SHUTDOWN_TIMEOUT;
+        self.sessions_stopped_at.is_some_and(is_complete)
     }
 
     fn notify_shutdown_waiters(&mut self) {
--- a/crates/bgp-speaker/src/sessions.rs
+++ b/crates/bgp-speaker/src/sessions.rs
@@ -1,7 +1,7 @@
-//! The sessions to all configured peers: dials, accepts and closes their connections, feeds what happens to
-//! the peers' state machines, and carries out the actions that these return.
+//! The sessions to all configured peers: dials, accepts and closes their connections, passes events to the
+//! state machines of the peers, and carries out the resulting actions.
 //!
-//! Bounds: one dial and two connections (one in each direction) a peer.
+//! Each peer has at most one dial in progress and two connections, one in each direction.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 /// Subcodes of the Cease NOTIFICATION (RFC 4486).
 const CEASE_PEER_DECONFIGURED: u8 = 3;
 const CEASE_CONFIGURATION_CHANGE: u8 = 6;
-/// Multiplier that derives the next peer's seed.
+/// The multiplier of the linear congruential generator that derives the seeds of peers.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// An open connection; dropping it closes the connection once all queued messages are written.
@@ -49,7 +49,7 @@
     connections: [Option<Connection>; 2],
 }
 
-/// Counts a connection as open until it is dropped.
+/// Counts a connection as open until the guard is dropped.
 struct OpenConnectionGuard(Rc<Cell<usize>>);
 
 impl OpenConnectionGuard {
@@ -65,8 +65,9 @@
     }
 }
 
-/// All sessions, by the peer's name.
+/// The sessions to all configured peers.
 pub struct Sessions {
+    /// The sessions by the name of the peer.
     sessions: BTreeMap<String, Session>,
     clock: Clock,
     seed: u64,
@@ -75,12 +76,13 @@
     last_id: u64,
     open_connections: Rc<Cell<usize>>,
     unknown_peer_connections: u64,
-    /// Connections that failed while actions for their peer were carried out.
+    /// Connections that failed while actions of their peer were carried out. Handled after these actions.
     failed: Vec<(String, Direction)>,
 }
 
 impl Sessions {
-    /// No sessions. `events` receives what dials and connections report, `log` lines for the log.
+    /// Creates an empty set of sessions. `events` receives the events of dials and connections, `log` the log
+    /// lines.
     pub fn new(clock: Clock, seed: u64, events: mpsc::Sender<Event>, log: fn(&str)) -> Sessions {
         Sessions {
             sessions: BTreeMap::new(),
@@ -109,9 +111,9 @@
         }
     }
 
-    /// Adds a peer, which is to announce `wanted`, unless there is one of its name. It connects only if
-    /// `start` is set.
-    pub fn add(&mut self, config: &BgpPeer, wanted: &Announcements, start: bool) {
+    /// Adds a peer with these announcements unless there is one of the same name. Its session is started only
+    /// if `start` is set.
+    pub fn add(&mut self, config: &BgpPeer, announcements: &Announcements, start: bool) {
         if self.sessions.contains_key(&config.name) {
             return;
         }
@@ -119,16 +121,16 @@
         let peer = Peer::new(config.name.clone(), config.settings.clone(), self.seed);
         let session = Session { config: config.clone(), peer, dial: None, connections: [None, None] };
         self.sessions.insert(config.name.clone(), session);
-        self.run(&config.name, |peer, actions| peer.announce(wanted, actions));
+        self.run(&config.name, |peer, actions| peer.announce(announcements, actions));
         if start {
             self.handle(&config.name, Input::Start);
         }
     }
 
-    /// Makes `wanted` the announcements of all peers.
-    pub fn announce(&mut self, wanted: &Announcements) {
+    /// Replaces the announcements to all peers.
+    pub fn announce(&mut self, announcements: &Announcements) {
         for name in self.names() {
-            self.run(&name, |peer, actions| peer.announce(wanted, actions));
+            self.run(&name, |peer, actions| peer.announce(announcements, actions));
         }
     }
 
@@ -139,7 +141,7 @@
         }
     }
 
-    /// When the next timer of a peer expires.
+    /// Returns when the next timer of a peer expires; `None` if no timer is running.
     pub fn next_timer(&self) -> Option<Micros> {
         self.sessions.values().filter_map(|session| session.peer.next_timer()).min()
     }
@@ -155,23 +157,23 @@
         }
     }
 
-    /// Whether all connections are closed, with everything written.
+    /// Returns whether all connections are closed and all queued messages are written.
     pub fn all_closed(&self) -> bool {
         self.open_connections.get() == 0
     }
 
-    /// Connections from addresses that belong to no peer, since the start.
+    /// Returns the number of connections since the start from addresses that belong to no peer.
     pub fn unknown_peer_connections(&self) -> u64 {
         self.unknown_peer_connections
     }
 
-    /// The state of each session.
+    /// Returns the status of each session.
     pub fn status(&self, now: Micros) -> Vec<PeerStatus> {
         let sessions = self.sessions.values();
         sessions.map(|session| status::peer(now, &session.config, session.peer.view())).collect()
     }
 
-    /// A dial has completed. Ignored if it is no longer the peer's current one.
+    /// Handles the result of a dial; ignored if it is no longer the current dial of the peer.
     pub fn on_dialed(&mut self, name: &str, id: ConnectionId, result: std::io::Result<TcpStream>) {
         let Some(session) = self.sessions.get_mut(name) else { return };
         if session.dial.take_if(|dial| dial.id == id).is_none() {
@@ -183,7 +185,8 @@
         }
     }
 
-    /// A connection reports something. Ignored if it is no longer the peer's current one.
+    /// Handles an event of a connection; ignored if it is no longer the current connection of the peer in
+    /// this direction.
     pub fn on_connection_event(
         &mut self,
         name: &str,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// A connection was accepted. It is closed unless a peer of this address takes it.
+    /// Handles an accepted connection, which is closed unless a peer with this address accepts it.
     pub fn on_accepted(&mut self, stream: TcpStream, remote: SocketAddr) {
         let now = self.clock.now();
         let address = remote.ip().to_canonical();
@@ -244,7 +247,7 @@
         }
         let connection = self.serve(name, direction, stream);
         if let Some(session) = self.sessions.get_mut(name) {
-            // Replaces a connection on which the peer has not sent anything yet.
+            // Replaces a connection on which the peer has sent nothing yet.
             session.connections[direction as usize] = Some(connection);
         }
         let local: IpAddr = local.ip().to_canonical();
@@ -268,7 +271,7 @@
         Connection { id, outgoing }
     }
 
-    /// Gives a peer an input and carries out the actions that follow.
+    /// Passes an input to a peer and carries out the resulting actions.
     fn handle(&mut self, name: &str, input: Input<'_>) {
         let now = self.clock.now();
         self.run(name, |peer, actions| peer.handle(now, input, actions));
@@ -314,7 +317,8 @@
         }
     }
 
-    /// Queues a message. A connection whose queue is full, or whose task has ended, has failed.
+    /// Queues a message. If the queue is full or the task of the connection has ended, the connection has
+    /// failed.
     fn write(&mut self, name: &str, direction: Direction, message: Vec<u8>) {
         let Some(session) = self.sessions.get_mut(name) else { return };
         let slot = &mut session.connections[direction as usize];
--- a/crates/bgp-speaker/src/status.rs
+++ b/crates/bgp-speaker/src/status.rs
@@ -1,4 +1,4 @@
-//! The status of the speaker as operators read it (JSON). Times are in seconds before now.
+//! The status of the speaker as shown to operators in JSON. Durations are in seconds.
 
 use bgp::{AddressView, Counts, Micros, NotificationOrigin, NotificationRecord, PeerView, SECOND};
 use serde::Serialize;
@@ -6,12 +6,12 @@
 /// The status of the speaker.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Status {
-    /// Only decides: there is no session to any peer.
+    /// Whether the speaker only decides, without a session to any peer.
     pub dry_run: bool,
-    /// The speaker is shutting down.
+    /// Whether the speaker is shutting down.
     #[serde(rename = "ending")]
     pub shutting_down: bool,
-    /// Connections from addresses that belong to no peer; they were closed.
+    /// The number of connections from addresses that belong to no peer, which were closed.
     #[serde(rename = "strangers")]
     pub unknown_peer_connections: u64,
     /// The peers.
@@ -20,45 +20,45 @@
     pub addresses: Vec<AddressStatus>,
 }
 
-/// A peer.
+/// The status of a peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
-    /// Its name.
+    /// The name of the peer.
     pub name: String,
-    /// Its address.
+    /// The address of the peer.
     pub address: String,
-    /// Its AS number.
+    /// The AS number of the peer.
     #[serde(rename = "as")]
     pub asn: u32,
-    /// Its state, by its name in RFC 4271.
+    /// The state of the session, by its name in RFC 4271.
     pub state: &'static str,
-    /// How long it has been in this state.
+    /// The time since the session entered this state.
     pub for_s: f64,
-    /// Sessions established since the start.
+    /// The number of sessions established since the start.
     pub established: u64,
-    /// The negotiated hold time; none without a session.
+    /// The negotiated hold time; `None` before it is negotiated.
     #[serde(rename = "hold_s")]
     pub hold_time_s: Option<f64>,
-    /// IPv6 unicast was negotiated.
+    /// Whether IPv6 unicast was negotiated.
     pub ipv6: bool,
-    /// Messages received.
+    /// The received messages.
     pub received: Messages,
-    /// Messages sent.
+    /// The sent messages.
     pub sent: Messages,
-    /// Prefixes that it announced; they are discarded.
+    /// The number of prefixes that the peer announced; the prefixes are discarded.
     pub prefixes_announced: u64,
-    /// Prefixes that it withdrew.
+    /// The number of prefixes that the peer withdrew.
     pub prefixes_withdrawn: u64,
-    /// Malformed UPDATEs that did not end the session.
+    /// The number of malformed UPDATEs that did not end the session.
     pub malformed: u64,
-    /// The last NOTIFICATION.
+    /// The last NOTIFICATION, sent or received.
     pub last_notification: Option<LastNotification>,
-    /// The prefixes announced to it.
+    /// The prefixes announced to the peer.
     #[serde(rename = "told")]
     pub advertised_prefixes: Vec<String>,
 }
 
-/// Messages by kind.
+/// The numbers of messages by type.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[allow(missing_docs)]
 pub struct Messages {
@@ -68,41 +68,41 @@
     pub refreshes: u64,
 }
 
-/// A NOTIFICATION.
+/// The last NOTIFICATION.
 #[derive(Clone, Debug, Serialize)]
 pub struct LastNotification {
-    /// How long ago.
+    /// The time since it was sent or received.
     pub ago_s: f64,
     /// `sent` or `received`.
     pub direction: &'static str,
-    /// Its meaning, codes, and text.
+    /// The name of the error, its code and subcode, and the shutdown text.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// An address.
+/// The status of an address.
 #[derive(Clone, Debug, Serialize)]
 pub struct AddressStatus {
     /// The prefix.
     pub prefix: String,
     /// `announced`, `degraded`, `leaving` or `withdrawn`.
     pub state: &'static str,
-    /// Why it is in this state.
+    /// The reason for the state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// How long it has been in this state.
+    /// The time since the address entered this state.
     pub for_s: f64,
-    /// Withdrawals because it could not serve, since the start.
+    /// The number of withdrawals since the start because the address could not be served.
     pub flaps: u64,
     /// The hold-up time that would apply now.
     pub hold_up_s: f64,
-    /// How long it has been ready, while its hold-up time runs.
+    /// The time since the hold-up time of a withdrawn address began; `None` if it is not running.
     pub ready_for_s: Option<f64>,
 }
 
-/// Seconds, rounded to milliseconds.
-fn seconds(time: Micros) -> f64 {
-    let rounded_ms = (time as f64 / 1e3).round();
+/// Converts microseconds to seconds, rounded to milliseconds.
+fn seconds(micros: Micros) -> f64 {
+    let rounded_ms = (micros as f64 / 1e3).round();
     rounded_ms / 1e3
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// The status of a peer.
+/// Returns the status of a peer.
 pub(crate) fn peer(now: Micros, peer: &config::BgpPeer, view: PeerView) -> PeerStatus {
     PeerStatus {
         name: peer.name.clone(),
@@ -143,7 +143,7 @@
     }
 }
 
-/// The status of an address.
+/// Returns the status of an address.
 pub(crate) fn address(now: Micros, view: &AddressView) -> AddressStatus {
     AddressStatus {
         prefix: view.prefix.to_string(),
--- a/crates/bgp/src/health_check.rs
+++ b/crates/bgp/src/health_check.rs
@@ -5,7 +5,7 @@
 //! consecutive failures. Whenever an endpoint becomes unhealthy, some others are checked at once, so that a
 //! fault of many endpoints is detected in little more time than a fault of one.
 //!
-//! Times are in microseconds. Memory is bounded by the number of endpoints.
+//! Times are in microseconds. Memory is bounded by the number of endpoints and of checks in flight.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
