--- a/crates/bgp-speaker/src/status.rs
+++ b/crates/bgp-speaker/src/status.rs
@@ -1,6 +1,6 @@
 //! The status of the speaker as shown to operators in JSON. Durations are in seconds.
 
-use bgp::{AddressView, Counts, Micros, NotificationOrigin, NotificationRecord, PeerView, SECOND};
+use bgp::{AddressView, MessageCounts, Micros, NotificationOrigin, NotificationRecord, PeerView, SECOND};
 use serde::Serialize;
 
 /// The status of the speaker.
@@ -106,8 +106,8 @@
     rounded_ms / 1e3
 }
 
-fn messages(counts: Counts) -> Messages {
-    let Counts { updates, keepalives, notifications, refreshes } = counts;
+fn messages(counts: MessageCounts) -> Messages {
+    let MessageCounts { updates, keepalives, notifications, refreshes } = counts;
     Messages { updates, keepalives, notifications, refreshes }
 }
 
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -29,7 +29,7 @@
 pub use message::{parse_header, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use open::Open;
 pub use peer::{
-    Counts, Direction, Input, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
+    Direction, Input, MessageCounts, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
     PeerView, PrefixCounts,
 };
 
--- a/crates/bgp/src/peer/mod.rs
+++ b/crates/bgp/src/peer/mod.rs
@@ -22,7 +22,7 @@
 
 use interface::DIRECTIONS;
 pub use interface::{Direction, Input, PeerAction, PeerSettings};
-pub use view::{Counts, NotificationOrigin, NotificationRecord, PeerView, PrefixCounts};
+pub use view::{MessageCounts, NotificationOrigin, NotificationRecord, PeerView, PrefixCounts};
 
 /// Code and subcode of a Cease for connection collision resolution (RFC 4486).
 const CEASE: u8 = 6;
@@ -50,8 +50,8 @@
     desired: BTreeMap<IpNet, Attributes>,
     table: Table,
     sessions_established: u64,
-    received: Counts,
-    sent: Counts,
+    received: MessageCounts,
+    sent: MessageCounts,
     prefixes: PrefixCounts,
     malformed_updates: u64,
     last_notification: Option<NotificationRecord>,
@@ -78,8 +78,8 @@
             desired: BTreeMap::new(),
             table: Table::default(),
             sessions_established: 0,
-            received: Counts::default(),
-            sent: Counts::default(),
+            received: MessageCounts::default(),
+            sent: MessageCounts::default(),
             prefixes: PrefixCounts::default(),
             malformed_updates: 0,
             last_notification: None,
--- a/crates/bgp/src/peer/view.rs
+++ b/crates/bgp/src/peer/view.rs
@@ -11,7 +11,7 @@
 /// The numbers of messages by type since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Counts {
+pub struct MessageCounts {
     pub updates: u64,
     pub keepalives: u64,
     pub notifications: u64,
@@ -63,9 +63,9 @@
     /// Whether IPv6 unicast was negotiated.
     pub ipv6: bool,
     /// The received messages.
-    pub received: Counts,
+    pub received: MessageCounts,
     /// The sent messages.
-    pub sent: Counts,
+    pub sent: MessageCounts,
     /// The received prefixes.
     pub prefixes: PrefixCounts,
     /// The number of malformed UPDATEs that did not end the session.
