--- a/crates/bgp-speaker/src/sessions.rs
+++ b/crates/bgp-speaker/src/sessions.rs
@@ -8,7 +8,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 
-use bgp::{Attributes, Direction, Input, Micros, Notification, Peer, PeerAction};
+use bgp::{Attributes, Direction, Micros, Notification, Peer, PeerAction, PeerInput};
 use config::{Bgp, BgpPeer};
 use ipnet::IpNet;
 use tokio::net::TcpStream;
@@ -106,7 +106,7 @@
         for name in stopping {
             let is_configured = config.peers.iter().any(|peer| peer.name == name);
             let subcode = if is_configured { CEASE_CONFIGURATION_CHANGE } else { CEASE_PEER_DECONFIGURED };
-            self.handle(&name, Input::Stop(Notification::cease(subcode, "")));
+            self.handle(&name, PeerInput::Stop(Notification::cease(subcode, "")));
             self.sessions.remove(&name);
         }
     }
@@ -123,7 +123,7 @@
         self.sessions.insert(config.name.clone(), session);
         self.run(&config.name, |peer, actions| peer.announce(announcements, actions));
         if start {
-            self.handle(&config.name, Input::Start);
+            self.handle(&config.name, PeerInput::Start);
         }
     }
 
@@ -137,7 +137,7 @@
     /// Ends all sessions with this NOTIFICATION.
     pub fn stop_all(&mut self, notification: &Notification) {
         for name in self.names() {
-            self.handle(&name, Input::Stop(notification.clone()));
+            self.handle(&name, PeerInput::Stop(notification.clone()));
         }
     }
 
@@ -181,7 +181,7 @@
         }
         match result {
             Ok(stream) => self.connected(name, Direction::Outbound, stream),
-            Err(_) => self.handle(name, Input::Failed(Direction::Outbound)),
+            Err(_) => self.handle(name, PeerInput::Failed(Direction::Outbound)),
         }
     }
 
@@ -201,14 +201,14 @@
         }
         match event {
             ConnectionEvent::Message(kind, body) => {
-                self.handle(name, Input::Message(direction, kind, &body));
+                self.handle(name, PeerInput::Message(direction, kind, &body));
             }
             ConnectionEvent::Malformed(notification) => {
-                self.handle(name, Input::HeaderError(direction, notification));
+                self.handle(name, PeerInput::HeaderError(direction, notification));
             }
             ConnectionEvent::Closed => {
                 *connection = None;
-                self.handle(name, Input::Failed(direction));
+                self.handle(name, PeerInput::Failed(direction));
             }
         }
     }
@@ -240,7 +240,7 @@
 
     fn connected(&mut self, name: &str, direction: Direction, stream: TcpStream) {
         let Ok(local) = stream.local_addr() else {
-            return self.handle(name, Input::Failed(direction));
+            return self.handle(name, PeerInput::Failed(direction));
         };
         if !self.sessions.contains_key(name) {
             return;
@@ -251,7 +251,7 @@
             session.connections[direction as usize] = Some(connection);
         }
         let local: IpAddr = local.ip().to_canonical();
-        self.handle(name, Input::Connected(direction, local));
+        self.handle(name, PeerInput::Connected(direction, local));
     }
 
     /// Spawns the task that reads and writes a connection.
@@ -272,7 +272,7 @@
     }
 
     /// Passes an input to a peer and carries out the resulting actions.
-    fn handle(&mut self, name: &str, input: Input<'_>) {
+    fn handle(&mut self, name: &str, input: PeerInput<'_>) {
         let now = self.clock.now();
         self.run(name, |peer, actions| peer.handle(now, input, actions));
     }
@@ -286,7 +286,7 @@
             self.carry_out(name, action);
         }
         while let Some((name, direction)) = self.failed.pop() {
-            self.handle(&name, Input::Failed(direction));
+            self.handle(&name, PeerInput::Failed(direction));
         }
     }
 
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -29,8 +29,8 @@
 pub use message::{parse_header, MessageType, Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 pub use open::Open;
 pub use peer::{
-    Direction, Input, MessageCounts, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerSettings,
-    PeerView, PrefixCounts,
+    Direction, MessageCounts, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerInput,
+    PeerSettings, PeerView, PrefixCounts,
 };
 
 pub use table::{Attributes, EncodingParameters, Table};
--- a/crates/bgp/src/peer/interface.rs
+++ b/crates/bgp/src/peer/interface.rs
@@ -29,7 +29,7 @@
 
 /// An input to the session of a peer.
 #[derive(Clone, Debug)]
-pub enum Input<'a> {
+pub enum PeerInput<'a> {
     /// Start the session.
     Start,
     /// Stop the session with this NOTIFICATION.
--- a/crates/bgp/src/peer/mod.rs
+++ b/crates/bgp/src/peer/mod.rs
@@ -21,7 +21,7 @@
 use crate::{write, Micros};
 
 use interface::DIRECTIONS;
-pub use interface::{Direction, Input, PeerAction, PeerSettings};
+pub use interface::{Direction, PeerAction, PeerInput, PeerSettings};
 pub use view::{MessageCounts, NotificationOrigin, NotificationRecord, PeerView, PrefixCounts};
 
 /// Code and subcode of a Cease for connection collision resolution (RFC 4486).
@@ -148,26 +148,26 @@
     }
 
     /// Handles an input and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<PeerAction>) {
+    pub fn handle(&mut self, now: Micros, input: PeerInput<'_>, out: &mut Vec<PeerAction>) {
         match input {
-            Input::Start => {
+            PeerInput::Start => {
                 self.stopped = false;
                 // With jitter, because two speakers started together would otherwise dial each other at the
                 // same time and lose one of the two connections to collision detection.
                 self.connection_mut(Direction::Outbound).machine.start_with_jitter(now);
             }
-            Input::Stop(notification) => {
+            PeerInput::Stop(notification) => {
                 self.stopped = true;
                 for direction in DIRECTIONS {
                     self.handle_event(now, direction, Event::Stop(notification.clone()), out);
                 }
             }
-            Input::Connected(direction, local) => self.on_connected(now, direction, local, out),
-            Input::Failed(direction) => self.handle_event(now, direction, Event::ConnectionFailed, out),
-            Input::HeaderError(direction, notification) => {
+            PeerInput::Connected(direction, local) => self.on_connected(now, direction, local, out),
+            PeerInput::Failed(direction) => self.handle_event(now, direction, Event::ConnectionFailed, out),
+            PeerInput::HeaderError(direction, notification) => {
                 self.handle_event(now, direction, Event::HeaderError(notification), out);
             }
-            Input::Message(direction, kind, body) => self.on_message(now, direction, kind, body, out),
+            PeerInput::Message(direction, kind, body) => self.on_message(now, direction, kind, body, out),
         }
     }
 
--- a/crates/bgp/tests/peers.rs
+++ b/crates/bgp/tests/peers.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bgp::{
-    parse_header, Attributes, Direction, Input, MachineSettings, Micros, Notification, NotificationOrigin,
-    Peer, PeerAction, PeerSettings, PrefixCounts, State, HEADER_LENGTH, SECOND,
+    parse_header, Attributes, Direction, MachineSettings, Micros, Notification, NotificationOrigin, Peer,
+    PeerAction, PeerInput, PeerSettings, PrefixCounts, State, HEADER_LENGTH, SECOND,
 };
 use ipnet::IpNet;
 use testkit::bgp_router::{self, BgpMessage};
@@ -70,7 +70,7 @@
             partitioned: false,
         };
         for speaker in 0..2 {
-            network.handle(speaker, Input::Start);
+            network.handle(speaker, PeerInput::Start);
         }
         network
     }
@@ -89,7 +89,7 @@
             .find(|w| self.wires[*w].open[speaker] && self.direction(speaker, *w) == direction)
     }
 
-    fn handle(&mut self, speaker: usize, input: Input<'_>) {
+    fn handle(&mut self, speaker: usize, input: PeerInput<'_>) {
         let mut actions = Vec::new();
         self.peers[speaker].handle(self.now, input, &mut actions);
         self.carry_out(speaker, actions);
@@ -157,21 +157,23 @@
                     Some(octets) => {
                         let header: &[u8; HEADER_LENGTH] = octets.first_chunk().expect("a header");
                         match parse_header(header) {
-                            Ok((_, kind)) => self
-                                .handle(speaker, Input::Message(direction, kind, &octets[HEADER_LENGTH..])),
-                            Err(error) => self.handle(speaker, Input::HeaderError(direction, error)),
+                            Ok((_, kind)) => self.handle(
+                                speaker,
+                                PeerInput::Message(direction, kind, &octets[HEADER_LENGTH..]),
+                            ),
+                            Err(error) => self.handle(speaker, PeerInput::HeaderError(direction, error)),
                         }
                     }
                     None => {
                         self.wires[index].open[speaker] = false;
-                        self.handle(speaker, Input::Failed(direction));
+                        self.handle(speaker, PeerInput::Failed(direction));
                     }
                 }
             }
             1 => {
                 self.dials.remove(index);
                 if self.partitioned || !self.peers[1 - speaker].accepts_inbound(self.now) {
-                    self.handle(speaker, Input::Failed(Direction::Outbound));
+                    self.handle(speaker, PeerInput::Failed(Direction::Outbound));
                 } else {
                     if let Some(previous) = self.wire(1 - speaker, Direction::Inbound) {
                         self.wires[previous].open[1 - speaker] = false;
@@ -184,8 +186,8 @@
                     };
                     self.wires.push(wire);
                     let local = "192.0.2.1".parse().expect("an address");
-                    self.handle(1 - speaker, Input::Connected(Direction::Inbound, local));
-                    self.handle(speaker, Input::Connected(Direction::Outbound, local));
+                    self.handle(1 - speaker, PeerInput::Connected(Direction::Inbound, local));
+                    self.handle(speaker, PeerInput::Connected(Direction::Outbound, local));
                 }
             }
             _ => {
@@ -238,18 +240,24 @@
     for (id, kept) in [([10, 0, 0, 1], Direction::Inbound), ([10, 0, 0, 9], Direction::Outbound)] {
         for first in [Direction::Outbound, Direction::Inbound] {
             let mut single = SinglePeer::connected(settings(64512, 64513, id));
-            single.handle(0, Input::Connected(Direction::Inbound, "192.0.2.1".parse().expect("an address")));
+            single.handle(
+                0,
+                PeerInput::Connected(Direction::Inbound, "192.0.2.1".parse().expect("an address")),
+            );
             let second = if first == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             let octets = open(64513, [10, 0, 0, 2]);
             for direction in [first, second] {
-                single.handle(0, Input::Message(direction, bgp::MessageType::Open, &octets[HEADER_LENGTH..]));
+                single.handle(
+                    0,
+                    PeerInput::Message(direction, bgp::MessageType::Open, &octets[HEADER_LENGTH..]),
+                );
             }
             assert_eq!(single.notified(), Some((6, 7)));
             let closed: Vec<_> = single.out.iter().filter(|d| matches!(d, PeerAction::Close(_))).collect();
             let closed_direction =
                 if kept == Direction::Outbound { Direction::Inbound } else { Direction::Outbound };
             assert_eq!(closed, [&PeerAction::Close(closed_direction)], "{id:?}, first {first:?}");
-            single.handle(0, Input::Message(kept, bgp::MessageType::Keepalive, &[]));
+            single.handle(0, PeerInput::Message(kept, bgp::MessageType::Keepalive, &[]));
             assert_eq!(single.peer.view().state, State::Established);
         }
     }
@@ -316,7 +324,7 @@
 fn stopped_peer_receives_the_text_and_is_not_dialed() {
     let mut network = pair(1);
     network.run_until(5 * SECOND);
-    network.handle(0, Input::Stop(Notification::cease(2, "back at noon")));
+    network.handle(0, PeerInput::Stop(Notification::cease(2, "back at noon")));
     network.run_until(100 * SECOND);
     assert_eq!(network.state(0), State::Idle);
     let last = network.peers[1].view().last_notification.expect("a NOTIFICATION");
@@ -325,7 +333,7 @@
         (NotificationOrigin::Received, Some("back at noon"))
     );
     assert!(!network.peers[0].accepts_inbound(network.now));
-    network.handle(0, Input::Start);
+    network.handle(0, PeerInput::Start);
     network.run_until(200 * SECOND);
     assert!(network.both_established());
 }
@@ -339,9 +347,9 @@
 impl SinglePeer {
     fn connected(settings: PeerSettings) -> SinglePeer {
         let mut single = SinglePeer { peer: Peer::new("p".to_owned(), settings, 1), out: Vec::new() };
-        single.handle(0, Input::Start);
+        single.handle(0, PeerInput::Start);
         single.peer.tick(SECOND / 4, &mut single.out);
-        single.handle(0, Input::Connected(Direction::Outbound, "192.0.2.1".parse().expect("an address")));
+        single.handle(0, PeerInput::Connected(Direction::Outbound, "192.0.2.1".parse().expect("an address")));
         single
     }
 
@@ -353,13 +361,13 @@
         single
     }
 
-    fn handle(&mut self, now: Micros, input: Input<'_>) {
+    fn handle(&mut self, now: Micros, input: PeerInput<'_>) {
         self.peer.handle(now, input, &mut self.out);
     }
 
     fn message(&mut self, now: Micros, whole: &[u8]) {
         let (_, kind) = parse_header(whole.first_chunk().expect("a header")).expect("sound");
-        self.handle(now, Input::Message(Direction::Outbound, kind, &whole[HEADER_LENGTH..]));
+        self.handle(now, PeerInput::Message(Direction::Outbound, kind, &whole[HEADER_LENGTH..]));
     }
 
     /// The code and subcode of the last NOTIFICATION that was written.
@@ -417,11 +425,11 @@
     let local = "192.0.2.1".parse().expect("an address");
     for _ in 0..5 {
         assert!(single.peer.accepts_inbound(0));
-        single.handle(0, Input::Connected(Direction::Inbound, local));
+        single.handle(0, PeerInput::Connected(Direction::Inbound, local));
     }
     for octets in [open(64513, [10, 0, 0, 2]), bgp_router::encode(4, &[])] {
         let (_, kind) = parse_header(octets.first_chunk().expect("a header")).expect("sound");
-        single.handle(0, Input::Message(Direction::Inbound, kind, &octets[HEADER_LENGTH..]));
+        single.handle(0, PeerInput::Message(Direction::Inbound, kind, &octets[HEADER_LENGTH..]));
     }
     assert_eq!(single.peer.view().state, State::Established);
     assert!(!single.peer.accepts_inbound(0));
