--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -59,7 +59,7 @@
         ProcessHealth {
             accepting: self.accepting,
             alive: self.updated_at.elapsed() < config.stuck,
-            memory_full: self.memory_limit_exceeded,
+            memory_limit_exceeded: self.memory_limit_exceeded,
         }
     }
 
--- a/crates/bgp/src/announce/health.rs
+++ b/crates/bgp/src/announce/health.rs
@@ -35,7 +35,7 @@
     /// Whether the data plane makes progress.
     pub alive: bool,
     /// Whether the process exceeds its memory limit.
-    pub memory_full: bool,
+    pub memory_limit_exceeded: bool,
 }
 
 impl ProcessHealth {
@@ -44,7 +44,7 @@
         match self {
             ProcessHealth { alive: false, .. } => Some(StateReason::DataPlaneStalled),
             ProcessHealth { accepting: false, .. } => Some(StateReason::NotAccepting),
-            ProcessHealth { memory_full: true, .. } => Some(StateReason::MemoryLimitExceeded),
+            ProcessHealth { memory_limit_exceeded: true, .. } => Some(StateReason::MemoryLimitExceeded),
             _ => None,
         }
     }
--- a/crates/bgp/tests/announcer.rs
+++ b/crates/bgp/tests/announcer.rs
@@ -8,7 +8,8 @@
 };
 
 const MS: Micros = 1000;
-const HEALTHY_PROCESS: ProcessHealth = ProcessHealth { accepting: true, alive: true, memory_full: false };
+const HEALTHY_PROCESS: ProcessHealth =
+    ProcessHealth { accepting: true, alive: true, memory_limit_exceeded: false };
 const DAMPING: Damping = Damping { hold_up: 5 * SECOND, max_hold_up: 60 * SECOND, half_life: 60 * SECOND };
 
 fn address(pools: &[&str]) -> Address {
@@ -127,7 +128,7 @@
     for process in [
         ProcessHealth { accepting: false, ..HEALTHY_PROCESS },
         ProcessHealth { alive: false, ..HEALTHY_PROCESS },
-        ProcessHealth { memory_full: true, ..HEALTHY_PROCESS },
+        ProcessHealth { memory_limit_exceeded: true, ..HEALTHY_PROCESS },
     ] {
         let mut site = Site::new(&[address(&["p"])]);
         site.process = process;
--- a/crates/bgp/tests/common/sites.rs
+++ b/crates/bgp/tests/common/sites.rs
@@ -20,7 +20,8 @@
 const HEALTH_DELAY_STEPS: usize = 7;
 /// The delay in steps until a router acts on a change of an announcement.
 const ROUTE_DELAY_STEPS: usize = 2;
-const HEALTHY_PROCESS: ProcessHealth = ProcessHealth { accepting: true, alive: true, memory_full: false };
+const HEALTHY_PROCESS: ProcessHealth =
+    ProcessHealth { accepting: true, alive: true, memory_limit_exceeded: false };
 
 /// How sites announce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
