--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -4,7 +4,7 @@
 
 use crate::message::Notification;
 
-/// The two-octet AS number that stands in for one of four octets (RFC 6793).
+/// The two-octet AS number that represents four-octet AS numbers (RFC 6793).
 const AS_TRANS: u32 = 23456;
 /// The smallest hold time in seconds that is accepted.
 const MIN_HOLD_TIME_S: u16 = 3;
@@ -33,7 +33,7 @@
     /// Capability: IPv6 unicast.
     pub ipv6: bool,
     /// Capability: ROUTE-REFRESH.
-    pub refresh: bool,
+    pub route_refresh: bool,
 }
 
 /// A bounds-checked reader of octets.
@@ -82,7 +82,7 @@
             four_octet: false,
             ipv4: false,
             ipv6: false,
-            refresh: false,
+            route_refresh: false,
         };
         // RFC 4271 permits rejecting a hold time of zero, which disables the hold timer: the session would
         // outlast a peer that fails without closing the connection.
@@ -131,7 +131,7 @@
                     }
                     (MULTIPROTOCOL, value) if value.len() != 4 => return Err(unspecific()),
                     (MULTIPROTOCOL, _) => has_multiprotocol = true,
-                    (ROUTE_REFRESH, _) => self.refresh = true,
+                    (ROUTE_REFRESH, _) => self.route_refresh = true,
                     (FOUR_OCTET_AS, value) => {
                         self.asn = u32::from_be_bytes(four_octets(value).ok_or_else(unspecific)?);
                         self.four_octet = true;
--- a/crates/bgp/src/write.rs
+++ b/crates/bgp/src/write.rs
@@ -23,7 +23,7 @@
 use crate::message::{Notification, HEADER_LENGTH, MAX_MESSAGE_LENGTH};
 use crate::table::{Attributes, EncodingParameters};
 
-/// The two-octet AS number that stands in for one of four octets (RFC 6793).
+/// The two-octet AS number that represents four-octet AS numbers (RFC 6793).
 const AS_TRANS: u16 = 23456;
 /// The maximum number of prefixes per message, so that a message stays within [`MAX_MESSAGE_LENGTH`] with the
 /// largest attributes.
--- a/crates/bgp/tests/messages.rs
+++ b/crates/bgp/tests/messages.rs
@@ -85,7 +85,7 @@
     let whole = bgp_router::encode_open(4_200_000_000, 90, [10, 0, 0, 1], &borrowed);
     let open = Open::read(&whole[19..]).expect("a valid OPEN");
     assert_eq!((open.asn, open.hold_s, open.four_octet), (4_200_000_000, 90, true));
-    assert!(open.ipv4 && open.ipv6 && open.refresh);
+    assert!(open.ipv4 && open.ipv6 && open.route_refresh);
     // Truncated after each octet, and with each length field off by one.
     for length in 0..whole.len() - 19 {
         assert_eq!(Open::read(&whole[19..19 + length]).expect_err("truncated").code, 2, "at {length}");
