--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -33,9 +33,9 @@
         sections: &[AddressFile],
         pools: &NameIndex,
     ) -> Vec<bgp::Address> {
-        if sections.len() > bgp::MOST_ADDRESSES {
-            let message = format!("{} addresses are more than {}", sections.len(), bgp::MOST_ADDRESSES);
-            self.report(sections[bgp::MOST_ADDRESSES].prefix.span(), message, None);
+        if sections.len() > bgp::MAX_ADDRESSES {
+            let message = format!("{} addresses are more than {}", sections.len(), bgp::MAX_ADDRESSES);
+            self.report(sections[bgp::MAX_ADDRESSES].prefix.span(), message, None);
         }
         let mut addresses: Vec<bgp::Address> = Vec::new();
         for section in sections {
@@ -68,11 +68,11 @@
         let attributes = bgp::Attributes {
             med: section.med,
             communities: self.communities(&section.communities),
-            large: self.large_communities(&section.large_communities),
+            large_communities: self.large_communities(&section.large_communities),
             ..bgp::Attributes::default()
         };
         let degraded = self.degraded(section, &attributes);
-        thresholds.least_nodes = self.bounded("least_nodes", &section.least_nodes, 1, MAX_LEAST_NODES);
+        thresholds.min_endpoints = self.bounded("least_nodes", &section.least_nodes, 1, MAX_LEAST_NODES);
         let pools = section.pools.get_ref().iter().map(|pool| pool.get_ref().clone()).collect();
         Some(bgp::Address { prefix: prefix?, pools, thresholds, damping, attributes, degraded })
     }
@@ -90,7 +90,7 @@
             let message = format!("`withdraw_share`: {withdraw} is more than `announce_share`, {announce}");
             self.report(span, message, Some(help));
         }
-        bgp::Thresholds { announce, withdraw, degrade, least_nodes: 1 }
+        bgp::Thresholds { announce, withdraw, degrade, min_endpoints: 1 }
     }
 
     fn share(&mut self, key: &str, value: &Option<Spanned<f64>>, default: f64) -> f64 {
@@ -127,7 +127,7 @@
         let hold_up = duration("hold_up_ms", &section.hold_up_ms, DEFAULT_HOLD_UP_MS);
         let max_hold_up = duration("hold_up_most_ms", &section.hold_up_most_ms, DEFAULT_MAX_HOLD_UP_MS);
         let half_life = duration("half_life_ms", &section.half_life_ms, DEFAULT_HALF_LIFE_MS);
-        bgp::Damping { hold_up, most: max_hold_up.max(hold_up), half_life }
+        bgp::Damping { hold_up, max_hold_up: max_hold_up.max(hold_up), half_life }
     }
 
     /// The attributes of a degraded address. Those that `degraded` does not set are the ordinary ones.
