--- a/src/bin/amberlever-simulator/action.rs
+++ b/src/bin/amberlever-simulator/action.rs
@@ -1,4 +1,4 @@
-//! Actions of an instance, a line each.
+//! Writes the actions of an instance, one per line.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -7,7 +7,7 @@
 
 const MICROS_PER_MS: u64 = 1000;
 
-/// Microseconds, written as milliseconds without loss.
+/// A time that is displayed in milliseconds, with three decimals, so that no microsecond is lost.
 struct Milliseconds(Micros);
 
 impl fmt::Display for Milliseconds {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Writes an action.
+/// Writes an action as one line.
 pub fn write_action(output: &mut impl Write, action: &Action) -> io::Result<()> {
     match action {
         Action::Send { request, endpoint, deadline } => {
--- a/src/bin/amberlever-simulator/endpoint_list.rs
+++ b/src/bin/amberlever-simulator/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists. They are given once for all instances; the names of zones and machine kinds are resolved by each.
+//! Parses endpoint lists. A list is sent once for all instances; each instance maps the names of zones and
+//! machine kinds to indexes of its own.
 
 use decide::platform_settings::NameTable;
 use decide::{Endpoint, EndpointId, EndpointState};
@@ -6,15 +7,15 @@
 use crate::error::LineError;
 use crate::fields::FieldReader;
 
-/// The weight of an endpoint where none is given.
+/// The weight of an endpoint whose line gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The head of an endpoint list.
+/// The first line of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListHead {
-    /// The list's number.
+    /// The number by which events refer to the list.
     pub list: u32,
-    /// The number of its entries, one a line.
+    /// The number of entries that follow, one per line.
     pub entries: u64,
 }
 
@@ -32,7 +33,7 @@
 /// An entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
-    /// The endpoint, without zone and machine kind.
+    /// The endpoint with default values for zone and machine kind.
     endpoint: Endpoint,
     zone: String,
     machine_kind: String,
@@ -55,7 +56,7 @@
         Ok(ListEntry { endpoint, zone, machine_kind })
     }
 
-    /// The endpoint, with the indexes of this instance's names.
+    /// Returns the endpoint with its zone and machine kind as indexes into `names`.
     pub fn endpoint(&self, names: &mut NameTable) -> Endpoint {
         Endpoint {
             zone: names.zone(&self.zone),
--- a/src/bin/amberlever-simulator/error.rs
+++ b/src/bin/amberlever-simulator/error.rs
@@ -1,26 +1,26 @@
-//! Why the program stops.
+//! Errors that end the program.
 
 use std::fmt;
 use std::io;
 
 use decide::platform_settings::PlatformSettingsError;
 
-/// The most characters of a line that an error shows.
+use crate::fields::MAX_TIME_MS;
+
+/// The maximum number of characters of a line that an error message quotes.
 const MAX_SHOWN_CHARACTERS: usize = 200;
 
-/// Why the program stops.
+/// An error that ends the program.
 #[derive(Debug)]
 pub enum SessionError {
     /// A line that the protocol does not allow.
     InvalidLine {
-        /// Its number, from 1.
+        /// The line number, from 1.
         number: u64,
-        /// Its text.
         text: String,
-        /// What is wrong with it.
         source: LineError,
     },
-    /// The input ended inside a batch, after this line.
+    /// The input ended inside a batch, after the line with this number.
     Truncated(u64),
     /// Reading or writing failed.
     Io(io::Error),
@@ -55,46 +55,46 @@
     }
 }
 
-/// What is wrong with a line.
+/// The reason why a line is invalid.
 #[derive(Debug)]
 pub enum LineError {
-    /// A line other than the start of a batch.
+    /// A batch does not start with `BATCH`.
     ExpectedBatch,
-    /// A line other than an entry of the endpoint list.
+    /// An entry of an endpoint list does not start with `BACKEND`.
     ExpectedBackend,
-    /// An event of a kind that the protocol does not have.
+    /// The protocol has no event of this kind.
     UnknownEvent,
-    /// A field is missing.
+    /// The line has too few fields.
     MissingValue,
-    /// A time is `-`.
+    /// A required time is `-`.
     MissingTime,
-    /// More fields than the line has.
+    /// The line has more fields than expected; the first of them.
     ExtraValue(String),
-    /// Not a number, or out of its range.
+    /// A field is not a number, or is out of range for its type.
     InvalidNumber(String),
-    /// Not finite, or out of the range of times; in milliseconds.
+    /// A time in milliseconds is not finite, or is out of range.
     InvalidTime(f64),
-    /// Not 0 or 1.
+    /// A flag is not 0, 1 or `-`.
     InvalidFlag(String),
-    /// Not hexadecimal digits.
+    /// A payload is not pairs of hexadecimal digits.
     InvalidHex(String),
-    /// Not a seed.
+    /// A seed is not an unsigned 64-bit number.
     InvalidSeed(String),
-    /// Not the values of a load report.
+    /// A load report is not a list of finite numbers.
     InvalidLoadReport(String),
-    /// Not the state of an endpoint.
+    /// The state of an endpoint is unknown.
     UnknownState(String),
-    /// Not the outcome of an attempt.
+    /// The outcome of an attempt is unknown.
     UnknownOutcome(String),
-    /// Not the scope of an endpoint list.
+    /// The scope of an endpoint update is unknown.
     UnknownScope(String),
-    /// Not a class of the settings.
+    /// The settings of the instance have no such class.
     UnknownClass(String),
-    /// An endpoint list that was not given.
+    /// An update refers to an endpoint list that was not sent.
     UnknownList,
-    /// An instance that was not started.
+    /// An event is for an instance that was not started.
     UnknownInstance(String),
-    /// An instance is started before one is selected.
+    /// `POWER_ON` comes before any `SWITCH_TO` of the batch.
     NoInstanceSelected,
     /// The settings of an instance cannot be used.
     Settings(PlatformSettingsError),
@@ -107,21 +107,27 @@
             LineError::ExpectedBackend => f.write_str("expected BACKEND"),
             LineError::UnknownEvent => f.write_str("unknown event"),
             LineError::MissingValue => f.write_str("a value is missing"),
-            LineError::MissingTime => f.write_str("a time is missing"),
-            LineError::ExtraValue(word) => write!(f, "a value too many: {word}"),
-            LineError::InvalidNumber(word) => write!(f, "not a number of the right kind: {word}"),
-            LineError::InvalidTime(milliseconds) => write!(f, "not a time: {milliseconds}"),
-            LineError::InvalidFlag(word) => write!(f, "not 0 or 1: {word}"),
-            LineError::InvalidHex(word) => write!(f, "not hex digits: {word}"),
-            LineError::InvalidSeed(word) => write!(f, "not a seed: {word}"),
-            LineError::InvalidLoadReport(word) => write!(f, "not a load report: {word}"),
-            LineError::UnknownState(word) => write!(f, "unknown stage {word}"),
+            LineError::MissingTime => f.write_str("a time is required, got `-`"),
+            LineError::ExtraValue(word) => write!(f, "unexpected value after the last field: {word}"),
+            LineError::InvalidNumber(word) => write!(f, "not a number, or out of range: {word}"),
+            LineError::InvalidTime(milliseconds) => {
+                write!(f, "invalid time {milliseconds} ms: must be finite and at most {MAX_TIME_MS:e} ms in magnitude")
+            }
+            LineError::InvalidFlag(word) => write!(f, "invalid flag {word}: expected 0, 1 or `-`"),
+            LineError::InvalidHex(word) => write!(f, "not hex-encoded bytes: {word}"),
+            LineError::InvalidSeed(word) => {
+                write!(f, "invalid seed {word}: expected an unsigned 64-bit number")
+            }
+            LineError::InvalidLoadReport(word) => {
+                write!(f, "invalid load report {word}: expected finite numbers separated by commas")
+            }
+            LineError::UnknownState(word) => write!(f, "unknown endpoint state {word}: expected 0, 1 or 2"),
             LineError::UnknownOutcome(word) => write!(f, "unknown outcome {word}"),
-            LineError::UnknownScope(word) => write!(f, "unknown scope {word}"),
+            LineError::UnknownScope(word) => write!(f, "unknown update scope {word}: expected 0, 1, 2 or 4"),
             LineError::UnknownClass(word) => write!(f, "unknown class {word}"),
-            LineError::UnknownList => f.write_str("no such POOL"),
+            LineError::UnknownList => f.write_str("unknown endpoint list: no POOL defines it"),
             LineError::UnknownInstance(name) => write!(f, "no instance {name:?}"),
-            LineError::NoInstanceSelected => f.write_str("no SWITCH_TO before it"),
+            LineError::NoInstanceSelected => f.write_str("POWER_ON without SWITCH_TO in this batch"),
             LineError::Settings(error) => error.fmt(f),
         }
     }
--- a/src/bin/amberlever-simulator/event.rs
+++ b/src/bin/amberlever-simulator/event.rs
@@ -1,4 +1,4 @@
-//! Events of an instance, a line each.
+//! Parses the events of an instance, one per line.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,26 @@
 use crate::fields::FieldReader;
 use crate::instance::Instance;
 
-/// The bit of a request's marks that says that its work is known.
+/// The bit of a request's marks that is set if the work of the request is known.
 const MARK_WORK_KNOWN: u64 = 1;
-/// The bit that says that it is a retry by the client.
+/// The bit of a request's marks that is set if the request is a retry by the client.
 const MARK_RETRY: u64 = 2;
 
-/// The endpoint lists, by number.
+/// Endpoint lists by number.
 pub type EndpointLists = BTreeMap<u32, Vec<ListEntry>>;
 
-/// An event with what it refers to.
+/// An event that owns the data that [`Event`] borrows.
 pub enum ParsedEvent {
     /// An endpoint list.
     EndpointUpdate { scope: UpdateScope, endpoints: Vec<Endpoint> },
     /// A gossip message.
     GossipReceived { from: u32, payload: Vec<u8> },
-    /// Any other event, which refers to nothing.
+    /// Any other event, which borrows nothing.
     Plain(Event<'static>),
 }
 
 impl ParsedEvent {
-    /// The event.
+    /// Returns the event in the form that the balancer takes.
     pub fn as_event(&self) -> Event<'_> {
         match self {
             ParsedEvent::EndpointUpdate { scope, endpoints } => {
@@ -81,7 +81,7 @@
 ) -> Result<ParsedEvent, LineError> {
     let list: Option<u32> = fields.optional()?;
     let scope = parse_scope(fields.word()?)?;
-    // The version of the list, which the decisions do not need.
+    // The version of the list, which the balancer does not use.
     fields.word()?;
     if scope == UpdateScope::Failed {
         return Ok(ParsedEvent::EndpointUpdate { scope, endpoints: Vec::new() });
@@ -101,7 +101,7 @@
     let id = RequestId(fields.number()?);
     let work: Option<f64> = fields.optional()?;
     let marks: u64 = fields.optional()?.unwrap_or(0);
-    // The client, which the decisions do not need.
+    // The client, which the balancer does not use.
     fields.word()?;
     let class = fields.word()?;
     let class = instance.names.class(class).ok_or_else(|| LineError::UnknownClass(class.to_owned()))?;
@@ -124,7 +124,7 @@
 
 fn stream_started(fields: &mut FieldReader<'_>) -> Result<Event<'static>, LineError> {
     let request = RequestId(fields.number()?);
-    // The attempt, its endpoint and the time are not needed, but have to be well-formed.
+    // The attempt, its endpoint and the time are not used, but must be well-formed.
     fields.number::<u64>()?;
     fields.number::<u32>()?;
     fields.time()?;
--- a/src/bin/amberlever-simulator/fields.rs
+++ b/src/bin/amberlever-simulator/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a line: words separated by single spaces, where `-` stands for an absent value.
+//! Reads the fields of a line: words separated by single spaces, with `-` for an absent value.
 
 use std::str::{FromStr, Split};
 
@@ -7,10 +7,11 @@
 
 use crate::error::LineError;
 
-/// An absent value.
+/// The field of an absent value.
 pub const ABSENT: &str = "-";
-/// The largest time, in milliseconds: far beyond `decide::TIME_LIMIT`, and safe to convert to microseconds in an `i64`.
-const MAX_TIME_MS: f64 = 1e15;
+/// The largest magnitude of a time, in milliseconds: far beyond `decide::TIME_LIMIT`, and safe to convert to
+/// microseconds in an `i64`.
+pub const MAX_TIME_MS: f64 = 1e15;
 
 /// Reads the fields of a line from the left.
 pub struct FieldReader<'a> {
@@ -18,22 +19,21 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// A reader of this text.
     pub fn new(text: &'a str) -> Self {
         FieldReader { words: text.split(' ') }
     }
 
-    /// A field of any kind.
+    /// Reads a field of any kind.
     pub fn word(&mut self) -> Result<&'a str, LineError> {
         self.words.next().filter(|word| !word.is_empty()).ok_or(LineError::MissingValue)
     }
 
-    /// A number.
+    /// Reads a number.
     pub fn number<T: FromStr>(&mut self) -> Result<T, LineError> {
         parse_number(self.word()?)
     }
 
-    /// A number that may be absent.
+    /// Reads a number. Returns `None` if it is absent.
     pub fn optional<T: FromStr>(&mut self) -> Result<Option<T>, LineError> {
         match self.word()? {
             ABSENT => Ok(None),
@@ -41,12 +41,12 @@
         }
     }
 
-    /// A time in milliseconds.
+    /// Reads a time in milliseconds.
     pub fn time(&mut self) -> Result<Micros, LineError> {
         self.optional_time()?.ok_or(LineError::MissingTime)
     }
 
-    /// A time in milliseconds that may be absent.
+    /// Reads a time in milliseconds. Returns `None` if it is absent.
     pub fn optional_time(&mut self) -> Result<Option<Micros>, LineError> {
         match self.optional::<f64>()? {
             Some(time) if !time.is_finite() || time.abs() > MAX_TIME_MS => Err(LineError::InvalidTime(time)),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// 1, or 0 and its equivalent `-`.
+    /// Reads a flag: 1 is true, 0 and `-` are false.
     pub fn flag(&mut self) -> Result<bool, LineError> {
         match self.word()? {
             "0" | ABSENT => Ok(false),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Bytes as hexadecimal digits; `-` stands for none.
+    /// Reads bytes in hexadecimal; `-` is an empty sequence.
     pub fn bytes(&mut self) -> Result<Vec<u8>, LineError> {
         match self.word()? {
             ABSENT => Ok(Vec::new()),
--- a/src/bin/amberlever-simulator/instance.rs
+++ b/src/bin/amberlever-simulator/instance.rs
@@ -1,4 +1,4 @@
-//! A running instance of the decisions.
+//! A running instance of the balancer.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -8,10 +8,10 @@
 use crate::error::LineError;
 use crate::fields::ABSENT;
 
-/// An instance, with the names that its events use.
+/// An instance of the balancer and the names that its events use.
 pub struct Instance {
     balancer: Balancer,
-    /// The names of classes, tenants, zones and so on.
+    /// Maps the names of classes, tenants, zones and machine kinds to indexes.
     pub names: NameTable,
 }
 
@@ -23,20 +23,21 @@
         Ok(Instance { balancer: Balancer::new(settings, seed), names })
     }
 
-    /// Hands it an event, and adds its actions.
+    /// Handles an event and appends the resulting actions.
     ///
     /// # Errors
-    /// The text of the panic, in one line.
+    /// If the balancer panics, the message of the panic in one line.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) -> Result<(), String> {
         let handled = catch_unwind(AssertUnwindSafe(|| self.balancer.handle(now, event, actions)));
         handled.map_err(|panic| {
             let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
             let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-            text.unwrap_or_else(|| "panic without a text".to_owned()).replace(['\n', '\r'], " ")
+            text.unwrap_or_else(|| "panic without a message".to_owned()).replace(['\n', '\r'], " ")
         })
     }
 
-    /// Parses a load report: values separated by commas, in the order of the settings' field names. None for `-`.
+    /// Parses a load report: values separated by commas, in the order of the field names in the settings.
+    /// Returns `None` for `-`.
     pub fn parse_load_report(&self, word: &str) -> Result<Option<LoadReport>, LineError> {
         if word == ABSENT {
             return Ok(None);
--- a/src/bin/amberlever-simulator/main.rs
+++ b/src/bin/amberlever-simulator/main.rs
@@ -1,7 +1,8 @@
-//! Runs the decisions behind the simulator's protocol: events on standard input, actions on standard output.
+//! Runs the balancer for the simulator: reads events from standard input and writes actions to standard
+//! output.
 //!
-//! [`session`] takes batches of lines; [`event`] and [`endpoint_list`] parse them, [`action`] writes what follows. Nothing
-//! is decided here.
+//! [`session`] reads batches of lines, [`event`] and [`endpoint_list`] parse them, and [`action`] writes the
+//! actions of the balancer, which is in the package `decide`.
 
 mod action;
 mod endpoint_list;
@@ -18,7 +19,7 @@
 const BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
-    // The text of a panic is part of the protocol; the default hook would print it a second time.
+    // The message of a panic is reported by the protocol; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
     let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
--- a/src/bin/amberlever-simulator/session.rs
+++ b/src/bin/amberlever-simulator/session.rs
@@ -1,7 +1,7 @@
-//! A session: batches of lines in, the actions of each batch out.
+//! Reads batches of lines and writes the actions of each batch.
 //!
-//! A batch starts with `BATCH time sequence` and ends with `OVER_TO_YOU`; between them stand endpoint lists, selections of an
-//! instance, and events of the instance that is selected. The reply ends with `EOR sequence`.
+//! A batch starts with `BATCH time sequence` and ends with `OVER_TO_YOU`. In between are endpoint lists,
+//! selections of an instance, and events for the selected instance. The reply ends with `EOR sequence`.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -37,7 +37,7 @@
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// Reads the next line. False at the end of the input.
+    /// Reads the next line. Returns false at the end of the input.
     fn advance(&mut self) -> Result<bool, SessionError> {
         self.text.clear();
         let bytes = self.input.read_line(&mut self.text)?;
@@ -49,7 +49,7 @@
         Ok(bytes > 0)
     }
 
-    /// Reads the next line inside a batch.
+    /// Reads the next line. The end of the input is an error.
     fn advance_in_batch(&mut self) -> Result<(), SessionError> {
         if self.advance()? {
             Ok(())
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An error in the current line.
+    /// Returns an error for the current line.
     fn error(&self, source: LineError) -> SessionError {
         SessionError::InvalidLine { number: self.number, text: self.text.clone(), source }
     }
@@ -81,30 +81,30 @@
     }
 }
 
-/// The actions of an instance for some events.
+/// The actions of an instance for consecutive events.
 struct Reply {
     instance: String,
     actions: Vec<Action>,
 }
 
-/// A panic of an instance, after which no event of the batch is handled.
+/// A panic of an instance. No further event of the batch is handled.
 struct Panic {
     instance: String,
-    text: String,
+    message: String,
 }
 
 #[derive(Default)]
 struct Session {
     instances: BTreeMap<String, Instance>,
     lists: EndpointLists,
-    /// The replies of this batch, in the order of their events.
+    /// The replies of the current batch, in the order of their events.
     replies: Vec<Reply>,
     panic: Option<Panic>,
     now: Micros,
 }
 
 impl Session {
-    /// Reads the rest of a batch, and hands its events to the instances.
+    /// Reads the rest of a batch and passes its events to the instances.
     fn read_batch<R: BufRead>(&mut self, lines: &mut LineReader<R>) -> Result<(), SessionError> {
         let mut selected = String::new();
         loop {
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// Takes in an event of an instance.
+    /// Handles an event of an instance.
     fn on_event(&mut self, name: &str, line: &str) -> Result<(), LineError> {
         let (kind, rest) = line.split_once(' ').unwrap_or((line, ""));
         match kind {
@@ -166,21 +166,21 @@
     }
 
     fn kill_instance(&mut self, name: &str) -> Result<(), LineError> {
-        // Its actions of this batch are for requests that are void now.
+        // The requests of a killed instance are lost, so its actions from this batch are dropped.
         self.replies.retain(|reply| reply.instance != name);
         let killed = self.instances.remove(name);
         killed.map(drop).ok_or_else(|| LineError::UnknownInstance(name.to_owned()))
     }
 
-    /// Hands an event to an instance, and collects its actions.
+    /// Passes an event to an instance and collects its actions.
     fn handle(&mut self, name: &str, event: &ParsedEvent) {
         let Some(instance) = self.instances.get_mut(name) else { return };
         let mut reply = match self.replies.pop_if(|last| last.instance == name) {
             Some(reply) => reply,
             None => Reply { instance: name.to_owned(), actions: Vec::new() },
         };
-        if let Err(text) = instance.handle(self.now, event.as_event(), &mut reply.actions) {
-            self.panic = Some(Panic { instance: name.to_owned(), text });
+        if let Err(message) = instance.handle(self.now, event.as_event(), &mut reply.actions) {
+            self.panic = Some(Panic { instance: name.to_owned(), message });
         }
         self.replies.push(reply);
     }
@@ -193,7 +193,7 @@
             }
         }
         if let Some(panic) = self.panic.take() {
-            writeln!(output, "FOR {}\nPANIC {}", panic.instance, panic.text)?;
+            writeln!(output, "FOR {}\nPANIC {}", panic.instance, panic.message)?;
         }
         writeln!(output, "EOR {sequence}")?;
         output.flush()?;
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -82,7 +82,7 @@
     assert_fails(&format!("{head}SUBMIT 1 - 0 - a\n"), 7, "a value is missing");
     assert_fails(&format!("{head}RESOLVED 1 0 5 MAYBE 1 0 -\n"), 7, "unknown outcome");
     assert_fails(&format!("{head}HEARD 1 0x\n"), 7, "not hex");
-    assert_fails(&format!("{head}DUE 1 2\n"), 7, "a value too many");
+    assert_fails(&format!("{head}DUE 1 2\n"), 7, "unexpected value after the last field");
     assert_fails(&head, 6, "ended inside a batch");
     assert_fails("BATCH 1 1\nDUE 1\n", 2, "no instance");
     assert_fails("BATCH 1 1\nSWITCH_TO p\nPOWER_ON 1 {\n", 3, "bad settings");
