--- a/benches/announce.rs
+++ b/benches/announce.rs
@@ -113,9 +113,10 @@
     let router = Router::start("127.0.3.1", 65001, 9, RouterBehavior::default());
     let text = config(&nodes, router.address, "probe = { path = \"/\" }");
     let proxy = start_standalone(&text, &[]);
-    proxy.wait_for_log("bgp: operators on ");
+    proxy.wait_for_log("bgp: admin API listening on ");
     let log = proxy.log();
-    let api = log.split("bgp: operators on ").nth(1).and_then(|rest| rest.lines().next()).expect("said");
+    let api =
+        log.split("bgp: admin API listening on ").nth(1).and_then(|rest| rest.lines().next()).expect("said");
     let mut place = router.wait_for_announcement(0, PREFIX).0;
     println!("| from | p50 ms | p99 ms | most ms |\n| --- | --- | --- | --- |");
     let mut back = Vec::new();
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -1,4 +1,5 @@
-//! Addresses announced by BGP: the speaker beside the data plane, its API, and `amberlever bgp ...`.
+//! Announcement of addresses by BGP: starts the speaker of the process and its API, and runs `amberlever bgp
+//! ...`.
 
 use std::fmt::Write;
 use std::future::Future;
@@ -19,7 +20,7 @@
 use crate::cli::{BgpCommand, Format};
 use crate::{failed, seed};
 
-/// The speaker, for the data plane and for the admin API.
+/// Controls the speaker on behalf of the data plane and the admin API.
 #[derive(Clone)]
 struct SpeakerHandle(Speaker);
 
@@ -58,10 +59,10 @@
     }
 }
 
-/// Starts what a configuration announces, if it announces anything.
+/// Starts the BGP speaker and its API. Returns `None` if the configuration announces no address.
 ///
 /// # Errors
-/// Why it could not start, in a line.
+/// A one-line message if the speaker or its API cannot start.
 pub fn start(config: &Config) -> Result<Option<Rc<dyn AddressAnnouncer>>, String> {
     let Some(bgp) = &config.bgp else { return Ok(None) };
     let listener = bgp.api.map(admin::serve::bind).transpose()?;
@@ -72,7 +73,7 @@
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         let router = admin::announce::router(Arc::new(handle.clone()));
         admin::serve::serve(listener, router, config::MOST_OPERATORS)?;
-        log_line(format_args!("bgp: operators on {address}"));
+        log_line(format_args!("bgp: admin API listening on {address}"));
     }
     Ok(Some(Rc::new(handle)))
 }
@@ -87,7 +88,9 @@
         BgpCommand::Hold { prefix } => request(api, "/v1/bgp/hold", Some(json!({ "prefix": prefix })))
             .map(|_| format!("{prefix} is held: withdrawn until it is released\n")),
         BgpCommand::Release { prefix } => request(api, "/v1/bgp/release", Some(json!({ "prefix": prefix })))
-            .map(|_| format!("{prefix} is released: announced once it has been ready for its hold-up\n")),
+            .map(|_| {
+                format!("{prefix} is released: it is announced once it has been ready for its hold-up time\n")
+            }),
     };
     match result {
         Ok(text) => {
@@ -109,34 +112,34 @@
     };
     let mut response = response.map_err(|e| format!("{api}: {e}"))?;
     let text = response.body_mut().read_to_string().map_err(|e| format!("{api}: {e}"))?;
-    let value: Value =
-        serde_json::from_str(&text).map_err(|_| format!("{api}: not an answer of this API"))?;
+    let value: Value = serde_json::from_str(&text)
+        .map_err(|_| format!("{api}: not the BGP admin API: the response is not JSON"))?;
     match value.get("error").and_then(Value::as_str) {
         Some(error) => Err(error.to_owned()),
         None if response.status() == 200 => Ok(value),
-        None => Err(format!("{api}: {}", response.status())),
+        None => Err(format!("{api}: unexpected status {}", response.status())),
     }
 }
 
-/// The status as a table for a terminal.
+/// Formats the status as tables for a terminal.
 fn format_status(status: &Value) -> String {
     let mut text = String::new();
     let list = |key: &str| status[key].as_array().cloned().unwrap_or_default();
     if status["dry_run"] == true {
-        let _ = writeln!(text, "dry run: nothing is told to any router\n");
+        let _ = writeln!(text, "dry run: nothing is sent to any router\n");
     }
     let _ =
         writeln!(text, "{:<20} {:<10} {:>9} {:>6} {:>9}  why", "address", "state", "for", "flaps", "hold-up");
-    for a in list("addresses") {
+    for address in list("addresses") {
         let _ = writeln!(
             text,
             "{:<20} {:<10} {:>9} {:>6} {:>9}  {}",
-            text_or_dash(&a["prefix"]),
-            text_or_dash(&a["state"]),
-            format_seconds(&a["for_s"]),
-            a["flaps"],
-            format_seconds(&a["hold_up_s"]),
-            text_or_dash(&a["why"])
+            text_or_dash(&address["prefix"]),
+            text_or_dash(&address["state"]),
+            format_seconds(&address["for_s"]),
+            address["flaps"],
+            format_seconds(&address["hold_up_s"]),
+            text_or_dash(&address["why"])
         );
     }
     let _ = writeln!(
@@ -144,18 +147,18 @@
         "\n{:<16} {:<22} {:>10} {:<12} {:>9} {:>6}",
         "peer", "address", "AS", "state", "for", "told"
     );
-    for p in list("peers") {
-        let told = p["told"].as_array().map_or(0, Vec::len);
+    for peer in list("peers") {
+        let prefixes_sent = peer["told"].as_array().map_or(0, Vec::len);
         let _ = writeln!(
             text,
-            "{:<16} {:<22} {:>10} {:<12} {:>9} {told:>6}",
-            text_or_dash(&p["name"]),
-            text_or_dash(&p["address"]),
-            p["as"],
-            text_or_dash(&p["state"]),
-            format_seconds(&p["for_s"])
+            "{:<16} {:<22} {:>10} {:<12} {:>9} {prefixes_sent:>6}",
+            text_or_dash(&peer["name"]),
+            text_or_dash(&peer["address"]),
+            peer["as"],
+            text_or_dash(&peer["state"]),
+            format_seconds(&peer["for_s"])
         );
-        if let Some(last) = p["last_notification"].as_object() {
+        if let Some(last) = peer["last_notification"].as_object() {
             let _ = writeln!(
                 text,
                 "    last NOTIFICATION, {} {} ago: {}",
--- a/src/bin/amberlever/check.rs
+++ b/src/bin/amberlever/check.rs
@@ -1,4 +1,4 @@
-//! `amberlever check`: a configuration and its expectations, and nothing sent.
+//! `amberlever check`: checks a configuration and plays its expectations, without sending anything.
 
 use std::io::Write;
 use std::path::Path;
@@ -10,83 +10,86 @@
 use crate::{read, BAD_CONFIGURATION, FAILED_EXPECTATION};
 
 pub fn run(path: &Path, format: Format) -> ExitCode {
-    let single = || config::load(path, &read);
     let loaded = match HostedSettings::load(path, &read) {
-        Ok(Some((setup, document))) => return hosted(path, &setup, &document, format),
-        Ok(None) => single(),
-        Err(faults) => Err(faults),
+        Ok(Some((settings, document))) => return check_hosted(path, &settings, &document, format),
+        Ok(None) => config::load(path, &read),
+        Err(diagnostics) => Err(diagnostics),
     };
-    let (said, code) = match loaded {
-        Err(faults) => (faulty(&faults, format), BAD_CONFIGURATION),
+    let (output, code) = match loaded {
+        Err(diagnostics) => (format_diagnostics(&diagnostics, format), BAD_CONFIGURATION),
         Ok(loaded) => {
             let report = loaded.play();
             let code = if report.is_good() { 0 } else { FAILED_EXPECTATION };
-            (played(path, &loaded, &report, format), code)
+            (format_report(path, &loaded, &report, format), code)
         }
     };
-    let _ = std::io::stdout().write_all(said.as_bytes());
+    let _ = std::io::stdout().write_all(output.as_bytes());
     ExitCode::from(code)
 }
 
-/// The file of a hosted service, and the tenants that it would start with.
-fn hosted(path: &Path, setup: &HostedSettings, document: &Document, format: Format) -> ExitCode {
-    let (said, code) = match Tenants::compile(&setup.shared, document, &Tenants::default()) {
+/// Checks the file of a hosted service and the tenants that it starts with.
+fn check_hosted(path: &Path, settings: &HostedSettings, document: &Document, format: Format) -> ExitCode {
+    let (output, code) = match Tenants::compile(&settings.shared, document, &Tenants::default()) {
         Ok(tenants) if format == Format::Json => {
-            (json(&serde_json::json!({ "status": "good", "tenants": tenants.all.len() })), 0)
+            (format_json(&serde_json::json!({ "status": "good", "tenants": tenants.all.len() })), 0)
         }
         Ok(tenants) => (format!("{}: a hosted service, {} tenants\n", path.display(), tenants.all.len()), 0),
-        Err(refused) => {
-            let (status, code) = match refused {
+        Err(error) => {
+            let (status, code) = match error {
                 DocumentError::Configuration { .. } => ("configuration", BAD_CONFIGURATION),
                 DocumentError::Expectations { .. } => ("expectation", FAILED_EXPECTATION),
             };
-            let text = format!("{}: {refused}\n", path.display());
-            let object = serde_json::json!({ "status": status, "refused": refused });
-            (if format == Format::Json { json(&object) } else { text }, code)
+            let text = format!("{}: {error}\n", path.display());
+            let object = serde_json::json!({ "status": status, "refused": error });
+            (if format == Format::Json { format_json(&object) } else { text }, code)
         }
     };
-    let _ = std::io::stdout().write_all(said.as_bytes());
+    let _ = std::io::stdout().write_all(output.as_bytes());
     ExitCode::from(code)
 }
 
-fn faulty(faults: &Diagnostics, format: Format) -> String {
+fn format_diagnostics(diagnostics: &Diagnostics, format: Format) -> String {
     match format {
-        Format::Json => json(&serde_json::json!({ "status": "configuration", "faults": faults.all() })),
-        Format::Text => faults.all().iter().map(config::Diagnostic::rendered).collect::<Vec<_>>().join("\n"),
+        Format::Json => {
+            format_json(&serde_json::json!({ "status": "configuration", "faults": diagnostics.all() }))
+        }
+        Format::Text => {
+            diagnostics.all().iter().map(config::Diagnostic::rendered).collect::<Vec<_>>().join("\n")
+        }
     }
 }
 
-fn played(path: &Path, loaded: &Loaded, report: &Report, format: Format) -> String {
+fn format_report(path: &Path, loaded: &Loaded, report: &Report, format: Format) -> String {
     let status = if report.is_good() { "good" } else { "expectation" };
     if format == Format::Json {
-        return json(&serde_json::json!({
+        return format_json(&serde_json::json!({
             "status": status,
             "expectations": report.expectations,
             "contradictions": report.contradictions,
             "failures": report.failures,
         }));
     }
-    let mut said = String::new();
+    let mut output = String::new();
     for contradiction in &report.contradictions {
-        said.push_str(&format!("contradiction: {contradiction}\n"));
+        output.push_str(&format!("contradiction: {contradiction}\n"));
     }
     for failure in &report.failures {
-        said.push_str(&format!("failed: {failure}\n"));
+        output.push_str(&format!("failed: {failure}\n"));
     }
     let config = &loaded.config;
-    let nodes: usize = loaded.endpoints.pools.iter().map(Vec::len).sum();
+    let endpoints: usize = loaded.endpoints.pools.iter().map(Vec::len).sum();
     let routes = config.table.routes().len();
-    let bad = report.contradictions.len() + report.failures.len();
-    said.push_str(&format!(
-        "{}: {routes} routes, {} pools, {nodes} nodes; {} expectations, {}\n",
+    let complaints = report.contradictions.len() + report.failures.len();
+    output.push_str(&format!(
+        "{}: {routes} routes, {} pools, {endpoints} nodes; {} expectations, {}\n",
         path.display(),
         config.pools.len(),
         report.expectations,
-        if bad == 0 { "all hold".to_owned() } else { format!("{bad} complaints") },
+        if complaints == 0 { "all hold".to_owned() } else { format!("{complaints} complaints") },
     ));
-    said
+    output
 }
 
-fn json(value: &serde_json::Value) -> String {
+fn format_json(value: &serde_json::Value) -> String {
     format!("{value:#}\n")
 }
--- a/src/bin/amberlever/cli.rs
+++ b/src/bin/amberlever/cli.rs
@@ -5,9 +5,9 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
-/// A load-balancing proxy for services that call services.
+/// A load-balancing proxy for HTTP/1.1 and JSON-RPC between services.
 ///
-/// With LB_CONFIG in the environment and no arguments it is one proxy of the platform.
+/// Without arguments and with LB_CONFIG in the environment, it runs as a proxy of the platform.
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Cli {
@@ -17,7 +17,7 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve a configuration file until SIGTERM; SIGHUP reads it again.
+    /// Serve a configuration file until SIGTERM; SIGHUP reloads it.
     Serve {
         /// The configuration file.
         #[arg(long, value_name = "FILE")]
@@ -25,61 +25,61 @@
     },
     /// Check a configuration file and play its expectations, without sending anything.
     ///
-    /// Exit status: 0 where all is well, 1 for an expectation that fails, 2 for a configuration that cannot be used.
+    /// Exit status: 0 on success, 1 if an expectation fails, 2 if the configuration is invalid.
     Check {
         /// The configuration file.
         #[arg(value_name = "FILE")]
         config: PathBuf,
-        /// How the result is written.
+        /// The format of the output.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Serve an example on loopback, with stand-in nodes, until Ctrl-C.
+    /// Serve an example on loopback, with mock endpoints, until Ctrl-C.
     Demo {
-        /// The proxy's address.
+        /// The address for HTTP/1.1.
         #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8080")]
         listen: SocketAddr,
-        /// The administration API's address.
+        /// The address of the administration API.
         #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8081")]
         admin: SocketAddr,
-        /// Where JSON-RPC is spoken, one message a line.
+        /// The address for JSON-RPC, one message per line.
         #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8082")]
         jsonrpc: SocketAddr,
     },
-    /// Tenants of a hosted service, by its administration API.
+    /// Manage tenants of a hosted service through its administration API.
     Tenant {
         #[command(flatten)]
         api: Api,
         #[command(subcommand)]
         command: TenantCommand,
     },
-    /// Configurations and versions of a hosted service, by its administration API.
+    /// Manage configurations and versions of a hosted service through its administration API.
     Config {
         #[command(flatten)]
         api: Api,
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Files of what was learned.
+    /// Show and compare files of learned state.
     State {
         #[command(subcommand)]
         command: StateCommand,
-        /// How the result is written.
+        /// The format of the output.
         #[arg(long, value_enum, default_value_t = Format::Text, global = true)]
         format: Format,
     },
-    /// Addresses that a running process announces by BGP.
+    /// Show, hold and release addresses that a running process announces by BGP.
     Bgp {
-        /// The address of its API: `bgp.api` of its configuration.
+        /// The address of the API: `bgp.api` in the configuration of the process.
         #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8083", global = true)]
         api: SocketAddr,
-        /// How the result is written.
+        /// The format of the output.
         #[arg(long, value_enum, default_value_t = Format::Text, global = true)]
         format: Format,
         #[command(subcommand)]
         command: BgpCommand,
     },
-    /// Tokens for the administration API.
+    /// Manage tokens of the administration API.
     Token {
         #[command(flatten)]
         api: Api,
@@ -88,54 +88,54 @@
     },
 }
 
-/// Where the administration API is, and how a change is made.
+/// Options of the commands that use the administration API.
 #[derive(Args)]
 pub struct Api {
     /// The address of the API.
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8081", global = true)]
     pub api: SocketAddr,
-    /// A file with the token; else AMBERLEVER_TOKEN has it.
+    /// A file that contains the token; the default is the value of AMBERLEVER_TOKEN.
     #[arg(long, value_name = "FILE", global = true)]
     pub token_file: Option<PathBuf>,
-    /// Why, in words that are kept with the version.
+    /// The reason for the change, stored with the new version.
     #[arg(long, default_value = "", global = true)]
     pub why: String,
-    /// Check the change, and make none.
+    /// Check the change without making it.
     #[arg(long, global = true)]
     pub dry_run: bool,
 }
 
 #[derive(Subcommand)]
 pub enum TenantCommand {
-    /// All that the token may see.
+    /// List the tenants that the token may see.
     List,
-    /// Hosts, limits and configuration of one.
+    /// Show the hosts, limits and configuration of a tenant.
     Get { name: String },
-    /// Make one, or change all of it, from a file in JSON or TOML with hosts, limits and config.
+    /// Create or replace a tenant from a JSON or TOML file with `hosts`, `limits` and `config`.
     Put { name: String, file: PathBuf },
-    /// Take one out.
+    /// Delete a tenant.
     Delete { name: String },
-    /// Change some limits: KEY=NUMBER, or KEY=none.
+    /// Change limits of a tenant: KEY=NUMBER sets one, KEY=none removes it.
     Limits { name: String, limits: Vec<String> },
-    /// What one uses, or all do.
+    /// Show the usage of a tenant, or of all tenants.
     Status { name: Option<String> },
-    /// Drain a node, or restore it: `ready` or `draining`.
+    /// Set the state of a node: `draining` drains it, `ready` restores it.
     Node { name: String, pool: String, node: String, state: String },
 }
 
 #[derive(Subcommand)]
 pub enum ConfigCommand {
-    /// A tenant's configuration.
+    /// Show the configuration of a tenant.
     Get { tenant: String },
-    /// Change it, from a file in JSON or TOML.
+    /// Replace the configuration of a tenant from a JSON or TOML file.
     Put { tenant: String, file: PathBuf },
-    /// All versions, newest first.
+    /// List all versions, newest first.
     Versions,
-    /// A version and what it holds.
+    /// Show a version and its content.
     Show { number: u64 },
-    /// What differs between two versions.
+    /// Show the differences between two versions.
     Diff { before: u64, after: u64 },
-    /// Back to what a version held; of one tenant, its configuration only.
+    /// Restore the content of a version; with --tenant, only the configuration of that tenant.
     Rollback {
         number: u64,
         #[arg(long)]
@@ -145,22 +145,22 @@
 
 #[derive(Subcommand)]
 pub enum StateCommand {
-    /// What a file holds.
+    /// Show the content of a file.
     Show { file: PathBuf },
-    /// The figures that differ between two.
+    /// Show the figures that differ between two files.
     Diff { before: PathBuf, after: PathBuf },
 }
 
 #[derive(Subcommand)]
 pub enum BgpCommand {
-    /// Peers and addresses: state, why, since when.
+    /// Show the state of peers and addresses, with reason and duration.
     Show,
-    /// Withdraw an address, until it is released.
+    /// Withdraw an address until it is released.
     Hold {
         #[arg(value_name = "PREFIX")]
         prefix: String,
     },
-    /// Let an address be announced again, once it has been ready for its hold-up.
+    /// Release a held address: it is announced again once it has been ready for its hold-up time.
     Release {
         #[arg(value_name = "PREFIX")]
         prefix: String,
@@ -169,25 +169,25 @@
 
 #[derive(Subcommand)]
 pub enum TokenCommand {
-    /// Make a token and its hash for the configuration file; asks no API.
+    /// Generate a token and its hash for the configuration file; no API is used.
     New,
-    /// Names and roles.
+    /// List the names and roles of all tokens.
     List,
-    /// Issue one; it is told this once.
+    /// Issue a token; it is shown only once.
     Issue {
         name: String,
-        /// operator, administrator or reader.
+        /// `operator`, `administrator` or `reader`.
         role: String,
         #[arg(long)]
         tenant: Option<String>,
     },
-    /// Revoke one, at once.
+    /// Revoke a token, effective immediately.
     Revoke { name: String },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Text for a terminal.
     Text,
     /// One JSON object.
     Json,
--- a/src/bin/amberlever/demo.rs
+++ b/src/bin/amberlever/demo.rs
@@ -1,5 +1,5 @@
-//! `amberlever demo`: the example of `deploy/` on loopback as two tenants of a hosted service, with stand-in nodes of
-//! various speed.
+//! `amberlever demo`: serves the example of `deploy/` on loopback as two tenants of a hosted service, with
+//! mock endpoints of different latencies.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 const CONFIG: &str = include_str!("../../../deploy/example.toml");
 const EXPECTATIONS: &str = include_str!("../../../deploy/expectations.toml");
-/// Who has which hosts: the second one has all others.
+/// The tenants and their hosts; `kpks` has all hosts but that of `club`.
 const TENANTS: [(&str, &[&str]); 2] =
     [("club", &["club.example"]), ("kpks", &["localhost", "127.0.0.1", "kpks.example", "*.kpks.example"])];
 
@@ -20,34 +20,35 @@
     let state = std::env::temp_dir().join(format!("amberlever-demo-{}", std::process::id()));
     let result = serve(listen, admin, jsonrpc, &state);
     let _ = std::fs::remove_dir_all(&state);
-    log_line(format_args!("the demo has ended"));
+    log_line(format_args!("demo stopped"));
     result
 }
 
 fn serve(listen: SocketAddr, admin: SocketAddr, jsonrpc: SocketAddr, state: &Path) -> Result<(), String> {
-    let (setup, document, nodes) = example(listen, admin, jsonrpc, state)?;
-    crate::hosted::run(&setup, document, |callers, admin| {
-        let (address, jsonrpc) = (callers[0], callers[1]);
-        println!("Stand-in nodes:\n{}", nodes.join("\n"));
+    let (settings, document, endpoints) = example(listen, admin, jsonrpc, state)?;
+    crate::hosted::run(&settings, document, |listeners, admin| {
+        let (address, jsonrpc) = (listeners[0], listeners[1]);
+        println!("Mock endpoints:\n{}", endpoints.join("\n"));
         println!("\nThe proxy serves deploy/example.toml on {address}, for the tenants kpks and club. In another shell:\n");
         println!("    curl -i http://{address}/standings/1");
         println!("    curl -i -H 'Idempotency-Key: k1' -d '1-0' http://{address}/report-result/12\n");
-        println!("JSON-RPC is spoken on {jsonrpc}, one message a line; the same key by either protocol runs once:\n");
+        println!("JSON-RPC is served on {jsonrpc}, one message per line. Calls with the same key run once, by either protocol:\n");
         let (host, port) = (jsonrpc.ip(), jsonrpc.port());
         for (id, method, key) in [(1, "standings", "1"), (2, "report-result", "k1")] {
             let call = json!({ "jsonrpc": "2.0", "id": id, "method": method, "params": { "key": key } });
             println!("    echo '{call}' | nc -w 1 {host} {port}");
         }
         println!();
-        println!("The administration API is on {admin}. A change of a limit, and what it does:\n");
+        println!("The administration API is on {admin}. To change a limit and see its effect:\n");
         println!("    target/release/amberlever tenant --api {admin} limits club requests_per_s=1 burst=1");
         println!("    for i in 1 2 3; do curl -si -H 'Host: club.example' http://{address}/standings/1 | head -2; done");
         println!("    curl -s http://{admin}/v1/tenants/club/status\n");
-        println!("Ctrl-C ends it.");
+        println!("Press Ctrl-C to stop.");
     })
 }
 
-/// The example with each tenant's own stand-in nodes in place of its addresses.
+/// Returns the settings and tenants of the example, with mock endpoints in place of its addresses, and a line
+/// of output for each endpoint.
 fn example(
     listen: SocketAddr,
     admin: SocketAddr,
@@ -62,41 +63,42 @@
         server["zone"], state.display().to_string()
     );
     let embedded = |_: &Path| Ok(file.clone());
-    let (setup, mut document) = HostedSettings::load(Path::new("demo"), &embedded)
+    let (settings, mut document) = HostedSettings::load(Path::new("demo"), &embedded)
         .map_err(|f| f.to_string())?
-        .ok_or("no hosted service")?;
+        .ok_or("the demo configuration is not that of a hosted service")?;
     let mut lines = Vec::new();
     for (tenant, hosts) in TENANTS {
         let mut config = config.clone();
-        stand_ins(tenant, &mut config, &mut lines)?;
+        start_mock_endpoints(tenant, &mut config, &mut lines)?;
         let mut hosts: Vec<String> = hosts.iter().map(|h| (*h).to_owned()).collect();
-        // curl asks for the address that it connects to.
-        let own = SocketAddr::new(listen.ip(), 0).to_string().trim_end_matches(":0").to_owned();
-        if tenant == "kpks" && !hosts.contains(&own) {
-            hosts.push(own);
+        // The Host header of curl is the address that it connects to.
+        let own_host = SocketAddr::new(listen.ip(), 0).to_string().trim_end_matches(":0").to_owned();
+        if tenant == "kpks" && !hosts.contains(&own_host) {
+            hosts.push(own_host);
         }
         document
             .tenants
             .insert(tenant.to_owned(), TenantDocument { hosts, limits: Default::default(), config });
     }
-    Ok((setup, document, lines))
+    Ok((settings, document, lines))
 }
 
-/// Starts a node for each that a configuration names, in its place. The later ones in a pool are slower.
-fn stand_ins(tenant: &str, config: &mut Value, lines: &mut Vec<String>) -> Result<(), String> {
+/// Starts a mock endpoint for each endpoint of a configuration and replaces its address. Each endpoint of a
+/// pool is slower than the one before.
+fn start_mock_endpoints(tenant: &str, config: &mut Value, lines: &mut Vec<String>) -> Result<(), String> {
     for pool in config["pool"].as_array_mut().into_iter().flatten() {
         let name = pool["name"].as_str().unwrap_or_default().to_owned();
-        for (i, node) in pool["nodes"].as_array_mut().into_iter().flatten().enumerate() {
-            let takes = Duration::from_millis(2 + 18 * i as u64);
-            let called = node["name"].as_str().unwrap_or_default().to_owned();
-            let label = format!("{tenant}/{called}");
-            let stand_in =
-                FixedLatencyEndpoint::start(&label, takes).map_err(|e| format!("a stand-in node: {e}"))?;
-            node["address"] = json!(stand_in.address.to_string());
-            let zone = node["zone"].as_str().unwrap_or_default();
+        for (i, endpoint) in pool["nodes"].as_array_mut().into_iter().flatten().enumerate() {
+            let latency = Duration::from_millis(2 + 18 * i as u64);
+            let endpoint_name = endpoint["name"].as_str().unwrap_or_default().to_owned();
+            let label = format!("{tenant}/{endpoint_name}");
+            let mock = FixedLatencyEndpoint::start(&label, latency)
+                .map_err(|e| format!("cannot start mock endpoint {label}: {e}"))?;
+            endpoint["address"] = json!(mock.address.to_string());
+            let zone = endpoint["zone"].as_str().unwrap_or_default();
             lines.push(format!(
-                "    {label:<16} {:<16} pool {name}, zone {zone}, {takes:?} a request",
-                stand_in.address
+                "    {label:<16} {:<16} pool {name}, zone {zone}, {latency:?} per request",
+                mock.address
             ));
         }
     }
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -1,4 +1,5 @@
-//! A hosted service: tenants behind an administration API, their versions on disk.
+//! Serves a hosted service: tenants that are managed through an administration API, with their versions on
+//! disk.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -16,10 +17,10 @@
 
 use crate::{failed, read, BAD_CONFIGURATION};
 
-/// What serves, as the API sees it.
-struct Serving(mpsc::UnboundedSender<Command>);
+/// Sends the commands of the administration API to the data plane.
+struct DataPlaneHandle(mpsc::UnboundedSender<Command>);
 
-impl DataPlane for Serving {
+impl DataPlane for DataPlaneHandle {
     fn apply(&self, number: u64, tenants: Arc<Tenants>) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let (done, applied) = oneshot::channel();
         let _ = self.0.send(Command::Apply { version: number, tenants, done });
@@ -40,60 +41,65 @@
     }
 }
 
-/// Serves the tenants of a setup. `first` are those that it starts with where there is no state yet; `started` is told
-/// the addresses of callers and of administrators.
+/// Serves the tenants of a hosted service. `initial` are the tenants to start with if there is no stored
+/// state yet. When the service is up, `on_started` is called with the addresses of the listeners and of the
+/// administration API.
 ///
 /// # Errors
-/// Why it could not start, in a line.
+/// A one-line message if the service cannot start.
 pub fn run(
-    setup: &HostedSettings,
-    first: Document,
-    started: impl FnOnce(&[SocketAddr], SocketAddr),
+    settings: &HostedSettings,
+    initial: Document,
+    on_started: impl FnOnce(&[SocketAddr], SocketAddr),
 ) -> Result<(), String> {
-    let opened = DiskStore::open(&setup.state).map_err(|e| format!("the state cannot be used: {e}"))?;
-    let (commands, obeyed) = mpsc::unbounded_channel();
+    let opened =
+        DiskStore::open(&settings.state).map_err(|e| format!("cannot open the stored state: {e}"))?;
+    let (sender, commands) = mpsc::unbounded_channel();
     let (service, warnings) = Service::open(
-        setup.shared.clone(),
-        Box::new(Serving(commands)),
-        setup.tokens.clone(),
-        setup.admin.ip().is_loopback(),
+        settings.shared.clone(),
+        Box::new(DataPlaneHandle(sender)),
+        settings.tokens.clone(),
+        settings.admin.ip().is_loopback(),
         Box::new(opened.disk),
         opened.newest,
-        first,
+        initial,
     )?;
     opened.warnings.iter().chain(&warnings).for_each(|w| log_line(format_args!("state: {w}")));
     let service = Arc::new(service);
-    let listener = admin::serve::bind(setup.admin)?;
+    let listener = admin::serve::bind(settings.admin)?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let first = futures_block(service.current());
-    let (version, tenants) = first;
-    let options = hosting::Options { setup, version, tenants, seed: crate::seed(), commands: obeyed };
-    hosting::run(options, |callers| {
-        // Administrators are let in once what they change is served.
+    let (version, tenants) = block_on(service.current());
+    let options = hosting::Options { setup: settings, version, tenants, seed: crate::seed(), commands };
+    hosting::run(options, |listeners| {
+        // The administration API opens only now, since its changes apply to a data plane that serves.
         match admin::serve::start(listener, service) {
-            Ok(()) => log_line(format_args!("administration on {address}")),
-            Err(fault) => log_line(format_args!("no administration: {fault}")),
+            Ok(()) => log_line(format_args!("administration API listening on {address}")),
+            Err(error) => {
+                log_line(format_args!(
+                    "cannot serve the administration API: {error}; requests are served without it"
+                ));
+            }
         }
-        started(callers, address);
+        on_started(listeners, address);
     })
     .map_err(|error| error.to_string())
 }
 
-/// Waits for something that nothing holds up.
-fn futures_block<T>(future: impl Future<Output = T>) -> T {
+/// Runs a future that needs neither I/O nor timers to completion.
+fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime without I/O");
     runtime.block_on(future)
 }
 
-/// Serves a file if it is that of a hosted service. None where it is that of a single one.
+/// Serves the file of a hosted service until it ends. Returns `None` if it is the file of a standalone proxy.
 pub fn serve(path: &Path) -> Option<std::process::ExitCode> {
-    let (setup, first) = match HostedSettings::load(path, &read) {
+    let (settings, initial) = match HostedSettings::load(path, &read) {
         Ok(loaded) => loaded?,
-        // What is wrong with it is said by whoever reads it for a single one.
-        Err(faults) => return Some(failed(&faults.to_string(), BAD_CONFIGURATION)),
+        // This includes files of either kind that cannot be read or parsed.
+        Err(diagnostics) => return Some(failed(&diagnostics.to_string(), BAD_CONFIGURATION)),
     };
-    Some(match run(&setup, first, |_, _| {}) {
+    Some(match run(&settings, initial, |_, _| {}) {
         Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(fault) => failed(&fault, BAD_CONFIGURATION),
+        Err(error) => failed(&error, BAD_CONFIGURATION),
     })
 }
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -1,4 +1,4 @@
-//! The program: the platform's mode, or an own installation by a configuration file.
+//! The program `amberlever`: a proxy of the platform, or an installation with a configuration file.
 
 mod announce;
 mod check;
@@ -18,19 +18,19 @@
 
 use crate::cli::{Cli, Command};
 
-/// The configuration, or what it names, cannot be used.
+/// The exit code for a configuration that is invalid, or refers to something that cannot be used.
 pub const BAD_CONFIGURATION: u8 = 2;
-/// The configuration fails an expectation.
+/// The exit code for a configuration that fails an expectation.
 pub const FAILED_EXPECTATION: u8 = 1;
 
 fn main() -> ExitCode {
     if std::env::args_os().len() == 1 {
-        return platform();
+        return run_platform();
     }
     match Cli::parse().command {
         Command::Serve { config } => serve(&config),
         Command::Check { config, format } => check::run(&config, format),
-        Command::Demo { listen, admin, jsonrpc } => ended(demo::run(listen, admin, jsonrpc)),
+        Command::Demo { listen, admin, jsonrpc } => exit_code(demo::run(listen, admin, jsonrpc)),
         Command::Tenant { api, command } => remote::tenant(&api, &command),
         Command::Config { api, command } => remote::config(&api, &command),
         Command::Bgp { api, format, command } => announce::run_command(api, format, &command),
@@ -39,23 +39,26 @@
     }
 }
 
-/// The platform starts the program with nothing but its environment.
-fn platform() -> ExitCode {
+/// Runs as a proxy of the platform, which starts the program without arguments and with LB_CONFIG in the
+/// environment.
+fn run_platform() -> ExitCode {
     if std::env::var_os("LB_CONFIG").is_some() {
-        return ended(proxy::platform::run().map_err(|error| error.to_string()));
+        return exit_code(proxy::platform::run().map_err(|error| error.to_string()));
     }
-    ended(Err("no command and no LB_CONFIG; try `amberlever demo` or `amberlever --help`".to_owned()))
+    exit_code(Err(
+        "no command, and LB_CONFIG is not set; try `amberlever demo` or `amberlever --help`".to_owned()
+    ))
 }
 
-fn ended(result: Result<(), String>) -> ExitCode {
+fn exit_code(result: Result<(), String>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => failed(&fault, 1),
+        Err(error) => failed(&error, 1),
     }
 }
 
-fn failed(fault: &str, code: u8) -> ExitCode {
-    log_line(format_args!("amberlever: {fault}"));
+fn failed(error: &str, code: u8) -> ExitCode {
+    log_line(format_args!("amberlever: {error}"));
     ExitCode::from(code)
 }
 
@@ -63,10 +66,13 @@
     std::fs::read_to_string(path).map_err(|e| e.to_string())
 }
 
-/// A configuration that meets its expectations, or why it is not to serve, in a line, with the exit code.
-fn ready(path: &Path) -> Result<Config, (String, u8)> {
+/// Loads a configuration and plays its expectations.
+///
+/// # Errors
+/// A one-line message and the exit code, if the configuration is invalid or fails an expectation.
+fn load_checked(path: &Path) -> Result<Config, (String, u8)> {
     let Loaded { config, .. } = config::load(path, &read)
-        .map_err(|faults| (faults.to_string(), BAD_CONFIGURATION))
+        .map_err(|diagnostics| (diagnostics.to_string(), BAD_CONFIGURATION))
         .and_then(|loaded| {
             let report = loaded.play();
             if report.is_good() {
@@ -82,21 +88,21 @@
     if let Some(code) = hosted::serve(path) {
         return code;
     }
-    let config = match ready(path) {
+    let config = match load_checked(path) {
         Ok(config) => config,
-        Err((fault, code)) => return failed(&fault, code),
+        Err((error, code)) => return failed(&error, code),
     };
     let reloaded_path = path.to_owned();
-    let load_config = Box::new(move || ready(&reloaded_path).map_err(|(fault, _)| fault));
+    let load_config = Box::new(move || load_checked(&reloaded_path).map_err(|(error, _)| error));
     let announcer = match announce::start(&config) {
         Ok(announcer) => announcer,
-        Err(fault) => return failed(&fault, 1),
+        Err(error) => return failed(&error, 1),
     };
     let options = standalone::Options { config, seed: seed(), load_config, announcer };
-    ended(standalone::run(options, |_| {}).map_err(|error| error.to_string()))
+    exit_code(standalone::run(options, |_| {}).map_err(|error| error.to_string()))
 }
 
-/// New with each start; what hangs on it is nobody's secret.
+/// Returns a seed that differs for each start. It is predictable, since nothing secret is derived from it.
 fn seed() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     (since.as_nanos() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id())
--- a/src/bin/amberlever/remote.rs
+++ b/src/bin/amberlever/remote.rs
@@ -1,4 +1,4 @@
-//! `amberlever tenant|config|token ...`: the administration API from the command line.
+//! `amberlever tenant|config|token ...`: clients of the administration API.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -8,8 +8,8 @@
 use crate::cli::{Api, ConfigCommand, TenantCommand, TokenCommand};
 use crate::{failed, read};
 
-/// Where the token stands, unless a file is named.
-const TOKEN: &str = "AMBERLEVER_TOKEN";
+/// The environment variable with the token, used without --token-file.
+const TOKEN_VARIABLE: &str = "AMBERLEVER_TOKEN";
 
 struct Client<'a> {
     api: &'a Api,
@@ -17,15 +17,15 @@
     agent: ureq::Agent,
 }
 
-/// An answer: its status, its ETag, its body.
-type Answer = (u16, Option<String>, Value);
+/// The status, ETag and body of a response. The body is null if it is not JSON.
+type Response = (u16, Option<String>, Value);
 
 pub fn tenant(api: &Api, command: &TenantCommand) -> ExitCode {
-    ended(Client::new(api).and_then(|client| match command {
+    exit_code(Client::new(api).and_then(|client| match command {
         TenantCommand::List => client.show("/v1/tenants"),
         TenantCommand::Get { name } => client.show(&format!("/v1/tenants/{name}")),
         TenantCommand::Put { name, file } => {
-            client.change("PUT", &format!("/v1/tenants/{name}"), Some(document(file)?))
+            client.change("PUT", &format!("/v1/tenants/{name}"), Some(read_document(file)?))
         }
         TenantCommand::Delete { name } => client.change("DELETE", &format!("/v1/tenants/{name}"), None),
         TenantCommand::Limits { name, limits } => {
@@ -33,13 +33,13 @@
             client.change_from(&path, &format!("/v1/tenants/{name}"), |tenant| {
                 let mut all = tenant.get("limits").cloned().unwrap_or(json!({}));
                 for limit in limits {
-                    let (key, value) =
-                        limit.split_once('=').ok_or_else(|| format!("{limit:?} is not KEY=NUMBER"))?;
+                    let (key, value) = limit
+                        .split_once('=')
+                        .ok_or_else(|| format!("invalid limit {limit:?}: expected KEY=NUMBER or KEY=none"))?;
                     all[key] = match value {
                         "none" => Value::Null,
-                        number => {
-                            serde_json::from_str(number).map_err(|_| format!("{number:?} is no number"))?
-                        }
+                        number => serde_json::from_str(number)
+                            .map_err(|_| format!("invalid limit {limit:?}: {number:?} is not a number"))?,
                     };
                 }
                 Ok(all)
@@ -55,10 +55,10 @@
 }
 
 pub fn config(api: &Api, command: &ConfigCommand) -> ExitCode {
-    ended(Client::new(api).and_then(|client| match command {
+    exit_code(Client::new(api).and_then(|client| match command {
         ConfigCommand::Get { tenant } => client.show(&format!("/v1/tenants/{tenant}/config")),
         ConfigCommand::Put { tenant, file } => {
-            let new = document(file)?;
+            let new = read_document(file)?;
             let path = format!("/v1/tenants/{tenant}/config");
             client.change_from(&path, &path, |_| Ok(new))
         }
@@ -69,14 +69,14 @@
             client.change("POST", &format!("/v1/versions/{number}/rollback"), None)
         }
         ConfigCommand::Rollback { number, tenant: Some(tenant) } => {
-            let (_, tag, _) = client.get(&format!("/v1/tenants/{tenant}/config"))?;
-            client.send("POST", &format!("/v1/tenants/{tenant}/rollback?to={number}&"), None, tag)
+            let (_, etag, _) = client.get(&format!("/v1/tenants/{tenant}/config"))?;
+            client.send("POST", &format!("/v1/tenants/{tenant}/rollback?to={number}&"), None, etag)
         }
     }))
 }
 
 pub fn token(api: &Api, command: &TokenCommand) -> ExitCode {
-    ended(match command {
+    exit_code(match command {
         TokenCommand::New => admin::auth::new_token().map(|token| {
             let hash = admin::auth::hex(&admin::auth::hash(&token));
             format!("token:  {token}\nsha256: {hash}\n")
@@ -88,7 +88,7 @@
                 ("administrator", Some(tenant)) => json!({ "administrator": tenant }),
                 ("reader", tenant) => json!({ "reader": tenant }),
                 _ => {
-                    return Err("a role is `operator`, `administrator` with --tenant, or `reader`".to_owned())
+                    return Err(format!("invalid role {role:?}: expected `operator` without --tenant, `administrator` with --tenant, or `reader`"))
                 }
             };
             client.send("POST", "/v1/tokens?", Some(json!({ "name": name, "role": role })), None)
@@ -98,18 +98,18 @@
     })
 }
 
-fn ended(result: Result<String, String>) -> ExitCode {
+fn exit_code(result: Result<String, String>) -> ExitCode {
     match result {
-        Ok(said) => {
-            let _ = std::io::stdout().write_all(said.as_bytes());
+        Ok(output) => {
+            let _ = std::io::stdout().write_all(output.as_bytes());
             ExitCode::SUCCESS
         }
-        Err(fault) => failed(&fault, 1),
+        Err(error) => failed(&error, 1),
     }
 }
 
-/// A document from a file, in JSON or TOML.
-fn document(path: &std::path::Path) -> Result<Value, String> {
+/// Reads a document from a file: TOML if its name ends with `.toml`, else JSON.
+fn read_document(path: &std::path::Path) -> Result<Value, String> {
     let text = read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     if path.extension().is_some_and(|e| e == "toml") {
         return config::toml_value(&text).map_err(|e| format!("{}: {e}", path.display()));
@@ -117,97 +117,100 @@
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Words in a query.
-fn encoded(text: &str) -> String {
-    let kept = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-    text.bytes().map(|b| if kept(b) { (b as char).to_string() } else { format!("%{b:02X}") }).collect()
+/// Percent-encodes a value for a query.
+fn percent_encode(text: &str) -> String {
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+    text.bytes()
+        .map(|b| if is_unreserved(b) { (b as char).to_string() } else { format!("%{b:02X}") })
+        .collect()
 }
 
 impl<'a> Client<'a> {
     fn new(api: &'a Api) -> Result<Client<'a>, String> {
         let token = match &api.token_file {
             Some(path) => Some(read(path).map_err(|e| format!("{}: {e}", path.display()))?.trim().to_owned()),
-            None => std::env::var(TOKEN).ok(),
+            None => std::env::var(TOKEN_VARIABLE).ok(),
         };
         let agent = ureq::Agent::config_builder().http_status_as_error(false).proxy(None).build().into();
         Ok(Client { api, token, agent })
     }
 
-    fn ask(
+    fn request(
         &self,
         method: &str,
         path: &str,
         body: Option<&Value>,
-        tag: Option<String>,
-    ) -> Result<Answer, String> {
+        etag: Option<String>,
+    ) -> Result<Response, String> {
         let mut request =
             ureq::http::Request::builder().method(method).uri(format!("http://{}{path}", self.api.api));
         if let Some(token) = &self.token {
             request = request.header("Authorization", format!("Bearer {token}"));
         }
-        if let Some(tag) = tag {
-            request = request.header("If-Match", tag);
+        if let Some(etag) = etag {
+            request = request.header("If-Match", etag);
         }
         let body = body.map(ToString::to_string).unwrap_or_default();
         let request =
             request.header("Content-Type", "application/json").body(body).map_err(|e| e.to_string())?;
-        let mut answer = self.agent.run(request).map_err(|e| format!("{}: {e}", self.api.api))?;
-        let tag = answer.headers().get("ETag").and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let text = answer.body_mut().read_to_string().map_err(|e| e.to_string())?;
-        Ok((answer.status().as_u16(), tag, serde_json::from_str(&text).unwrap_or(Value::Null)))
+        let mut response = self.agent.run(request).map_err(|e| format!("{}: {e}", self.api.api))?;
+        let etag = response.headers().get("ETag").and_then(|v| v.to_str().ok()).map(str::to_owned);
+        let text = response.body_mut().read_to_string().map_err(|e| e.to_string())?;
+        Ok((response.status().as_u16(), etag, serde_json::from_str(&text).unwrap_or(Value::Null)))
     }
 
-    fn get(&self, path: &str) -> Result<Answer, String> {
-        let (status, tag, body) = self.ask("GET", path, None, None)?;
+    fn get(&self, path: &str) -> Result<Response, String> {
+        let (status, etag, body) = self.request("GET", path, None, None)?;
         if status != 200 {
-            return Err(refused(status, &body));
+            return Err(error_text(status, &body));
         }
-        Ok((status, tag, body))
+        Ok((status, etag, body))
     }
 
     fn show(&self, path: &str) -> Result<String, String> {
         Ok(format!("{:#}\n", self.get(path)?.2))
     }
 
-    /// Sends a change; the path ends where its query goes on.
+    /// Sends a change. The path ends with `?` or `&`, so that the parameters `why` and `dry_run` can follow.
     fn send(
         &self,
         method: &str,
         path: &str,
         body: Option<Value>,
-        tag: Option<String>,
+        etag: Option<String>,
     ) -> Result<String, String> {
-        let why = encoded(&self.api.why);
+        let why = percent_encode(&self.api.why);
         let path = format!("{path}why={why}&dry_run={}", self.api.dry_run);
-        let (status, _, said) = self.ask(method, &path, body.as_ref(), tag)?;
+        let (status, _, body) = self.request(method, &path, body.as_ref(), etag)?;
         match status {
-            200 => Ok(format!("{said:#}\n")),
+            200 => Ok(format!("{body:#}\n")),
             204 => Ok("done\n".to_owned()),
-            _ => Err(refused(status, &said)),
+            _ => Err(error_text(status, &body)),
         }
     }
 
-    /// Changes what stands at a path, if it is as it is now; or makes it.
+    /// Changes the resource at a path, with its current ETag as `If-Match`, or creates it if there is none.
     fn change(&self, method: &str, path: &str, body: Option<Value>) -> Result<String, String> {
-        let (_, tag, _) = self.ask("GET", path, None, None)?;
-        self.send(method, &format!("{path}?"), body, tag)
+        let (_, etag, _) = self.request("GET", path, None, None)?;
+        self.send(method, &format!("{path}?"), body, etag)
     }
 
-    /// Puts to a path what is made of what stands at another.
+    /// Reads the resource at `from` and puts the document that `make` derives from it to `path`, with the
+    /// ETag that was read as `If-Match`.
     fn change_from(
         &self,
         path: &str,
         from: &str,
         make: impl FnOnce(&Value) -> Result<Value, String>,
     ) -> Result<String, String> {
-        let (_, tag, now) = self.get(from)?;
-        self.send("PUT", &format!("{path}?"), Some(make(&now)?), tag)
+        let (_, etag, current) = self.get(from)?;
+        self.send("PUT", &format!("{path}?"), Some(make(&current)?), etag)
     }
 }
 
-fn refused(status: u16, body: &Value) -> String {
+fn error_text(status: u16, body: &Value) -> String {
     match body.get("error").and_then(Value::as_str) {
         Some(error) => format!("{status}: {error}"),
-        None => format!("the API answered {status}"),
+        None => format!("unexpected status {status} from the administration API"),
     }
 }
--- a/src/bin/amberlever/state.rs
+++ b/src/bin/amberlever/state.rs
@@ -1,4 +1,4 @@
-//! `amberlever state`: shows and compares files of learned state, for people and for tools.
+//! `amberlever state`: shows and compares files of learned state, as text or JSON.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,7 +15,6 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 
-/// Runs the command.
 pub fn run(command: &StateCommand, format: Format) -> ExitCode {
     let text = match command {
         StateCommand::Show { file } => read(file).map(|file| show(&file, format)),
@@ -30,23 +29,23 @@
     }
 }
 
-/// The figures of a pool, endpoint, class, machine kind or zone, by their names.
+/// The figures of a pool, endpoint, class, machine kind or zone, by name.
 type Figures = BTreeMap<&'static str, f64>;
-/// Figures by subject.
+/// Figures by the name of the pool, endpoint, class, machine kind or zone that they describe.
 type FiguresBySubject = BTreeMap<String, Figures>;
 
-/// A file that was read.
+/// The content of a file of learned state.
 struct StateFile {
     figures: FiguresBySubject,
     skipped: SkippedSections,
 }
 
-/// Why a file cannot be shown.
+/// An error that prevents a file from being shown.
 #[derive(Debug)]
 enum StateFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     Io { path: PathBuf, source: io::Error },
-    /// It is not a file of learned state, or not a readable one.
+    /// The file is not one of learned state, or cannot be decoded.
     Decode { path: PathBuf, source: DecodeError },
 }
 
@@ -62,7 +61,7 @@
 fn read(path: &Path) -> Result<StateFile, StateFileError> {
     let io_error = |source| StateFileError::Io { path: path.to_owned(), source };
     let decode_error = |source| StateFileError::Decode { path: path.to_owned(), source };
-    // A file of another kind may be of any size.
+    // The size is checked before reading, since a file of another kind may have any size.
     let size = std::fs::metadata(path).map_err(io_error)?.len();
     if size > learned_state::MAX_FILE_BYTES as u64 {
         return Err(decode_error(DecodeError::TooLarge));
@@ -72,7 +71,8 @@
     Ok(StateFile { figures: figures(&snapshot), skipped })
 }
 
-/// The name of a subject. Its parts come from elsewhere, so they are escaped for terminals.
+/// Joins the parts of a subject's name. They are escaped for the terminal, since a file may contain any
+/// characters.
 fn subject(parts: &[&str]) -> String {
     parts.iter().map(|part| part.escape_default().to_string()).collect::<Vec<_>>().join(" / ")
 }
@@ -87,7 +87,7 @@
     all
 }
 
-/// The figures that are known: not NaN.
+/// Keeps the figures that are known, which are those that are not NaN.
 fn known(figures: impl IntoIterator<Item = (&'static str, f64)>) -> Figures {
     figures.into_iter().filter(|(_, value)| !value.is_nan()).collect()
 }
@@ -101,7 +101,7 @@
     ])
 }
 
-/// The figures of a mean, which has this name and is divided by this scale.
+/// Returns the figures of a mean: its value divided by `scale`, under this name, its weight and its age.
 fn mean_figures(mean: &StoredMean, name: &'static str, scale: f64) -> Figures {
     let value = if mean.weight > 0.0 { mean.sum / mean.weight / scale } else { f64::NAN };
     known([(name, value), ("samples", mean.weight), ("age_s", mean.age as f64 / MICROS_PER_SECOND)])
@@ -155,13 +155,13 @@
         out += &format!("{subject:<width$}  {}\n", row.join(", "));
     }
     if file.skipped != SkippedSections::default() {
-        let end = if truncated { ", and it is cut off" } else { "" };
-        out += &format!("{damaged} damaged and {unknown} unknown sections were passed over{end}\n");
+        let end = if truncated { ", and the file is truncated" } else { "" };
+        out += &format!("{damaged} damaged and {unknown} unknown sections were skipped{end}\n");
     }
     out
 }
 
-/// A figure that differs.
+/// A figure that differs between two files, with `None` if a file does not have it.
 struct Difference<'a> {
     subject: &'a str,
     figure: &'static str,
--- a/tests/announce.rs
+++ b/tests/announce.rs
@@ -64,7 +64,7 @@
 }
 
 fn bgp(proxy: &Process, args: &[&str]) -> Output {
-    let api = said(proxy, "bgp: operators on ").to_string();
+    let api = said(proxy, "bgp: admin API listening on ").to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
     command.args(["bgp", "--api", &api]).args(args).output().expect("runs")
 }
@@ -366,7 +366,7 @@
     let (router, lamp) = (router(1), RestartableEndpoint::start());
     let rest = peer(&router, "") + &address(PREFIX, "p");
     let proxy = start_standalone(&config("", &[("p", &[lamp.address])], &rest), &[]);
-    let api = said(&proxy, "bgp: operators on ");
+    let api = said(&proxy, "bgp: admin API listening on ");
     for (sort, status) in [("text/plain", 415), ("application/json", 200)] {
         let body = format!("{{\"prefix\":\"{PREFIX}\"}}");
         let ask = format!(
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -161,14 +161,14 @@
         let words = |text: &str| text.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
         assert!(shown.lines().any(|line| words(line) == words(row)), "{row}\n{shown}");
     }
-    // A damaged section is passed over and told of.
+    // A damaged section is skipped and reported.
     let folder = temp_folder();
     let mut bytes = std::fs::read(kept).expect("a file");
     *bytes.last_mut().expect("some") ^= 1;
     let damaged = folder.join("damaged.bin");
     std::fs::write(&damaged, &bytes).expect("written");
     let damaged = damaged.to_str().expect("text");
-    assert!(run(&["show", damaged]).1.ends_with("1 damaged and 0 unknown sections were passed over\n"));
+    assert!(run(&["show", damaged]).1.ends_with("1 damaged and 0 unknown sections were skipped\n"));
     let (_, differs, _) = run(&["diff", kept, damaged]);
     assert!(differs.contains("pairings / node / pairing-1: fails 2 -> none\n"), "{differs}");
     assert_eq!(run(&["diff", kept, kept]).1, "");
@@ -232,7 +232,7 @@
     let said = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
         said,
-        "amberlever: no command and no LB_CONFIG; try `amberlever demo` or `amberlever --help`\n"
+        "amberlever: no command, and LB_CONFIG is not set; try `amberlever demo` or `amberlever --help`\n"
     );
     assert!(!output.status.success());
     let help = out(&amberlever(&["--help"]));
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -55,9 +55,9 @@
     ]);
     command.arg(&path).env_remove("LB_CONFIG").stderr(Stdio::piped());
     let process = Process::attach(command.spawn().expect("the proxy starts"), path);
-    process.wait_for_log("administration on ");
+    process.wait_for_log("administration API listening on ");
     let log = process.log();
-    let admin = log.lines().find_map(|l| l.strip_prefix("administration on ")).expect("said");
+    let admin = log.lines().find_map(|l| l.strip_prefix("administration API listening on ")).expect("said");
     Hosted { admin_address: admin.parse().expect("an address"), process }
 }
 
