--- a/crates/jsonrpc/src/encode.rs
+++ b/crates/jsonrpc/src/encode.rs
@@ -10,7 +10,7 @@
     id.map_or("null", RawValue::get)
 }
 
-/// Encodes a request, or a notification where `id` is None. `id` is JSON.
+/// Encodes a request, or a notification if `id` is `None`. `id` is JSON.
 #[must_use]
 pub fn encode_request(id: Option<&str>, method: &str, params: Option<&RawValue>) -> Vec<u8> {
     let mut json = String::from("{\"jsonrpc\":\"2.0\"");
@@ -28,14 +28,14 @@
     json.into_bytes()
 }
 
-/// Encodes a response with a result, which is JSON. The id is null where None is known.
+/// Encodes a response with a result, which is JSON. The id is null if `id` is `None`.
 #[must_use]
 pub fn encode_response(id: Option<&RawValue>, result: &str) -> Vec<u8> {
     let id = id_or_null(id);
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{result}}}").into_bytes()
 }
 
-/// Encodes a response with an error; `data` is JSON. The id is null where None is known.
+/// Encodes a response with an error; `data` is JSON. The id is null if `id` is `None`.
 #[must_use]
 pub fn encode_error(id: Option<&RawValue>, code: i64, message: &str, data: Option<&str>) -> Vec<u8> {
     let id = id_or_null(id);
@@ -45,8 +45,8 @@
         .into_bytes()
 }
 
-/// Encodes the response to a batch from the encoded responses to its entries. None where there are none: nothing is sent
-/// then.
+/// Encodes the response to a batch from the encoded responses to its entries. Returns `None` if there are no
+/// responses: then nothing is sent.
 #[must_use]
 pub fn encode_batch(responses: &[Vec<u8>]) -> Option<Vec<u8>> {
     if responses.is_empty() {
--- a/crates/jsonrpc/src/framing.rs
+++ b/crates/jsonrpc/src/framing.rs
@@ -4,19 +4,19 @@
 
 use crate::Limits;
 
-/// How messages are delimited.
+/// The way in which messages are delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// One message a line, which ends with LF or CR LF.
+    /// One message per line, which ends with LF or CR LF.
     Line,
     /// A header with `Content-Length`, as in the language server protocol.
     ContentLength,
 }
 
-/// Why a stream can no longer be split into messages.
+/// An error after which a stream can no longer be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
-    /// A message is larger than its limit.
+    /// A message exceeds [`Limits::message_bytes`].
     TooLarge,
     /// A header is malformed.
     InvalidHeader,
@@ -36,28 +36,28 @@
 
 impl std::error::Error for FramingError {}
 
-/// The longest header of [`Framing::ContentLength`], in bytes.
+/// The maximum length of a header of [`Framing::ContentLength`], in bytes.
 const MAX_HEADER_BYTES: usize = 512;
-/// The end of a header.
+/// The delimiter at the end of a header.
 const HEADER_END: &[u8] = b"\r\n\r\n";
-/// Digits of the longest `Content-Length` that is read.
+/// The maximum number of digits of a `Content-Length`.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// Splits a stream of bytes into messages. Buffers one message at most, and what arrived with it.
+/// Splits a stream of bytes into messages. Buffers at most one message and the bytes that arrived with it.
 #[derive(Debug)]
 pub struct FrameDecoder {
     framing: Framing,
     limits: Limits,
     buffer: BytesMut,
-    /// Bytes already searched for the end of a line or header, so that none is searched twice.
+    /// The number of bytes already searched for the end of a line or header, so that none is searched twice.
     searched_bytes: usize,
-    /// The length of the current message, once its header was read.
+    /// The length of the current message, once its header has been read.
     content_length: Option<usize>,
     error: Option<FramingError>,
 }
 
 impl FrameDecoder {
-    /// A decoder for a new connection.
+    /// Creates a decoder for a new connection.
     #[must_use]
     pub fn new(framing: Framing, limits: Limits) -> FrameDecoder {
         FrameDecoder {
@@ -70,23 +70,23 @@
         }
     }
 
-    /// Appends bytes that arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.error.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// The number of buffered bytes.
+    /// Returns the number of buffered bytes.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next complete message, if it has arrived. Empty lines are skipped.
+    /// Returns the next complete message, or `None` if it has not arrived yet. Skips empty lines.
     ///
     /// # Errors
-    /// The stream can no longer be split; later calls return the same error.
+    /// If the stream can no longer be split. Later calls return the same error.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, FramingError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -105,7 +105,7 @@
     /// Checks that the stream ended between two messages.
     ///
     /// # Errors
-    /// It ended inside a message, or could not be split before.
+    /// If it ended inside a message, or could no longer be split before it ended.
     pub fn finish(&self) -> Result<(), FramingError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -121,7 +121,7 @@
             let unsearched = &self.buffer[self.searched_bytes..];
             let Some(offset) = unsearched.iter().position(|byte| *byte == b'\n') else {
                 self.searched_bytes = self.buffer.len();
-                // One more for the CR.
+                // One byte more than the limit, for the CR.
                 let is_too_large = self.buffer.len() > self.limits.message_bytes + 1;
                 return if is_too_large { Err(FramingError::TooLarge) } else { Ok(None) };
             };
@@ -152,9 +152,9 @@
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
 
-    /// Consumes the next header, if it is complete: the length of its message.
+    /// Consumes the next header and returns the length of its message, or `None` if the header is incomplete.
     fn next_header(&mut self) -> Result<Option<usize>, FramingError> {
-        // The delimiter may start in what was searched before.
+        // The delimiter may start within the last bytes that were already searched.
         let from = self.searched_bytes.saturating_sub(HEADER_END.len() - 1);
         let mut windows = self.buffer[from..].windows(HEADER_END.len());
         let Some(offset) = windows.position(|window| window == HEADER_END) else {
@@ -176,7 +176,8 @@
     }
 }
 
-/// The one `Content-Length` of a header; other fields are ignored. None where the header is malformed.
+/// Returns the `Content-Length` of a header, or `None` if the header is malformed, has no such field, or has
+/// more than one. Other fields are ignored.
 fn parse_content_length(header: &[u8]) -> Option<usize> {
     let header = std::str::from_utf8(header).ok()?;
     let mut length = None;
@@ -208,7 +209,7 @@
 pub fn encode_frame(framing: Framing, message: &[u8]) -> Vec<u8> {
     match framing {
         Framing::Line => {
-            // Line ends stand between members only, since JSON escapes them inside strings.
+            // JSON escapes line ends inside strings, so all others are whitespace between tokens.
             let as_space = |byte: &u8| if matches!(byte, b'\n' | b'\r') { b' ' } else { *byte };
             message.iter().map(as_space).chain([b'\n']).collect()
         }
--- a/crates/jsonrpc/src/message.rs
+++ b/crates/jsonrpc/src/message.rs
@@ -11,13 +11,13 @@
 /// The content of a frame.
 #[derive(Debug)]
 pub enum Parsed<'a> {
-    /// One message.
+    /// A single message.
     One(MessageResult<'a>),
-    /// Several; never empty.
+    /// A batch; never empty.
     Batch(Vec<MessageResult<'a>>),
 }
 
-/// A message, or why it is invalid.
+/// A message, or the reason why it is invalid.
 pub type MessageResult<'a> = Result<Message<'a>, InvalidMessage<'a>>;
 
 /// A message.
@@ -29,30 +29,30 @@
     Response(Response<'a>),
 }
 
-/// A request; a notification where it has no id.
+/// A request, or a notification if it has no id.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// As it was sent: a string, a whole number or null.
+    /// The id as it was sent: a string, a whole number or null.
     pub id: Option<&'a RawValue>,
-    /// The method's name.
+    /// The name of the method.
     pub method: Cow<'a, str>,
-    /// An array or object, if there is one.
+    /// The parameters, an array or object.
     pub params: Option<&'a RawValue>,
 }
 
 /// A response.
 #[derive(Clone, Debug)]
 pub struct Response<'a> {
-    /// As it was sent.
+    /// The id as it was sent.
     pub id: &'a RawValue,
     /// The result, or the error object.
     pub outcome: Result<&'a RawValue, &'a RawValue>,
 }
 
-/// Why something is not a message, with the id to report that under where it has one.
+/// The reason why a frame or an entry of a batch is not a message.
 #[derive(Clone, Debug)]
 pub struct InvalidMessage<'a> {
-    /// The id, if there is a valid one.
+    /// The id for the error response, if there is a valid one.
     pub id: Option<&'a RawValue>,
     /// The error code.
     pub code: i64,
@@ -71,7 +71,8 @@
 }
 
 impl Response<'_> {
-    /// The code and message of its error, if it is one.
+    /// Returns the code and message of the error, or `None` if the response has a result or a malformed error
+    /// object.
     #[must_use]
     pub fn error(&self) -> Option<(i64, String)> {
         #[derive(Deserialize)]
@@ -88,7 +89,7 @@
 /// Parses the content of a frame.
 ///
 /// # Errors
-/// It is not JSON, or exceeds a limit: one error answers all of it.
+/// If it is not JSON, or exceeds a limit. One error response answers the whole frame.
 pub fn parse<'a>(frame: &'a [u8], limits: &Limits) -> Result<Parsed<'a>, InvalidMessage<'a>> {
     if frame.len() > limits.message_bytes {
         return Err(InvalidMessage::new(code::TOO_LARGE, "more bytes than are taken"));
@@ -112,7 +113,7 @@
     Ok(Parsed::Batch(entries.into_iter().map(|entry| parse_message(entry, limits)).collect()))
 }
 
-/// The deepest nesting of arrays and objects.
+/// Returns the maximum nesting depth of arrays and objects.
 fn nesting_depth(json: &[u8]) -> usize {
     let mut depth = 0_usize;
     let mut deepest = 0;
@@ -139,7 +140,7 @@
         return Err(InvalidMessage::request(None, "not an object"));
     };
     if envelope.has_repeats {
-        // Which of the two is meant is ambiguous, for the id too.
+        // It is ambiguous which of the values is meant, also for the id.
         return Err(InvalidMessage::request(None, "a member is there twice"));
     }
     let id = envelope.id.filter(|id| is_valid_id(id, limits));
@@ -155,11 +156,11 @@
         (None, result, error) if envelope.params.is_none() => {
             parse_response(id, result, error).map(Message::Response)
         }
-        _ => Err(InvalidMessage::request(id, NEITHER)),
+        _ => Err(InvalidMessage::request(id, NOT_A_MESSAGE)),
     }
 }
 
-const NEITHER: &str = "neither a request nor a response";
+const NOT_A_MESSAGE: &str = "neither a request nor a response";
 
 fn parse_call<'a>(
     id: Option<&'a RawValue>,
@@ -185,18 +186,18 @@
         (Some(id), None, Some(error)) if error.get().starts_with('{') => {
             Ok(Response { id, outcome: Err(error) })
         }
-        _ => Err(InvalidMessage::request(id, NEITHER)),
+        _ => Err(InvalidMessage::request(id, NOT_A_MESSAGE)),
     }
 }
 
-/// Whether this is a string, a whole number or null, within its limit.
+/// Returns whether the id is a string, a whole number or null, and within its limit.
 fn is_valid_id(id: &RawValue, limits: &Limits) -> bool {
     let text = id.get();
     if text.len() > limits.id_bytes {
         return false;
     }
     if text.starts_with('"') {
-        // A lone surrogate cannot be sent back.
+        // An id with a lone surrogate could not be sent back.
         return serde_json::from_str::<BorrowedText<'_>>(text).is_ok();
     }
     let digits = text.strip_prefix('-').unwrap_or(text);
@@ -204,7 +205,8 @@
     text == "null" || is_whole_number
 }
 
-/// The members of a message that the protocol defines. A derived deserializer could not tell `"id": null` from no id.
+/// The members of a message that the protocol defines. It is parsed by hand because a derived deserializer
+/// does not distinguish `"id": null` from a missing id.
 #[derive(Default)]
 struct Envelope<'a> {
     jsonrpc: Option<&'a RawValue>,
@@ -213,12 +215,12 @@
     params: Option<&'a RawValue>,
     result: Option<&'a RawValue>,
     error: Option<&'a RawValue>,
-    /// One of these is there more than once.
+    /// Whether one of these members occurs more than once.
     has_repeats: bool,
 }
 
 impl<'a> Envelope<'a> {
-    /// None where `json` is no object.
+    /// Returns `None` if `json` is not an object.
     fn parse(json: &'a RawValue) -> Option<Envelope<'a>> {
         let mut envelope = Envelope::default();
         for (name, value) in members_with_repeats(json.get())? {
--- a/crates/jsonrpc/src/object.rs
+++ b/crates/jsonrpc/src/object.rs
@@ -1,4 +1,4 @@
-//! Members of a JSON object, each as it was written.
+//! Members of a JSON object, with their values as they were written.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -7,11 +7,11 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// A member's name and its value.
+/// The name and value of a member.
 pub(crate) type Member<'a> = (Cow<'a, str>, &'a RawValue);
 
-/// The members of an object in their order, each as it was written. None where `object` is no object, or a member is
-/// repeated: which of the two is meant is ambiguous.
+/// Returns the members of an object in order, with their values as they were written. Returns `None` if
+/// `object` is not an object, or if a member is repeated, since it is ambiguous which of its values is meant.
 #[must_use]
 pub fn object_members(object: &str) -> Option<Vec<(Cow<'_, str>, &RawValue)>> {
     let members = members_with_repeats(object)?;
@@ -20,7 +20,8 @@
     names.windows(2).all(|pair| pair[0] != pair[1]).then_some(members)
 }
 
-/// The members of an object in their order, repeats included. None where `object` is no object.
+/// Returns the members of an object in order, including repeated ones. Returns `None` if `object` is not an
+/// object.
 pub(crate) fn members_with_repeats(object: &str) -> Option<Vec<Member<'_>>> {
     serde_json::from_str(object).ok().map(|Members(members)| members)
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// A string that is borrowed where nothing in it is escaped.
+/// A string that is borrowed if it contains no escapes.
 pub(crate) struct BorrowedText<'a>(pub(crate) Cow<'a, str>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for BorrowedText<'a> {
