--- a/crates/emulate/examples/sizes.rs
+++ b/crates/emulate/examples/sizes.rs
@@ -1,13 +1,14 @@
-//! Prints the course of a rolling release in fleets of 1, 10, 50 and 200 proxies with forty endpoints, seed by seed.
+//! Prints the results of a rolling release in fleets of 1, 10, 50 and 200 proxies with forty endpoints, for
+//! each seed.
 
 use emulate::{run, Fleet, Release, MILLISECOND, SECOND};
 
 fn main() {
-    println!("proxies seed | in time % rejected %  handshakes/proxy queued calls/proxy  rejected calls  burst  late  over");
+    println!("proxies seed | in time % rejected %  handshakes/proxy queued calls/proxy  rejected calls  burst  late  overloaded");
     for (proxies, warm_after_s) in
         [(1, 15), (10, 15), (50, 15), (200, 15), (50, 5), (200, 5), (50, 1), (200, 1)]
     {
-        println!("endpoints are warm after {warm_after_s} s, and announced to be after 15 s");
+        println!("actual slow start {warm_after_s} s, announced slow start 15 s");
         for seed in 1..=3 {
             let release = Some(Release { start: 5 * SECOND, interval: 500 * MILLISECOND, end: 55 * SECOND });
             let report = run(&Fleet {
--- a/crates/emulate/src/discovery.rs
+++ b/crates/emulate/src/discovery.rs
@@ -1,35 +1,36 @@
-//! The discovery of the fleet: it serves calls in turn, rejects those that would be queued for too long, and may truncate responses or
-//! not respond. A change that it begins to write counts as notified two seconds later at the latest, whether it arrives or not.
+//! The simulated discovery service. It serves calls one after another, rejects calls that would be queued for
+//! too long, and may truncate a response or not respond. A change that it starts to write counts as notified
+//! two seconds later at the latest, whether the response arrives or not.
 
 use decide::{EndpointId, EndpointState, Micros};
 use fastrand::Rng;
 
 use crate::{Fleet, MILLISECOND, SECOND};
 
-/// It rejects a call that would be queued for longer than this.
+/// The longest time in the queue. Calls that would be queued for longer are rejected.
 const QUEUE_LIMIT: Micros = 2 * SECOND;
-/// It is sized for this many proxies at least.
+/// The minimum number of proxies for which discovery is sized.
 const MIN_PROXIES: usize = 8;
-/// A call that comes this soon after the last response continues the same watch.
+/// A call within this time after the last response continues the same watch, and is not queued.
 const WATCH_CONTINUES: Micros = 200 * MILLISECOND;
-/// The time that a response takes to the proxy.
+/// The time that a response takes to reach the proxy.
 const RESPONSE_LATENCY: Micros = 2 * MILLISECOND;
-/// A change that is written counts as notified after this.
+/// The time from the start of writing a change until it counts as notified.
 const NOTIFIED_AFTER_WRITE: Micros = 2 * SECOND;
 
 /// A change of the list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When discovery has it.
+    /// The time from which discovery has the change.
     pub at: Micros,
     pub endpoint: EndpointId,
     pub state: EndpointState,
 }
 
-/// How a call ends, and when.
+/// The end of a call, with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallEnd {
-    /// With the changes up to a version.
+    /// The response brings the changes up to a version.
     Completed {
         at: Micros,
         version: usize,
@@ -40,40 +41,42 @@
     Rejected {
         at: Micros,
     },
-    /// Never; the changes that it misses count as notified from then on.
+    /// There is no response. The changes that it would have brought count as notified from this time on.
     Silent {
         notified_at: Micros,
     },
 }
 
-/// Changes that count as notified, although their response does not arrive.
+/// The changes up to a version, which count as notified although their response does not arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct MissedChanges {
     pub notified_at: Micros,
     pub version: usize,
 }
 
-/// A call of a proxy.
+/// A call of a proxy for changes.
 #[derive(Clone, Copy, Debug)]
 pub struct PollRequest {
     /// The version of the list that the proxy has.
     pub known_version: usize,
+    /// The time for which discovery may wait for a change.
     pub wait: Micros,
-    /// When the proxy had its last response.
+    /// The time of the last response to the proxy.
     pub last_response_at: Option<Micros>,
 }
 
 pub struct Discovery {
     /// The changes of the whole run, in the order of their times.
     pub changes: Vec<ListChange>,
-    /// When it has served the calls that are queued.
+    /// The time at which all queued calls have been served.
     busy_until: Micros,
     pub queued_calls: u64,
     pub rejected_calls: u64,
 }
 
 impl Discovery {
-    /// A discovery with the changes of the fleet's release: at each step the oldest endpoint drains, and a new one takes its place.
+    /// Creates a discovery service with the changes of the fleet's release: at each step the oldest endpoint
+    /// starts to drain and a new one takes its place.
     pub fn new(fleet: &Fleet) -> Discovery {
         let mut changes = Vec::new();
         if let Some(release) = fleet.release {
@@ -88,12 +91,12 @@
         Discovery { changes, busy_until: 0, queued_calls: 0, rejected_calls: 0 }
     }
 
-    /// The number of changes that it has at a time.
+    /// Returns the number of changes that discovery has at a time.
     fn version(&self, at: Micros) -> usize {
         self.changes.partition_point(|change| change.at <= at)
     }
 
-    /// Serves a call for changes: how it ends, and which changes it misses.
+    /// Serves a call for changes. Returns how the call ends, and the changes that it misses.
     pub fn serve(
         &mut self,
         fleet: &Fleet,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// From when on a call is served; `None` where it is rejected.
+    /// Returns the time from which a call is served, or `None` if it is rejected.
     fn enqueue(&mut self, fleet: &Fleet, now: Micros, last_response_at: Option<Micros>) -> Option<Micros> {
         if fleet.outage.is_some_and(|outage| outage.contains(now)) {
             return None;
--- a/crates/emulate/src/endpoint.rs
+++ b/crates/emulate/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! A simulated endpoint: two cores, a short queue, slow after its start, and failing for good when it is overloaded meanwhile.
+//! A simulated endpoint with two cores and a short queue. It is slow after its start, and fails permanently
+//! when it is overloaded during that time.
 
 use std::collections::VecDeque;
 
@@ -6,28 +7,30 @@
 
 use crate::Fleet;
 
-/// The cores of an endpoint.
+/// The number of cores of an endpoint.
 pub const CORES: usize = 2;
 /// The mean work of a request on one core, in microseconds.
 pub const MEAN_WORK: Micros = 100_000;
-/// An endpoint in slow start fails when it gets more than this multiple of its capacity for [`OVERLOAD_WINDOW`].
+/// An endpoint in slow start fails when it receives more than this multiple of its capacity within
+/// [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// See [`OVERLOAD_MULTIPLE`]; in microseconds.
+/// The window of [`OVERLOAD_MULTIPLE`], in microseconds.
 pub const OVERLOAD_WINDOW: Micros = 1_500_000;
-/// Slack on top of the overload limit, in mean requests: one large request is no overload.
+/// Slack on top of the overload limit, as a number of mean requests, so that one large request is not an
+/// overload.
 const OVERLOAD_SLACK: f64 = 3.0;
-/// Requests that wait for a core; further ones are rejected.
+/// The number of requests that may wait for a core; further requests are rejected.
 const QUEUE_LENGTH: usize = 12;
-/// Requests within this time are a burst, in microseconds.
+/// The window in which the requests of a burst are counted, in microseconds.
 const BURST_WINDOW: Micros = 100_000;
 
-/// What becomes of a request.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Service {
     Rejected,
-    /// It is answered at this time.
+    /// The response is sent at this time.
     Completed(Micros),
-    /// It is never answered.
+    /// There is no response.
     Hung,
 }
 
@@ -37,25 +40,25 @@
     work: Micros,
 }
 
-/// An endpoint.
+/// The state of a simulated endpoint.
 pub struct SimulatedEndpoint {
     pub is_gone: bool,
-    /// When it started; `None`: long ago.
+    /// When the endpoint started. `None` if it was warm before the run.
     pub started_at: Option<Micros>,
-    /// It failed under overload.
+    /// Whether the endpoint has failed under overload.
     pub has_failed: bool,
-    /// The most requests within [`BURST_WINDOW`].
+    /// The maximum number of requests within [`BURST_WINDOW`].
     pub max_burst: u64,
-    /// When each core is free.
+    /// The time from which each core is free.
     free_at: [Micros; CORES],
-    /// When the open requests are answered.
+    /// The times at which the responses to open requests are sent.
     completions: VecDeque<Micros>,
     slow_start_work: VecDeque<ReceivedWork>,
     recent_arrivals: VecDeque<Micros>,
 }
 
 impl SimulatedEndpoint {
-    /// An endpoint that started at this time.
+    /// Creates an endpoint that started at this time, or is warm if it is `None`.
     pub fn new(started_at: Option<Micros>) -> SimulatedEndpoint {
         SimulatedEndpoint {
             is_gone: false,
@@ -69,14 +72,14 @@
         }
     }
 
-    /// Its capacity as a fraction of that when warm.
+    /// Returns the capacity as a fraction of the capacity when warm.
     fn capacity(&self, fleet: &Fleet, now: Micros) -> f64 {
         let slow_start = fleet.actual_slow_start.max(1) as f64;
         let progress = self.started_at.map_or(1.0, |at| (now - at) as f64 / slow_start);
         fleet.slow_start_min_capacity + (1.0 - fleet.slow_start_min_capacity) * progress.min(1.0)
     }
 
-    /// Receives a request with this work.
+    /// Receives a request that takes this much time on one warm core.
     pub fn receive(&mut self, fleet: &Fleet, now: Micros, work: Micros) -> Service {
         self.count_burst(now);
         let capacity = self.capacity(fleet, now);
--- a/crates/emulate/src/fleet.rs
+++ b/crates/emulate/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that is simulated, and its faults. All times are in microseconds of virtual time.
+//! The parameters of a simulated fleet and of its faults. All times are in microseconds of virtual time.
 
 use decide::Micros;
 
@@ -11,57 +11,60 @@
     pub start: Micros,
     /// The time between replacements.
     pub interval: Micros,
-    /// No endpoint is replaced from then on.
+    /// The time from which no endpoint is replaced.
     pub end: Micros,
 }
 
-/// An outage of discovery: calls end with errors after their time in the queue, watches at once.
+/// An outage of discovery. Open watches fail at its start, and new calls fail after the longest time in the
+/// queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Its first moment.
+    /// The start, inclusive.
     pub start: Micros,
-    /// The moment after its last.
+    /// The end, exclusive.
     pub end: Micros,
 }
 
 impl Outage {
-    /// Whether discovery is down at this moment.
+    /// Returns whether discovery is down at this time.
     pub(crate) fn contains(&self, at: Micros) -> bool {
         (self.start..self.end).contains(&at)
     }
 }
 
-/// Proxies that are killed at once, and start again together with the list that each had.
+/// A simultaneous kill of several proxies, which later restart at the same time, each with the list that it
+/// had.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
-    /// When they are killed.
+    /// When the proxies are killed.
     pub at: Micros,
-    /// The fraction of all proxies that is killed.
+    /// The killed proxies as a fraction of all proxies.
     pub fraction: f64,
-    /// They start again this much later.
+    /// The time from the kill to the restart.
     pub downtime: Micros,
 }
 
 /// A fleet and its faults.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Proxies; each request goes to one at random.
+    /// The number of proxies. Each request goes to a random one.
     pub proxies: usize,
-    /// Endpoints, of two cores each.
+    /// The number of endpoints, with two cores each.
     pub endpoints: usize,
     /// The work of requests as a fraction of the capacity of warm endpoints.
     pub load: f64,
-    /// For how long requests come.
+    /// The time for which clients send requests.
     pub duration: Micros,
-    /// A rolling release.
+    /// A rolling release of the endpoints.
     pub release: Option<Release>,
-    /// The capacity of an endpoint that starts, as a fraction of its capacity when warm.
+    /// The capacity of an endpoint at its start, as a fraction of its capacity when warm.
     pub slow_start_min_capacity: f64,
-    /// The time until an endpoint is warm, as the proxies know it.
+    /// The time from the start of an endpoint until it is warm, in the settings of the proxies.
     pub announced_slow_start: Micros,
-    /// The time until an endpoint is warm in truth, at most the announced one.
+    /// The actual time from the start of an endpoint until it is warm, at most the announced one.
     pub actual_slow_start: Micros,
-    /// In this time discovery can serve one call of every proxy, and of eight where there are fewer.
+    /// The time in which discovery can serve one call of each proxy, or eight calls if there are fewer
+    /// proxies.
     pub discovery_round: Micros,
     /// The fraction of discovery's responses that are truncated.
     pub truncated_fraction: f64,
@@ -69,11 +72,12 @@
     pub silent_fraction: f64,
     /// An outage of discovery.
     pub outage: Option<Outage>,
-    /// Proxies that are killed and start again.
+    /// A kill and restart of some proxies.
     pub restart: Option<Restart>,
-    /// Clients shed requests: they leave out the fraction that was lately rejected or failed.
+    /// Whether clients shed requests: they do not send a fraction of their requests that equals the fraction
+    /// that was recently rejected or failed.
     pub clients_shed: bool,
-    /// Seeds all random draws.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
--- a/crates/emulate/src/lib.rs
+++ b/crates/emulate/src/lib.rs
@@ -1,8 +1,10 @@
-//! Simulates fleets in virtual time: many instances of the real balancer and of the real discovery watch, among modelled clients,
-//! endpoints and one discovery. No sockets and no clock; a run is determined by its seed.
+//! Simulates fleets in virtual time: many instances of the actual balancer and discovery watch, with modelled
+//! clients, endpoints and one discovery service. The simulation uses neither sockets nor a clock, and a run
+//! is determined by its seed.
 //!
-//! It models one tier, and faults of membership: rolling releases, a discovery that is overloaded, does not respond or truncates
-//! responses, and processes that restart. [`run`] simulates a [`Fleet`] and returns its [`Report`].
+//! It models one tier, and faults of membership: rolling releases, a discovery service that is overloaded,
+//! does not respond or truncates responses, and processes that restart. [`run`] simulates a [`Fleet`] and
+//! returns a [`Report`].
 #![warn(missing_docs)]
 
 mod discovery;
@@ -19,9 +21,9 @@
 
 use decide::Micros;
 
-/// One millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000 * MILLISECOND;
 
 /// Simulates a fleet to the end of its run.
--- a/crates/emulate/src/notification.rs
+++ b/crates/emulate/src/notification.rs
@@ -1,18 +1,19 @@
-//! When a change of the list counts as notified to a process, by the platform's rule alone: six seconds after discovery had it and
-//! could be reached, whatever calls the process made, and at the earliest when the process started.
+//! The platform's rule for when a change of the list counts as notified to a process: six seconds after
+//! discovery had the change and could be reached, whichever calls the process made, and not before the
+//! process started.
 //!
-//! It is computed without regard to the state of the process's own watch.
+//! The rule does not depend on the state of the process's own watch, so it can be used to check that watch.
 
 use decide::{EndpointId, EndpointState, Micros};
 
 use crate::discovery::ListChange;
 use crate::{Fleet, SECOND};
 
-/// Changes that a reachable discovery had count as notified after this.
+/// The time after which a change counts as notified, while discovery can be reached.
 const NOTIFIED_AFTER: Micros = 6 * SECOND;
 
-/// From when on the last change that removed this endpoint from use counts as notified to a process that started at `started_at`;
-/// `None` where the endpoint is in use.
+/// Returns the time from which the removal of this endpoint from use counts as notified to a process that
+/// started at `started_at`. Returns `None` if the endpoint is in use.
 pub fn removal_notified_at(
     fleet: &Fleet,
     changes: &[ListChange],
@@ -24,7 +25,8 @@
     (last_change.state != EndpointState::Ready).then_some(notified_at)
 }
 
-/// An outage makes the time count anew from its end.
+/// Returns the time at which a change counts as notified. An outage of discovery before that restarts the
+/// period at the end of the outage.
 fn change_notified_at(fleet: &Fleet, changed_at: Micros) -> Micros {
     let reachable_from = match fleet.outage {
         Some(outage) if outage.start < changed_at + NOTIFIED_AFTER && changed_at < outage.end => outage.end,
--- a/crates/emulate/src/process.rs
+++ b/crates/emulate/src/process.rs
@@ -10,11 +10,11 @@
 use crate::world::ClientRequest;
 use crate::{Fleet, SECOND};
 
-/// A process whose list is not confirmed reports ready after this.
+/// The time after its start at which a process reports ready even if its list is not confirmed.
 const READY_UNCONFIRMED_AFTER: Micros = 5 * SECOND;
-/// Spreads the seeds of proxies.
+/// The factor that separates the seeds of the proxies of different runs.
 const SEED_FACTOR: u64 = 1_000_003;
-/// The first bit of the incarnation in a seed.
+/// The position of the incarnation in a seed, in bits.
 const INCARNATION_SHIFT: u32 = 48;
 
 /// A request that a process has received.
@@ -25,16 +25,16 @@
 }
 
 impl OpenRequest {
-    /// Whether no attempt is in flight.
+    /// Returns whether no attempt is in flight.
     pub fn has_no_attempt_in_flight(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.sent_at.is_none())
     }
 }
 
-/// An attempt of a process.
+/// An attempt for an open request.
 pub struct OpenAttempt {
     pub endpoint: EndpointId,
-    /// When it was sent; `None` once it has ended.
+    /// When the attempt was sent. `None` once it has ended.
     pub sent_at: Option<Micros>,
 }
 
@@ -42,27 +42,29 @@
 pub struct Proxy {
     pub balancer: Balancer,
     pub watch: DiscoveryWatch,
-    /// How often it was killed.
+    /// The number of times that the process was killed.
     pub incarnation: u32,
-    /// When it started; `None` while it is killed.
+    /// When the process started. `None` while it is down.
     pub started_at: Option<Micros>,
-    /// When its watch is to be woken.
+    /// When the watch is due to be woken.
     pub wake_at: Option<Micros>,
     pub open_requests: BTreeMap<u64, OpenRequest>,
     /// When each idle connection was last used, by endpoint.
     pub idle_connections: BTreeMap<u32, Vec<Micros>>,
-    /// The number of changes that its list has.
+    /// The version of the list that the process has, as a number of changes.
     pub list_version: usize,
     pub last_response_at: Option<Micros>,
-    /// From when on the removal of an endpoint counts as notified, whether it was received or not.
+    /// The time from which the removal of an endpoint counts as notified, by endpoint, whether its response
+    /// was received or not.
     pub removal_notified_at: BTreeMap<u32, Micros>,
     pub missed_changes: Vec<MissedChanges>,
-    /// Discovery did not respond to a call since the last response: the changes it misses count as notified then, if that is later.
+    /// Set if discovery has not responded to a call since the last response: the time from which the changes
+    /// that the call misses count as notified, if it is later than by the rule.
     pub silent_call_notified_at: Option<Micros>,
 }
 
 impl Proxy {
-    /// A process that starts now, and has learned nothing.
+    /// Creates a process that starts now, without learned state.
     pub fn start(fleet: &Fleet, rank: usize, incarnation: u32, now: Micros) -> Proxy {
         let proxy_seed = fleet.seed.wrapping_mul(SEED_FACTOR).wrapping_add(rank as u64);
         let seed = proxy_seed ^ u64::from(incarnation) << INCARNATION_SHIFT;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// A process that has been running: discovery has just confirmed its list.
+    /// Creates a process that has been running, and whose list discovery has just confirmed.
     pub fn running(fleet: &Fleet, rank: usize) -> Proxy {
         let mut proxy = Proxy::start(fleet, rank, 0, 0);
         let mut actions = Vec::new();
@@ -97,7 +99,8 @@
         proxy
     }
 
-    /// Whether clients may use it: a process that has started reports ready once its list is confirmed, or after a while.
+    /// Returns whether clients may use the process: it reports ready once its list is confirmed, or after
+    /// [`READY_UNCONFIRMED_AFTER`].
     pub fn is_ready(&self, now: Micros) -> bool {
         self.started_at.is_some_and(|started_at| {
             !self.watch.is_unconfirmed() || now >= started_at + READY_UNCONFIRMED_AFTER
--- a/crates/emulate/src/settings.rs
+++ b/crates/emulate/src/settings.rs
@@ -10,14 +10,14 @@
 pub const LATENCY_OBJECTIVE: Micros = SECOND;
 /// The deadline of all requests.
 pub const DEADLINE: Micros = 2_500 * MILLISECOND;
-/// From when a drain counts as notified, forwarding must end within this.
+/// The time after a drain counts as notified within which forwarding must end.
 pub const DRAIN_GRACE: Micros = 500 * MILLISECOND;
-/// Forwarding ends this much before the drain grace is over.
+/// The time before the end of the drain grace at which forwarding ends.
 const DRAIN_MARGIN: Micros = 150 * MILLISECOND;
-/// The platform's limit on the time between polls.
+/// The maximum time between polls, as set by the platform.
 const MAX_POLL_INTERVAL: Micros = 10 * SECOND;
 
-/// The settings of a balancer.
+/// Returns the settings of the balancer of this rank.
 pub fn balancer_settings(fleet: &Fleet, rank: usize) -> Settings {
     let class = |priority_weight: f64, semantics| Class {
         latency_objective: LATENCY_OBJECTIVE,
@@ -45,7 +45,7 @@
     }
 }
 
-/// How the proxies watch discovery.
+/// Returns the policy by which the proxies watch discovery.
 pub fn watch_policy() -> WatchPolicy {
     let terms = LeaseTerms {
         drain_grace: DRAIN_GRACE,
--- a/crates/emulate/src/world/attempts.rs
+++ b/crates/emulate/src/world/attempts.rs
@@ -9,15 +9,15 @@
 use crate::settings::{DRAIN_GRACE, LATENCY_OBJECTIVE};
 use crate::MILLISECOND;
 
-/// An idle connection is closed after this.
+/// The time after which an idle connection is closed.
 const KEEPALIVE: Micros = 7_500 * MILLISECOND;
-/// The time from a proxy to an endpoint, or back, in microseconds.
+/// The network latency between a proxy and an endpoint in one direction, in microseconds.
 const ONE_WAY_LATENCY: Micros = 300;
-/// The time that a new connection takes.
+/// The time to open a connection.
 const HANDSHAKE_TIME: Micros = 3 * MILLISECOND;
 
 impl World<'_> {
-    /// A proxy forwards a request to an endpoint.
+    /// Forwards a request from a proxy to an endpoint.
     pub(super) fn send(&mut self, proxy: usize, id: u64, endpoint: EndpointId, deadline: Micros) {
         let now = self.now;
         let Some(open) = self.proxies[proxy].open_requests.get_mut(&id) else { return };
@@ -35,7 +35,7 @@
         self.schedule(ends_at, SimulatedEvent::AttemptEnds { proxy, request: id, attempt, outcome });
     }
 
-    /// Counts a request that is forwarded past the grace of a drain.
+    /// Counts a request that is forwarded to an endpoint after the grace of its drain.
     fn check_late_forward(&mut self, proxy: usize, endpoint: EndpointId) {
         let now = self.now;
         self.apply_missed_changes(proxy);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Changes that were missed, and count as notified by now.
+    /// Records the missed changes that count as notified by now.
     fn apply_missed_changes(&mut self, proxy: usize) {
         let now = self.now;
         let proxy = &mut self.proxies[proxy];
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes an idle connection, or makes one: how long that takes.
+    /// Takes an idle connection or opens one, and returns the time that this takes.
     fn connect(&mut self, proxy: usize, endpoint: EndpointId) -> Micros {
         let now = self.now;
         let idle = self.proxies[proxy].idle_connections.entry(endpoint.0).or_default();
@@ -82,7 +82,7 @@
         HANDSHAKE_TIME
     }
 
-    /// When an attempt ends, and how.
+    /// Returns the time and outcome of an attempt.
     fn serve(
         &mut self,
         endpoint: EndpointId,
--- a/crates/emulate/src/world/balancer.rs
+++ b/crates/emulate/src/world/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancers: events go in, and their actions are carried out.
+//! Passes events to the balancers and carries out their actions.
 
 use decide::{Action, Event, Outcome};
 
--- a/crates/emulate/src/world/clients.rs
+++ b/crates/emulate/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their requests, retries and shedding.
+//! Simulated clients, with their requests, retries and shedding.
 
 use decide::{Event, Micros, NewRequest, RequestId};
 
@@ -8,7 +8,7 @@
 use crate::settings::{DEADLINE, LATENCY_OBJECTIVE};
 use crate::MILLISECOND;
 
-/// Attempts of a client for a request.
+/// The maximum number of attempts of a client for a request.
 const MAX_CLIENT_ATTEMPTS: u8 = 3;
 /// The longest backoff of a client.
 const CLIENT_BACKOFF: Micros = 400 * MILLISECOND;
@@ -16,20 +16,21 @@
 const FIRST_CLASS_FRACTION: f64 = 0.15;
 const MIN_WORK: Micros = MILLISECOND;
 const MAX_WORK: Micros = 8 * MEAN_WORK;
-/// The least number that a logarithm is taken of.
+/// The minimum of a random draw before its logarithm is taken, since the logarithm of 0 is infinite.
 const MIN_DRAW: f64 = 1e-12;
-/// The weight of a new sample in the loss.
+/// The weight of a new sample in the moving average of the loss.
 const LOSS_GAIN: f64 = 0.005;
-/// The loss after a request that was shed: clients go on to try some requests, and so notice that a fault is over.
+/// The factor by which the loss decays with each request that is shed, so that clients still send some
+/// requests and notice that a fault is over.
 const SHED_LOSS_DECAY: f64 = 0.999;
 
 /// A request of a client.
 #[derive(Clone, Copy)]
 pub struct ClientRequest {
-    /// When the client sent it first.
+    /// When the client first sent the request.
     pub first_sent_at: Micros,
     pub class: usize,
-    /// The attempts of the client so far.
+    /// The number of attempts of the client so far.
     pub attempts: u8,
     pub work: Micros,
 }
@@ -39,7 +40,7 @@
         (-self.rng.f64().max(MIN_DRAW).ln() * mean) as Micros
     }
 
-    /// Draws when the next request comes.
+    /// Draws the time of the next request.
     pub(super) fn draw_next_arrival(&mut self) -> Micros {
         let capacity = (self.fleet.endpoints * CORES) as f64 / MEAN_WORK as f64;
         self.now + self.draw_exponential(1.0 / (capacity * self.fleet.load))
@@ -80,7 +81,7 @@
         self.handle_event(proxy, Event::Request(new_request));
     }
 
-    /// A proxy rejected a request.
+    /// Handles the rejection of a request by a proxy: the client may retry it after a backoff.
     pub(super) fn on_rejection(&mut self, proxy: usize, id: u64) {
         self.report.rejected += 1;
         let Some(request) = self.answer(proxy, id, false) else { return };
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The client has its response. Attempts that are in flight still end.
+    /// Passes the response to the client. Attempts that are in flight still end.
     pub(super) fn answer(&mut self, proxy: usize, id: u64, is_good: bool) -> Option<ClientRequest> {
         let open = self.proxies[proxy].open_requests.get_mut(&id)?;
         open.is_answered = true;
--- a/crates/emulate/src/world/membership.rs
+++ b/crates/emulate/src/world/membership.rs
@@ -1,4 +1,4 @@
-//! The discovery watches: events go in, and their calls are made.
+//! Passes events to the discovery watches and makes their calls.
 
 use decide::{EndpointState, Event, Micros, UpdateScope};
 
@@ -6,7 +6,7 @@
 use crate::discovery::{CallEnd, PollRequest};
 use ::membership::{CallFailure, CallId, WatchAction, WatchEvent};
 
-/// What a call brings when it ends.
+/// The result of a call to discovery.
 #[derive(Clone, Copy)]
 pub(super) enum CallResult {
     Completed { version: usize },
@@ -32,7 +32,7 @@
         self.schedule_watch_timer(proxy);
     }
 
-    /// Schedules the watch's next timer.
+    /// Schedules the next timer of the watch.
     pub(super) fn schedule_watch_timer(&mut self, proxy: usize) {
         let wake_at = self.proxies[proxy].watch.wake_at().map(|at| at.max(self.now));
         if wake_at == self.proxies[proxy].wake_at {
--- a/crates/emulate/src/world/mod.rs
+++ b/crates/emulate/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulation: the queue of events, and what each of them does.
+//! The simulation: the queue of events and their handling.
 
 mod attempts;
 mod balancer;
@@ -20,12 +20,12 @@
 
 pub use clients::ClientRequest;
 
-/// The simulation goes on for this long after the last request.
+/// The time for which the simulation continues after the last request.
 const RUN_OUT: Micros = 5 * SECOND;
-/// An endpoint that is replaced drains for this long.
+/// The time for which a replaced endpoint drains before it stops.
 const DRAIN_TIME: Micros = 5 * SECOND;
 
-/// One run of a proxy process.
+/// One run of a proxy process, from a start to a kill.
 #[derive(Clone, Copy, PartialEq)]
 struct Incarnation {
     proxy: usize,
@@ -46,7 +46,7 @@
         attempt: usize,
         outcome: Outcome,
     },
-    /// The watch of a proxy is to be woken.
+    /// The timer of the discovery watch of a proxy.
     WatchTimer {
         proxy: usize,
     },
@@ -55,7 +55,7 @@
         call: CallId,
         result: CallResult,
     },
-    /// The fleet's restart begins.
+    /// The start of the fleet's restart.
     KillProxies,
     StartProxy {
         proxy: usize,
@@ -71,16 +71,17 @@
     fleet: &'a Fleet,
     rng: Rng,
     now: Micros,
-    /// Scheduled events, by their time and the order in which they were scheduled.
+    /// Scheduled events, by time and by the order in which they were scheduled.
     queue: BTreeMap<(Micros, u64), SimulatedEvent>,
-    /// The last number of an event or a request.
+    /// The last number that was assigned to an event or a request.
     last_number: u64,
     endpoints: BTreeMap<u32, SimulatedEndpoint>,
-    /// In the order in which they are replaced.
+    /// The endpoints in use, in the order in which they will be replaced.
     replacement_order: VecDeque<u32>,
     discovery: Discovery,
     proxies: Vec<Proxy>,
-    /// The fraction of recent client attempts without a good response, over some hundreds.
+    /// The fraction of recent client attempts without a successful response, as a moving average over some
+    /// hundreds of attempts.
     loss: f64,
     report: Report,
 }
@@ -150,7 +151,7 @@
         Incarnation { proxy, incarnation: self.proxies[proxy].incarnation }
     }
 
-    /// Whether the process is running: it was not killed since.
+    /// Returns whether this run of the process still lasts: it was not killed since.
     fn is_current(&self, process: Incarnation) -> bool {
         self.incarnation(process.proxy) == process
     }
@@ -189,14 +190,14 @@
     }
 
     fn on_watch_timer(&mut self, proxy: usize) {
-        // A timer that was scheduled before another time was asked for is obsolete.
+        // A timer is obsolete if another time was requested after it was scheduled.
         if self.proxies[proxy].wake_at == Some(self.now) {
             self.proxies[proxy].wake_at = None;
             self.handle_watch_event(proxy, WatchEvent::TimerDue);
         }
     }
 
-    /// The oldest endpoint drains, and a new one takes its place.
+    /// Starts to drain the oldest endpoint and starts a new one in its place.
     fn replace_oldest_endpoint(&mut self) {
         let Some(release) = self.fleet.release else { return };
         let new = self.endpoints.len() as u32;
--- a/crates/emulate/src/world/processes.rs
+++ b/crates/emulate/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! Processes: how they start, are killed, and start again with the list that they had.
+//! Start, kill and restart of proxy processes. A restarted process has the list that it had before.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::process::Proxy;
 
 impl World<'_> {
-    /// A process loads the list that it starts with.
+    /// Loads the list with which a process starts.
     pub(super) fn load_list(&mut self, proxy: usize) {
         let ids = (0..self.fleet.endpoints as u32).map(EndpointId);
         let mut states: BTreeMap<EndpointId, EndpointState> =
@@ -42,7 +42,7 @@
         self.load_list(proxy);
     }
 
-    /// Draws a proxy that is ready; one that runs, where none is ready.
+    /// Draws a ready proxy, or a running one if none is ready.
     pub(super) fn draw_ready_proxy(&mut self) -> Option<usize> {
         let mut candidates = self.proxies_where(|proxy| proxy.is_ready(self.now));
         if candidates.is_empty() {
--- a/crates/emulate/tests/fleet.rs
+++ b/crates/emulate/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Requirements on fleets of many proxies, over seeds, in virtual time.
+//! Requirements on fleets of many proxies, checked over several seeds in virtual time.
 
 use emulate::{run, Fleet, Release, Report, MILLISECOND, SECOND};
 
@@ -6,7 +6,8 @@
     report.rejected as f64 / report.client_attempts as f64
 }
 
-/// Every endpoint is replaced before it is announced to be warm, and clients shed requests when some are rejected.
+/// Returns a fleet in which each endpoint is replaced before it counts as warm, and whose clients shed
+/// requests when some are rejected.
 fn fleet_without_warm_endpoints(seed: u64) -> Fleet {
     let release = Some(Release { start: 10 * SECOND, interval: 500 * MILLISECOND, end: 50 * SECOND });
     let (announced_slow_start, actual_slow_start) = (30 * SECOND, 10 * SECOND);
@@ -15,6 +16,8 @@
     Fleet { release, announced_slow_start, actual_slow_start, clients_shed: true, seed, ..fleet }
 }
 
+/// Guards against a fleet that keeps rejecting requests although its endpoints have capacity, because none of
+/// them counts as warm.
 #[test]
 fn a_release_that_leaves_no_endpoint_warm_still_serves_clients() {
     for seed in 1..=4 {
@@ -27,7 +30,7 @@
         );
         assert!(
             rejected_fraction(&report) < 0.25,
-            "seed {seed}: {:.3} rejected of {} tries",
+            "seed {seed}: {:.3} rejected of {} client attempts",
             rejected_fraction(&report),
             report.client_attempts
         );
@@ -41,8 +44,10 @@
     }
 }
 
+/// A drain counts as notified even if its response is truncated or never arrives. Guards against forwarding
+/// to the drained endpoint after its grace in these cases.
 #[test]
-fn drains_are_kept_whatever_becomes_of_the_responses() {
+fn truncated_or_missing_responses_cause_no_late_forwards() {
     for proxies in [1, 40] {
         for (truncated_fraction, silent_fraction) in
             [(0.0, 0.0), (0.3, 0.0), (0.0, 0.3), (0.3, 0.3), (0.6, 0.2)]
@@ -83,8 +88,10 @@
     }
 }
 
+/// Guards against rejections that grow with the number of proxies, and against proxies that call discovery
+/// too often.
 #[test]
-fn a_fleet_without_faults_rejects_next_to_nothing_at_any_size() {
+fn a_fleet_without_faults_rejects_under_two_percent_at_any_size() {
     for proxies in [1, 10, 50, 200] {
         let report = run(&Fleet { proxies, duration: 20 * SECOND, ..Fleet::default() });
         assert!(
@@ -93,10 +100,11 @@
             rejected_fraction(&report)
         );
         let calls_per_proxy = report.queued_calls as f64 / proxies as f64;
-        assert!(calls_per_proxy < 3.0, "{proxies} proxies: {calls_per_proxy} calls of discovery each");
+        assert!(calls_per_proxy < 3.0, "{proxies} proxies: {calls_per_proxy} queued calls to discovery each");
     }
 }
 
+/// Guards against sources of chance outside the seed, which would make failures impossible to reproduce.
 #[test]
 fn a_run_is_determined_by_its_seed() {
     let fleet = Fleet {
--- a/crates/emulate/tests/restart.rs
+++ b/crates/emulate/tests/restart.rs
@@ -1,11 +1,12 @@
-//! Processes that start with a list: none forwards by it past the drain grace of changes that were made while it was down.
+//! A process that restarts with the list that it had must not forward to an endpoint after the grace of a
+//! drain that it missed while it was down.
 //!
-//! The oracle counts forwarded requests by the platform's rule alone: a change counts as notified six seconds after discovery had it
-//! and could be reached, and at the earliest when the process started.
+//! The simulation counts late forwards by the platform's rule alone: a change counts as notified six seconds
+//! after discovery had it and could be reached, and not before the process started.
 
 use emulate::{run, Fleet, Outage, Release, Report, Restart, MILLISECOND, SECOND};
 
-/// A release that starts at four seconds and replaces an endpoint every 300 ms.
+/// Adds a release that starts at four seconds and replaces an endpoint every 300 ms.
 fn release(fleet: Fleet) -> Fleet {
     Fleet {
         release: Some(Release { start: 4 * SECOND, interval: 300 * MILLISECOND, end: 16 * SECOND }),
@@ -15,9 +16,9 @@
     }
 }
 
-fn show(what: &str, report: &Report) {
+fn print_report(title: &str, report: &Report) {
     println!(
-        "{what}: {} late forwards, {} withheld, {} of {} served, {} rejected, {} calls to discovery, {} rejected calls",
+        "{title}: {} late forwards, {} withheld, {} of {} served, {} rejected, {} calls to discovery, {} rejected calls",
         report.late_forwards,
         report.withheld,
         report.served,
@@ -28,6 +29,8 @@
     );
 }
 
+/// Guards against a process that trusts the list it starts with, although endpoints were drained while it was
+/// down.
 #[test]
 fn a_restarted_process_forwards_nothing_by_a_stale_list() {
     for proxies in [1, 30, 300] {
@@ -36,21 +39,26 @@
                 let restart =
                     Some(Restart { at: 5 * SECOND, fraction: 0.7_f64.max(1.0 / proxies as f64), downtime });
                 let report = run(&release(Fleet { proxies, restart, seed, ..Fleet::default() }));
-                show(
+                print_report(
                     &format!("{proxies} proxies, down for {} ms, seed {seed}", downtime / MILLISECOND),
                     &report,
                 );
                 assert_eq!(report.late_forwards, 0, "{proxies} proxies, down for {downtime}, seed {seed}");
-                assert!(report.served > report.requests / 3, "seed {seed}: forwards next to nothing");
+                assert!(
+                    report.served > report.requests / 3,
+                    "seed {seed}: fewer than a third of the requests are served"
+                );
             }
         }
     }
 }
 
+/// Discovery rejects calls when many processes restart and poll it at once. Guards against mistaking these
+/// rejections for an outage and forwarding by a stale list.
 #[test]
-fn a_process_restarted_during_an_overload_of_discovery_does_not_take_it_for_an_outage() {
+fn an_overload_of_discovery_after_a_restart_is_not_taken_for_an_outage() {
     for seed in 1..=6 {
-        // Discovery recovers just before seven in ten proxies start again, and all poll it.
+        // Discovery recovers at 9 s, and 1.5 s later 70% of the proxies restart and poll it at once.
         let outage = Some(Outage { start: 2 * SECOND, end: 9 * SECOND });
         let restart = Some(Restart { at: 9 * SECOND, fraction: 0.7, downtime: 1_500 * MILLISECOND });
         let fleet =
@@ -65,8 +73,11 @@
             endpoints: 60,
             ..fleet
         });
-        show(&format!("an overload, seed {seed}"), &report);
+        print_report(&format!("overloaded discovery, seed {seed}"), &report);
         assert_eq!(report.late_forwards, 0, "seed {seed}");
-        assert!(report.served > report.requests / 3, "seed {seed}: forwards next to nothing");
+        assert!(
+            report.served > report.requests / 3,
+            "seed {seed}: fewer than a third of the requests are served"
+        );
     }
 }
