--- a/crates/testkit/src/bgp_router/codec.rs
+++ b/crates/testkit/src/bgp_router/codec.rs
@@ -1,15 +1,15 @@
-//! Encoding and decoding of BGP-4 messages, sharing no code with the proxy.
+//! Encodes and decodes BGP-4 messages, without sharing code with the proxy.
 
 use std::io::Read;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, TcpStream};
 
 use super::message::{BgpMessage, Prefix, Routes};
 
-/// Octets of a message header: marker, length and type.
+/// The length of a message header in octets: marker, length and type.
 const HEADER_LEN: usize = 19;
 const MARKER: [u8; 16] = [0xff; 16];
 const MAX_MESSAGE_LEN: usize = 4096;
-/// Stands for an AS number that takes four octets.
+/// The two-octet AS number that stands for a four-octet one, as RFC 6793 defines it.
 const AS_TRANS: u16 = 23456;
 
 /// Message types.
@@ -30,7 +30,7 @@
     pub const MP_REACH_NLRI: u8 = 14;
     pub const MP_UNREACH_NLRI: u8 = 15;
     pub const LARGE_COMMUNITIES: u8 = 32;
-    /// The flag of a length of two octets.
+    /// The flag of an attribute whose length takes two octets.
     pub const EXTENDED_LENGTH: u8 = 0x10;
 }
 
@@ -41,12 +41,12 @@
 /// The type of the OPEN parameter that holds capabilities.
 const CAPABILITIES_PARAMETER: u8 = 2;
 
-/// A big-endian number.
+/// Decodes a big-endian number.
 fn number(octets: &[u8]) -> u32 {
     octets.iter().fold(0, |number, octet| (number << 8) | u32::from(*octet))
 }
 
-/// A message with its header.
+/// Encodes a message with its header.
 pub fn encode(message_type: u8, body: &[u8]) -> Vec<u8> {
     let mut message = MARKER.to_vec();
     message.extend(u16::try_from(body.len() + HEADER_LEN).expect("short").to_be_bytes());
@@ -55,7 +55,7 @@
     message
 }
 
-/// An OPEN with these capabilities, each a code and a value.
+/// Encodes an OPEN with these capabilities, each a code and a value.
 pub fn encode_open(asn: u32, hold_time: u16, id: [u8; 4], capabilities: &[(u8, &[u8])]) -> Vec<u8> {
     let mut values = Vec::new();
     for (code, value) in capabilities {
@@ -74,7 +74,7 @@
     encode(message_type::OPEN, &body)
 }
 
-/// The capabilities of the default OPEN.
+/// Returns the capabilities of the default OPEN.
 pub fn default_capabilities(asn: u32) -> Vec<(u8, Vec<u8>)> {
     vec![
         (MULTIPROTOCOL_CAPABILITY, vec![0, 1, 0, 1]),
@@ -85,7 +85,7 @@
     ]
 }
 
-/// Reads the next message of a connection. None where it has ended.
+/// Reads the next message of a connection. Returns `None` if the connection has ended.
 pub fn read_message(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut message = vec![0; HEADER_LEN];
     stream.read_exact(&mut message).ok()?;
@@ -97,7 +97,7 @@
     Some(message)
 }
 
-/// Decodes a message with a sound header. AS numbers in paths have so many octets.
+/// Decodes a message whose header is valid. AS numbers in paths have `asn_octets` octets.
 pub fn decode(message: &[u8], asn_octets: usize) -> BgpMessage {
     let body = &message[HEADER_LEN..];
     match message[HEADER_LEN - 1] {
@@ -179,7 +179,7 @@
         attribute::LOCAL_PREF => routes.local_pref = Some(number(value)),
         attribute::COMMUNITIES => routes.communities = value.chunks(4).map(number).collect(),
         attribute::MP_REACH_NLRI => {
-            let next_hop: [u8; 16] = value[4..20].try_into().expect("sixteen");
+            let next_hop: [u8; 16] = value[4..20].try_into().expect("sixteen octets");
             routes.next_hop = Some(Ipv6Addr::from(next_hop).into());
             routes.announced.extend(decode_prefixes(&value[5 + usize::from(value[3])..], true));
         }
--- a/crates/testkit/src/bgp_router/message.rs
+++ b/crates/testkit/src/bgp_router/message.rs
@@ -26,28 +26,28 @@
     pub large_communities: Vec<[u32; 3]>,
 }
 
-/// A received message, or the end of its connection.
+/// A received message, or the end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BgpMessage {
-    /// OPEN.
+    /// An OPEN.
     Open {
-        /// The four-octet AS number, if its capability is there.
+        /// The AS number: that of the four-octet capability, if there is one, else the two-octet one.
         asn: u32,
-        /// In seconds.
+        /// The hold time in seconds.
         hold_time: u16,
         /// The BGP identifier.
         id: Ipv4Addr,
-        /// Code and value of each.
+        /// The code and value of each capability.
         capabilities: Vec<(u8, Vec<u8>)>,
     },
-    /// UPDATE.
+    /// An UPDATE.
     Routes(Routes),
-    /// NOTIFICATION.
+    /// A NOTIFICATION.
     Notification { code: u8, subcode: u8, data: Vec<u8> },
-    /// KEEPALIVE.
+    /// A KEEPALIVE.
     Keepalive,
     /// A message of another type.
     Other(u8),
-    /// The router's peer closed the connection.
+    /// The peer of the router closed the connection.
     ConnectionClosed,
 }
--- a/crates/testkit/src/bgp_router/mod.rs
+++ b/crates/testkit/src/bgp_router/mod.rs
@@ -16,16 +16,16 @@
 
 use codec::{message_type, FOUR_OCTET_AS_CAPABILITY};
 
-/// How a router deviates from the protocol.
+/// The deviations of a router from the protocol.
 #[derive(Clone, Debug, Default)]
 pub struct RouterBehavior {
-    /// Accepts connections and sends nothing.
+    /// Whether the router accepts connections but sends nothing.
     pub mute: bool,
     /// The OPEN to send in place of the default one.
     pub open: Option<Vec<u8>>,
-    /// Sends no KEEPALIVE but the first.
+    /// Whether the router sends no KEEPALIVE after the first.
     pub no_keepalives: bool,
-    /// Closes this many connections right after they are established.
+    /// The number of connections that the router closes right after accepting them.
     pub connections_to_close: usize,
 }
 
@@ -40,20 +40,20 @@
     state: Mutex<State>,
     message_received: Condvar,
     asn: u32,
-    /// In seconds.
+    /// The hold time in seconds.
     hold_time: u16,
     id: [u8; 4],
 }
 
 /// A router on a loopback address.
 pub struct Router {
-    /// Where it listens.
+    /// The address on which the router listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Router {
-    /// Listens on this address, on a port that the system chooses. The hold time is in seconds.
+    /// Starts a router on this address, with a port that the system chooses. The hold time is in seconds.
     pub fn start(ip: &str, asn: u32, hold_time: u16, behavior: RouterBehavior) -> Router {
         let listener = TcpListener::bind((ip, 0)).expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -79,36 +79,36 @@
         thread::spawn(move || serving.serve(stream));
     }
 
-    /// Behaves so from the next connection on.
+    /// Sets the behavior from the next connection on.
     pub fn set_behavior(&self, behavior: RouterBehavior) {
         self.shared.lock().behavior = behavior;
     }
 
-    /// Sends this on the latest connection.
+    /// Sends octets on the latest connection.
     pub fn send(&self, octets: &[u8]) {
         let state = self.shared.lock();
         let _ = write_all(state.streams.last().expect("a connection"), octets);
     }
 
-    /// Closes all connections, as a router that fails.
+    /// Closes all connections, like a router that fails.
     pub fn close_connections(&self) {
         for stream in self.shared.lock().streams.drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// All messages received so far.
+    /// Returns all messages received so far, with their times.
     pub fn received(&self) -> Vec<(Instant, BgpMessage)> {
         self.shared.lock().received.clone()
     }
 
-    /// The number of messages received so far.
+    /// Returns the number of messages received so far.
     pub fn received_count(&self) -> usize {
         self.shared.lock().received.len()
     }
 
-    /// Waits for the first message from index `from` on for which `wanted` returns something. Returns its index and
-    /// time, and what `wanted` returned.
+    /// Waits for the first message from index `from` on for which `wanted` returns something. Returns its
+    /// index and time, and what `wanted` returned.
     #[track_caller]
     pub fn wait<T>(&self, from: usize, wanted: impl Fn(&BgpMessage) -> Option<T>) -> (usize, Instant, T) {
         let deadline = Instant::now() + TEST_TIMEOUT;
@@ -122,7 +122,7 @@
                 index += 1;
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "not heard; heard were {:?}", state.received);
+            assert!(!left.is_zero(), "no matching message; received: {:?}", state.received);
             state = self.shared.message_received.wait_timeout(state, left).expect("unpoisoned").0;
         }
     }
@@ -198,7 +198,7 @@
         self.record(BgpMessage::ConnectionClosed);
     }
 
-    /// The behavior on a new connection. None if it is to be closed.
+    /// Returns the behavior on a new connection, or `None` if the connection is to be closed.
     fn accept(&self, stream: &TcpStream) -> Option<RouterBehavior> {
         let mut state = self.lock();
         if state.behavior.connections_to_close > 0 {
--- a/crates/testkit/src/fixed_latency_endpoint.rs
+++ b/crates/testkit/src/fixed_latency_endpoint.rs
@@ -9,18 +9,18 @@
 
 use crate::http_message::read_message;
 
-/// Serves until the process ends.
+/// An endpoint that serves until the process ends.
 pub struct FixedLatencyEndpoint {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
     served: Arc<AtomicUsize>,
 }
 
 impl FixedLatencyEndpoint {
-    /// Starts an endpoint that names itself in its responses.
+    /// Starts an endpoint whose responses contain its name.
     ///
     /// # Errors
-    /// There is no port to be had.
+    /// If no port is available.
     pub fn start(name: &str, latency: Duration) -> io::Result<FixedLatencyEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -36,7 +36,7 @@
         Ok(FixedLatencyEndpoint { address, served })
     }
 
-    /// Requests served so far.
+    /// Returns the number of requests served so far.
     pub fn served(&self) -> usize {
         self.served.load(Ordering::Relaxed)
     }
--- a/crates/testkit/src/http_message.rs
+++ b/crates/testkit/src/http_message.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages, read by a parser that shares no code with the proxy.
+//! HTTP/1.1 messages and a parser for them that shares no code with the proxy.
 
 use std::io::BufRead;
 
@@ -7,26 +7,26 @@
 pub struct HttpMessage {
     /// The request or status line.
     pub line: String,
-    /// Names and values in their order.
+    /// The names and values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// As long as `Content-Length` says.
+    /// The body, of the length that `Content-Length` gives.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The first value of a header, by a name in any case.
+    /// Returns the first value of a header. The name is not case-sensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         let field = self.headers.iter().find(|(field, _)| field.eq_ignore_ascii_case(name));
         field.map(|(_, value)| value.as_str())
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status line")
     }
 }
 
-/// Reads one message. None where the connection ends before it is complete.
+/// Reads one message. Returns `None` if the connection ends before it is complete, or a header has no colon.
 pub fn read_message(from: &mut impl BufRead) -> Option<HttpMessage> {
     let line = read_line(from)?;
     let mut headers = Vec::new();
--- a/crates/testkit/src/json_rpc/client.rs
+++ b/crates/testkit/src/json_rpc/client.rs
@@ -1,4 +1,4 @@
-//! A client on one connection.
+//! A JSON-RPC client on one connection.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,43 +21,43 @@
         RpcClient::of(TcpStream::connect(address).expect("the proxy listens"), framing)
     }
 
-    /// A client on a connection.
+    /// Creates a client on a connection.
     pub fn of(stream: TcpStream, framing: Framing) -> RpcClient {
         stream.set_nodelay(true).expect("set");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         RpcClient { stream: BufReader::new(stream), framing }
     }
 
-    /// The connection itself.
+    /// Returns the underlying stream.
     pub fn stream(&self) -> &TcpStream {
         self.stream.get_ref()
     }
 
-    /// Sends a message in the client's framing.
+    /// Sends a message in the framing of the client.
     pub fn send(&mut self, message: &str) {
         let bytes = self.framing.encode(message);
         self.send_bytes(&bytes);
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.get_mut().write_all(bytes).expect("written");
     }
 
-    /// The next message as it is written. None where the proxy has closed the connection.
+    /// Returns the text of the next message, or `None` if the proxy has closed the connection.
     pub fn try_receive_text(&mut self) -> Option<String> {
         self.framing.read(&mut self.stream)
     }
 
-    /// The next message. None where the proxy has closed the connection.
+    /// Returns the next message, or `None` if the proxy has closed the connection.
     pub fn try_receive(&mut self) -> Option<Value> {
         self.try_receive_text().map(|text| serde_json::from_str(&text).expect("JSON"))
     }
 
-    /// The next message.
+    /// Returns the next message.
     #[track_caller]
     pub fn receive(&mut self) -> Value {
-        self.try_receive().expect("a whole message")
+        self.try_receive().expect("a complete message")
     }
 
     /// Sends a message and returns the next one.
@@ -75,7 +75,7 @@
     }
 }
 
-/// The text of a request.
+/// Returns the text of a request.
 pub fn request(id: impl Into<Value>, method: &str, params: Value) -> String {
     json!({ "jsonrpc": "2.0", "id": id.into(), "method": method, "params": params }).to_string()
 }
--- a/crates/testkit/src/json_rpc/endpoint.rs
+++ b/crates/testkit/src/json_rpc/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint with scripted behavior.
+//! A JSON-RPC endpoint with scripted behavior.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -12,36 +12,36 @@
 use crate::mock_server::{in_sequence, MockServer, ServerEvent};
 use crate::release::Release;
 
-/// What the endpoint does with a call.
+/// The reaction of the endpoint to a call.
 #[derive(Clone, Debug)]
 pub enum RpcBehavior {
     /// Responds with this result.
     Result(Value),
     /// Responds with an error of this code.
     Error(i64),
-    /// Responds with the method and the key, or the id, of the call.
+    /// Responds with the method of the call and its key, or its request id if it has no key.
     Echo,
-    /// Writes this, with the call's id in place of `$ID`.
+    /// Writes this text, with `$ID` replaced by the id of the call.
     Raw(String),
-    /// Responds with this result once it is released.
+    /// Responds with this result after the release.
     ResultOnRelease(Arc<Release>, Value),
-    /// Does not respond, and reads on.
+    /// Does not respond, and continues to read.
     Hang,
     /// Closes the connection.
     Disconnect,
 }
 
-/// An endpoint that speaks JSON-RPC. Notifications are recorded and not responded to.
+/// A JSON-RPC endpoint. It records notifications without responding.
 pub type MockRpcEndpoint = MockServer<Value>;
 
 impl MockRpcEndpoint {
-    /// Behaves so in sequence, with the last behavior from there on.
+    /// Starts an endpoint with these behaviors in sequence. The last one is repeated.
     pub fn new(framing: Framing, behaviors: impl IntoIterator<Item = RpcBehavior>) -> MockRpcEndpoint {
         let next = in_sequence(behaviors.into_iter().collect());
         MockRpcEndpoint::of(framing, move |_| next())
     }
 
-    /// Behaves as the function says for each call.
+    /// Starts an endpoint whose behavior for each call is given by a function.
     pub fn of(
         framing: Framing,
         behavior: impl Fn(&Value) -> RpcBehavior + Send + Sync + 'static,
@@ -71,19 +71,19 @@
             connection.respond(&call, id, behavior(&call))?;
         }
     }
-    // What was cut off.
+    // Reads the rest of an incomplete message, up to the end of the connection.
     let _ = reader.read_to_end(&mut Vec::new());
     None
 }
 
-/// The side of a connection that responses are written to.
+/// The writing side of a connection.
 struct Connection {
     framing: Framing,
     writer: Arc<Mutex<TcpStream>>,
 }
 
 impl Connection {
-    /// None where the connection has ended.
+    /// Responds to a call. Returns `None` if the connection has ended.
     fn respond(&self, call: &Value, id: &Value, behavior: RpcBehavior) -> Option<()> {
         match behavior {
             RpcBehavior::Result(result) => self.write(&response(id, &result)),
@@ -93,7 +93,7 @@
                 self.write(&response(id, &json!({ "method": call["method"], "of": name })))
             }
             RpcBehavior::Error(code) => {
-                let error = json!({ "code": code, "message": "as the script says" });
+                let error = json!({ "code": code, "message": "scripted error" });
                 self.write(&json!({ "jsonrpc": "2.0", "id": id, "error": error }).to_string())
             }
             RpcBehavior::Raw(text) => {
--- a/crates/testkit/src/json_rpc/framing.rs
+++ b/crates/testkit/src/json_rpc/framing.rs
@@ -2,17 +2,17 @@
 
 use std::io::BufRead;
 
-/// How messages are delimited.
+/// The way in which messages are delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// One message a line.
+    /// One message per line.
     Lines,
     /// A `Content-Length` header before each message.
     ContentLength,
 }
 
 impl Framing {
-    /// The bytes of a message.
+    /// Returns the bytes of a message with its delimiter.
     pub fn encode(self, message: &str) -> Vec<u8> {
         match self {
             Framing::Lines => format!("{message}\n").into_bytes(),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The next message. None where the connection ends before it is complete.
+    /// Reads the next message. Returns `None` if the connection ends before it is complete.
     pub fn read(self, from: &mut impl BufRead) -> Option<String> {
         match self {
             Framing::Lines => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads the header up to the empty line.
+/// Reads the header up to the empty line and returns its `Content-Length`.
 fn read_content_length(from: &mut impl BufRead) -> Option<usize> {
     let mut length = None;
     let mut line = String::new();
--- a/crates/testkit/src/json_rpc/mod.rs
+++ b/crates/testkit/src/json_rpc/mod.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0 peers, written from the specification and sharing no code with the proxy.
+//! JSON-RPC 2.0 clients and endpoints that follow the specification and share no code with the proxy.
 
 mod client;
 mod endpoint;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! Mock peers of the proxy on loopback, shared by tests, benchmarks and the demo: endpoints with scripted behavior,
-//! discovery, BGP routers, and clients.
+//! Mock peers of the proxy on loopback, shared by tests, benchmarks and the demo: endpoints with scripted
+//! behavior, discovery, BGP routers, and clients.
 //!
-//! Ports are chosen by the system, and waits are for events with [`TEST_TIMEOUT`]. A panic is a failure of the test.
+//! The system chooses all ports. Functions that wait for an event give up after [`TEST_TIMEOUT`] and panic,
+//! which fails the test.
 
 pub mod bgp_router;
 mod discovery_list;
@@ -28,5 +29,5 @@
 pub use release::Release;
 pub use reserved_port::{unused_address, ReservedPort};
 
-/// The limit of every wait, far above what a busy machine needs.
+/// The time-out of every wait, far above what a busy machine needs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/testkit/src/mock_discovery.rs
+++ b/crates/testkit/src/mock_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service whose responses are scripted.
+//! A discovery service with scripted responses.
 
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -11,12 +11,12 @@
 use crate::http_message::read_message;
 use crate::TEST_TIMEOUT;
 
-/// What discovery does with a poll.
+/// The reaction of discovery to a poll.
 #[derive(Clone, Debug)]
 pub enum PollResponse {
     /// Responds with this list.
     List(String),
-    /// Announces a list and closes the connection in the middle of it.
+    /// Sends the `Content-Length` of this list and closes the connection after half of it.
     Truncated(String),
     /// Responds with 503.
     Unavailable,
@@ -27,9 +27,9 @@
 #[derive(Default)]
 struct Script {
     responses: VecDeque<PollResponse>,
-    /// The response to each poll while there are no others.
+    /// The response to each poll while `responses` is empty.
     default_response: Option<PollResponse>,
-    /// The polls received: path and time.
+    /// The path and time of each poll received.
     polls: Vec<(String, Instant)>,
 }
 
@@ -59,7 +59,7 @@
         script.polls.push((path, Instant::now()));
         self.changed.notify_all();
         let mut script = self.changed.wait_while(script, |script| script.is_empty()).expect("unpoisoned");
-        script.next().expect("just seen")
+        script.next().expect("the script is not empty")
     }
 
     fn serve(&self, mut stream: TcpStream) {
@@ -93,16 +93,16 @@
     }
 }
 
-/// Responds to each poll with the next scripted response, as soon as there is one. A poll that does not wait is answered
-/// with an empty list while there is none, and is not counted.
+/// Responds to each poll with the next scripted response, as soon as there is one. While there is none, a
+/// poll that only confirms the list at the start of a process gets an empty list at once, and is not counted.
 pub struct MockDiscovery {
-    /// Where it listens.
+    /// The address on which discovery listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl MockDiscovery {
-    /// Starts with an empty script.
+    /// Starts a discovery service with an empty script.
     pub fn new() -> MockDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -123,24 +123,24 @@
         self.shared.changed.notify_all();
     }
 
-    /// Sets the response to each poll while the script is empty. With None, polls wait for the script.
+    /// Sets the response to each poll while the script is empty. With `None`, polls wait for the script.
     pub fn set_default_response(&self, response: Option<PollResponse>) {
         self.shared.lock().default_response = response;
         self.shared.changed.notify_all();
     }
 
-    /// The number of polls received so far.
+    /// Returns the number of polls received so far.
     pub fn poll_count(&self) -> usize {
         self.shared.lock().polls.len()
     }
 
-    /// Waits for the poll of this number, from 0; returns its path and time.
+    /// Waits for the poll with this number, from 0. Returns its path and time.
     #[track_caller]
     pub fn wait_for_poll(&self, number: usize) -> (String, Instant) {
         let is_missing = |script: &mut Script| script.polls.len() <= number;
         let waited = self.shared.changed.wait_timeout_while(self.shared.lock(), TEST_TIMEOUT, is_missing);
         let (script, _) = waited.expect("unpoisoned");
-        script.polls.get(number).expect("the proxy calls discovery").clone()
+        script.polls.get(number).expect("the proxy polls discovery").clone()
     }
 }
 
@@ -150,7 +150,8 @@
     }
 }
 
-/// The version that a poll asks to confirm without waiting, as a process does that has just started.
+/// Returns the version that a poll asks to confirm without waiting, which a process does right after its
+/// start. Returns `None` for other polls.
 fn confirmed_version(path: &str) -> Option<u64> {
     path.strip_prefix("/v1/servers?after=")?.strip_suffix("&wait_ms=1")?.parse().ok()
 }
--- a/crates/testkit/src/mock_endpoint.rs
+++ b/crates/testkit/src/mock_endpoint.rs
@@ -9,14 +9,14 @@
 use crate::mock_server::{in_sequence, MockServer, ServerEvent};
 use crate::release::Release;
 
-/// What the endpoint does with a request.
+/// The reaction of the endpoint to a request.
 #[derive(Clone, Debug)]
 pub enum Behavior {
-    /// Writes this and keeps the connection.
+    /// Writes this response and keeps the connection open.
     Respond(String),
-    /// Writes this and closes the connection without `Connection: close`.
+    /// Writes this response and closes the connection, although the response has no `Connection: close`.
     RespondAndClose(String),
-    /// Writes this once it is released.
+    /// Writes this response after the release.
     RespondOnRelease(Arc<Release>, String),
     /// Does not respond until the proxy closes the connection.
     Hang,
@@ -24,32 +24,32 @@
     Disconnect,
 }
 
-/// A successful response with a load report.
+/// Returns a successful response with a load report.
 pub fn ok(body: &str) -> Behavior {
     answer("200 OK", "X-Server-Load: {\"depth\":1}\r\n", body)
 }
 
-/// The response of an overloaded endpoint that has not processed the request.
+/// Returns the response of an overloaded endpoint that has not processed the request.
 pub fn full() -> Behavior {
     answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
 }
 
-/// A response with these headers, each with its line end.
+/// Returns a response with these headers, each of which includes its line end.
 pub fn answer(status: &str, headers: &str, body: &str) -> Behavior {
     Behavior::Respond(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// An endpoint that speaks HTTP/1.1.
+/// An HTTP/1.1 endpoint.
 pub type MockEndpoint = MockServer<HttpMessage>;
 
 impl MockEndpoint {
-    /// Behaves so in sequence, with the last behavior from there on.
+    /// Starts an endpoint with these behaviors in sequence. The last one is repeated.
     pub fn new(behaviors: impl IntoIterator<Item = Behavior>) -> MockEndpoint {
         let next = in_sequence(behaviors.into_iter().collect());
         MockEndpoint::of(move |_| next())
     }
 
-    /// Behaves as the function says for each request.
+    /// Starts an endpoint whose behavior for each request is given by a function.
     pub fn of(behavior: impl Fn(&HttpMessage) -> Behavior + Send + Sync + 'static) -> MockEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         MockServer::serve(listener, move |number, stream, events| serve(number, stream, events, &behavior))
--- a/crates/testkit/src/mock_server.rs
+++ b/crates/testkit/src/mock_server.rs
@@ -1,4 +1,4 @@
-//! What all mock servers share: a listener, one thread a connection, and a record of what they see.
+//! The common part of all mock servers: a listener, one thread per connection, and a record of events.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -7,7 +7,7 @@
 
 use crate::TEST_TIMEOUT;
 
-/// What a mock server sees, with the number of the connection, from 0.
+/// An event at a mock server, with the number of the connection, from 0.
 #[derive(Debug)]
 pub enum ServerEvent<T> {
     /// A complete request.
@@ -16,15 +16,15 @@
     ConnectionClosed(usize),
 }
 
-/// A server whose requests are of one type.
+/// A server with requests of type `T`.
 pub struct MockServer<T> {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     events: Receiver<ServerEvent<T>>,
 }
 
 impl<T: Send + 'static> MockServer<T> {
-    /// Serves each connection on a thread of its own.
+    /// Serves each connection on its own thread.
     pub(crate) fn serve(
         listener: TcpListener,
         serve: impl Fn(usize, TcpStream, &Sender<ServerEvent<T>>) + Send + Sync + 'static,
@@ -44,10 +44,10 @@
     /// Waits for the next event.
     #[track_caller]
     pub fn next(&self) -> ServerEvent<T> {
-        self.events.recv_timeout(TEST_TIMEOUT).expect("the proxy does something")
+        self.events.recv_timeout(TEST_TIMEOUT).expect("an event at the mock server")
     }
 
-    /// Waits for the next request; returns it with the number of its connection.
+    /// Waits for the next request. Returns it with the number of its connection.
     #[track_caller]
     pub fn request(&self) -> (usize, T) {
         loop {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits until a connection is closed; returns its number.
+    /// Waits until a connection is closed. Returns its number.
     #[track_caller]
     pub fn wait_for_close(&self) -> usize {
         loop {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The requests seen so far and not returned yet.
+    /// Returns the requests that were received so far and not yet returned. Other events are discarded.
     pub fn requests(&self) -> Vec<T> {
         let request = |event| match event {
             ServerEvent::Request(_, request) => Some(request),
@@ -77,12 +77,12 @@
     }
 }
 
-/// Returns the items one after the other, and the last one from there on.
+/// Returns a function that yields the items one after another and then repeats the last one.
 pub(crate) fn in_sequence<T: Clone>(items: Vec<T>) -> impl Fn() -> T {
     let next = Mutex::new(0);
     move || {
         let mut next = next.lock().expect("unpoisoned");
-        let item = items.get((*next).min(items.len() - 1)).cloned().expect("one at least");
+        let item = items.get((*next).min(items.len() - 1)).cloned().expect("at least one item");
         *next += 1;
         item
     }
--- a/crates/testkit/src/release.rs
+++ b/crates/testkit/src/release.rs
@@ -1,10 +1,10 @@
-//! A latch that a test opens.
+//! A latch that a test can release.
 
 use std::sync::{Condvar, Mutex};
 
 use crate::TEST_TIMEOUT;
 
-/// Blocks waiting threads until it is released, once and for all.
+/// Blocks waiting threads until it is released. It stays released.
 #[derive(Debug, Default)]
 pub struct Release {
     released: Mutex<bool>,
@@ -12,7 +12,7 @@
 }
 
 impl Release {
-    /// Releases all waiting threads, now and later.
+    /// Releases all threads that wait, now or later.
     pub fn release(&self) {
         *self.released.lock().expect("unpoisoned") = true;
         self.changed.notify_all();
--- a/crates/testkit/src/reserved_port.rs
+++ b/crates/testkit/src/reserved_port.rs
@@ -4,10 +4,10 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Connections that the kernel queues for a listener.
+/// The number of connections that the kernel queues for a listener.
 const BACKLOG: i32 = 128;
 
-/// An address where nobody listens.
+/// Returns an address without a listener.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound")
 }
@@ -19,7 +19,7 @@
     /// Binds a port.
     ///
     /// # Panics
-    /// There is none to be had.
+    /// If no port is available.
     #[must_use]
     pub fn new() -> ReservedPort {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -27,19 +27,19 @@
         ReservedPort(socket)
     }
 
-    /// Its address.
+    /// Returns the address of the port.
     ///
     /// # Panics
-    /// It has none.
+    /// If the socket has no address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().expect("bound").as_socket().expect("an address")
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections.
     ///
     /// # Panics
-    /// The socket cannot listen.
+    /// If the socket cannot listen.
     #[must_use]
     pub fn open(self) -> TcpListener {
         self.0.listen(BACKLOG).expect("listens");
