--- a/benches/ending.rs
+++ b/benches/ending.rs
@@ -1,7 +1,8 @@
-//! What becomes of requests between the word to end and the end of a proxy, by the time since the word.
+//! Counts the outcomes of requests while a proxy shuts down, by the time since SIGTERM.
 //!
-//! `cargo bench --bench ending`. `OTHER=PROGRAM` names another build, whose runs alternate with this one's. Callers come
-//! again at once on the connections that they have; a third of the nodes hang from the word on.
+//! `cargo bench --bench ending`. `OTHER=PROGRAM` names another build, whose runs alternate with those of this
+//! build. Clients send the next request at once on the connections that they have. A third of the endpoints
+//! hang from the time of SIGTERM.
 
 #[path = "../tests/stubs/mod.rs"]
 mod stubs;
@@ -15,89 +16,96 @@
 use stubs::*;
 
 const RUNS: usize = 7;
-const CALLERS: usize = 24;
-const WORK: Duration = Duration::from_millis(80);
+const CLIENTS: usize = 24;
+/// The latency of the endpoints.
+const LATENCY: Duration = Duration::from_millis(80);
+/// The length of the steps by which outcomes are counted, in milliseconds.
 const STEP_MS: u128 = 250;
 
+/// The number of requests by outcome.
 #[derive(Default, Clone, Copy)]
-struct Count {
+struct Counts {
     served: usize,
-    refused: usize,
+    rejected: usize,
     failed: usize,
-    /// No whole answer to a request that was sent whole.
+    /// Requests that were sent completely and got no complete response.
     lost: usize,
 }
 
 fn main() {
-    // Cargo asks benchmarks that bring their own harness for a list of them.
+    // Benchmarks without the standard harness are also started with `--list` or `--test`, and measure nothing
+    // then.
     if std::env::args().any(|a| a == "--list" || a == "--test") {
         return;
     }
     let mut programs = vec![("this build", env!("CARGO_BIN_EXE_amberlever").to_owned())];
-    programs.extend(std::env::var("OTHER").ok().map(|program| ("the other", program)));
+    programs.extend(std::env::var("OTHER").ok().map(|program| ("other", program)));
     for deadline_ms in [300, 1000, 3000] {
-        let mut told: BTreeMap<(&str, u128), Count> = BTreeMap::new();
+        let mut totals: BTreeMap<(&str, u128), Counts> = BTreeMap::new();
         for _ in 0..RUNS {
             for (name, program) in &programs {
-                for (step, count) in play(program, deadline_ms) {
-                    let sum = told.entry((name, step)).or_default();
-                    sum.served += count.served;
-                    sum.refused += count.refused;
-                    sum.failed += count.failed;
-                    sum.lost += count.lost;
+                for (step, counts) in run(program, deadline_ms) {
+                    let total = totals.entry((name, step)).or_default();
+                    total.served += counts.served;
+                    total.rejected += counts.rejected;
+                    total.failed += counts.failed;
+                    total.lost += counts.lost;
                 }
             }
         }
-        println!("deadline {deadline_ms} ms, {RUNS} runs: asked so long after the word, served, refused, failed, no answer");
-        for ((name, step), Count { served, refused, failed, lost }) in told {
-            println!("  {name:10} {:5} ms {served:6} {refused:6} {failed:6} {lost:6}", step * STEP_MS);
+        println!("deadline {deadline_ms} ms, {RUNS} runs: time from SIGTERM to the request, served, rejected, failed, no response");
+        for ((name, step), Counts { served, rejected, failed, lost }) in totals {
+            println!("  {name:10} {:5} ms {served:6} {rejected:6} {failed:6} {lost:6}", step * STEP_MS);
         }
     }
 }
 
-fn play(program: &str, deadline_ms: u32) -> BTreeMap<u128, Count> {
+/// Runs a proxy until it is killed. Returns the outcomes of requests after SIGTERM, by step.
+fn run(program: &str, deadline_ms: u32) -> BTreeMap<u128, Counts> {
     let hang = Arc::<AtomicBool>::default();
-    let nodes: Vec<MockEndpoint> = (0..6)
+    let endpoints: Vec<MockEndpoint> = (0..6)
         .map(|n| {
             let hang = Arc::clone(&hang);
             MockEndpoint::of(move |_| {
                 if n % 3 == 0 && hang.load(Ordering::Relaxed) {
                     return Behavior::Hang;
                 }
-                thread::sleep(WORK);
+                thread::sleep(LATENCY);
                 ok("done")
             })
         })
         .collect();
-    let mut setup = Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>());
+    let mut setup = Setup::with_endpoints(&endpoints.iter().collect::<Vec<_>>());
     (setup.latency_objective_ms, setup.deadline_ms, setup.balancers) = (deadline_ms, deadline_ms, 3);
     let proxy = setup.start_program(program);
-    let told = Arc::<Mutex<Option<Instant>>>::default();
-    let counts = Arc::<Mutex<BTreeMap<u128, Count>>>::default();
-    let callers: Vec<_> = (0..CALLERS)
+    let terminated_at = Arc::<Mutex<Option<Instant>>>::default();
+    let counts_by_step = Arc::<Mutex<BTreeMap<u128, Counts>>>::default();
+    let clients: Vec<_> = (0..CLIENTS)
         .map(|c| {
-            let (mut caller, told, counts) = (proxy.connect(), Arc::clone(&told), Arc::clone(&counts));
+            let (mut client, terminated_at, counts_by_step) =
+                (proxy.connect(), Arc::clone(&terminated_at), Arc::clone(&counts_by_step));
             thread::spawn(move || {
                 for n in 0.. {
-                    // Both may find the connection closed: that crosses the request, which goes elsewhere.
-                    if !caller.try_send(&read(&format!("{c}-{n}"), deadline_ms)) {
+                    // The proxy may close the connection at the same time, so sending or receiving may fail.
+                    // The client would then send the request to another proxy.
+                    if !client.try_send(&read(&format!("{c}-{n}"), deadline_ms)) {
                         return;
                     }
-                    let asked = Instant::now();
-                    let answer = caller.try_receive();
-                    let word = *told.lock().expect("unpoisoned");
-                    if let Some(word) = word.filter(|word| *word <= asked) {
-                        let step = (asked - word).as_millis() / STEP_MS;
-                        let mut counts = counts.lock().expect("unpoisoned");
-                        let count = counts.entry(step).or_default();
-                        match answer.as_ref().map(HttpMessage::status) {
-                            Some(200) => count.served += 1,
-                            Some(429 | 503) => count.refused += 1,
-                            Some(_) => count.failed += 1,
-                            None => count.lost += 1,
+                    let sent_at = Instant::now();
+                    let response = client.try_receive();
+                    let terminated_at = *terminated_at.lock().expect("unpoisoned");
+                    if let Some(terminated_at) = terminated_at.filter(|at| *at <= sent_at) {
+                        let step = (sent_at - terminated_at).as_millis() / STEP_MS;
+                        let mut counts_by_step = counts_by_step.lock().expect("unpoisoned");
+                        let counts = counts_by_step.entry(step).or_default();
+                        match response.as_ref().map(HttpMessage::status) {
+                            Some(200) => counts.served += 1,
+                            Some(429 | 503) => counts.rejected += 1,
+                            Some(_) => counts.failed += 1,
+                            None => counts.lost += 1,
                         }
                     }
-                    if answer.is_none_or(|a| a.header("Connection") == Some("close")) {
+                    if response.is_none_or(|response| response.header("Connection") == Some("close")) {
                         return;
                     }
                 }
@@ -106,12 +114,12 @@
         .collect();
     thread::sleep(Duration::from_secs(2));
     hang.store(true, Ordering::Relaxed);
-    *told.lock().expect("unpoisoned") = Some(Instant::now());
+    *terminated_at.lock().expect("unpoisoned") = Some(Instant::now());
     proxy.terminate();
-    // As on the platform: killed at the earliest moment that its page allows.
+    // The platform kills a proxy at this time at the earliest.
     thread::sleep(Duration::from_millis(u64::from(deadline_ms.min(3000)) + 700));
     proxy.signal("KILL");
-    callers.into_iter().for_each(|caller| caller.join().expect("no panic"));
-    let counts = counts.lock().expect("unpoisoned");
-    counts.clone()
+    clients.into_iter().for_each(|client| client.join().expect("no panic"));
+    let counts_by_step = counts_by_step.lock().expect("unpoisoned");
+    counts_by_step.clone()
 }
--- a/benches/tenants.rs
+++ b/benches/tenants.rs
@@ -1,7 +1,8 @@
-//! What three tenants feel of each other, and what many tenants cost.
+//! Measures the effect of an overloading tenant on two others, and the cost of many tenants.
 //!
-//! `cargo bench --bench tenants [SECONDS]`: one tenant's clients retry at once, five times its share; the same time
-//! without them and with them, in turn. Then the throughput with 1 and with 1,000 tenants, in pairs.
+//! `cargo bench --bench tenants [SECONDS]`: the clients of one tenant retry at once, at five times its share.
+//! Rounds of this length alternate between without and with these clients. Then the processor time per
+//! request with 1 and with 1,000 tenants is compared in pairs.
 
 #[path = "../tests/stubs/api.rs"]
 mod api;
@@ -22,92 +23,105 @@
         return;
     }
     let seconds = std::env::args().skip(1).find_map(|a| a.parse().ok()).unwrap_or(5);
-    storm(Duration::from_secs(seconds));
-    many();
+    measure_isolation(Duration::from_secs(seconds));
+    compare_tenant_counts();
 }
 
-/// Sorted latencies of a caller that asks 200 times a second, in microseconds, and how many were refused.
-fn quiet(address: std::net::SocketAddr, host: &str, time: Duration) -> (Vec<u64>, u64) {
-    let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
-    let (since, mut all, mut refused) = (Instant::now(), Vec::new(), 0);
+/// Sends 200 requests per second. Returns their sorted latencies in microseconds, and the number of rejected
+/// requests.
+fn measure_latency(address: std::net::SocketAddr, host: &str, duration: Duration) -> (Vec<u64>, u64) {
+    let mut client = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
+    let (started_at, mut latencies, mut rejected) = (Instant::now(), Vec::new(), 0);
     let mut due = Instant::now();
-    while since.elapsed() < time {
+    while started_at.elapsed() < duration {
         due += Duration::from_millis(5);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        let answer = caller.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n"));
-        refused += u64::from(answer.status() != 200);
-        // From the time at which it was due, so that waiting for the one before counts.
-        all.push(due.elapsed().as_micros() as u64);
+        let response = client.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n"));
+        rejected += u64::from(response.status() != 200);
+        // The latency counts from the time at which the request was due, so that it includes the wait for the
+        // previous response.
+        latencies.push(due.elapsed().as_micros() as u64);
     }
-    all.sort_unstable();
-    (all, refused)
+    latencies.sort_unstable();
+    (latencies, rejected)
 }
 
-fn storm(time: Duration) {
-    let nodes: Vec<FixedLatencyEndpoint> = (0..3)
+fn measure_isolation(duration: Duration) {
+    let endpoints: Vec<FixedLatencyEndpoint> = (0..3)
         .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(2)).expect("a port"))
         .collect();
     let service = start_hosted(&hosted_config("capacity = { requests_per_s = 1200 }\n", ""));
     for (i, name) in ["a", "b", "c"].iter().enumerate() {
-        let doc = tenant(&format!("{name}.example"), &[nodes[i].address], json!({}));
-        assert_eq!(service.put(&format!("/v1/tenants/{name}"), &doc).status, 200);
+        let document = tenant(&format!("{name}.example"), &[endpoints[i].address], json!({}));
+        assert_eq!(service.put(&format!("/v1/tenants/{name}"), &document).status, 200);
     }
     let address = service.process.address;
-    println!("| round | tenant | asked | served | p50 ms | p99 ms | refused |");
+    println!("| round | tenant | requests | served | p50 ms | p99 ms | rejected |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    // A pair is enough where a round is long.
-    for round in 0..if time > Duration::from_secs(20) { 2 } else { 6 } {
-        let noisy = round % 2 == 1;
-        let (stop, served, refused) =
-            (Arc::new(AtomicBool::new(!noisy)), Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let storm: Vec<_> = (0..10)
+    // One pair of rounds is enough if rounds are long.
+    for round in 0..if duration > Duration::from_secs(20) { 2 } else { 6 } {
+        let is_overloaded = round % 2 == 1;
+        let (stop, served, rejected) = (
+            Arc::new(AtomicBool::new(!is_overloaded)),
+            Arc::new(AtomicU64::new(0)),
+            Arc::new(AtomicU64::new(0)),
+        );
+        let retrying_clients: Vec<_> = (0..10)
             .map(|_| {
-                let (stop, served, refused) = (Arc::clone(&stop), Arc::clone(&served), Arc::clone(&refused));
+                let (stop, served, rejected) =
+                    (Arc::clone(&stop), Arc::clone(&served), Arc::clone(&rejected));
                 thread::spawn(move || {
-                    let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
+                    let mut client = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
                     while !stop.load(Ordering::Relaxed) {
                         let due = Instant::now() + Duration::from_millis(5);
-                        let answer = caller.ask("GET /x HTTP/1.1\r\nHost: a.example\r\nX-Retried: 1\r\n\r\n");
-                        let count = if answer.status() == 200 { &served } else { &refused };
+                        let response =
+                            client.ask("GET /x HTTP/1.1\r\nHost: a.example\r\nX-Retried: 1\r\n\r\n");
+                        let count = if response.status() == 200 { &served } else { &rejected };
                         count.fetch_add(1, Ordering::Relaxed);
                         thread::sleep(due.saturating_duration_since(Instant::now()));
                     }
                 })
             })
             .collect();
-        let told = thread::scope(|s| {
-            let c = s.spawn(|| quiet(address, "c.example", time));
-            [quiet(address, "b.example", time), c.join().expect("it ends")]
+        let results = thread::scope(|scope| {
+            let c = scope.spawn(|| measure_latency(address, "c.example", duration));
+            [measure_latency(address, "b.example", duration), c.join().expect("no panic")]
         });
         stop.store(true, Ordering::Relaxed);
-        storm.into_iter().for_each(|t| t.join().expect("answered"));
-        let round = format!("{} {}", round / 2 + 1, if noisy { "with a's storm" } else { "without" });
-        for (name, (all, refused)) in ["b", "c"].iter().zip(told) {
-            let at = |part: f64| all[((all.len() - 1) as f64 * part) as usize] as f64 / 1000.0;
-            let served = all.len() as u64 - refused;
+        retrying_clients.into_iter().for_each(|thread| thread.join().expect("no panic"));
+        let round = format!(
+            "{} {}",
+            round / 2 + 1,
+            if is_overloaded { "with overload of a" } else { "without overload" }
+        );
+        for (name, (latencies, rejected)) in ["b", "c"].iter().zip(results) {
+            let quantile = |q: f64| latencies[((latencies.len() - 1) as f64 * q) as usize] as f64 / 1000.0;
+            let served = latencies.len() as u64 - rejected;
             println!(
-                "| {round} | {name} | {} | {served} | {:.2} | {:.2} | {refused} |",
-                all.len(),
-                at(0.5),
-                at(0.99)
+                "| {round} | {name} | {} | {served} | {:.2} | {:.2} | {rejected} |",
+                latencies.len(),
+                quantile(0.5),
+                quantile(0.99)
             );
         }
-        if noisy {
-            let (served, refused) = (served.load(Ordering::Relaxed), refused.load(Ordering::Relaxed));
-            println!("| {round} | a | {} | {served} | | | {refused} |", served + refused);
+        if is_overloaded {
+            let (served, rejected) = (served.load(Ordering::Relaxed), rejected.load(Ordering::Relaxed));
+            println!("| {round} | a | {} | {served} | | | {rejected} |", served + rejected);
         }
     }
-    println!("\nrefusals of a by cause: {}", service.get("/v1/tenants/a/status").body["refused"]);
+    println!("\nrejections of a by cause: {}", service.get("/v1/tenants/a/status").body["refused"]);
 }
 
-fn many() {
-    let node = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
+/// Compares the processor time per request of a service with 1,000 tenants, ten of which get requests, with
+/// that of a service with one.
+fn compare_tenant_counts() {
+    let endpoint = FixedLatencyEndpoint::start("n", Duration::ZERO).expect("a port");
     let service = |tenants: usize| {
         let folder = temp_folder();
         let mut file = hosted_config("sockets = 20000\n", "");
         let config = format!(
             "[[class]]\nname = \"c\"\naim_ms = 4000\ndeadline_ms = 4000\nsemantics = \"idempotent\"\n[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n0\", address = \"{}\" }}]\n[[route]]\nname = \"r\"\nmatch = {{ path = \"/*\" }}\nclass = \"c\"\npool = \"p\"\n",
-            node.address
+            endpoint.address
         );
         std::fs::write(folder.join("t.toml"), config).expect("written");
         for i in 0..tenants {
@@ -122,12 +136,12 @@
         for side in [round % 2, 1 - round % 2] {
             let (service, tenants) = if side == 0 { (&one, 1) } else { (&thousand, 1000) };
             let before = service.process.cpu_time_ns();
-            let mut caller = service.process.connect();
+            let mut client = service.process.connect();
             for i in 0..4000 {
-                // Ten of them ask.
+                // At most ten tenants get requests.
                 let host = format!("t{}.example", i % 10 % tenants);
-                let answer = caller.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n"));
-                assert_eq!(answer.status(), 200);
+                let response = client.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n"));
+                assert_eq!(response.status(), 200);
             }
             cost[side] = (service.process.cpu_time_ns() - before) as f64;
         }
@@ -137,7 +151,7 @@
     }
     ratios.sort_by(f64::total_cmp);
     println!(
-        "\n1,000 tenants of which ten ask / one tenant, processor time a request, 20 pairs of 4,000: median {:.3}, quartiles {:.3} to {:.3}",
+        "\n1,000 tenants, ten of them with requests / one tenant, processor time per request, 20 pairs of 4,000: median {:.3}, quartiles {:.3} to {:.3}",
         ratios[10], ratios[5], ratios[15]
     );
 }
