--- a/src/bin/amberlever-simulator/endpoint_list.rs
+++ b/src/bin/amberlever-simulator/endpoint_list.rs
@@ -12,21 +12,21 @@
 
 /// The first line of an endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct ListHead {
+pub struct ListHeader {
     /// The number by which events refer to the list.
     pub list: u32,
     /// The number of entries that follow, one per line.
     pub entries: u64,
 }
 
-impl ListHead {
+impl ListHeader {
     /// Parses the rest of a `POOL` line.
-    pub fn parse(rest: &str) -> Result<ListHead, LineError> {
+    pub fn parse(rest: &str) -> Result<ListHeader, LineError> {
         let mut fields = FieldReader::new(rest);
         let list = fields.number()?;
         let entries = fields.number()?;
         fields.end()?;
-        Ok(ListHead { list, entries })
+        Ok(ListHeader { list, entries })
     }
 }
 
--- a/src/bin/amberlever-simulator/session.rs
+++ b/src/bin/amberlever-simulator/session.rs
@@ -9,7 +9,7 @@
 use decide::{Action, Micros};
 
 use crate::action::write_action;
-use crate::endpoint_list::{ListEntry, ListHead};
+use crate::endpoint_list::{ListEntry, ListHeader};
 use crate::error::{LineError, SessionError};
 use crate::event::{EndpointLists, ParsedEvent};
 use crate::fields::FieldReader;
@@ -20,10 +20,10 @@
     let mut lines = LineReader { input, text: String::new(), number: 0 };
     let mut session = Session::default();
     while lines.advance()? {
-        let head = BatchHead::parse(&lines.text).map_err(|error| lines.error(error))?;
-        session.now = head.time;
+        let header = BatchHeader::parse(&lines.text).map_err(|error| lines.error(error))?;
+        session.now = header.time;
         session.read_batch(&mut lines)?;
-        session.write_reply(&mut output, head.sequence)?;
+        session.write_reply(&mut output, header.sequence)?;
     }
     Ok(())
 }
@@ -65,19 +65,19 @@
 }
 
 /// The first line of a batch.
-struct BatchHead {
+struct BatchHeader {
     time: Micros,
     sequence: u64,
 }
 
-impl BatchHead {
-    fn parse(line: &str) -> Result<BatchHead, LineError> {
+impl BatchHeader {
+    fn parse(line: &str) -> Result<BatchHeader, LineError> {
         let rest = line.strip_prefix("BATCH ").ok_or(LineError::ExpectedBatch)?;
         let mut fields = FieldReader::new(rest);
         let time = fields.time()?;
         let sequence = fields.number()?;
         fields.end()?;
-        Ok(BatchHead { time, sequence })
+        Ok(BatchHeader { time, sequence })
     }
 }
 
@@ -113,8 +113,8 @@
                 return Ok(());
             }
             if let Some(rest) = lines.text.strip_prefix("POOL ") {
-                let head = ListHead::parse(rest).map_err(|error| lines.error(error))?;
-                self.read_list(head, lines)?;
+                let header = ListHeader::parse(rest).map_err(|error| lines.error(error))?;
+                self.read_list(header, lines)?;
             } else if let Some(name) = lines.text.strip_prefix("SWITCH_TO ") {
                 selected = name.to_owned();
             } else {
@@ -125,15 +125,15 @@
 
     fn read_list<R: BufRead>(
         &mut self,
-        head: ListHead,
+        header: ListHeader,
         lines: &mut LineReader<R>,
     ) -> Result<(), SessionError> {
         let mut entries = Vec::new();
-        for _ in 0..head.entries {
+        for _ in 0..header.entries {
             lines.advance_in_batch()?;
             entries.push(ListEntry::parse(&lines.text).map_err(|error| lines.error(error))?);
         }
-        self.lists.insert(head.list, entries);
+        self.lists.insert(header.list, entries);
         Ok(())
     }
 
--- a/src/bin/amberlever/announce.rs
+++ b/src/bin/amberlever/announce.rs
@@ -1,5 +1,4 @@
-//! Announcement of addresses by BGP: starts the speaker of the process and its API, and runs `amberlever bgp
-//! ...`.
+//! BGP announcements: starts the speaker of the process and its API, and runs `amberlever bgp ...`.
 
 use std::fmt::Write;
 use std::future::Future;
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -33,10 +33,10 @@
         let (reply, received) = oneshot::channel();
         let _ = self.0.send(Command::Status { reply });
         Box::pin(async move {
-            let all = received.await.unwrap_or_default();
+            let statuses = received.await.unwrap_or_default();
             let status =
                 |s: hosting::Status| TenantStatus { version: s.version, started: s.started, usage: s.usage };
-            all.into_iter().map(|(name, s)| (name, status(s))).collect()
+            statuses.into_iter().map(|(name, s)| (name, status(s))).collect()
         })
     }
 }
@@ -85,7 +85,7 @@
     .map_err(|error| error.to_string())
 }
 
-/// Runs a future that needs neither I/O nor timers to completion.
+/// Runs a future to completion. The future must need neither I/O nor timers.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime without I/O");
     runtime.block_on(future)
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -102,7 +102,8 @@
     exit_code(standalone::run(options, |_| {}).map_err(|error| error.to_string()))
 }
 
-/// Returns a seed that differs for each start. It is predictable, since nothing secret is derived from it.
+/// Returns a seed that differs for each start. It need not be unpredictable, since nothing
+/// secret is derived from it.
 fn seed() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     (since.as_nanos() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id())
