--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
 //! Mock peers of the proxy on loopback, shared by tests, benchmarks and the demo: endpoints with scripted
 //! behavior, discovery, BGP routers, and clients.
 //!
-//! The system chooses all ports. Functions that wait for an event give up after [`TEST_TIMEOUT`] and panic,
-//! which fails the test.
+//! The system chooses all ports. Each wait for an event ends after [`TEST_TIMEOUT`] at the latest. A panic is a
+//! failure of the test.
 
 pub mod bgp_router;
 mod discovery_list;
