--- a/src/bin/amberlever-simulator/instance.rs
+++ b/src/bin/amberlever-simulator/instance.rs
@@ -32,7 +32,7 @@
         handled.map_err(|panic| {
             let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
             let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-            text.unwrap_or_else(|| "panic without a message".to_owned()).replace(['\n', '\r'], " ")
+            text.unwrap_or_else(|| "panic without a text".to_owned()).replace(['\n', '\r'], " ")
         })
     }
 
