--- a/src/bin/amberlever-simulator/session.rs
+++ b/src/bin/amberlever-simulator/session.rs
@@ -1,7 +1,7 @@
-//! A session: batches of lines in, the actions of each batch out.
+//! Reads batches of lines and writes the actions of each batch.
 //!
-//! A batch starts with `BATCH time sequence` and ends with `OVER_TO_YOU`; between them stand endpoint lists, selections of an
-//! instance, and events of the instance that is selected. The reply ends with `EOR sequence`.
+//! A batch starts with `BATCH time sequence` and ends with `OVER_TO_YOU`. In between are endpoint lists,
+//! selections of an instance, and events for the selected instance. The reply ends with `EOR sequence`.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -9,7 +9,7 @@
 use decide::{Action, Micros};
 
 use crate::action::write_action;
-use crate::endpoint_list::{ListEntry, ListHead};
+use crate::endpoint_list::{ListEntry, ListHeader};
 use crate::error::{LineError, SessionError};
 use crate::event::{EndpointLists, ParsedEvent};
 use crate::fields::FieldReader;
@@ -20,10 +20,10 @@
     let mut lines = LineReader { input, text: String::new(), number: 0 };
     let mut session = Session::default();
     while lines.advance()? {
-        let head = BatchHead::parse(&lines.text).map_err(|error| lines.error(error))?;
-        session.now = head.time;
+        let header = BatchHeader::parse(&lines.text).map_err(|error| lines.error(error))?;
+        session.now = header.time;
         session.read_batch(&mut lines)?;
-        session.write_reply(&mut output, head.sequence)?;
+        session.write_reply(&mut output, header.sequence)?;
     }
     Ok(())
 }
@@ -37,7 +37,7 @@
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// Reads the next line. False at the end of the input.
+    /// Reads the next line. Returns false at the end of the input.
     fn advance(&mut self) -> Result<bool, SessionError> {
         self.text.clear();
         let bytes = self.input.read_line(&mut self.text)?;
@@ -49,7 +49,7 @@
         Ok(bytes > 0)
     }
 
-    /// Reads the next line inside a batch.
+    /// Reads the next line. The end of the input is an error.
     fn advance_in_batch(&mut self) -> Result<(), SessionError> {
         if self.advance()? {
             Ok(())
@@ -58,53 +58,53 @@
         }
     }
 
-    /// An error in the current line.
+    /// Returns an error for the current line.
     fn error(&self, source: LineError) -> SessionError {
         SessionError::InvalidLine { number: self.number, text: self.text.clone(), source }
     }
 }
 
 /// The first line of a batch.
-struct BatchHead {
+struct BatchHeader {
     time: Micros,
     sequence: u64,
 }
 
-impl BatchHead {
-    fn parse(line: &str) -> Result<BatchHead, LineError> {
+impl BatchHeader {
+    fn parse(line: &str) -> Result<BatchHeader, LineError> {
         let rest = line.strip_prefix("BATCH ").ok_or(LineError::ExpectedBatch)?;
         let mut fields = FieldReader::new(rest);
         let time = fields.time()?;
         let sequence = fields.number()?;
         fields.end()?;
-        Ok(BatchHead { time, sequence })
+        Ok(BatchHeader { time, sequence })
     }
 }
 
-/// The actions of an instance for some events.
+/// The actions of an instance for consecutive events.
 struct Reply {
     instance: String,
     actions: Vec<Action>,
 }
 
-/// A panic of an instance, after which no event of the batch is handled.
+/// A panic of an instance. No further event of the batch is handled.
 struct Panic {
     instance: String,
-    text: String,
+    message: String,
 }
 
 #[derive(Default)]
 struct Session {
     instances: BTreeMap<String, Instance>,
     lists: EndpointLists,
-    /// The replies of this batch, in the order of their events.
+    /// The replies of the current batch, in the order of their events.
     replies: Vec<Reply>,
     panic: Option<Panic>,
     now: Micros,
 }
 
 impl Session {
-    /// Reads the rest of a batch, and hands its events to the instances.
+    /// Reads the rest of a batch and passes its events to the instances.
     fn read_batch<R: BufRead>(&mut self, lines: &mut LineReader<R>) -> Result<(), SessionError> {
         let mut selected = String::new();
         loop {
@@ -113,8 +113,8 @@
                 return Ok(());
             }
             if let Some(rest) = lines.text.strip_prefix("POOL ") {
-                let head = ListHead::parse(rest).map_err(|error| lines.error(error))?;
-                self.read_list(head, lines)?;
+                let header = ListHeader::parse(rest).map_err(|error| lines.error(error))?;
+                self.read_list(header, lines)?;
             } else if let Some(name) = lines.text.strip_prefix("SWITCH_TO ") {
                 selected = name.to_owned();
             } else {
@@ -125,19 +125,19 @@
 
     fn read_list<R: BufRead>(
         &mut self,
-        head: ListHead,
+        header: ListHeader,
         lines: &mut LineReader<R>,
     ) -> Result<(), SessionError> {
         let mut entries = Vec::new();
-        for _ in 0..head.entries {
+        for _ in 0..header.entries {
             lines.advance_in_batch()?;
             entries.push(ListEntry::parse(&lines.text).map_err(|error| lines.error(error))?);
         }
-        self.lists.insert(head.list, entries);
+        self.lists.insert(header.list, entries);
         Ok(())
     }
 
-    /// Takes in an event of an instance.
+    /// Handles an event of an instance.
     fn on_event(&mut self, name: &str, line: &str) -> Result<(), LineError> {
         let (kind, rest) = line.split_once(' ').unwrap_or((line, ""));
         match kind {
@@ -166,21 +166,21 @@
     }
 
     fn kill_instance(&mut self, name: &str) -> Result<(), LineError> {
-        // Its actions of this batch are for requests that are void now.
+        // The requests of a killed instance are lost, so its actions from this batch are dropped.
         self.replies.retain(|reply| reply.instance != name);
         let killed = self.instances.remove(name);
         killed.map(drop).ok_or_else(|| LineError::UnknownInstance(name.to_owned()))
     }
 
-    /// Hands an event to an instance, and collects its actions.
+    /// Passes an event to an instance and collects its actions.
     fn handle(&mut self, name: &str, event: &ParsedEvent) {
         let Some(instance) = self.instances.get_mut(name) else { return };
         let mut reply = match self.replies.pop_if(|last| last.instance == name) {
             Some(reply) => reply,
             None => Reply { instance: name.to_owned(), actions: Vec::new() },
         };
-        if let Err(text) = instance.handle(self.now, event.as_event(), &mut reply.actions) {
-            self.panic = Some(Panic { instance: name.to_owned(), text });
+        if let Err(message) = instance.handle(self.now, event.as_event(), &mut reply.actions) {
+            self.panic = Some(Panic { instance: name.to_owned(), message });
         }
         self.replies.push(reply);
     }
@@ -193,7 +193,7 @@
             }
         }
         if let Some(panic) = self.panic.take() {
-            writeln!(output, "FOR {}\nPANIC {}", panic.instance, panic.text)?;
+            writeln!(output, "FOR {}\nPANIC {}", panic.instance, panic.message)?;
         }
         writeln!(output, "EOR {sequence}")?;
         output.flush()?;
