--- a/benches/protocols.rs
+++ b/benches/protocols.rs
@@ -55,7 +55,7 @@
             self.http.iter().map(|n| n.address).collect()
         };
         DualProtocolProxy::start(&RpcSite {
-            nodes_speak_rpc: speaks,
+            has_rpc_endpoints: speaks,
             rpc_listener_settings: listen.to_owned(),
             ..RpcSite::http(&nodes)
         })
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -180,7 +180,7 @@
     });
     let endpoints = Endpoints::start(&script, protocols.upstream_is_rpc);
     let site =
-        RpcSite { nodes_speak_rpc: protocols.upstream_is_rpc, ..RpcSite::http(&endpoints.addresses()) };
+        RpcSite { has_rpc_endpoints: protocols.upstream_is_rpc, ..RpcSite::http(&endpoints.addresses()) };
     let proxy = DualProtocolProxy::start(&site);
     let mut http_client = proxy.process.connect();
     let mut rpc_client = proxy.rpc();
--- a/tests/stubs/rpc.rs
+++ b/tests/stubs/rpc.rs
@@ -9,7 +9,7 @@
 pub struct RpcSite {
     pub nodes: Vec<SocketAddr>,
     /// The nodes speak JSON-RPC.
-    pub nodes_speak_rpc: bool,
+    pub has_rpc_endpoints: bool,
     pub frames: Framing,
     /// How long idempotency keys are stored.
     pub key_window_ms: u32,
@@ -24,13 +24,13 @@
 
 impl RpcSite {
     pub fn rpc(nodes: &[SocketAddr]) -> RpcSite {
-        RpcSite { nodes_speak_rpc: true, ..RpcSite::http(nodes) }
+        RpcSite { has_rpc_endpoints: true, ..RpcSite::http(nodes) }
     }
 
     pub fn http(nodes: &[SocketAddr]) -> RpcSite {
         RpcSite {
             nodes: nodes.to_vec(),
-            nodes_speak_rpc: false,
+            has_rpc_endpoints: false,
             frames: Framing::Lines,
             key_window_ms: 60_000,
             latency_objective_ms: 4_000,
@@ -50,14 +50,14 @@
         let nodes = self.nodes.iter().enumerate();
         let nodes: Vec<String> =
             nodes.map(|(i, a)| format!("{{ name = \"n{i}\", address = \"{a}\" }}")).collect();
-        let nodes_speak_rpc =
-            if self.nodes_speak_rpc { protocol.clone() + &self.pool_settings } else { String::new() };
-        let nodes_speak_rpc = nodes_speak_rpc.replace(", ", "\n");
+        let has_rpc_endpoints =
+            if self.has_rpc_endpoints { protocol.clone() + &self.pool_settings } else { String::new() };
+        let has_rpc_endpoints = has_rpc_endpoints.replace(", ", "\n");
         let class = |name: &str, more: &str| {
             format!("[[class]]\nname = \"{name}\"\naim_ms = {}\ndeadline_ms = 4000\n{more}\n[[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/{{x}}\" }}\nclass = \"{name}\"\npool = \"p\"\n", self.latency_objective_ms)
         };
         format!(
-            "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}, {{ address = \"127.0.0.1:0\", {protocol}{} }}]\n{}{}{}{}[[pool]]\nname = \"p\"\nnodes = [{}]\n{nodes_speak_rpc}\n{}",
+            "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}, {{ address = \"127.0.0.1:0\", {protocol}{} }}]\n{}{}{}{}[[pool]]\nname = \"p\"\nnodes = [{}]\n{has_rpc_endpoints}\n{}",
             self.rpc_listener_settings,
             self.server_settings,
             class("standings", "semantics = \"idempotent\""),
