--- a/benches/bodies.rs
+++ b/benches/bodies.rs
@@ -31,7 +31,7 @@
     let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
     let mut setup = Setup { latency_objective_ms: 5000, ..Setup::with_endpoints(&[]) };
     setup.endpoints = vec![host("s-0", node, "SERVING")];
-    let process = held.start(&with_operators(&setup.config(discovery.address)));
+    let process = held.start(&with_operators_address(&setup.config(discovery.address)));
     ratio(held.address, node);
     memory(&process, held.address);
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -41,7 +41,7 @@
     setup.descriptors = Some(MIN_DESCRIPTORS);
     let (unreachable, reachable_again) = (ReservedPort::new(), ReservedPort::new());
     let down = unreachable.address();
-    let config = with_operators(&setup.config(down));
+    let config = with_operators_address(&setup.config(down));
     let proxy = start_with_descriptor_limit(&config, MIN_DESCRIPTORS);
     // Three kinds of idle connections, far more than the limit; all of them wait for one that is never accepted.
     let mut idle: Vec<TcpStream> = Vec::new();
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -25,7 +25,7 @@
     let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
     setup.endpoints =
         backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
-    let process = listener.start(&with_operators(&setup.config(discovery.address)));
+    let process = listener.start(&with_operators_address(&setup.config(discovery.address)));
     (process, discovery, listener)
 }
 
@@ -202,7 +202,7 @@
     let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
     setup.endpoints = vec![host("s-0", node, "SERVING")];
-    let config = with_operators(&setup.config(discovery.address));
+    let config = with_operators_address(&setup.config(discovery.address));
     let mut old = listener.start(&config);
     let mut clients: Vec<_> = (0..10).map(|_| connect(&listener)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -12,7 +12,7 @@
 /// A proxy with an operators' address, and its discovery.
 fn start(backends: &[&MockEndpoint]) -> (Process, MockDiscovery, InheritedListener) {
     let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let config = with_operators(&Setup::with_endpoints(backends).config(discovery.address));
+    let config = with_operators_address(&Setup::with_endpoints(backends).config(discovery.address));
     (held.start(&config), discovery, held)
 }
 
@@ -148,7 +148,7 @@
     let (first, second) = (MockEndpoint::new(vec![ok("1"); 999]), MockEndpoint::new(vec![ok("2"); 999]));
     let discovery = MockDiscovery::new();
     let held = InheritedListener::new();
-    let config = with_operators(&Setup::with_endpoints(&[&first, &second]).config(discovery.address));
+    let config = with_operators_address(&Setup::with_endpoints(&[&first, &second]).config(discovery.address));
     let mut old = held.start(&config);
     assert_eq!(old.operator_request("POST", "/maintenance/enter", "s-0").0, 200);
     let mut persistent = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
@@ -190,7 +190,7 @@
 fn a_successor_takes_over_learned_state_and_ignores_damaged_files() {
     let backend = MockEndpoint::new(vec![ok("1"); 9999]);
     let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let config = with_operators(&Setup::with_endpoints(&[&backend]).config(discovery.address));
+    let config = with_operators_address(&Setup::with_endpoints(&[&backend]).config(discovery.address));
     let old = held.start(&config);
     for i in 0..50 {
         assert_eq!(ask(&old, &held, &read(&format!("old-{i}"), 9000)).status(), 200);
--- a/tests/request_outcomes.rs
+++ b/tests/request_outcomes.rs
@@ -294,7 +294,7 @@
     let mut setup = Setup { latency_objective_ms: 4000, ..Setup::with_endpoints(&[]) };
     let hosts = endpoints.iter().enumerate();
     setup.endpoints = hosts.map(|(i, address)| host(&format!("s-{i}"), *address, "SERVING")).collect();
-    let process = socket.start(&with_operators(&setup.config(discovery.address)));
+    let process = socket.start(&with_operators_address(&setup.config(discovery.address)));
     let proxy = socket.address;
     let mut run = Run { process, proxy, received, last_id: 0, counted: 0, responses: BTreeMap::new() };
     for round in 0..ROUNDS {
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -179,8 +179,9 @@
 fn a_process_takes_over_learned_state_and_maintenance() {
     let nodes: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
     let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let config =
-        with_operators(&Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
+    let config = with_operators_address(
+        &Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address),
+    );
     copy(HANDED_OVER, &held.folder);
     let maintenance = copy(MAINTENANCE, &held.folder);
     let process = held.start(&config);
--- a/tests/stubs/platform.rs
+++ b/tests/stubs/platform.rs
@@ -185,6 +185,6 @@
 }
 
 /// A configuration with an address for operators.
-pub fn with_operators(config: &str) -> String {
+pub fn with_operators_address(config: &str) -> String {
     config.replacen('{', "{\"mgmt\":\"127.0.0.1:0\",", 1)
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -30,8 +30,9 @@
     let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("how many upgrades"));
     let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
     let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
-    let config =
-        with_operators(&Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address));
+    let config = with_operators_address(
+        &Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address),
+    );
     let mut serving = held.start(&config);
     let (counts, stop) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
     let callers: Vec<_> = (0..2 * CLIENTS)
