--- a/tests/administration.rs
+++ b/tests/administration.rs
@@ -21,7 +21,7 @@
 }
 
 /// A service with an operator, an administrator of `one`, and a reader of `two`.
-fn guarded() -> (Hosted, [String; 3]) {
+fn guarded() -> (HostedService, [String; 3]) {
     let made = [token(), token(), token()];
     let tokens = format!(
         "[[admin.token]]\nname = \"op\"\nrole = \"operator\"\nsha256 = \"{}\"\n[[admin.token]]\nname = \"adm\"\nrole = \"administrator\"\ntenant = \"one\"\nsha256 = \"{}\"\n[[admin.token]]\nname = \"read\"\nrole = \"reader\"\ntenant = \"two\"\nsha256 = \"{}\"\n",
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -244,7 +244,7 @@
     let started = many.get("/v1/status").body;
     let started = started.as_array().expect("all").iter().filter(|s| s["started"] == true).count();
     assert_eq!(started, 10, "nothing runs for the idle");
-    let idle = |service: &Hosted| {
+    let idle = |service: &HostedService| {
         let before = service.process.cpu_time_ns();
         thread::sleep(Duration::from_secs(1));
         (service.process.cpu_time_ns() - before) as f64 / 1e6
--- a/tests/hosted_changes.rs
+++ b/tests/hosted_changes.rs
@@ -41,7 +41,7 @@
 }
 
 /// Sends requests and checks that each was served under a version of its time. Returns their number.
-fn send_until_stopped(service: &Hosted, progress: &Progress) -> usize {
+fn send_until_stopped(service: &HostedService, progress: &Progress) -> usize {
     let mut caller = service.process.connect();
     let mut sent = 0;
     while !progress.stop.load(Ordering::Relaxed) {
--- a/tests/hosted_limits.rs
+++ b/tests/hosted_limits.rs
@@ -185,7 +185,7 @@
 }
 
 /// Latencies of a tenant's requests over some time, in microseconds, sorted.
-fn latencies(service: &Hosted, host: &str, time: Duration) -> Vec<u64> {
+fn latencies(service: &HostedService, host: &str, time: Duration) -> Vec<u64> {
     let mut caller = service.process.connect();
     let (since, mut all) = (Instant::now(), Vec::new());
     while since.elapsed() < time {
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -10,7 +10,7 @@
 use std::net::TcpStream;
 use std::process::{Command, Stdio};
 
-pub struct Hosted {
+pub struct HostedService {
     pub process: Process,
     pub admin_address: SocketAddr,
 }
@@ -32,19 +32,19 @@
 
 /// Starts a hosted service in a folder of its own.
 #[track_caller]
-pub fn start_hosted(file: &str) -> Hosted {
+pub fn start_hosted(file: &str) -> HostedService {
     start_hosted_in(&temp_folder(), file)
 }
 
 /// Starts one in this folder, with the state that is there.
 #[track_caller]
-pub fn start_hosted_in(folder: &std::path::Path, file: &str) -> Hosted {
+pub fn start_hosted_in(folder: &std::path::Path, file: &str) -> HostedService {
     start_hosted_with(folder, file, "")
 }
 
 /// The same, after shell commands.
 #[track_caller]
-pub fn start_hosted_with(folder: &std::path::Path, file: &str, before: &str) -> Hosted {
+pub fn start_hosted_with(folder: &std::path::Path, file: &str, before: &str) -> HostedService {
     let path: PathBuf = folder.join("lb.toml");
     std::fs::write(&path, file).expect("written");
     let mut command = Command::new("sh");
@@ -58,7 +58,7 @@
     process.wait_for_log("administration on ");
     let log = process.log();
     let admin = log.lines().find_map(|l| l.strip_prefix("administration on ")).expect("said");
-    Hosted { admin_address: admin.parse().expect("an address"), process }
+    HostedService { admin_address: admin.parse().expect("an address"), process }
 }
 
 /// A tenant with one class, one pool and one route.
@@ -80,7 +80,7 @@
     })
 }
 
-impl Hosted {
+impl HostedService {
     /// One call, over a connection of its own.
     #[track_caller]
     pub fn call(
