--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -58,7 +58,7 @@
 fn ids_are_returned_verbatim() {
     let node = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
     let proxy = DualProtocolProxy::start(&RpcSite {
-        frames: Framing::ContentLength,
+        framing: Framing::ContentLength,
         ..RpcSite::rpc(&[node.address])
     });
     let mut client = proxy.rpc();
@@ -105,7 +105,7 @@
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
     // A head that is none.
     let lengths = DualProtocolProxy::start(&RpcSite {
-        frames: Framing::ContentLength,
+        framing: Framing::ContentLength,
         ..RpcSite::rpc(&[node.address])
     });
     let mut client = lengths.rpc();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -65,8 +65,8 @@
 #[test]
 fn learned_state_is_read_field_by_field_and_written_as_the_same_bytes() {
     assert_holds(EVERY_FIELD, &stored::every_field());
-    assert_holds(IN_A_FOLDER, &stored::learned_in_a_folder());
-    assert_holds(HANDED_OVER, &stored::handed_over());
+    assert_holds(IN_A_FOLDER, &stored::learned_folder_file());
+    assert_holds(HANDED_OVER, &stored::handover_file());
 }
 
 #[test]
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -10,6 +10,7 @@
 use std::net::TcpStream;
 use std::process::{Command, Stdio};
 
+/// A running hosted service.
 pub struct HostedService {
     pub process: Process,
     pub admin_address: SocketAddr,
@@ -23,26 +24,27 @@
     pub body: Value,
 }
 
-/// The file of a hosted service; `more` comes behind its [server] and [admin] sections.
+/// The configuration of a hosted service. `server` holds further lines of `[server]`, `more` the text that
+/// follows `[admin]`.
 pub fn hosted_config(server: &str, more: &str) -> String {
     format!(
         "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\nzone = \"south\"\n{server}\n[admin]\nlisten = \"127.0.0.1:0\"\nstate = \"state\"\n{more}"
     )
 }
 
-/// Starts a hosted service in a folder of its own.
+/// Starts a hosted service in a new folder.
 #[track_caller]
 pub fn start_hosted(file: &str) -> HostedService {
     start_hosted_in(&temp_folder(), file)
 }
 
-/// Starts one in this folder, with the state that is there.
+/// Starts a hosted service in a folder, with the state that is stored in it.
 #[track_caller]
 pub fn start_hosted_in(folder: &std::path::Path, file: &str) -> HostedService {
     start_hosted_with(folder, file, "")
 }
 
-/// The same, after shell commands.
+/// Starts a hosted service in a folder, from a shell that runs `before` first, for example to set limits.
 #[track_caller]
 pub fn start_hosted_with(folder: &std::path::Path, file: &str, before: &str) -> HostedService {
     let path: PathBuf = folder.join("lb.toml");
@@ -57,11 +59,12 @@
     let process = Process::attach(command.spawn().expect("the proxy starts"), path);
     process.wait_for_log("administration on ");
     let log = process.log();
-    let admin = log.lines().find_map(|l| l.strip_prefix("administration on ")).expect("said");
+    let admin =
+        log.lines().find_map(|l| l.strip_prefix("administration on ")).expect("the log names the address");
     HostedService { admin_address: admin.parse().expect("an address"), process }
 }
 
-/// A tenant with one class, one pool and one route.
+/// The document of a tenant with one class, one pool and one route.
 pub fn tenant(host: &str, nodes: &[SocketAddr], limits: Value) -> Value {
     let nodes: Vec<Value> = nodes
         .iter()
@@ -81,7 +84,7 @@
 }
 
 impl HostedService {
-    /// One call, over a connection of its own.
+    /// Sends one request to the API on a new connection.
     #[track_caller]
     pub fn call(
         &self,
@@ -114,7 +117,7 @@
         self.call("GET", path, None, None, None)
     }
 
-    /// Replaces what is there now.
+    /// Replaces a tenant or a part of it, under the tenant's current version tag.
     #[track_caller]
     pub fn put(&self, path: &str, body: &Value) -> ApiResponse {
         let under = path.trim_start_matches("/v1/tenants/");
@@ -123,7 +126,7 @@
         self.call("PUT", path, None, tag.as_deref(), Some(body))
     }
 
-    /// The same of a service that may die over it.
+    /// Replaces a tenant like `put`. Returns `None` if the service exits before it responds.
     pub fn try_put(&self, path: &str, body: &Value) -> Option<ApiResponse> {
         let send = |head: String| {
             let mut stream = TcpStream::connect(self.admin_address).ok()?;
@@ -147,7 +150,7 @@
         self.call("DELETE", path, None, tag.as_deref(), None)
     }
 
-    /// One request of a client of a tenant, over a connection of its own.
+    /// Sends one request to a tenant's host on a new connection.
     #[track_caller]
     pub fn request(&self, host: &str, path: &str) -> HttpMessage {
         self.process.request(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n"))
--- a/tests/stubs/endpoints.rs
+++ b/tests/stubs/endpoints.rs
@@ -39,7 +39,7 @@
     (address, seen)
 }
 
-/// An endpoint that can be stopped and started again at its address. It accepts connections and closes them.
+/// An endpoint that can be stopped and restarted at the same address. It accepts connections and closes them.
 pub struct RestartableEndpoint {
     pub address: SocketAddr,
     running: Option<AcceptThread>,
@@ -52,14 +52,14 @@
 }
 
 impl RestartableEndpoint {
-    /// Starts it at a free port.
+    /// Starts the endpoint on a free port.
     pub fn start() -> RestartableEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         RestartableEndpoint { address, running: Some(AcceptThread::spawn(listener)) }
     }
 
-    /// Stops it, so that connections to it are refused, and returns when that was.
+    /// Stops the endpoint, so that connections to it are refused. Returns the time at which it had stopped.
     pub fn stop(&mut self) -> Instant {
         if let Some(AcceptThread { is_stopping, thread }) = self.running.take() {
             is_stopping.store(true, Ordering::Relaxed);
@@ -69,7 +69,7 @@
         Instant::now()
     }
 
-    /// Starts it again, and returns when that was.
+    /// Restarts the endpoint on the same port. Returns the time at which the restart began.
     pub fn restart(&mut self) -> Instant {
         let restarted_at = Instant::now();
         self.running = Some(AcceptThread::spawn(TcpListener::bind(self.address).expect("its port")));
--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -1,4 +1,4 @@
-//! The proxy under test as a process on loopback addresses, among the mock peers of `testkit`.
+//! Runs the proxy under test as a process on loopback addresses, with the mock peers of `testkit`.
 #![allow(dead_code, unused_imports)]
 
 mod endpoints;
--- a/tests/stubs/platform.rs
+++ b/tests/stubs/platform.rs
@@ -1,4 +1,4 @@
-//! A proxy of the platform, with its configuration and a mock discovery.
+//! A proxy in platform mode, its configuration and its mock discovery.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -10,19 +10,19 @@
 use super::files::{temp_folder, write_config};
 use super::process::{wait_until, Process};
 
-/// The configuration of a proxy, apart from its addresses.
+/// The settings of a proxy in platform mode.
 pub struct Setup {
     pub endpoints: Vec<String>,
     pub max_sockets: u32,
     pub keepalive_ms: u32,
     pub latency_objective_ms: u32,
-    /// Of each class.
+    /// The deadline of each class.
     pub deadline_ms: u32,
-    /// Proxies of the tier, where `peers` does not name them.
+    /// The number of proxies in the tier. Ignored if `peers` is set.
     pub balancers: usize,
-    /// The most descriptors that the kernel lets the process have; None leaves that as it is.
+    /// The limit of the process on open descriptors (`ulimit -n`). `None` keeps the inherited limit.
     pub descriptors: Option<u32>,
-    /// Where gossip arrives, and the proxies of the tier; this one is the first.
+    /// The address that receives gossip, and those of all proxies of the tier, starting with this one.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
 }
 
@@ -75,14 +75,14 @@
         )
     }
 
-    /// Starts a proxy with a discovery that confirms its list and then stays silent, and waits until it is ready, as a load
-    /// balancer in front does.
+    /// Starts a proxy with a discovery that confirms its list and then does not respond, and waits until its
+    /// health check succeeds, as a load balancer in front of it would.
     #[track_caller]
     pub fn start(self) -> Proxy {
         self.start_program(env!("CARGO_BIN_EXE_amberlever"))
     }
 
-    /// The same, of another build.
+    /// Starts another build of the program like `start`.
     #[track_caller]
     pub fn start_program(self, program: &str) -> Proxy {
         let discovery = MockDiscovery::new();
@@ -95,21 +95,21 @@
     }
 }
 
-/// A proxy of the platform with this configuration.
+/// Starts a proxy in platform mode without waiting until it is ready.
 #[track_caller]
 pub fn start_config(config: &str) -> Process {
     let path = write_config(config);
     Process::attach(spawn_program(env!("CARGO_BIN_EXE_amberlever"), Some(&path), None), path)
 }
 
-/// The same, with a limit on its descriptors.
+/// Starts a proxy in platform mode with a limit on its open descriptors, without waiting until it is ready.
 #[track_caller]
 pub fn start_with_descriptor_limit(config: &str, descriptors: u32) -> Process {
     let path = write_config(config);
     Process::attach(spawn_program(env!("CARGO_BIN_EXE_amberlever"), Some(&path), Some(descriptors)), path)
 }
 
-/// A proxy of the platform, with its discovery.
+/// A proxy in platform mode and its discovery.
 pub struct Proxy {
     pub discovery: MockDiscovery,
     process: Process,
@@ -129,7 +129,8 @@
     }
 }
 
-/// Starts the program with this configuration or with none, and with a limit on its descriptors where one is given.
+/// Starts the program in platform mode. `None` stands for no configuration, and for the inherited limit on
+/// open descriptors.
 pub fn spawn(config: Option<&str>, descriptors: Option<u32>) -> Child {
     spawn_program(env!("CARGO_BIN_EXE_amberlever"), config.map(write_config).as_ref(), descriptors)
 }
@@ -146,14 +147,15 @@
     command.spawn().expect("the proxy starts")
 }
 
-/// Keeps this test program from starting processes while the guard lives. A process that is being started holds a copy of every
-/// open socket until its program is loaded: a socket that is closed meanwhile stays open for its peer.
+/// Prevents this test program from starting processes while the guard lives. A process that is being started
+/// holds a copy of every open socket until its program is loaded, so a socket that is closed meanwhile stays
+/// open for its peer.
 pub fn exclude_process_starts() -> MutexGuard<'static, ()> {
     static PROCESS_STARTS: Mutex<()> = Mutex::new(());
     PROCESS_STARTS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A listening socket that proxies inherit, and a folder that they share.
+/// A listening socket that several proxies inherit, and the folder (`TMPDIR`) that they share.
 pub struct InheritedListener {
     listener: std::net::TcpListener,
     pub address: SocketAddr,
@@ -171,11 +173,11 @@
     #[track_caller]
     pub fn start(&self, config: &str) -> Process {
         let path = write_config(config);
-        let held = std::os::fd::OwnedFd::from(self.listener.try_clone().expect("another descriptor"));
+        let inherited = std::os::fd::OwnedFd::from(self.listener.try_clone().expect("another descriptor"));
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 3<&0 </dev/null", env!("CARGO_BIN_EXE_amberlever")]);
         command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", "3").env("TMPDIR", &self.folder);
-        command.stdin(Stdio::from(held)).stdout(Stdio::null()).stderr(Stdio::piped());
+        command.stdin(Stdio::from(inherited)).stdout(Stdio::null()).stderr(Stdio::piped());
         let process = Process::attach(command.spawn().expect("the proxy starts"), path);
         if config.contains("\"mgmt\"") {
             wait_until("ready for operators", || process.operator_request("GET", "/status", "").0 == 200);
@@ -184,7 +186,7 @@
     }
 }
 
-/// A configuration with an address for operators.
+/// Adds an operators' address to a configuration of the platform mode.
 pub fn with_operators_address(config: &str) -> String {
     config.replacen('{', "{\"mgmt\":\"127.0.0.1:0\",", 1)
 }
--- a/tests/stubs/process.rs
+++ b/tests/stubs/process.rs
@@ -1,4 +1,4 @@
-//! The proxy under test as a process.
+//! The process of the proxy under test.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -13,20 +13,21 @@
 /// A running proxy.
 pub struct Process {
     pub address: SocketAddr,
-    /// The path of its configuration.
+    /// The path of the configuration file.
     pub path: PathBuf,
     log: Arc<Mutex<String>>,
     child: Child,
 }
 
 impl Process {
+    /// Reads the address of a started proxy from its log, and collects the log from then on.
     #[track_caller]
     pub fn attach(mut child: Child, path: PathBuf) -> Process {
         let mut errors = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
         errors.read_line(&mut line).expect("text");
         let log = Arc::<Mutex<String>>::default();
-        // Lines about stored state come first.
+        // Lines about stored state precede the one that names the address.
         while ["version ", "state: ", "learned state: ", "bgp: ", "operators: ", "maintenance: "]
             .iter()
             .any(|word| line.starts_with(word))
@@ -35,7 +36,10 @@
             line.clear();
             errors.read_line(&mut line).expect("text");
         }
-        let address = line.trim().strip_prefix("listening on ").unwrap_or_else(|| panic!("said {line:?}"));
+        let address = line
+            .trim()
+            .strip_prefix("listening on ")
+            .unwrap_or_else(|| panic!("unexpected first line of the log: {line:?}"));
         let address = address.parse().expect("an address");
         let shared_log = Arc::clone(&log);
         thread::spawn(move || {
@@ -52,14 +56,14 @@
         HttpClient::of(TcpStream::connect(self.address).expect("the proxy listens"))
     }
 
-    /// Where operators reach it.
+    /// The operators' address, from the log.
     pub fn operators_address(&self) -> SocketAddr {
         let log = self.log();
         let line = log.lines().find_map(|l| l.strip_prefix("operators: listening on "));
         line.expect("an address for operators").parse().expect("an address")
     }
 
-    /// A request of an operator: its status and body.
+    /// Sends a request to the operators' address. Returns the status and the body of the response.
     #[track_caller]
     pub fn operator_request(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let mut client = HttpClient::of(TcpStream::connect(self.operators_address()).expect("it listens"));
@@ -75,7 +79,7 @@
         let (status, text) = self.operator_request("GET", "/status/metrics", "");
         assert_eq!(status, 200);
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
-        line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a whole number")
+        line.unwrap_or_else(|| panic!("no metric {name} in {text}")).parse().expect("a whole number")
     }
 
     /// Waits until a metric has this value.
@@ -88,7 +92,7 @@
         }
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection.
     pub fn request(&self, request: &str) -> HttpMessage {
         self.connect().ask(request)
     }
@@ -102,7 +106,7 @@
     /// Waits until the log contains this.
     #[track_caller]
     pub fn wait_for_log(&self, text: &str) {
-        wait_until(&format!("said: {text}"), || self.log().contains(text));
+        wait_until(&format!("logged: {text}"), || self.log().contains(text));
     }
 
     pub fn log(&self) -> String {
@@ -119,7 +123,7 @@
         self.signal("HUP");
     }
 
-    /// Open descriptors, and memory in use in kilobytes.
+    /// The number of open descriptors, and the resident memory in kilobytes.
     pub fn descriptors_and_memory(&self) -> (usize, u64) {
         let proc = format!("/proc/{}", self.child.id());
         let descriptors = std::fs::read_dir(format!("{proc}/fd")).expect("runs").count();
@@ -128,7 +132,7 @@
         (descriptors, memory.trim().trim_end_matches(" kB").parse().expect("a number"))
     }
 
-    /// Processor time that its one thread has used, in nanoseconds.
+    /// The CPU time that the process, which has a single thread, has used, in nanoseconds.
     pub fn cpu_time_ns(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id())).expect("runs");
         stat.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number")
@@ -157,7 +161,7 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the proxy goes on");
+        panic!("the proxy did not exit within {TEST_TIMEOUT:?}");
     }
 }
 
@@ -168,7 +172,7 @@
     }
 }
 
-/// Waits until this holds.
+/// Waits until `holds` returns true. Panics with "not" and `what` after `TEST_TIMEOUT`.
 #[track_caller]
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
--- a/tests/stubs/standalone.rs
+++ b/tests/stubs/standalone.rs
@@ -1,4 +1,4 @@
-//! A proxy in standalone mode.
+//! Starts proxies in standalone mode.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -6,14 +6,16 @@
 use super::files::temp_folder;
 use super::process::Process;
 
-/// A proxy in standalone mode; `extra_files` (name, text) lie in the folder of its configuration.
+/// Starts a proxy in standalone mode. `extra_files` (name, text) are written to the folder of its
+/// configuration.
 #[track_caller]
 pub fn start_standalone(config: &str, extra_files: &[(&str, &str)]) -> Process {
     let (child, path) = spawn_standalone(config, extra_files);
     Process::attach(child, path)
 }
 
-/// The same without waiting for it: it may exit at once.
+/// Starts the program in standalone mode without waiting for its address, because it may exit at once.
+/// Returns the process and the path of its configuration.
 pub fn spawn_standalone(config: &str, extra_files: &[(&str, &str)]) -> (Child, PathBuf) {
     let folder = temp_folder();
     for (name, text) in extra_files {
--- a/tests/stubs/stored.rs
+++ b/tests/stubs/stored.rs
@@ -1,4 +1,4 @@
-//! What the files of learned state in `tests/data` hold, field by field.
+//! The contents of the learned-state files in `tests/data`, field by field.
 
 use learned_state::{LearnedSnapshot, NamedMean, PoolRecord, StoredEndpoint, StoredMean};
 
@@ -14,7 +14,7 @@
     all.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// What `every-field.known` holds.
+/// The contents of `every-field.known`.
 pub fn every_field() -> LearnedSnapshot {
     LearnedSnapshot {
         written_ms: Some(1790000000123),
@@ -94,8 +94,8 @@
     }
 }
 
-/// What `learned/00000000000000000003.known` holds.
-pub fn learned_in_a_folder() -> LearnedSnapshot {
+/// The contents of `learned/00000000000000000003.known`.
+pub fn learned_folder_file() -> LearnedSnapshot {
     LearnedSnapshot {
         written_ms: Some(1796284326922),
         pools: vec![
@@ -179,8 +179,8 @@
     }
 }
 
-/// What `amberlever.learned` holds.
-pub fn handed_over() -> LearnedSnapshot {
+/// The contents of `amberlever.learned`.
+pub fn handover_file() -> LearnedSnapshot {
     LearnedSnapshot {
         written_ms: Some(1796284318270),
         pools: vec![PoolRecord {
