--- a/tests/administration.rs
+++ b/tests/administration.rs
@@ -13,8 +13,10 @@
 use stubs::*;
 
 fn token() -> (String, String) {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_amberlever")).args(["token", "new"]).output().expect("it runs");
+    let output = Command::new(env!("CARGO_BIN_EXE_amberlever"))
+        .args(["token", "new"])
+        .output()
+        .expect("the program starts");
     let said = String::from_utf8(output.stdout).expect("text");
     let part = |key: &str| said.lines().find_map(|l| l.strip_prefix(key)).expect("said").trim().to_owned();
     (part("token:"), part("sha256:"))
@@ -129,7 +131,7 @@
 fn without_a_token_the_api_is_for_this_machine_only() {
     let file = hosted_config("", "").replacen("listen = \"127.0.0.1:0\"", "listen = \"192.0.2.1:8081\"", 1);
     let (child, _) = spawn_standalone(&file, &[]);
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the program exits");
     let said = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success());
     assert!(
@@ -248,7 +250,7 @@
     let (service, [op, ..]) = guarded();
     // Heads and bodies that do not come, on fewer connections than there may be.
     let mut slow: Vec<HttpClient> = (0..40)
-        .map(|_| HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("listens")))
+        .map(|_| HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("connects")))
         .collect();
     for (i, caller) in slow.iter_mut().enumerate() {
         let body = if i % 2 == 0 { "\r\n{" } else { "" };
@@ -258,7 +260,7 @@
     assert_eq!(told.status, 422);
     assert!(told.body["error"].is_string());
     let raw = |request: String| {
-        HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("listens"))
+        HttpClient::of(std::net::TcpStream::connect(service.admin_address).expect("connects"))
             .ask(&request)
             .status()
     };
@@ -317,7 +319,7 @@
                 _ => break,
             }
         }
-        killer.join().expect("killed");
+        killer.join().expect("no panic");
     }
     assert!(answered > 20, "changes were made: {answered}");
     eprintln!("{kills} kills, {answered} versions");
@@ -348,7 +350,7 @@
     });
     let refused = refused.expect("the disk is full at some time");
     assert_eq!(refused.status, 507, "{refused:?}");
-    assert!(refused.body["error"].as_str().expect("words").contains("nothing has changed"));
+    assert!(refused.body["error"].as_str().expect("an error text").contains("nothing has changed"));
     assert_eq!(service.get("/v1/tenants/club").body["limits"]["weight"], last);
     assert_eq!(service.request("club.example", "/x").status(), 200);
     drop(service);
@@ -394,7 +396,7 @@
     let run = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
         command.args(args).args(["--api", &service.admin_address.to_string()]).env("AMBERLEVER_TOKEN", &op);
-        let output = command.output().expect("it runs");
+        let output = command.output().expect("the program starts");
         let (out, err) = (
             String::from_utf8(output.stdout).expect("text"),
             String::from_utf8(output.stderr).expect("text"),
--- a/tests/announce.rs
+++ b/tests/announce.rs
@@ -66,7 +66,7 @@
 fn bgp(proxy: &Process, args: &[&str]) -> Output {
     let api = said(proxy, "bgp: operators on ").to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
-    command.args(["bgp", "--api", &api]).args(args).output().expect("runs")
+    command.args(["bgp", "--api", &api]).args(args).output().expect("the program starts")
 }
 
 fn status(proxy: &Process) -> Value {
@@ -238,12 +238,12 @@
     let rest = peer(&router, "passive = true") + &address(PREFIX, "p");
     let proxy = start_standalone(&config("", &[("p", &[lamp.address])], &rest), &[]);
     let listens = said(&proxy, "bgp: listening on ");
-    let mut stranger = TcpStream::connect(listens).expect("listens");
+    let mut stranger = TcpStream::connect(listens).expect("connects");
     assert_eq!(bgp_router::read_message(&mut stranger), None);
     until("counted", || status(&proxy)["strangers"] == 1);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::new(router.address.ip(), 0).into()).expect("its address");
-    socket.connect(&listens.into()).expect("listens");
+    socket.connect(&listens.into()).expect("connects");
     router.serve_on(socket.into());
     router.wait_for_announcement(0, PREFIX);
     assert_eq!(status(&proxy)["peers"][0]["state"], "Established");
@@ -360,8 +360,10 @@
 #[test]
 fn the_example_is_good_and_the_api_takes_json_alone() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/announce.toml");
-    let checked =
-        Command::new(env!("CARGO_BIN_EXE_amberlever")).args(["check", example]).status().expect("runs");
+    let checked = Command::new(env!("CARGO_BIN_EXE_amberlever"))
+        .args(["check", example])
+        .status()
+        .expect("the program starts");
     assert!(checked.success());
     let (router, lamp) = (router(1), RestartableEndpoint::start());
     let rest = peer(&router, "") + &address(PREFIX, "p");
@@ -373,6 +375,6 @@
             "POST /v1/bgp/hold HTTP/1.1\r\nHost: a\r\nContent-Type: {sort}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        assert_eq!(HttpClient::of(TcpStream::connect(api).expect("listens")).ask(&ask).status(), status);
+        assert_eq!(HttpClient::of(TcpStream::connect(api).expect("connects")).ask(&ask).status(), status);
     }
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -8,7 +8,7 @@
 
 fn amberlever(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
-    command.env_remove("LB_CONFIG").args(args).output().expect("it runs")
+    command.env_remove("LB_CONFIG").args(args).output().expect("the program starts")
 }
 
 fn out(output: &Output) -> String {
@@ -100,7 +100,13 @@
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("written");
     let check = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
-        command.current_dir(&folder).arg("check").arg("lb.toml").args(args).output().expect("it runs")
+        command
+            .current_dir(&folder)
+            .arg("check")
+            .arg("lb.toml")
+            .args(args)
+            .output()
+            .expect("the program starts")
     };
     let good = block("toml lb.toml");
     write("lb.toml", &good);
@@ -138,7 +144,8 @@
     let folder = temp_folder();
     std::fs::write(folder.join("lb.toml"), example.expect("an example")).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
-    let output = command.current_dir(&folder).args(["check", "lb.toml"]).output().expect("it runs");
+    let output =
+        command.current_dir(&folder).args(["check", "lb.toml"]).output().expect("the program starts");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stdout));
 }
 
@@ -191,7 +198,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it runs");
+        .expect("the program starts");
     let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines().map(|l| l.expect("text"));
     let curls: Vec<String> = lines.by_ref().filter(|l| l.trim().starts_with("curl ")).take(2).collect();
     let address: std::net::SocketAddr = curls[0]
@@ -201,7 +208,7 @@
         .and_then(|a| a.parse().ok())
         .expect("an address");
     let ask =
-        |request: &str| HttpClient::of(std::net::TcpStream::connect(address).expect("listens")).ask(request);
+        |request: &str| HttpClient::of(std::net::TcpStream::connect(address).expect("connects")).ask(request);
     assert!(curls[0].trim().ends_with("/standings/1"), "{curls:?}");
     assert_eq!(ask(&format!("GET /standings/1 HTTP/1.1\r\nHost: {address}\r\n\r\n")).status(), 200);
     assert!(curls[1].contains("Idempotency-Key: k1") && curls[1].ends_with("/report-result/12"), "{curls:?}");
@@ -223,7 +230,7 @@
     assert!(heard[1]["result"].as_str().is_some_and(|r| r.contains("POST /report-result/12")), "{heard:?}");
     let kill = format!("kill -INT {}", child.id());
     assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
-    assert!(child.wait().expect("it ends").success());
+    assert!(child.wait().expect("the program exits").success());
 }
 
 #[test]
--- a/tests/crossing.rs
+++ b/tests/crossing.rs
@@ -1,5 +1,5 @@
-//! Requests that cross a close: one that has arrived by then is answered, whichever side was about to close. Stopping the
-//! process while the request arrives forces the order.
+//! Requests that cross a close on the wire: one that arrives before the proxy closes is answered, whichever
+//! side was about to close. The process is stopped while the request arrives, which enforces that order.
 
 mod stubs;
 
@@ -11,14 +11,14 @@
 
 use stubs::*;
 
-/// A connection without a request is closed after this.
+/// The time after which the proxy closes a new connection without a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[test]
 fn a_first_request_that_crosses_the_head_timeout_is_answered() {
-    let backend = MockEndpoint::new([ok("done")]);
-    let proxy = Setup::with_endpoints(&[&backend]).start();
-    // On connections of all ages round the one at which they are given up.
+    let endpoint = MockEndpoint::new([ok("done")]);
+    let proxy = Setup::with_endpoints(&[&endpoint]).start();
+    // Connections with slightly different ages around the timeout.
     let opened = Instant::now();
     let mut clients: Vec<_> = (0..6).map(|_| proxy.connect()).collect();
     thread::sleep((HEAD_TIMEOUT - Duration::from_millis(300)).saturating_sub(opened.elapsed()));
@@ -27,7 +27,7 @@
         client.send(&read(&format!("id-{number}"), 9_000));
     }
     thread::sleep((HEAD_TIMEOUT + Duration::from_millis(400)).saturating_sub(opened.elapsed()));
-    // Now it sees at the same time that they have timed out and that their requests are there.
+    // On its next wake-up it finds the timeouts and the requests at the same time.
     proxy.signal("CONT");
     for client in &mut clients {
         assert_eq!(client.receive().body, b"done");
@@ -36,20 +36,20 @@
 
 #[test]
 fn a_request_that_arrives_at_the_end_of_shutdown_is_answered() {
-    let backend = MockEndpoint::new([ok("done")]);
-    let mut setup = Setup::with_endpoints(&[&backend]);
+    let endpoint = MockEndpoint::new([ok("done")]);
+    let mut setup = Setup::with_endpoints(&[&endpoint]);
     setup.deadline_ms = 300;
     setup.latency_objective_ms = 300;
     setup.balancers = 2;
     let mut proxy = setup.start();
-    // They are idle until the proxy closes them.
+    // These connections are idle until the proxy closes them.
     let mut clients: Vec<_> = (0..8).map(|_| proxy.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.ask(&read(&format!("first-{number}"), 250)).status(), 200);
     }
     proxy.terminate();
     proxy.wait_for_log("told to end");
-    // By its settings it takes requests for 0.5 s, and is killed after one second.
+    // By its settings it accepts requests for 0.5 s after the signal, and may be killed after one second.
     thread::sleep(Duration::from_millis(300));
     proxy.signal("STOP");
     for (number, client) in clients.iter_mut().enumerate() {
@@ -59,7 +59,7 @@
     proxy.signal("CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let status = client.receive().status();
-        assert!([200, 503].contains(&status), "last-{number}: {status}");
+        assert!([200, 503].contains(&status), "request last-{number}: {status}");
     }
     assert!(proxy.wait_for_exit().success());
 }
@@ -76,7 +76,7 @@
             while read_message(&mut reader).is_some() {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
                 if number == 0 {
-                    // A write of its own, after the answer.
+                    // Written separately, after the response.
                     thread::sleep(Duration::from_millis(30));
                     let _ = stream.write_all(unsolicited.as_bytes());
                 }
@@ -95,8 +95,8 @@
 
 #[test]
 fn an_id_is_free_again_right_after_its_response() {
-    let backend = MockEndpoint::new([ok("one"), ok("two")]);
-    let proxy = Setup::with_endpoints(&[&backend]).start();
+    let endpoint = MockEndpoint::new([ok("one"), ok("two")]);
+    let proxy = Setup::with_endpoints(&[&endpoint]).start();
     let mut client = proxy.connect();
     assert_eq!(client.ask(&write("id-1", 9_000, "x")).body, b"one");
     assert_eq!(client.ask(&write("id-1", 9_000, "x")).body, b"two");
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -33,13 +33,13 @@
         assert_eq!(proxy.request(&read(&format!("id-{i}"), 9000)).status(), 200);
     }
     let proc = format!("/proc/{}", proxy.pid());
-    let maps = fs::read_to_string(format!("{proc}/maps")).expect("runs");
+    let maps = fs::read_to_string(format!("{proc}/maps")).expect("the process is running");
     assert!(maps.contains("/libc.so.6"), "linked dynamically");
-    let threads = fs::read_dir(format!("{proc}/task")).expect("runs").count();
+    let threads = fs::read_dir(format!("{proc}/task")).expect("the process is running").count();
     assert_eq!(threads, 1);
     let children = fs::read_to_string(format!("{proc}/task/{}/children", proxy.pid()));
     assert_eq!(children.unwrap_or_default(), "");
-    let fds = fs::read_dir(format!("{proc}/fd")).expect("runs");
+    let fds = fs::read_dir(format!("{proc}/fd")).expect("the process is running");
     let open: Vec<String> = fds
         .filter_map(|fd| Some(fs::read_link(fd.ok()?.path()).ok()?.to_string_lossy().into_owned()))
         .collect();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle connections fill the descriptors while discovery is down: what discovery, operators and endpoints need stays free,
-//! and complete requests are served.
+//! Idle connections use up the descriptors while discovery is down. Those that discovery, operators and
+//! endpoints need stay available, and complete requests are served.
 
 mod stubs;
 
@@ -10,15 +10,16 @@
 
 use stubs::*;
 
-/// The smallest limit that the platform sets.
+/// The lowest limit on open descriptors that the platform sets.
 const MIN_DESCRIPTORS: u32 = 256;
 
-/// Answers the first poll with this list and leaves the next one open; returns when the first connection was accepted.
-fn serve_discovery(unreachable: ReservedPort, list: String) -> thread::JoinHandle<Instant> {
-    let listener = unreachable.open();
+/// Starts a discovery on a reserved port. It responds to the first poll with a list and leaves the next one
+/// open. The thread returns the time at which the first connection was accepted.
+fn serve_discovery(port: ReservedPort, list: String) -> thread::JoinHandle<Instant> {
+    let listener = port.open();
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("asked");
-        let since = Instant::now();
+        let (mut stream, _) = listener.accept().expect("a poll");
+        let accepted_at = Instant::now();
         thread::spawn(move || {
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
             if read_message(&mut reader).is_some() {
@@ -29,7 +30,7 @@
             let _ = read_message(&mut reader);
             drop(listener);
         });
-        since
+        accepted_at
     })
 }
 
@@ -43,7 +44,8 @@
     let down = unreachable.address();
     let config = with_operators_address(&setup.config(down));
     let proxy = start_with_descriptor_limit(&config, MIN_DESCRIPTORS);
-    // Three kinds of idle connections, far more than the limit; all of them wait for one that is never accepted.
+    // Far more idle connections than the limit allows: without any byte, with a part of a head, and with a
+    // complete request whose response is not read. The loop goes on when one is not accepted in time.
     let mut idle: Vec<TcpStream> = Vec::new();
     for number in 0..450 {
         let Ok(mut stream) = TcpStream::connect_timeout(&proxy.address, Duration::from_millis(300)) else {
@@ -72,28 +74,29 @@
     }
     println!("the longest of forty requests took {longest:?}");
     let (status, _) = proxy.operator_request("GET", "/status/metrics", "");
-    assert_eq!(status, 200, "operators are heard");
+    assert_eq!(status, 200, "the operators' address does not respond");
     let used = Duration::from_nanos(proxy.cpu_time_ns() - cpu_time_before);
     assert!(
         used < since.elapsed() / 2 + Duration::from_millis(500),
-        "{used:?} of {:?}: it spins",
+        "{used:?} of CPU time in {:?}: the event loop spins",
         since.elapsed()
     );
-    // Discovery returns at an address that a new configuration names, and lists an endpoint that was never connected to.
+    // Discovery recovers at an address that a new configuration names, and lists an endpoint without
+    // connections.
     let new_address = reachable_again.address();
     let updated_list = list(7, true, &[host("s-new", second.address, "SERVING")]);
     let polled_at = serve_discovery(reachable_again, updated_list);
     let reloaded = Instant::now();
     proxy.reload(&config.replace(&down.to_string(), &new_address.to_string()));
-    let polled_at = polled_at.join().expect("asked");
-    assert!(polled_at - reloaded < Duration::from_secs(6), "asked after {:?}", polled_at - reloaded);
+    let polled_at = polled_at.join().expect("no panic");
+    assert!(polled_at - reloaded < Duration::from_secs(6), "polled after {:?}", polled_at - reloaded);
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let response = proxy.request(&read(&format!("new-{:?}", deadline.elapsed().as_nanos()), 9_000));
         if response.body == b"second" {
             break;
         }
-        assert!(Instant::now() < deadline, "the new node is never connected to");
+        assert!(Instant::now() < deadline, "the new endpoint is never used");
     }
     let log = proxy.log();
     assert!(log.lines().count() < 20, "the log is flooded: {log}");
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -231,7 +231,7 @@
         })
         .collect();
     let all: Vec<RequestResult> =
-        workers.into_iter().flat_map(|worker| worker.join().expect("the same")).collect();
+        workers.into_iter().flat_map(|worker| worker.join().expect("no panic")).collect();
     // The test is of no use unless every case occurs.
     let count = |is_counted: &dyn Fn(&RequestResult) -> bool| all.iter().filter(|r| is_counted(r)).count();
     let served = count(&|result| result.outcome == Outcome::Served);
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -54,7 +54,7 @@
 }
 
 fn connect(listener: &InheritedListener) -> BufReader<TcpStream> {
-    let stream = TcpStream::connect(listener.address).expect("it listens");
+    let stream = TcpStream::connect(listener.address).expect("connects");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     BufReader::new(stream)
 }
@@ -173,7 +173,7 @@
     )]);
     let started_at = Instant::now();
     let response =
-        HttpClient::of(TcpStream::connect(listener.address).expect("it listens")).ask(&read("r-1", 700));
+        HttpClient::of(TcpStream::connect(listener.address).expect("connects")).ask(&read("r-1", 700));
     assert!([503, 504].contains(&response.status()), "{response:?}");
     assert!(started_at.elapsed() < WELL_BELOW_STALL_TIMEOUT, "{:?}", started_at.elapsed());
     assert_eq!(process.metric("edge_lb_active"), 0);
@@ -258,7 +258,7 @@
         thread::sleep(Duration::from_millis(250));
     }
     assert!(since.elapsed() > Duration::from_millis(u64::from(LATENCY_OBJECTIVE_MS)));
-    let response = read_message(&mut client).expect("an answer");
+    let response = read_message(&mut client).expect("a response");
     assert_eq!((response.status(), &response.body[..]), (200, &b"whole"[..]));
     assert_eq!(process.metric("edge_lb_tries_total"), 1);
     assert_eq!(process.metric("edge_lb_ok_total{kind=\"write\"}"), 1);
@@ -319,11 +319,11 @@
 fn standalone_mode_streams_large_requests_up_to_the_configured_limit() {
     let process = start_standalone_with_limit(body_checking_endpoint(), &format!("body_bytes = {LARGE}"));
     let send = |request: String, body: &[u8]| {
-        let mut client = BufReader::new(TcpStream::connect(process.address).expect("it listens"));
+        let mut client = BufReader::new(TcpStream::connect(process.address).expect("connects"));
         client.get_mut().write_all(request.as_bytes()).expect("written");
         // An answer may come before all of it is written.
         let _ = client.get_mut().write_all(body);
-        read_message(&mut client).expect("an answer")
+        read_message(&mut client).expect("a response")
     };
     let response = send(large_request("up", LATENCY_OBJECTIVE_MS), &pattern(LARGE));
     assert_eq!((response.status(), &response.body[..]), (200, &b"whole"[..]));
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -32,7 +32,7 @@
 
 /// The status of the first response; None where the proxy closes without one.
 fn status(address: SocketAddr, raw: &[u8]) -> Option<u16> {
-    let mut stream = TcpStream::connect(address).expect("listens");
+    let mut stream = TcpStream::connect(address).expect("connects");
     stream.write_all(raw).expect("written");
     HttpClient::of(stream).try_receive().map(|response| response.status())
 }
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -39,13 +39,16 @@
     for host in ["one.example", "b.two.example", "*.example"] {
         let response = service.put("/v1/tenants/three", &tenant(host, &[one.address], json!({})));
         assert_eq!(response.status, 422, "{host}: {response:?}");
-        assert!(response.body["error"].as_str().expect("words").contains("reaches into"), "{response:?}");
+        assert!(
+            response.body["error"].as_str().expect("an error text").contains("reaches into"),
+            "{response:?}"
+        );
     }
     let mut reads = tenant("three.example", &[], json!({}));
     reads["config"]["pool"] = json!([{ "name": "p", "file": "/etc/passwd" }]);
     assert!(service.put("/v1/tenants/three", &reads).body["error"]
         .as_str()
-        .expect("words")
+        .expect("an error text")
         .contains("no `file`"));
     // The same names of pools, classes and routes, and the same request id, do not collide between tenants.
     let (a, b) = (MockEndpoint::new([Behavior::Hang]), MockEndpoint::new([ok("b")]));
--- a/tests/hosted_changes.rs
+++ b/tests/hosted_changes.rs
@@ -133,7 +133,7 @@
     );
     assert_eq!(response.status, 422);
     assert_eq!(response.body["detail"]["kind"], "expectations");
-    let words = response.body["error"].as_str().expect("words");
+    let words = response.body["error"].as_str().expect("an error text");
     assert!(words.contains("tenant `one`") && words.contains("`served`") && words.contains("404"), "{words}");
     assert_eq!(service.request("one.example", "/x").status(), 200, "the old one serves on");
     // No change of one tenant changes the other's responses, version or state.
--- a/tests/hosted_limits.rs
+++ b/tests/hosted_limits.rs
@@ -65,7 +65,7 @@
             let stop = Arc::clone(&stop);
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    let stream = std::net::TcpStream::connect(address).expect("listens");
+                    let stream = std::net::TcpStream::connect(address).expect("connects");
                     let mut caller = HttpClient::of(stream);
                     caller.send("GET /x HTTP/1.1\r\nHost: stuck.example\r\nX-Timeout-Ms: 3900\r\n\r\n");
                     caller.try_receive();
@@ -84,7 +84,7 @@
     let stuck_uses = service.get("/v1/tenants/stuck/status").body;
     let (during, memory) = service.process.descriptors_and_memory();
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|p| p.join().expect("it ends"));
+    clients.into_iter().for_each(|p| p.join().expect("no panic"));
     assert!(stuck_uses["in_flight"].as_u64() <= Some(190), "{stuck_uses}");
     // Its downstream connections, and its half of the upstream connections.
     assert!(during < before + 170 + 96 + 10, "{before}, then {during}");
@@ -217,7 +217,7 @@
         .map(|_| {
             let (stop, asked) = (Arc::clone(&stop), Arc::clone(&asked));
             thread::spawn(move || {
-                let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("listens"));
+                let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("connects"));
                 while !stop.load(Ordering::Relaxed) {
                     let answer = caller.ask("GET /x HTTP/1.1\r\nHost: storm.example\r\nX-Retried: 1\r\n\r\n");
                     assert!([200, 429, 503].contains(&answer.status()));
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -66,7 +66,7 @@
     for id in [digits.as_str(), r#""A\n""#, r#""""#, "null", "0", "18446744073709551616"] {
         let message = format!(r#"{{"id":{id},"jsonrpc":"2.0","method":"standings"}}"#);
         client.send(&message);
-        let text = client.try_receive_text().expect("an answer");
+        let text = client.try_receive_text().expect("a response");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
     // The endpoint gets ids of the proxy, all different.
@@ -100,7 +100,7 @@
     let response = client.receive();
     assert_eq!((code(&response), &response["id"]), (-32005, &Value::Null));
     assert_eq!(client.receive()["method"], "$/closing");
-    let sent = sending.join().expect("it ends");
+    let sent = sending.join().expect("no panic");
     let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
     // A head that is none.
@@ -301,7 +301,9 @@
                 for n in 0..6 {
                     let Some(text) = Framing::Lines.read(&mut reader) else { return };
                     let call: Value = serde_json::from_str(&text).expect("JSON");
-                    call_read.send(call["params"]["n"].as_u64().expect("a number")).expect("heard");
+                    call_read
+                        .send(call["params"]["n"].as_u64().expect("a number"))
+                        .expect("the receiver is open");
                     if n < 3 {
                         let response =
                             json!({ "jsonrpc": "2.0", "id": call["id"], "result": "first" }).to_string();
@@ -421,7 +423,7 @@
     let notice = client.receive();
     assert_eq!((&notice["method"], &notice["params"]["taken"]), (&json!("$/closing"), &json!(2)));
     assert!(client.try_receive().is_none());
-    waiting.join().expect("it ends");
+    waiting.join().expect("no panic");
     assert!(proxy.process.wait_for_exit().success());
 }
 
@@ -473,7 +475,7 @@
         assert_eq!((response.status(), &*response.body), (200, &b"{\"n\":1e400 }"[..]));
         let mut client = proxy.rpc();
         client.send(&call);
-        assert!(client.try_receive_text().expect("an answer").contains("\"result\":{\"n\":1e400 }"));
+        assert!(client.try_receive_text().expect("a response").contains("\"result\":{\"n\":1e400 }"));
     }
     let (by_http, by_rpc) = (http.request().1, http.request().1);
     assert_eq!(
@@ -590,7 +592,7 @@
         let (mut child, _) = spawn_standalone(&good.replacen(from, to, 1), &[]);
         let mut stderr_text = String::new();
         child.stderr.take().expect("piped").read_to_string(&mut stderr_text).expect("text");
-        assert_eq!(child.wait().expect("ends").code(), Some(2), "{message}");
+        assert_eq!(child.wait().expect("the program exits").code(), Some(2), "{message}");
         assert!(stderr_text.contains(message), "{stderr_text}");
     }
 }
@@ -625,5 +627,5 @@
     assert_eq!(http.requests().len(), 0);
     client.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
     assert_eq!(http.request().1.line, "POST /standings/a%20b%3F%23 HTTP/1.1");
-    let _ = TcpStream::connect(proxy.rpc).expect("it still listens");
+    let _ = TcpStream::connect(proxy.rpc).expect("connects");
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! No attempt starts for a client that has closed its connection or its sending side. The mock peers force each order of
-//! events.
+//! No attempt starts for a client that has closed its connection or its sending side. The mock peers enforce
+//! each order of events.
 
 mod stubs;
 
@@ -12,7 +12,7 @@
 use socket2::{Domain, SockRef, Socket, Type};
 use stubs::*;
 
-/// An endpoint to which no connection can be established, as its backlog is full.
+/// An endpoint to which no connection can be established, because its backlog is full.
 struct FullBacklogEndpoint {
     listener: TcpListener,
     backlog_filler: TcpStream,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Accepts from now on, so that the kernel establishes what waits: returns all that is written until no connection arrives
-    /// for three seconds, and when it arrived.
+    /// Accepts connections from now on, so that the kernel establishes those that wait. Returns the bytes
+    /// received and their times of arrival, once no connection has arrived for three seconds.
     fn open(self) -> Vec<(Instant, Vec<u8>)> {
         drop(self.backlog_filler);
         let received = Arc::<Mutex<Vec<(Instant, Vec<u8>)>>>::default();
@@ -62,29 +62,30 @@
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
-    /// Unread bytes follow its request, so that its close is behind them.
+    /// Closes after sending bytes behind the request that the proxy does not read before the close.
     CloseAfterUnreadBytes,
     Reset,
     ResetAfterUnreadBytes,
-    /// It goes on reading and sends nothing more, which cancels its attempts too.
+    /// Closes only its sending side, which cancels its attempts too.
     HalfClose,
     HalfCloseAfterUnreadBytes,
+    /// Closes before the body is complete.
     DuringBody,
 }
 
-/// Sends a request, and disconnects once the proxy has read it and `first` has returned. Returns when that was, and the
-/// connection of a half-close.
+/// Sends a request, and disconnects once the proxy has read it and `first` has returned. Returns the time of
+/// the disconnect, and the connection if only one side was closed.
 fn send_and_disconnect(
     proxy: &Process,
     disconnect: Disconnect,
     first: impl FnOnce(),
 ) -> (Instant, Option<TcpStream>) {
-    let mut stream = TcpStream::connect(proxy.address).expect("listens");
+    let mut stream = TcpStream::connect(proxy.address).expect("connects");
     stream.set_nodelay(true).expect("set");
     let whole = write("id-1", 9_000, "what to do");
     let length = whole.len() - usize::from(matches!(disconnect, Disconnect::DuringBody)) * 4;
     stream.write_all(&whole.as_bytes()[..length]).expect("written");
-    // Whoever is answered after it came after it.
+    // The response to this later request indicates that the proxy has read the first one.
     assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
     if matches!(
         disconnect,
@@ -113,6 +114,7 @@
     (Instant::now(), None)
 }
 
+/// A proxy with a single endpoint at this address.
 fn setup(address: SocketAddr) -> Setup {
     let mut setup = Setup::with_endpoints(&[]);
     setup.endpoints.push(host("s-0", address, "SERVING"));
@@ -144,7 +146,7 @@
         })
     });
     for case in cases {
-        case.join().expect("as said");
+        case.join().expect("no panic");
     }
 }
 
@@ -156,11 +158,12 @@
         Disconnect::Reset,
         Disconnect::ResetAfterUnreadBytes,
     ] {
-        // Two endpoints: whichever has the request first waits for the release, and then rejects it unprocessed.
+        // Two endpoints: the one that gets the first attempt waits for the release, and then rejects it
+        // unprocessed.
         let (request_started, requests) = mpsc::channel();
         let (release, releases) = mpsc::channel::<()>();
         let releases = Arc::new(Mutex::new(releases));
-        let backend = || {
+        let endpoint = || {
             let (request_started, releases) = (request_started.clone(), Arc::clone(&releases));
             let (request_started, releases) = (Mutex::new(request_started), releases);
             raw_endpoint(move |mut stream| {
@@ -174,17 +177,17 @@
                 }
             })
         };
-        let mut setup = setup(backend());
-        setup.endpoints.push(host("s-1", backend(), "SERVING"));
+        let mut setup = setup(endpoint());
+        setup.endpoints.push(host("s-1", endpoint(), "SERVING"));
         let proxy = setup.start();
         let (disconnected_at, _half_closed) = send_and_disconnect(&proxy, disconnect, || {
             requests.recv_timeout(TEST_TIMEOUT).expect("the first attempt");
         });
-        release.send(()).expect("it waits");
+        release.send(()).expect("the endpoint waits for it");
         let further = requests.recv_timeout(Duration::from_secs(1)).ok();
         assert!(
             further.is_none(),
-            "{disconnect:?}: begun {:?} after",
+            "{disconnect:?}: another attempt {:?} after the disconnect",
             further.map(|at| at - disconnected_at)
         );
         let _ = release.send(());
@@ -199,17 +202,17 @@
     let proxy = setup.start();
     let mut clients = Vec::new();
     for number in 0..500 {
-        let mut stream = TcpStream::connect(proxy.address).expect("listens");
+        let mut stream = TcpStream::connect(proxy.address).expect("connects");
         stream.write_all(write(&format!("id-{number}"), 9_000, "x").as_bytes()).expect("written");
         clients.push(stream);
     }
     assert_eq!(proxy.request("GET /healthz HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
-    // Half of them with bytes behind their requests.
+    // Half of the clients send bytes behind their requests.
     for client in clients.iter_mut().step_by(2) {
         let _ = client.write_all(b"GET /read/1 HTTP/1.1\r\n");
     }
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let busy: Vec<_> = (0..4)
+    let busy_threads: Vec<_> = (0..4)
         .map(|_| {
             let stop = Arc::clone(&stop);
             thread::spawn(move || while !stop.load(std::sync::atomic::Ordering::Relaxed) {})
@@ -221,23 +224,23 @@
     let disconnected_at = Instant::now();
     let received = endpoint.open();
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    busy.into_iter().for_each(|b| b.join().expect("no panic"));
+    busy_threads.into_iter().for_each(|t| t.join().expect("no panic"));
     let last = received.iter().map(|(at, _)| at.saturating_duration_since(disconnected_at)).max();
-    println!("from the clients' end to the last attempt that was begun: {last:?}, {} in all", received.len());
+    println!("{} attempts after the disconnects, the last after {last:?}", received.len());
     assert!(last.is_none_or(|last| last <= Duration::from_millis(100)), "{last:?}");
 }
 
 #[test]
 fn a_disconnect_propagates_to_a_second_tier() {
     for disconnect in [Disconnect::Close, Disconnect::CloseAfterUnreadBytes] {
-        let backend = MockEndpoint::new([Behavior::Hang]);
-        let second = Setup::with_endpoints(&[&backend]).start();
+        let endpoint = MockEndpoint::new([Behavior::Hang]);
+        let second = Setup::with_endpoints(&[&endpoint]).start();
         let first = setup(second.address).start();
         let mut number = 0;
-        let (disconnected_at, _) = send_and_disconnect(&first, disconnect, || number = backend.request().0);
-        assert_eq!(backend.wait_for_close(), number);
+        let (disconnected_at, _) = send_and_disconnect(&first, disconnect, || number = endpoint.request().0);
+        assert_eq!(endpoint.wait_for_close(), number);
         println!(
-            "{disconnect:?}: the second tier's attempt was closed {:?} after its client had left",
+            "{disconnect:?}: the second tier's attempt was closed {:?} after the client's disconnect",
             disconnected_at.elapsed()
         );
         assert!(
--- a/tests/notification_bound.rs
+++ b/tests/notification_bound.rs
@@ -71,7 +71,7 @@
         })
     });
     for case in cases {
-        case.join().expect("as said");
+        case.join().expect("no panic");
     }
 }
 
@@ -136,7 +136,7 @@
         (polled_at, listener, stream)
     });
     send_until(&proxy, recovered_at + NOTIFIED_AFTER + DRAIN_GRACE);
-    let (polled_at, ..) = discovery.join().expect("polled");
+    let (polled_at, ..) = discovery.join().expect("no panic");
     assert!(
         polled_at < recovered_at + Duration::from_millis(2_500),
         "polled {:?} after its return",
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -18,7 +18,7 @@
 
 fn ask(process: &Process, held: &InheritedListener, request: &str) -> HttpMessage {
     assert!(process.pid() > 0);
-    HttpClient::of(TcpStream::connect(held.address).expect("somebody listens")).ask(request)
+    HttpClient::of(TcpStream::connect(held.address).expect("connects")).ask(request)
 }
 
 #[test]
@@ -53,20 +53,20 @@
     let at = process.operators_address();
     let mut hanging: Vec<TcpStream> = Vec::new();
     for n in 0..40 {
-        let mut stream = TcpStream::connect(at).expect("it listens");
+        let mut stream = TcpStream::connect(at).expect("connects");
         stream.write_all(&b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\n"[..n]).expect("written");
         hanging.push(stream);
         assert_eq!(process.operator_request("GET", "/status", "").0, 200, "beside {n}");
     }
     // Nor do clients that stop reading the metrics.
     for _ in 0..40 {
-        let mut stream = TcpStream::connect(at).expect("it listens");
+        let mut stream = TcpStream::connect(at).expect("connects");
         let _ = stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         hanging.push(stream);
     }
     assert_eq!(process.operator_request("GET", "/status/metrics", "").0, 200);
     // A request that arrives byte by byte is served as well.
-    let mut slow = TcpStream::connect(at).expect("it listens");
+    let mut slow = TcpStream::connect(at).expect("connects");
     slow.set_nodelay(true).expect("set");
     for byte in b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ns-0" {
         slow.write_all(&[*byte]).expect("written");
@@ -134,7 +134,7 @@
     // A request in flight whose client then disconnects.
     let silent = MockEndpoint::new([Behavior::Hang]);
     let (process, _discovery, held) = start(&[&silent]);
-    let mut caller = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut caller = HttpClient::of(TcpStream::connect(held.address).expect("connects"));
     caller.send(&read("open", 9000));
     process.wait_for_metric("edge_lb_tries_total", 1);
     assert_eq!(process.metric("edge_lb_active"), 1);
@@ -151,10 +151,10 @@
     let config = with_operators_address(&Setup::with_endpoints(&[&first, &second]).config(discovery.address));
     let mut old = held.start(&config);
     assert_eq!(old.operator_request("POST", "/maintenance/enter", "s-0").0, 200);
-    let mut persistent = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut persistent = HttpClient::of(TcpStream::connect(held.address).expect("connects"));
     assert_eq!(persistent.ask(&read("persistent-1", 9000)).status(), 200);
     // Another connection stays open until the old process closes it.
-    let mut idle = HttpClient::of(TcpStream::connect(held.address).expect("it listens"));
+    let mut idle = HttpClient::of(TcpStream::connect(held.address).expect("connects"));
     assert_eq!(idle.ask(&read("idle", 9000)).status(), 200);
 
     let new = held.start(&config);
@@ -222,7 +222,11 @@
         let path = temp_folder().join("lb.json");
         std::fs::write(&path, &config).expect("written");
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_amberlever"));
-        let ended = command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", named).output().expect("it runs");
+        let ended = command
+            .env("LB_CONFIG", &path)
+            .env("LB_PASSED_SOCKET", named)
+            .output()
+            .expect("the program starts");
         let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
         assert!(
             !ended.status.success() && stderr.contains("LB_PASSED_SOCKET") && stderr.lines().count() == 1,
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -116,7 +116,7 @@
     let start = || Process::attach(start_with(&listener, &text, 1), temp_folder());
     let mut old = start();
     assert_eq!(old.address, at);
-    let mut persistent = HttpClient::of(TcpStream::connect(at).expect("it listens"));
+    let mut persistent = HttpClient::of(TcpStream::connect(at).expect("connects"));
     assert_eq!(persistent.ask(&get("a", "kept-1")).status(), 200);
     let new = start();
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
@@ -145,7 +145,7 @@
     let right = listener.local_addr().expect("bound").to_string();
     for (at, count, why) in [(right.clone(), 2, "2 sockets"), (other.to_string(), 1, "listens on")] {
         let child = start_with(&listener, &config(&at, nodes.each_ref(), ""), count);
-        let ended = child.wait_with_output().expect("it ends");
+        let ended = child.wait_with_output().expect("the program exits");
         let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
         assert!(!ended.status.success() && stderr.contains(why), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
@@ -161,7 +161,7 @@
         1,
     );
     let (child, _) = spawn_standalone(&text, &[]);
-    let ended = child.wait_with_output().expect("it ends");
+    let ended = child.wait_with_output().expect("the program exits");
     let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
     assert!(!ended.status.success() && stderr.contains("not on loopback"), "{stderr}");
 }
--- a/tests/request_outcomes.rs
+++ b/tests/request_outcomes.rs
@@ -134,7 +134,7 @@
 /// Sends a request that ends in this way: the status, where there was one.
 fn send(proxy: SocketAddr, ending: Ending, id: u64, received: &ReceivedIds) -> Option<u16> {
     let name = format!("{ending:?}-{id}");
-    let stream = TcpStream::connect(proxy).expect("it listens");
+    let stream = TcpStream::connect(proxy).expect("connects");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut client = BufReader::new(stream);
     let request = match ending {
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -352,7 +352,7 @@
     ];
     for (config, code, words) in cases {
         let (child, _) = spawn_standalone(&config, &[("expect.toml", expect)]);
-        let output = child.wait_with_output().expect("it ends");
+        let output = child.wait_with_output().expect("the program exits");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(code), "{said}");
         assert!(said.starts_with("amberlever: ") && said.contains(words), "{said}");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -70,7 +70,8 @@
     if let Some((_, all)) = &mut setup.peers {
         all[700] = all[3];
     }
-    let output = spawn(Some(&setup.config(unused_address())), None).wait_with_output().expect("it ends");
+    let output =
+        spawn(Some(&setup.config(unused_address())), None).wait_with_output().expect("the program exits");
     assert!(!output.status.success());
     let stderr = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -59,7 +59,7 @@
         })
     });
     for run in runs.collect::<Vec<_>>() {
-        run.join().expect("as said");
+        run.join().expect("no panic");
     }
 }
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -74,7 +74,7 @@
     let show = |format: &str, name: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
         command.env_remove("LB_CONFIG").args(["state", "--format", format, "show"]).arg(data(name));
-        let output = command.output().expect("it runs");
+        let output = command.output().expect("the program starts");
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).expect("text")
     };
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -87,7 +87,7 @@
 fn send_request(counts: &Counts, connection: &mut Option<HttpClient>, at: std::net::SocketAddr) {
     let id = counts.next_id.fetch_add(1, Ordering::Relaxed);
     let mut caller =
-        connection.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("it listens")));
+        connection.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("connects")));
     caller.send(&read(&format!("u-{id}"), 5000));
     let Some(answer) = caller.try_receive() else {
         counts.unanswered.fetch_add(1, Ordering::Relaxed);
