--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Bodies that are larger than what is buffered: they are streamed under back-pressure, and incomplete ones are recognizable.
+//! Bodies larger than the buffer: they are streamed under back-pressure, and a truncated one is detectable.
 mod stubs;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,26 +10,27 @@
 use stubs::*;
 
 const LARGE: usize = 8 << 20;
-/// Time enough for what is quick on a busy machine; an upload takes longer.
+/// Long enough for a fast request on a busy machine. An upload takes longer.
 const LATENCY_OBJECTIVE_MS: u32 = 2000;
-/// A peer that sends nothing of a body has stalled after 10 s.
+/// Well below the 10 s after which a peer that sends nothing of a body counts as stalled.
 const WELL_BELOW_STALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Bytes in which none could be lost, doubled or moved unseen.
+/// Bytes in which a lost, duplicated or moved byte is detected.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8).collect()
 }
 
-fn start(backends: &[SocketAddr]) -> (Process, MockDiscovery, InheritedListener) {
+/// Starts a proxy with an operators' address in platform mode.
+fn start(endpoints: &[SocketAddr]) -> (Process, MockDiscovery, InheritedListener) {
     let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
     setup.endpoints =
-        backends.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
+        endpoints.iter().enumerate().map(|(i, b)| host(&format!("s-{i}"), *b, "SERVING")).collect();
     let process = listener.start(&with_operators_address(&setup.config(discovery.address)));
     (process, discovery, listener)
 }
 
-/// Reads a head: its first line.
+/// Reads a head and returns its first line.
 fn read_head(from: &mut impl BufRead) -> String {
     let mut first = String::new();
     from.read_line(&mut first).expect("text");
@@ -41,7 +42,7 @@
     first
 }
 
-/// An endpoint with a large response on each connection.
+/// An endpoint that sends a large response on each connection.
 fn large_response_endpoint() -> SocketAddr {
     let body = pattern(LARGE);
     raw_endpoint(move |mut stream| {
@@ -64,7 +65,7 @@
     for chunked in [false, true] {
         let release = Arc::new(Release::default());
         let release_signal = Arc::clone(&release);
-        let node = raw_endpoint(move |stream| {
+        let endpoint = raw_endpoint(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
             read_head(&mut reader);
             let (mut stream, body) = (stream, pattern(LARGE));
@@ -86,7 +87,7 @@
             stream.write_all(end.as_bytes()).expect("written");
             let _ = reader.read_to_end(&mut Vec::new());
         });
-        let (process, _discovery, listener) = start(&[node]);
+        let (process, _discovery, listener) = start(&[endpoint]);
         let mut client = connect(&listener);
         client
             .get_mut()
@@ -96,14 +97,14 @@
             .expect("written");
         assert!(read_head(&mut client).contains(" 200 "));
         let mut some = vec![0; 50_000];
-        client.read_exact(&mut some).expect("before the rest has been sent");
-        assert_eq!(process.metric("edge_lb_active"), 1, "it has not ended");
+        client.read_exact(&mut some).expect("a part, before the rest has been sent");
+        assert_eq!(process.metric("edge_lb_active"), 1, "the request is still active");
         release.release();
         let mut rest = Vec::new();
         client.read_to_end(&mut rest).expect("all of it");
         some.extend(rest);
         if chunked {
-            // Pieces may be cut anywhere; what is left without their sizes is what was sent.
+            // The proxy may split chunks anywhere, so only the length and the end are checked.
             assert!(some.len() >= LARGE && some.ends_with(b"0\r\n\r\n"));
         } else {
             assert!(some == pattern(LARGE), "byte for byte");
@@ -115,8 +116,8 @@
 
 #[test]
 fn unread_responses_are_backpressured_and_use_no_memory() {
-    let node = large_response_endpoint();
-    let (process, _discovery, listener) = start(&[node]);
+    let endpoint = large_response_endpoint();
+    let (process, _discovery, listener) = start(&[endpoint]);
     let (_, before) = process.descriptors_and_memory();
     let mut clients = Vec::new();
     for i in 0..20 {
@@ -126,7 +127,7 @@
         clients.push(client);
     }
     let (_, with) = process.descriptors_and_memory();
-    assert!(with - before < 20 * 256, "{} kB for 160 MB of answers", with - before);
+    assert!(with - before < 20 * 256, "{} kB for 160 MB of responses", with - before);
     for mut client in clients {
         let mut all = vec![0; LARGE];
         client.read_exact(&mut all).expect("all of it");
@@ -136,7 +137,7 @@
 
 #[test]
 fn an_interrupted_response_is_visibly_incomplete() {
-    let node = raw_endpoint(|stream| {
+    let endpoint = raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
         read_head(&mut reader);
         let mut stream = stream;
@@ -145,7 +146,7 @@
             .expect("written");
         stream.write_all(&pattern(200_000)).expect("written");
     });
-    let (process, _discovery, listener) = start(&[node]);
+    let (process, _discovery, listener) = start(&[endpoint]);
     let mut client = connect(&listener);
     client.get_mut().write_all(read("broken", 9000).as_bytes()).expect("written");
     assert!(read_head(&mut client).contains(" 200 "));
@@ -156,7 +157,7 @@
     assert_eq!(process.metric("edge_lb_ok_total{kind=\"read\"}"), 0);
 }
 
-/// An endpoint that sends this at once, and nothing more.
+/// An endpoint that sends the start of a response at once, and nothing more.
 fn unfinished_response_endpoint(response: &'static str) -> SocketAddr {
     raw_endpoint(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
@@ -190,7 +191,7 @@
     assert!(read_head(&mut client).contains(" 200 "));
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all);
-    assert!(all.starts_with(b"10\r\n") && !all.ends_with(b"0\r\n\r\n"), "its caller can tell");
+    assert!(all.starts_with(b"10\r\n") && !all.ends_with(b"0\r\n\r\n"), "the truncation is not detectable");
     let took = started_at.elapsed();
     assert!(took > Duration::from_millis(500) && took < WELL_BELOW_STALL_TIMEOUT, "{took:?}");
     process.wait_for_metric("edge_lb_errors_total{kind=\"read\"}", 1);
@@ -198,10 +199,10 @@
 
 #[test]
 fn streamed_responses_outlive_an_upgrade() {
-    let node = large_response_endpoint();
+    let endpoint = large_response_endpoint();
     let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let mut setup = Setup { latency_objective_ms: LATENCY_OBJECTIVE_MS, ..Setup::with_endpoints(&[]) };
-    setup.endpoints = vec![host("s-0", node, "SERVING")];
+    setup.endpoints = vec![host("s-0", endpoint, "SERVING")];
     let config = with_operators_address(&setup.config(discovery.address));
     let mut old = listener.start(&config);
     let mut clients: Vec<_> = (0..10).map(|_| connect(&listener)).collect();
@@ -213,7 +214,7 @@
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
     old.wait_for_log("told to end");
-    // The new one serves; the old one still has ten responses to finish, and is not gone before.
+    // The new process serves. The old one has ten responses to complete, and does not exit before.
     let mut other = connect(&listener);
     other.get_mut().write_all(read("other", 9000).as_bytes()).expect("written");
     assert!(read_head(&mut other).contains(" 200 "));
@@ -227,7 +228,7 @@
     assert_eq!(new.metric("edge_lb_active"), 1);
 }
 
-/// An endpoint that reads a large request and says whether its body was complete.
+/// An endpoint that reads a large request and responds whether its body was complete.
 fn body_checking_endpoint() -> SocketAddr {
     raw_endpoint(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
@@ -235,8 +236,8 @@
         let mut body = vec![0; LARGE];
         let whole = reader.read_exact(&mut body).is_ok() && body == pattern(LARGE);
         let mut stream = stream;
-        let word = if whole { "whole" } else { "wrong" };
-        let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{word}").as_bytes());
+        let body = if whole { "whole" } else { "wrong" };
+        let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{body}").as_bytes());
         let _ = reader.read_to_end(&mut Vec::new());
     })
 }
@@ -249,7 +250,7 @@
 fn large_requests_are_streamed_and_time_out_from_the_last_byte() {
     let (process, _discovery, listener) = start(&[body_checking_endpoint()]);
     let mut client = connect(&listener);
-    // It takes longer to come than its client waits for the answer.
+    // The upload takes longer than the client's timeout.
     client.get_mut().write_all(large_request("up", LATENCY_OBJECTIVE_MS).as_bytes()).expect("written");
     let body = pattern(LARGE);
     let since = Instant::now();
@@ -269,9 +270,9 @@
     let (process, _discovery, listener) = start(&[]);
     let mut client = connect(&listener);
     client.get_mut().write_all(large_request("up", 9000).as_bytes()).expect("written");
-    let response = read_message(&mut client).expect("an answer before its body has come");
+    let response = read_message(&mut client).expect("a response before the body has arrived");
     assert_eq!(response.status(), 503);
-    client.get_mut().write_all(&pattern(LARGE)).expect("all of it is taken");
+    client.get_mut().write_all(&pattern(LARGE)).expect("the whole body is read");
     process.wait_for_metric("edge_lb_shed_total{kind=\"write\"}", 1);
     assert_eq!(process.metric("edge_lb_active"), 0);
 }
@@ -283,7 +284,7 @@
     client.get_mut().write_all(large_request("up", 9000).as_bytes()).expect("written");
     client.get_mut().write_all(&pattern(LARGE)[..LARGE / 2]).expect("written");
     drop(client);
-    // Whether it ends as left or as rejected is a race that nobody waits for.
+    // Whether it counts as cancelled or as rejected depends on a race.
     let ended =
         || ["errors", "shed"].map(|n| process.metric(&format!("edge_lb_{n}_total{{kind=\"write\"}}")));
     let since = Instant::now();
@@ -294,8 +295,8 @@
     assert_eq!((process.metric("edge_lb_tries_total"), process.metric("edge_lb_active")), (0, 0));
 }
 
-/// A proxy in standalone mode in front of one endpoint, with this line in `[limits]`.
-fn start_standalone_with_limit(node: SocketAddr, limit: &str) -> Process {
+/// Starts a proxy in standalone mode with two pools of the same endpoint, and with a line in `[limits]`.
+fn start_standalone_with_limit(endpoint: SocketAddr, limit: &str) -> Process {
     let class = |name: &str, semantics: &str| {
         format!(
             "[[class]]\nname = \"{name}\"\naim_ms = {LATENCY_OBJECTIVE_MS}\ndeadline_ms = 9000\nsemantics = \"{semantics}\"\n\
@@ -306,8 +307,8 @@
     start_standalone(
         &format!(
             "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\n[operators]\nlisten = \"127.0.0.1:0\"\n\
-             [limits]\n{limit}\n[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n\", address = \"{node}\" }}]\n\
-             [[pool]]\nname = \"q\"\nnodes = [{{ name = \"n\", address = \"{node}\" }}]\n{}{}",
+             [limits]\n{limit}\n[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n\", address = \"{endpoint}\" }}]\n\
+             [[pool]]\nname = \"q\"\nnodes = [{{ name = \"n\", address = \"{endpoint}\" }}]\n{}{}",
             class("read", "idempotent"),
             class("write", "at-most-once"),
         ),
@@ -321,7 +322,7 @@
     let send = |request: String, body: &[u8]| {
         let mut client = BufReader::new(TcpStream::connect(process.address).expect("connects"));
         client.get_mut().write_all(request.as_bytes()).expect("written");
-        // An answer may come before all of it is written.
+        // The response may arrive before the whole body is written.
         let _ = client.get_mut().write_all(body);
         read_message(&mut client).expect("a response")
     };
@@ -331,12 +332,13 @@
     let over =
         large_request("over", LATENCY_OBJECTIVE_MS).replace(&LARGE.to_string(), &(LARGE + 1).to_string());
     assert_eq!(send(over, &[]).status(), 413);
-    // Rejected with its body on the way: it is not sent to the next pool with what is left of it.
-    for node in ["p/n", "q/n"] {
-        assert_eq!(process.operator_request("POST", "/maintenance/enter", node).0, 200);
+    // A request that is rejected while its body arrives is not sent to the fallback pool with a truncated
+    // body.
+    for endpoint in ["p/n", "q/n"] {
+        assert_eq!(process.operator_request("POST", "/maintenance/enter", endpoint).0, 200);
     }
     assert_eq!(send(large_request("refused", LATENCY_OBJECTIVE_MS), &pattern(LARGE)).status(), 503);
-    // Where no bound is set bodies are buffered.
+    // Without a configured limit bodies are buffered.
     let process = start_standalone_with_limit(body_checking_endpoint(), "");
     let mut client = process.connect();
     client.send(&large_request("large", LATENCY_OBJECTIVE_MS));
@@ -345,12 +347,12 @@
 
 #[test]
 fn standalone_mode_streams_large_responses_up_to_the_configured_limit() {
-    let node = large_response_endpoint();
-    let process = start_standalone_with_limit(node, &format!("body_bytes = {LARGE}"));
+    let endpoint = large_response_endpoint();
+    let process = start_standalone_with_limit(endpoint, &format!("body_bytes = {LARGE}"));
     let response = process.request(&read("down", 9000));
     assert!(response.status() == 200 && response.body == pattern(LARGE));
-    // One byte more than may be is an answer that breaks off, and counts as one.
-    let process = start_standalone_with_limit(node, &format!("body_bytes = {}", LARGE - 1));
+    // A response one byte over the limit is truncated, and counts as an error.
+    let process = start_standalone_with_limit(endpoint, &format!("body_bytes = {}", LARGE - 1));
     let mut client = process.connect();
     client.send(&read("over", 9000));
     assert!(client.try_receive().is_none_or(|response| response.status() == 502));
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -1,4 +1,5 @@
-//! JSON-RPC through sockets: clients and endpoints of both protocols, with mock peers that share no code with the proxy.
+//! JSON-RPC over sockets: clients and endpoints of both protocols. The mock peers share no code with the
+//! proxy.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -15,6 +16,7 @@
 use stubs::*;
 use testkit::json_rpc::request;
 
+/// The code of an error response.
 fn code(response: &Value) -> i64 {
     response["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {response}"))
 }
@@ -22,9 +24,9 @@
 // ---- Messages ----
 
 #[test]
-fn cases_of_the_specification() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+fn examples_of_the_specification_get_the_specified_responses() {
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!(19))]);
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     let mut client = proxy.rpc();
     let assert_null_id_error = |code: i64, response: &Value| {
         assert_eq!(
@@ -56,10 +58,10 @@
 
 #[test]
 fn ids_are_returned_verbatim() {
-    let node = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
+    let endpoint = MockRpcEndpoint::new(Framing::ContentLength, [RpcBehavior::Result(json!(null))]);
     let proxy = DualProtocolProxy::start(&RpcSite {
         framing: Framing::ContentLength,
-        ..RpcSite::rpc(&[node.address])
+        ..RpcSite::rpc(&[endpoint.address])
     });
     let mut client = proxy.rpc();
     let digits = format!("-1{}", "0".repeat(400));
@@ -69,25 +71,25 @@
         let text = client.try_receive_text().expect("a response");
         assert!(text.contains(&format!("\"id\":{id},\"result\":null")), "{id}: {text}");
     }
-    // The endpoint gets ids of the proxy, all different.
+    // The endpoint receives ids that the proxy chose, all different.
     let own: BTreeSet<String> =
-        node.requests().iter().map(|c| c["id"].as_str().expect("a string").to_owned()).collect();
+        endpoint.requests().iter().map(|c| c["id"].as_str().expect("a string").to_owned()).collect();
     assert_eq!(own.len(), 6);
     for bad in ["1.5", "1e3", "{}", "true", r#""\ud800""#] {
         client.send(&format!(r#"{{"id":{bad},"jsonrpc":"2.0","method":"standings"}}"#));
         assert_eq!(code(&client.receive()), -32600, "{bad}");
     }
     client.send(r#"{"id":1,"id":2,"jsonrpc":"2.0","method":"standings"}"#);
-    assert_eq!(client.receive()["id"], Value::Null, "which of the two is meant?");
+    assert_eq!(client.receive()["id"], Value::Null, "an ambiguous id was used");
     client.send_bytes(b"Content-Length: 3\r\n\r\n\"\xff\"");
     assert_eq!(code(&client.receive()), -32700);
-    assert!(node.requests().is_empty());
+    assert!(endpoint.requests().is_empty());
 }
 
 #[test]
 fn an_endless_message_is_rejected_and_uses_no_memory() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     proxy.rpc().call(1, "standings", json!({}));
     let (_, before) = proxy.process.descriptors_and_memory();
     let mut client = proxy.rpc();
@@ -103,10 +105,10 @@
     let sent = sending.join().expect("no panic");
     let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (8 << 10), "{before} kB, then {after} kB, with {sent} MB sent");
-    // A head that is none.
+    // Bytes that are no valid head of a message with a length.
     let lengths = DualProtocolProxy::start(&RpcSite {
         framing: Framing::ContentLength,
-        ..RpcSite::rpc(&[node.address])
+        ..RpcSite::rpc(&[endpoint.address])
     });
     let mut client = lengths.rpc();
     client.send_bytes(b"GET / HTTP/1.1\r\n\r\n");
@@ -119,35 +121,36 @@
 fn responses_come_in_any_order_and_the_open_call_limit_pauses_reading() {
     let release = Arc::new(Release::default());
     let on_release = RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("late"));
-    let node = MockRpcEndpoint::new(
+    let endpoint = MockRpcEndpoint::new(
         Framing::Lines,
         [on_release.clone(), RpcBehavior::Result(json!("soon")), on_release.clone(), on_release],
     );
-    let site = RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[node.address]) };
+    let site =
+        RpcSite { rpc_listener_settings: ", calls = 2".to_owned(), ..RpcSite::rpc(&[endpoint.address]) };
     let proxy = DualProtocolProxy::start(&site);
     let mut client = proxy.rpc();
     client.send(&request(1, "standings", json!({})));
-    node.request();
+    endpoint.request();
     client.send(&request(2, "standings", json!({})));
     assert_eq!(
-        (&client.receive()["result"], node.request().0),
+        (&client.receive()["result"], endpoint.request().0),
         (&json!("soon"), 0),
-        "on the same connection"
+        "the second call is not on the same connection"
     );
-    // An id that is open, and one in other spelling.
+    // The id of an open call.
     client.send(&request(1, "standings", json!({})));
     assert_eq!(code(&client.receive()), -32003);
     for id in 3..=10 {
         client.send(&request(id, "standings", json!({})));
     }
-    assert_eq!(node.request().1["method"], "standings");
-    // Another client, which stays, is served meanwhile; of this one nothing more has been read.
+    assert_eq!(endpoint.request().1["method"], "standings");
+    // Another client is served meanwhile. Nothing more has been read from the first one.
     let mut other_client = proxy.rpc();
     other_client.send(&request(99, "standings", json!({})));
-    assert_eq!(node.request().1["params"]["_meta"]["verb"], Value::Null);
-    // A proxy that read on would have forwarded the next call by then.
+    assert_eq!(endpoint.request().1["params"]["_meta"]["verb"], Value::Null);
+    // If the proxy had read on, it would have forwarded the next call by then.
     std::thread::sleep(Duration::from_millis(100));
-    assert!(node.requests().is_empty());
+    assert!(endpoint.requests().is_empty());
     release.release();
     let answered: BTreeSet<i64> =
         (0..9).map(|_| client.receive()["id"].as_i64().expect("a number")).collect();
@@ -156,13 +159,13 @@
 
 #[test]
 fn batch_calls_are_decided_separately_and_answered_together() {
-    let node = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
+    let endpoint = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
         Some("fail") => RpcBehavior::Error(-32050),
         Some("full") => RpcBehavior::Error(-32004),
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     let mut client = proxy.rpc();
     let batch = format!(
         "[{},{},{},{},{},{}]",
@@ -178,20 +181,20 @@
     let of = |id: Value| responses.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
     assert_eq!(responses.len(), 5, "{responses:?}");
     assert_eq!(of(json!(1))["result"]["method"], "standings");
-    assert_eq!(code(of(json!(2))), -32000, "nothing ran: a refusal");
-    assert_eq!(code(of(json!(3))), -32001, "it may have run");
+    assert_eq!(code(of(json!(2))), -32000, "a call that was not executed is rejected");
+    assert_eq!(code(of(json!(3))), -32001, "a call that may have been executed fails");
     assert_eq!(code(of(json!(4))), -32600);
-    assert_eq!(code(of(json!("five"))), -32602, "its class wants a key");
-    // The notification ran once as well; nothing that may have run was sent again.
-    let calls = node.requests();
-    let ran = |what: &Value| {
+    assert_eq!(code(of(json!("five"))), -32602, "its class requires a key");
+    // The notification was executed once too, and no call that may have been executed was retried.
+    let calls = endpoint.requests();
+    let executions = |what: &Value| {
         calls.iter().filter(|c| c["params"]["do"] == *what && c["method"] == "close-round").count()
     };
-    assert_eq!((ran(&json!("fail")), ran(&Value::Null)), (1, 1));
+    assert_eq!((executions(&json!("fail")), executions(&Value::Null)), (1, 1));
     let proxy =
-        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[node.address]) });
+        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..RpcSite::rpc(&[endpoint.address]) });
     let mut client = proxy.rpc();
-    // One that hangs delays the others no longer than the shortest client timeout.
+    // A call that hangs delays the others at most by the shortest client timeout.
     let since = Instant::now();
     let slow = format!(
         "[{},{}]",
@@ -208,18 +211,18 @@
 
 #[test]
 fn a_client_that_never_reads_is_bounded_by_the_open_call_limit() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("x".repeat(60_000)))]);
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("x".repeat(60_000)))]);
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     proxy.rpc().call(0, "standings", json!({}));
     let (_, before) = proxy.process.descriptors_and_memory();
-    let deaf = proxy.rpc();
-    deaf.stream().set_nonblocking(true).expect("set");
+    let client = proxy.rpc();
+    client.stream().set_nonblocking(true).expect("set");
     let mut sent = 0;
     let since = Instant::now();
-    // Until nothing more of it is read.
+    // Sends until the proxy has stopped reading for some time.
     while since.elapsed() < Duration::from_secs(3) && sent < 20_000 {
         let call = Framing::Lines.encode(&request(sent, "standings", json!({ "pad": "y".repeat(2_000) })));
-        match deaf.stream().write(&call) {
+        match client.stream().write(&call) {
             Ok(n) if n == call.len() => sent += 1,
             _ => thread::sleep(Duration::from_millis(10)),
         }
@@ -227,13 +230,13 @@
     }
     let (_, after) = proxy.process.descriptors_and_memory();
     assert!(after < before + (16 << 10), "{before} kB, then {after} kB after {sent} calls");
-    let _ = deaf.stream().shutdown(std::net::Shutdown::Both);
+    let _ = client.stream().shutdown(std::net::Shutdown::Both);
 }
 
 #[test]
 fn partial_messages_time_out_and_idle_connections_stay() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Echo]);
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     let mut silent = proxy.rpc();
     let mut slow = proxy.rpc();
     let since = Instant::now();
@@ -248,14 +251,14 @@
     assert_eq!(silent.call(1, "standings", json!({}))["id"], 1);
 }
 
-// ---- Ends of connections ----
+// ---- Closed connections ----
 
 #[test]
 fn a_client_disconnect_cancels_calls_at_the_endpoint() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Hang]);
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Hang]);
     let site = RpcSite {
         pool_settings: ", cancel = \"$/cancelRequest\"".to_owned(),
-        ..RpcSite::rpc(&[node.address])
+        ..RpcSite::rpc(&[endpoint.address])
     };
     let proxy = DualProtocolProxy::start(&site);
     let mut client = proxy.rpc();
@@ -264,34 +267,39 @@
         request(1, "close-round", json!({})),
         r#"{"jsonrpc":"2.0","method":"close-round","params":{}}"#
     ));
-    let ids: BTreeSet<String> = (0..2).map(|_| node.request().1["id"].to_string()).collect();
+    let ids: BTreeSet<String> = (0..2).map(|_| endpoint.request().1["id"].to_string()).collect();
     drop(client);
-    let called_off: BTreeSet<String> = (0..2)
+    let cancelled: BTreeSet<String> = (0..2)
         .map(|_| {
-            let notice = node.request().1;
-            assert_eq!(notice["method"], "$/cancelRequest", "unsafe work is not sent again: {notice}");
+            let notice = endpoint.request().1;
+            assert_eq!(
+                notice["method"], "$/cancelRequest",
+                "a call that may have been executed was retried: {notice}"
+            );
             notice["params"]["id"].to_string()
         })
         .collect();
-    assert_eq!(called_off, ids);
-    // The connection goes on.
+    assert_eq!(cancelled, ids);
+    // The upstream connection stays in use.
     let mut client = proxy.rpc();
     client.send(&request(1, "standings", json!({})));
-    assert_eq!(node.request().0, 0);
+    assert_eq!(endpoint.request().0, 0);
 }
 
-/// A connection breaks with calls on it that were not written, written in part, written, answered: each gets one response,
-/// what may have been executed is not retried, and what was not written completely is.
+/// An upstream connection breaks with calls on it that were not written, partly written, completely written,
+/// and answered. Each call gets one response. A call that may have been executed is not retried, and one that
+/// was not written completely is.
 #[test]
 fn a_broken_upstream_connection_fails_each_of_its_calls() {
     const CALLS: usize = 150;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
-    let breaks = listener.local_addr().expect("bound");
-    // Reads some calls, answers three of them, then waits until all further bytes are stuck, and breaks.
+    let breaking_address = listener.local_addr().expect("bound");
+    // Reads six calls, responds to three of them, waits for the signal while further bytes fill the buffers,
+    // and closes the connection.
     let (call_read, read_calls) = std::sync::mpsc::channel();
-    let go = Arc::new(Release::default());
-    let wait = Arc::clone(&go);
+    let close_signal = Arc::new(Release::default());
+    let wait = Arc::clone(&close_signal);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let (call_read, wait) = (call_read.clone(), Arc::clone(&wait));
@@ -311,15 +319,15 @@
                     }
                 }
                 wait.wait();
-                // Unread bytes make this a reset.
+                // Because of the unread bytes the close is a reset.
             });
         }
     });
-    let sound = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("second"))]);
+    let working = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("second"))]);
     let site = RpcSite {
         rpc_listener_settings: ", calls = 200".to_owned(),
         pool_settings: ", calls = 200".to_owned(),
-        ..RpcSite::rpc(&[breaks, sound.address])
+        ..RpcSite::rpc(&[breaking_address, working.address])
     };
     let proxy = DualProtocolProxy::start(&site);
     let mut client = proxy.rpc();
@@ -332,30 +340,30 @@
     }
     let mut responses: Vec<Value> = Vec::new();
     let mut completely_read: BTreeSet<u64> = BTreeSet::new();
-    // The first have been read and answered; then the connection breaks.
+    // The connection breaks once the first calls have been read and answered.
     completely_read.extend((0..6).map(|_| read_calls.recv_timeout(TEST_TIMEOUT).expect("a call")));
     while responses.iter().filter(|a| a["result"] == "first").count() < 3 {
         responses.push(client.receive());
     }
-    go.release();
+    close_signal.release();
     while responses.len() < CALLS {
         responses.push(client.receive());
     }
     completely_read.extend(read_calls.try_iter());
     let ids: BTreeSet<u64> = responses.iter().map(|a| a["id"].as_u64().expect("a number")).collect();
-    assert_eq!(ids.len(), CALLS, "one answer each");
+    assert_eq!(ids.len(), CALLS, "some call did not get exactly one response");
     let second: BTreeSet<u64> =
-        sound.requests().iter().map(|c| c["params"]["n"].as_u64().expect("a number")).collect();
+        working.requests().iter().map(|c| c["params"]["n"].as_u64().expect("a number")).collect();
     assert!(
         second.is_disjoint(&completely_read),
-        "ran twice: {:?}",
+        "executed twice: {:?}",
         second.intersection(&completely_read).collect::<Vec<_>>()
     );
     for response in &responses {
         match response["result"].as_str() {
             Some("first") => {}
             Some(_) => assert!(second.contains(&response["id"].as_u64().expect("a number"))),
-            // Only what cannot have been executed is rejected; it must not have been read completely.
+            // Only calls that were not executed are rejected, so none of these may have been read completely.
             None if code(response) == -32000 => {
                 assert!(!completely_read.contains(&response["id"].as_u64().expect("a number")))
             }
@@ -363,20 +371,22 @@
         }
     }
     let failed = responses.iter().filter(|a| a["error"].is_object() && code(a) != -32000).count();
-    assert!(failed >= 3, "those that it read and did not answer: {failed}");
+    assert!(failed >= 3, "at least the three calls without a response fail, not only {failed}");
 }
 
 #[test]
 fn unmatched_responses_are_ignored() {
     let twice = "{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":1}\n{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":2}\n{\"jsonrpc\":\"2.0\",\"id\":\"never\",\"result\":3}\n";
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let endpoint =
+        MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Raw(twice.to_owned()), RpcBehavior::Echo]);
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     let mut client = proxy.rpc();
     assert_eq!(client.call(1, "close-round", json!({}))["result"], 1);
     let echo = client.call(2, "close-round", json!({}));
     assert_eq!((&echo["id"], &echo["result"]["method"]), (&json!(2), &json!("close-round")));
-    // What is no valid response fails its call, which may have been executed; what is no message ends the connection.
-    let node = MockRpcEndpoint::new(
+    // An invalid response fails its call, which may have been executed. Bytes that are no message close the
+    // connection.
+    let endpoint = MockRpcEndpoint::new(
         Framing::Lines,
         [
             RpcBehavior::Raw("{\"id\":$ID,\"result\":1}\n".to_owned()),
@@ -384,36 +394,36 @@
             RpcBehavior::Echo,
         ],
     );
-    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[node.address]));
+    let proxy = DualProtocolProxy::start(&RpcSite::rpc(&[endpoint.address]));
     let mut client = proxy.rpc();
     assert_eq!(code(&client.call(1, "close-round", json!({}))), -32001);
     assert_eq!(code(&client.call(2, "close-round", json!({}))), -32001);
     assert_eq!(client.call(3, "close-round", json!({}))["result"]["method"], "close-round");
-    assert_eq!(node.requests().len(), 3);
+    assert_eq!(endpoint.requests().len(), 3);
 }
 
 #[test]
 fn shutdown_and_reload_answer_calls_that_were_read() {
     let release = Arc::new(Release::default());
-    let node = MockRpcEndpoint::new(
+    let endpoint = MockRpcEndpoint::new(
         Framing::Lines,
         [RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("old"))],
     );
     let next = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("new"))]);
-    let (site, other) = (RpcSite::rpc(&[node.address]), RpcSite::rpc(&[next.address]));
+    let (site, other) = (RpcSite::rpc(&[endpoint.address]), RpcSite::rpc(&[next.address]));
     let mut proxy = DualProtocolProxy::start(&site);
     let mut client = proxy.rpc();
     client.send(&request(1, "close-round", json!({})));
-    node.request();
+    endpoint.request();
     proxy.process.reload(&other.config());
     proxy.process.wait_for_log("configuration 2:");
     assert_eq!(
         client.call(2, "close-round", json!({}))["result"],
         "new",
-        "a stream goes on under the next one"
+        "the open connection uses the new configuration"
     );
     proxy.process.terminate();
-    // Its port stays open for a while, and new requests are served.
+    // The port stays open for some time, and new requests are served.
     assert_eq!(proxy.rpc().call(3, "standings", json!({}))["result"], "new");
     let waiting = thread::spawn(move || {
         thread::sleep(Duration::from_millis(700));
@@ -429,22 +439,24 @@
 
 #[test]
 fn a_batch_open_at_shutdown_is_answered_completely() {
-    let node = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
+    let endpoint = MockRpcEndpoint::of(Framing::Lines, |call| match call["params"]["do"].as_str() {
         Some("hang") => RpcBehavior::Hang,
         _ => RpcBehavior::Echo,
     });
-    let mut proxy =
-        DualProtocolProxy::start(&RpcSite { latency_objective_ms: 1500, ..RpcSite::rpc(&[node.address]) });
+    let mut proxy = DualProtocolProxy::start(&RpcSite {
+        latency_objective_ms: 1500,
+        ..RpcSite::rpc(&[endpoint.address])
+    });
     let mut client = proxy.rpc();
     let calls = [json!({}), json!({ "do": "hang" }), json!({})];
     let calls: Vec<_> =
         calls.into_iter().enumerate().map(|(n, params)| request(n as i64, "standings", params)).collect();
     client.send(&format!("[{}]", calls.join(",")));
-    (0..3).for_each(|_| drop(node.request()));
+    (0..3).for_each(|_| drop(endpoint.request()));
     proxy.process.terminate();
     proxy.process.wait_for_log("told to end");
     let responses = client.receive();
-    let responses = responses.as_array().expect("one answer to the batch");
+    let responses = responses.as_array().expect("one response to the batch");
     assert_eq!(responses.len(), 3, "{responses:?}");
     for (n, response) in responses.iter().enumerate() {
         assert_eq!((&response["id"], response.get("result").is_some()), (&json!(n), n != 1), "{response}");
@@ -462,12 +474,16 @@
     let json =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 12\r\n\r\n{\"n\":1e400 }";
     let http = MockEndpoint::new([Behavior::Respond(json.to_owned())]);
-    let node = MockRpcEndpoint::new(
+    let endpoint = MockRpcEndpoint::new(
         Framing::Lines,
         [RpcBehavior::Raw("{\"jsonrpc\":\"2.0\",\"id\":$ID,\"result\":{\"n\":1e400 }}\n".to_owned())],
     );
-    let brief = |site: RpcSite| DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..site });
-    let (to_http, to_rpc) = (brief(RpcSite::http(&[http.address])), brief(RpcSite::rpc(&[node.address])));
+    let with_short_objective =
+        |site: RpcSite| DualProtocolProxy::start(&RpcSite { latency_objective_ms: 300, ..site });
+    let (to_http, to_rpc) = (
+        with_short_objective(RpcSite::http(&[http.address])),
+        with_short_objective(RpcSite::rpc(&[endpoint.address])),
+    );
     let post = "POST /report-result/12?a=b HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\nX-Timeout-Ms: 900\r\nContent-Length: 7\r\n\r\n{\"a\":1}";
     let call = request(1, "report-result", json!({ "key": "k2", "a": 1, "_meta": { "timeoutMs": 900 } }));
     for proxy in [&to_http, &to_rpc] {
@@ -484,7 +500,7 @@
     );
     assert_eq!(by_rpc.header("Idempotency-Key"), Some("k2"));
     assert_eq!(serde_json::from_slice::<Value>(&by_rpc.body).expect("JSON")["a"], 1);
-    let (from_http, from_rpc) = (node.request().1, node.request().1);
+    let (from_http, from_rpc) = (endpoint.request().1, endpoint.request().1);
     assert_eq!((&from_http["method"], &from_http["params"]["a"]), (&json!("report-result"), &json!(1)));
     let meta = &from_http["params"]["_meta"];
     assert_eq!((&meta["key"], &meta["path"]), (&json!("k"), &json!("/report-result/12?a=b")));
@@ -499,22 +515,23 @@
 #[test]
 fn an_idempotency_key_is_executed_once_across_protocols() {
     let release = Arc::new(Release::default());
-    let node = MockRpcEndpoint::new(
+    let endpoint = MockRpcEndpoint::new(
         Framing::Lines,
         [
             RpcBehavior::ResultOnRelease(Arc::clone(&release), json!("done")),
             RpcBehavior::Result(json!("again")),
         ],
     );
-    let proxy = DualProtocolProxy::start(&RpcSite { key_window_ms: 4_000, ..RpcSite::rpc(&[node.address]) });
+    let proxy =
+        DualProtocolProxy::start(&RpcSite { key_window_ms: 4_000, ..RpcSite::rpc(&[endpoint.address]) });
     let post = |key: &str| {
         let head = format!("POST /report-result/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: {key}\r\nContent-Length: 0\r\n\r\n");
         proxy.process.request(&head)
     };
     let mut client = proxy.rpc();
     client.send(&request(1, "report-result", json!({ "key": "k" })));
-    node.request();
-    // In progress: rejected alike on both protocols.
+    endpoint.request();
+    // While the first is in progress, its key is rejected over both protocols.
     let rejection = post("k");
     assert_eq!((rejection.status(), rejection.header("X-Refusal-Cause")), (409, Some("key-open")));
     let rejection = proxy.rpc().call(2, "report-result", json!({ "key": "k" }));
@@ -522,17 +539,18 @@
     assert_eq!(rejection["error"]["data"]["retryAfterMs"], 1000);
     release.release();
     assert_eq!(client.receive()["result"], "done");
-    let served = Instant::now();
-    // Served: the stored response, and nothing is sent upstream.
+    let served_at = Instant::now();
+    // Once it is served, its key gets the stored response, and nothing is sent upstream.
     assert_eq!(post("k").body, b"\"done\"");
     assert_eq!(proxy.rpc().call(3, "report-result", json!({ "key": "k" }))["result"], "done");
-    assert!(node.requests().is_empty());
-    // Another key is another, and after the window so is this one.
+    assert!(endpoint.requests().is_empty());
+    // Another key is executed, and so is this key again after its window.
     assert_eq!(post("l").body, b"\"again\"");
-    thread::sleep(Duration::from_millis(4_100).saturating_sub(served.elapsed()));
+    thread::sleep(Duration::from_millis(4_100).saturating_sub(served_at.elapsed()));
     assert_eq!(post("k").body, b"\"again\"");
-    assert_eq!(node.requests().len(), 2);
-    // Both at once: one is executed, the other rejected.
+    assert_eq!(endpoint.requests().len(), 2);
+    // Of two simultaneous requests with a key one is executed, and the other rejected or answered with its
+    // response.
     for round in 0..50 {
         let key = format!("r{round}");
         let (mut http, mut rpc) = (proxy.process.connect(), proxy.rpc());
@@ -542,16 +560,16 @@
         let (by_http, by_rpc) = (http.receive().status(), rpc.receive());
         assert!(by_http == 200 || by_http == 409, "{by_http}");
         assert!(by_rpc["result"] == "again" || code(&by_rpc) == -32003, "{by_rpc}");
-        assert_eq!(node.requests().len(), 1, "round {round}");
+        assert_eq!(endpoint.requests().len(), 1, "round {round}");
     }
 }
 
 #[test]
 fn at_the_key_limit_new_keys_are_rejected_and_none_is_executed_twice() {
-    let node = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("z".repeat(100)))]);
+    let endpoint = MockRpcEndpoint::new(Framing::Lines, [RpcBehavior::Result(json!("z".repeat(100)))]);
     let site = RpcSite {
         server_settings: "keys = { entries = 3, bytes = 250 }\n".to_owned(),
-        ..RpcSite::rpc(&[node.address])
+        ..RpcSite::rpc(&[endpoint.address])
     };
     let proxy = DualProtocolProxy::start(&site);
     let mut client = proxy.rpc();
@@ -564,7 +582,7 @@
     assert!(full["error"]["data"]["retryAfterMs"].as_u64() > Some(1_000));
     let done = call("a");
     assert_eq!((code(&done), &done["error"]["data"]["cause"]), (-32003, &json!("key-done")));
-    assert_eq!(node.requests().len(), 3);
+    assert_eq!(endpoint.requests().len(), 3);
 }
 
 // ---- Configuration ----
@@ -613,7 +631,11 @@
     assert!(received.header("X-Timeout-Ms").and_then(|ms| ms.parse::<u64>().ok()) <= Some(700));
     client.call(2, "report-result", json!({ "_meta": { "dedup": "k" } }));
     assert_eq!(http.request().1.header("Idempotency-Key"), Some("k"));
-    assert_eq!(code(&client.call(3, "standings", json!({}))), -32601, "`rank` stands for its class");
+    assert_eq!(
+        code(&client.call(3, "standings", json!({}))),
+        -32601,
+        "a class with a configured method is callable by its own name"
+    );
     for bad in [json!({ "wait": -1 }), json!({ "wait": "soon" }), json!({ "wait": 0 }), json!({ "wait": {} })]
     {
         assert_eq!(code(&client.call(4, "rank", bad.clone())), -32602, "{bad}");
@@ -621,9 +643,9 @@
     client.send(r#"{"jsonrpc":"2.0","id":5,"method":"rank","params":{"wait":5,"wait":6}}"#);
     assert_eq!(code(&client.receive()), -32602);
     assert_eq!(http.requests().len(), 0);
-    // The wire is the proxy's: nothing of a call reaches a head.
-    let odd = client.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
-    assert_eq!(code(&odd), -32602, "as over HTTP, a path is not to hide a step or a line");
+    // No member of a call can add a line or a path segment to an HTTP head.
+    let response = client.call(6, "rank", json!({ "where": { "event": "a\r\nX: y/../?#" } }));
+    assert_eq!(code(&response), -32602, "a member with a path segment or a line break was accepted");
     assert_eq!(http.requests().len(), 0);
     client.call(7, "rank", json!({ "where": { "event": "a b?#" } }));
     assert_eq!(http.request().1.line, "POST /standings/a%20b%3F%23 HTTP/1.1");
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The standalone mode over loopback: routes, pools, fallbacks and sources of endpoints.
+//! The standalone mode on loopback: routes, pools, fallbacks and sources of endpoints.
 mod stubs;
 
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn requests_are_sent_only_where_their_route_says() {
+fn requests_are_sent_only_to_the_pool_of_their_route() {
     let (one, other) = (MockEndpoint::new([ok("one")]), MockEndpoint::new([ok("other")]));
     let rest = pool("one", &[("n1", one.address, "")])
         + &pool("other", &[("n2", other.address, "")])
@@ -77,7 +77,7 @@
     for unrouted in ["/one", "/one/1/2", "/ONE/1", "/"] {
         assert_eq!(proxy.request(&get(unrouted, "")).status(), 404, "{unrouted}");
     }
-    // A request without an id gets a unique one, and one that has an id keeps it.
+    // A request without an id gets a unique one, and a request with an id keeps it.
     proxy.request(&get("/one/1", ""));
     proxy.request(&get("/one/1", "X-Request-ID: mine\r\n"));
     let mut ids: Vec<String> =
@@ -91,8 +91,8 @@
 
 #[test]
 fn the_endpoint_receives_the_normalized_host_and_path() {
-    let node = MockEndpoint::new([ok("done")]);
-    let rest = pool("p", &[("n", node.address, "")])
+    let endpoint = MockEndpoint::new([ok("done")]);
+    let rest = pool("p", &[("n", endpoint.address, "")])
         + &route("all", r#"path = "/a/*""#, "read", "pool = \"p\"")
         + &route("secret", r#"path = "/secret""#, "read", "pool = \"p\"\nnodes = { zones = [\"nowhere\"] }")
             .replace("nowhere", "south");
@@ -107,11 +107,11 @@
     ];
     for (sent, seen) in cases {
         assert_eq!(proxy.request(&get(sent, "")).status(), 200, "{sent}");
-        assert_eq!(node.request().1.line, format!("GET {seen} HTTP/1.1"), "{sent}");
+        assert_eq!(endpoint.request().1.line, format!("GET {seen} HTTP/1.1"), "{sent}");
     }
     for (host, seen) in [("A.Example.", "a.example"), ("a.example:8080", "a.example:8080"), ("A:80", "a")] {
         assert_eq!(proxy.request(&get("/a/b", "").replace("a.example", host)).status(), 200, "{host}");
-        assert_eq!(node.request().1.header("Host"), Some(seen), "{host}");
+        assert_eq!(endpoint.request().1.header("Host"), Some(seen), "{host}");
     }
     for bad in ["/a/%00", "/a/../../b", "/a/%2e%2e%2f..%2fsecret", "/a/%0d%0ax"] {
         assert_eq!(proxy.request(&get(bad, "")).status(), 400, "{bad}");
@@ -119,7 +119,7 @@
     for bad in ["a..b", "a b", "a:x", "user@a"] {
         assert_eq!(proxy.request(&get("/a/b", "").replace("a.example", bad)).status(), 400, "{bad}");
     }
-    assert!(node.requests().is_empty());
+    assert!(endpoint.requests().is_empty());
 }
 
 #[test]
@@ -163,8 +163,8 @@
         + &route("r", r#"path = "/*""#, "read", split);
     let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     let chosen_pools = || -> Vec<u8> {
-        let mut caller = proxy.connect();
-        (0..60).map(|i| caller.ask(&get("/x", &format!("X-Player: p{i}\r\n"))).body[0]).collect()
+        let mut client = proxy.connect();
+        (0..60).map(|i| client.ask(&get("/x", &format!("X-Player: p{i}\r\n"))).body[0]).collect()
     };
     let before = chosen_pools();
     assert_eq!(before, chosen_pools());
@@ -181,6 +181,7 @@
 
 // ---- Fallbacks ----
 
+/// A pool with a fallback under a condition.
 fn two_pools(main: &MockEndpoint, spare: &MockEndpoint, class: &str, when: &str) -> String {
     let to = format!("pool = \"main\"\nfallback = [{{ pool = \"spare\", when = [\"{when}\"] }}]");
     pool("main", &[("m", main.address, "")])
@@ -210,26 +211,27 @@
 }
 
 #[test]
-fn a_rejected_request_falls_back_only_if_that_is_harmless() {
+fn a_request_falls_back_only_if_a_second_execution_is_excluded_or_harmless() {
     // Rejected before it was executed: a request of any class may fall back.
     for class in ["read", "put", "write"] {
         let (main, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
         let proxy = start_standalone(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
-        let answer = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"spare"[..]), "{class}");
+        let response = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
+        assert_eq!((response.status(), &response.body[..]), (200, &b"spare"[..]), "{class}");
         assert_eq!(spare.requests().len(), 1, "{class}");
     }
-    // The connection closed after it was sent, so it may have been executed. Its own pool would recognize the key
-    // of a repeat, another would not.
+    // The connection was closed after the request was sent, so it may have been executed. Only the same pool
+    // detects a repeated key, so a request with a key does not fall back either.
     for (class, status, fallback_requests) in [("write", 502, 0), ("put", 502, 0), ("read", 200, 1)] {
         let main = MockEndpoint::new([Behavior::Disconnect, full()]);
         let spare = MockEndpoint::new([ok("spare")]);
         let proxy = start_standalone(&config(LOOPBACK, &two_pools(&main, &spare, class, "refused")), &[]);
-        let answer = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
-        assert_eq!(answer.status(), status, "{class}");
+        let response = proxy.request(&post("/x", "Idempotency-Key: k\r\n"));
+        assert_eq!(response.status(), status, "{class}");
         assert_eq!(spare.requests().len(), fallback_requests, "{class}");
     }
-    // Without another pool a request with a key is rejected: its own pool recognizes a repeat.
+    // Without a fallback a request with a key is retried in its pool, which detects a repeated key, and
+    // rejected there.
     let main = MockEndpoint::new([Behavior::Disconnect, full()]);
     let rest =
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "put", "pool = \"main\"");
@@ -244,9 +246,9 @@
         pool("main", &[("m", main.address, "")]) + &route("r", r#"path = "/*""#, "read", "pool = \"main\"");
     let proxy = start_standalone(&config(LOOPBACK, &rest).replace("aim_ms = 9000", "aim_ms = 100"), &[]);
     let retry_after = (0..400).find_map(|_| {
-        let answer = proxy.request(&get("/x", ""));
-        assert_eq!(answer.status(), 503);
-        answer.header("Retry-After").map(str::to_owned)
+        let response = proxy.request(&get("/x", ""));
+        assert_eq!(response.status(), 503);
+        response.header("Retry-After").map(str::to_owned)
     });
     if let Some(seconds) = retry_after {
         assert!(seconds.parse::<u32>().is_ok_and(|s| s >= 1), "{seconds}");
@@ -260,12 +262,12 @@
     let (one, other) = (MockEndpoint::new([ok("one")]), MockEndpoint::new([ok("other")]));
     let rest = "[[pool]]\nname = \"p\"\nfile = \"nodes.json\"\n".to_owned()
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
-    let of = |backend: &MockEndpoint| list(1, true, &[host("n", backend.address, "SERVING")]);
-    let proxy = start_standalone(&config(LOOPBACK, &rest), &[("nodes.json", &of(&one))]);
+    let list_of = |endpoint: &MockEndpoint| list(1, true, &[host("n", endpoint.address, "SERVING")]);
+    let proxy = start_standalone(&config(LOOPBACK, &rest), &[("nodes.json", &list_of(&one))]);
     let file = proxy.path.with_file_name("nodes.json");
     proxy.wait_for_log("pool `p`: applied 1 endpoints from ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"one");
-    // Replaced by a rename.
+    // The file is replaced by a rename.
     let next = proxy.path.with_file_name("next.json");
     std::fs::write(
         &next,
@@ -275,8 +277,9 @@
     std::fs::rename(&next, &file).expect("renamed");
     proxy.wait_for_log("pool `p`: applied 2 endpoints from ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"other");
-    // Truncated after complete hosts, empty, with garbage, an incomplete list, and no file at all.
-    let complete = of(&one);
+    // A file that is truncated after complete hosts, empty, followed by garbage, an incomplete list, or with
+    // a duplicate name; then no file at all.
+    let complete = list_of(&one);
     let duplicate = list(3, true, &[host("n", one.address, "SERVING"), host("n", one.address, "SERVING")]);
     let bad = [
         (complete[..complete.len() - 2].to_owned(), "EOF while parsing a list"),
@@ -285,17 +288,17 @@
         (list(3, false, &[host("n", one.address, "SERVING")]), "not a whole list"),
         (duplicate, "two hosts are named \"n\""),
     ];
-    for (text, why) in bad {
+    for (text, cause) in bad {
         std::fs::write(&file, text).expect("written");
-        proxy.wait_for_log(why);
-        assert_eq!(proxy.request(&get("/x", "")).body, b"other", "{why}");
+        proxy.wait_for_log(cause);
+        assert_eq!(proxy.request(&get("/x", "")).body, b"other", "{cause}");
     }
     std::fs::remove_file(&file).expect("removed");
     proxy.wait_for_log("No such file");
     assert_eq!(proxy.request(&get("/x", "")).body, b"other");
-    assert_eq!(proxy.log().matches("No such file").count(), 1, "logged once");
-    std::fs::write(&file, of(&one)).expect("written");
-    // The log has this line from the start, so it cannot be waited for.
+    assert_eq!(proxy.log().matches("No such file").count(), 1, "logged more than once");
+    std::fs::write(&file, list_of(&one)).expect("written");
+    // The log contains the line of an applied list already, so a request shows the change.
     while proxy.request(&get("/x", "")).body != b"one" {}
 }
 
@@ -321,30 +324,30 @@
 
 #[test]
 fn a_proxy_is_healthy_once_every_pool_has_its_endpoint_list() {
-    let node = MockEndpoint::new([ok("done")]);
+    let endpoint = MockEndpoint::new([ok("done")]);
     let discovery = MockDiscovery::new();
-    let rest = pool("q", &[("n", node.address, "")])
+    let rest = pool("q", &[("n", endpoint.address, "")])
         + &format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address)
         + &route("r", r#"path = "/*""#, "read", "pool = \"p\"");
     let proxy = start_standalone(&config(LOOPBACK, &rest), &[]);
     discovery.wait_for_poll(0);
     assert_eq!(proxy.request(&get("/healthz", "")).status(), 503);
-    discovery.push(PollResponse::List(list(1, true, &[host("n", node.address, "SERVING")])));
+    discovery.push(PollResponse::List(list(1, true, &[host("n", endpoint.address, "SERVING")])));
     discovery.wait_for_poll(1);
     assert_eq!(proxy.request(&get("/healthz", "")).status(), 200);
 }
 
-// ---- Starting ----
+// ---- Startup ----
 
 #[test]
 fn an_invalid_configuration_ends_the_program_with_one_line() {
     let rest =
         pool("p", &[("n", unused_address(), "")]) + &route("r", r#"path = "/a""#, "read", "pool = \"p\"");
     let good = config(LOOPBACK, &rest);
-    let expecting =
+    let with_expectations =
         good.replace("zone = \"south\"\n", "zone = \"south\"\nexpectations = [\"expect.toml\"]\n");
     let expect = "[[expect]]\nname = \"a is served\"\nwhen = { path = \"/a\" }\nthen = { pool = \"p\" }\n";
-    let broken = expecting.replace("path = \"/a\"", "path = \"/b\"");
+    let broken = with_expectations.replace("path = \"/a\"", "path = \"/b\"");
     let cases = [
         (good.replace("pool = \"p\"", "pool = \"q\""), 2, "there is no pool `q`"),
         ("[server".to_owned(), 2, "lb.toml:1:8: "),
@@ -353,13 +356,13 @@
     for (config, code, words) in cases {
         let (child, _) = spawn_standalone(&config, &[("expect.toml", expect)]);
         let output = child.wait_with_output().expect("the program exits");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(code), "{said}");
-        assert!(said.starts_with("amberlever: ") && said.contains(words), "{said}");
-        assert_eq!(said.trim_end().lines().count(), 1, "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(code), "{stderr}");
+        assert!(stderr.starts_with("amberlever: ") && stderr.contains(words), "{stderr}");
+        assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
     }
     assert_eq!(
-        start_standalone(&expecting, &[("expect.toml", expect)]).request(&get("/b", "")).status(),
+        start_standalone(&with_expectations, &[("expect.toml", expect)]).request(&get("/b", "")).status(),
         404
     );
 }
