--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: check, demo, help, and what a bare start says.
+//! The command line: `check`, `state`, `demo`, help, and a start without arguments.
 mod stubs;
 
 use std::io::{BufRead, BufReader};
@@ -6,67 +6,73 @@
 
 use stubs::*;
 
-fn amberlever(args: &[&str]) -> Output {
+/// Runs the program with these arguments.
+fn run_program(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
     command.env_remove("LB_CONFIG").args(args).output().expect("the program starts")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
-/// The configurations that are kept in the repository are good, and so are their expectations.
+/// The example configuration of the repository is valid, and its expectations hold.
 #[test]
-fn the_examples_are_good() {
+fn the_example_configuration_is_valid() {
     let root = env!("CARGO_MANIFEST_DIR");
-    let output = amberlever(&["check", &format!("{root}/deploy/example.toml")]);
-    assert!(output.status.success(), "{}", out(&output));
+    let output = run_program(&["check", &format!("{root}/deploy/example.toml")]);
+    assert!(output.status.success(), "{}", stdout(&output));
     assert!(
-        out(&output).ends_with("4 routes, 3 pools, 6 nodes; 6 expectations, all hold\n"),
+        stdout(&output).ends_with("4 routes, 3 pools, 6 nodes; 6 expectations, all hold\n"),
         "{}",
-        out(&output)
+        stdout(&output)
     );
 }
 
-/// A hosted service's file is checked with the tenants that it starts with, each by itself.
+/// The configuration of a hosted service is checked together with each of its initial tenants.
 #[test]
-fn the_file_of_a_hosted_service_is_checked_with_its_tenants() {
+fn a_hosted_configuration_is_checked_with_its_initial_tenants() {
     let root = env!("CARGO_MANIFEST_DIR");
-    let output = amberlever(&["check", &format!("{root}/deploy/hosted.toml")]);
-    assert!(out(&output).ends_with("hosted.toml: a hosted service, 0 tenants\n"), "{}", out(&output));
-    let hosted = std::fs::read_to_string(format!("{root}/deploy/hosted.toml")).expect("there");
+    let output = run_program(&["check", &format!("{root}/deploy/hosted.toml")]);
+    assert!(stdout(&output).ends_with("hosted.toml: a hosted service, 0 tenants\n"), "{}", stdout(&output));
+    let hosted = std::fs::read_to_string(format!("{root}/deploy/hosted.toml")).expect("the file exists");
     let folder = temp_folder();
     let check = |more: &str, tenant: &str| {
         let path = folder.join("lb.toml");
         std::fs::write(&path, format!("{hosted}{more}")).expect("written");
         std::fs::write(folder.join("t.toml"), tenant).expect("written");
-        let output = amberlever(&["check", path.to_str().expect("a path")]);
-        (output.status.code(), out(&output) + &String::from_utf8_lossy(&output.stderr))
+        let output = run_program(&["check", path.to_str().expect("a path")]);
+        (output.status.code(), stdout(&output) + &String::from_utf8_lossy(&output.stderr))
     };
-    let seed = |name: &str, host: &str| {
+    let tenant_section = |name: &str, host: &str| {
         format!("[[tenant]]\nname = \"{name}\"\nhosts = [\"{host}\"]\nfile = \"t.toml\"\n")
     };
-    assert_eq!(check(&seed("a", "a.example"), "").0, Some(0));
-    let two = seed("a", "*.example") + &seed("b", "b.example");
+    assert_eq!(check(&tenant_section("a", "a.example"), "").0, Some(0));
+    let two = tenant_section("a", "*.example") + &tenant_section("b", "b.example");
     let cases = [
         (two, String::new(), 2, "tenant `b`: host \"b.example\" reaches into what tenant `a` has"),
-        (seed("A", "a.example"), String::new(), 2, "small letters"),
-        (seed("a", "a example"), String::new(), 2, "\"a example\" is no host"),
-        (seed("a", "a.example"), "[[pool]]\nname = \"p\"\nfile = \"x\"\n".to_owned(), 2, "no `file`"),
-        (seed("a", "a.example"), "[server]\n".to_owned(), 2, "`server` is the operator's"),
+        (tenant_section("A", "a.example"), String::new(), 2, "small letters"),
+        (tenant_section("a", "a example"), String::new(), 2, "\"a example\" is no host"),
         (
-            seed("a", "a.example"),
+            tenant_section("a", "a.example"),
+            "[[pool]]\nname = \"p\"\nfile = \"x\"\n".to_owned(),
+            2,
+            "no `file`",
+        ),
+        (tenant_section("a", "a.example"), "[server]\n".to_owned(), 2, "`server` is the operator's"),
+        (
+            tenant_section("a", "a.example"),
             "[knowledge]\nfolder = \"x\"\n".to_owned(),
             2,
             "`knowledge` is the operator's",
         ),
         (
-            seed("a", "a.example"),
+            tenant_section("a", "a.example"),
             "[[expect]]\nname = \"x\"\nwhen = { path = \"/\" }\nthen = { refused = 503 }\n".to_owned(),
             1,
             "refused with 404",
         ),
-        (seed("a", "a.example").replace("t.toml", "none.toml"), String::new(), 2, "cannot read"),
+        (tenant_section("a", "a.example").replace("t.toml", "none.toml"), String::new(), 2, "cannot read"),
         (
             "[[admin.token]]\nname = \"x\"\nrole = \"king\"\nsha256 = \"00\"\n".to_owned(),
             String::new(),
@@ -81,14 +87,14 @@
         ),
     ];
     for (more, tenant, code, words) in cases {
-        let (got, said) = check(&more, &tenant);
-        assert!(got == Some(code) && said.contains(words), "{words}: {got:?} {said}");
+        let (exit_code, output) = check(&more, &tenant);
+        assert!(exit_code == Some(code) && output.contains(words), "{words}: {exit_code:?} {output}");
     }
 }
 
-/// The operators' page shows a configuration, its expectations, a slip of the pen, and what is then said.
+/// The operators' page on routing shows a configuration, its expectations, mistakes, and the output for each.
 #[test]
-fn the_worked_example_of_the_operators_page_works() {
+fn the_worked_example_of_the_routing_page_has_the_shown_output() {
     let page = include_str!("../docs/operators/routing.md");
     let blocks: Vec<(&str, &str)> =
         page.split("```").skip(1).step_by(2).filter_map(|block| block.split_once('\n')).collect();
@@ -108,37 +114,37 @@
             .output()
             .expect("the program starts")
     };
-    let good = block("toml lb.toml");
-    write("lb.toml", &good);
+    let valid = block("toml lb.toml");
+    write("lb.toml", &valid);
     write("expect.toml", &block("toml expect.toml"));
     let output = check(&[]);
-    assert_eq!((out(&output), output.status.code()), (block("text good"), Some(0)));
-    // The slip: the line that keeps rounds in the south is gone.
-    let slip = "nodes = { zones = [\"south\"] }\n";
-    assert!(good.contains(slip));
-    write("lb.toml", &good.replace(slip, ""));
+    assert_eq!((stdout(&output), output.status.code()), (block("text good"), Some(0)));
+    // The line that limits the route to endpoints in the south is missing.
+    let line = "nodes = { zones = [\"south\"] }\n";
+    assert!(valid.contains(line));
+    write("lb.toml", &valid.replace(line, ""));
     let output = check(&[]);
-    assert_eq!((out(&output), output.status.code()), (block("text failed"), Some(1)));
+    assert_eq!((stdout(&output), output.status.code()), (block("text failed"), Some(1)));
     let output = check(&["--format", "json"]);
-    let json: serde_json::Value = serde_json::from_str(&out(&output)).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!(json["status"], "expectation");
     assert_eq!(json["failures"][0]["route"]["name"], "close-round");
-    // A name that does not exist.
-    write("lb.toml", &good.replacen("pool = \"pairings\"", "pool = \"pairing\"", 1));
+    // A pool name that does not exist.
+    write("lb.toml", &valid.replacen("pool = \"pairings\"", "pool = \"pairing\"", 1));
     let output = check(&[]);
-    assert_eq!((out(&output), output.status.code()), (block("text fault"), Some(2)));
+    assert_eq!((stdout(&output), output.status.code()), (block("text fault"), Some(2)));
     let output = check(&["--format", "json"]);
-    let json: serde_json::Value = serde_json::from_str(&out(&output)).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!((&json["status"], json["faults"][0]["line"].as_u64()), (&"configuration".into(), Some(30)));
-    // Two expectations that nothing can meet.
-    write("lb.toml", &good);
+    // Two expectations that contradict each other.
+    write("lb.toml", &valid);
     write("expect.toml", &(block("toml expect.toml") + &block("toml contradiction")));
     let output = check(&[]);
-    assert_eq!((out(&output), output.status.code()), (block("text contradiction"), Some(1)));
+    assert_eq!((stdout(&output), output.status.code()), (block("text contradiction"), Some(1)));
 }
 
 #[test]
-fn the_example_of_the_page_on_json_rpc_is_good() {
+fn the_example_of_the_json_rpc_page_is_valid() {
     let page = include_str!("../docs/operators/jsonrpc.md");
     let example = page.split("```toml lb.toml\n").nth(1).and_then(|rest| rest.split("```").next());
     let folder = temp_folder();
@@ -150,14 +156,14 @@
 }
 
 #[test]
-fn files_of_what_was_learned_are_shown_and_compared() {
-    let kept = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/learned-state/tests/version-1.bin");
+fn learned_state_files_are_shown_and_compared() {
+    let intact = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/learned-state/tests/version-1.bin");
     let run = |args: &[&str]| {
-        let output = amberlever(&[&["state"], args].concat());
+        let output = run_program(&[&["state"], args].concat());
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (output.status.code(), text(&output.stdout), text(&output.stderr))
     };
-    let (code, shown, _) = run(&["show", kept]);
+    let (code, shown, _) = run(&["show", intact]);
     assert_eq!(code, Some(0));
     for row in [
         "pairings                               cursor 0.125, t1_a_server 17.25, up_s 86400",
@@ -168,27 +174,27 @@
         let words = |text: &str| text.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
         assert!(shown.lines().any(|line| words(line) == words(row)), "{row}\n{shown}");
     }
-    // A damaged section is passed over and told of.
+    // A damaged section is skipped and reported.
     let folder = temp_folder();
-    let mut bytes = std::fs::read(kept).expect("a file");
-    *bytes.last_mut().expect("some") ^= 1;
+    let mut bytes = std::fs::read(intact).expect("a file");
+    *bytes.last_mut().expect("not empty") ^= 1;
     let damaged = folder.join("damaged.bin");
     std::fs::write(&damaged, &bytes).expect("written");
     let damaged = damaged.to_str().expect("text");
     assert!(run(&["show", damaged]).1.ends_with("1 damaged and 0 unknown sections were passed over\n"));
-    let (_, differs, _) = run(&["diff", kept, damaged]);
+    let (_, differs, _) = run(&["diff", intact, damaged]);
     assert!(differs.contains("pairings / node / pairing-1: fails 2 -> none\n"), "{differs}");
-    assert_eq!(run(&["diff", kept, kept]).1, "");
+    assert_eq!(run(&["diff", intact, intact]).1, "");
     let json: serde_json::Value =
         serde_json::from_str(&run(&["show", damaged, "--format", "json"]).1).expect("JSON");
     assert_eq!(
         (&json["faults"]["damaged"], &json["figures"]["pairings"]["cursor"]),
         (&1.into(), &0.125.into())
     );
-    // What is none is told in a line.
-    let (code, _, fault) = run(&["show", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")]);
-    assert_eq!((code, fault.lines().count()), (Some(2), 1));
-    assert!(fault.contains("not a learned-state file"), "{fault}");
+    // A file of another format is reported in one line.
+    let (code, _, stderr) = run(&["show", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")]);
+    assert_eq!((code, stderr.lines().count()), (Some(2), 1));
+    assert!(stderr.contains("not a learned-state file"), "{stderr}");
 }
 
 #[test]
@@ -216,36 +222,39 @@
         "POST /report-result/12 HTTP/1.1\r\nHost: {address}\r\nIdempotency-Key: k1\r\nContent-Length: 3\r\n\r\n1-0"
     );
     assert_eq!(ask(&report).status(), 200);
-    // The lines for nc: a message, and where to.
+    // The lines for `nc`: a message and its destination.
     let calls: Vec<String> = lines.by_ref().filter(|l| l.contains("| nc ")).take(2).collect();
-    let heard = calls.iter().map(|line| {
+    let responses = calls.iter().map(|line| {
         let message = line.split('\'').nth(1).expect("quoted");
         let words: Vec<&str> = line.split(' ').collect();
         let address = format!("{}:{}", words[words.len() - 2], words[words.len() - 1]);
         RpcClient::connect(address.parse().expect("an address"), Framing::Lines).ask(message)
     });
-    let heard: Vec<serde_json::Value> = heard.collect();
-    assert!(heard[0]["result"].as_str().is_some_and(|r| r.contains("GET /standings/1")), "{heard:?}");
-    // The key has run, by HTTP: the answer is that one's.
-    assert!(heard[1]["result"].as_str().is_some_and(|r| r.contains("POST /report-result/12")), "{heard:?}");
+    let responses: Vec<serde_json::Value> = responses.collect();
+    assert!(responses[0]["result"].as_str().is_some_and(|r| r.contains("GET /standings/1")), "{responses:?}");
+    // The key was executed over HTTP, so the call gets that response.
+    assert!(
+        responses[1]["result"].as_str().is_some_and(|r| r.contains("POST /report-result/12")),
+        "{responses:?}"
+    );
     let kill = format!("kill -INT {}", child.id());
     assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
     assert!(child.wait().expect("the program exits").success());
 }
 
 #[test]
-fn a_bare_start_says_what_would_help() {
-    let output = amberlever(&[]);
-    let said = String::from_utf8(output.stderr).expect("text");
+fn a_start_without_arguments_names_the_commands_to_try() {
+    let output = run_program(&[]);
+    let stderr = String::from_utf8(output.stderr).expect("text");
     assert_eq!(
-        said,
+        stderr,
         "amberlever: no command and no LB_CONFIG; try `amberlever demo` or `amberlever --help`\n"
     );
     assert!(!output.status.success());
-    let help = out(&amberlever(&["--help"]));
+    let help = stdout(&run_program(&["--help"]));
     for word in ["serve", "check", "demo", "LB_CONFIG"] {
         assert!(help.contains(word), "{word}: {help}");
     }
-    assert_eq!(out(&amberlever(&["--version"])), format!("amberlever {}\n", env!("CARGO_PKG_VERSION")));
-    assert_eq!(amberlever(&["check", "/nowhere/lb.toml"]).status.code(), Some(2));
+    assert_eq!(stdout(&run_program(&["--version"])), format!("amberlever {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(run_program(&["check", "/nowhere/lb.toml"]).status.code(), Some(2));
 }
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -1,5 +1,5 @@
-//! Generated sequences of requests and faults, sent over either protocol on the downstream and the upstream side: the same
-//! outcomes, attempts and executions.
+//! Generated sequences of requests and faults have the same outcomes, attempts and executions over HTTP and
+//! over JSON-RPC, on the downstream and on the upstream side.
 #[path = "stubs/rpc.rs"]
 mod rpc;
 mod stubs;
@@ -16,7 +16,7 @@
 
 /// The number of sequences.
 const SEEDS: u64 = 200;
-/// Those that are also sent with different protocols on the two sides.
+/// The number of sequences that are also sent with different protocols on the two sides.
 const MIXED_SEEDS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     TimedOut,
 }
 
-/// What endpoints saw of a request.
+/// The attempts and executions of a request at the endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Arrivals {
     attempts: usize,
@@ -60,13 +60,14 @@
     arrivals: Arrivals,
 }
 
-/// The protocols of the two sides.
+/// The protocols of the downstream and the upstream side.
 #[derive(Clone, Copy, Debug)]
 struct Protocols {
     downstream_is_rpc: bool,
     upstream_is_rpc: bool,
 }
 
+/// The generated sequence of a seed.
 fn sequence(seed: u64) -> Vec<Request> {
     let mut random = fastrand::Rng::with_seed(seed);
     (0..12)
@@ -85,7 +86,7 @@
         .collect()
 }
 
-/// The sequence as the endpoints follow it.
+/// A sequence and its progress, shared with the endpoints.
 struct Script {
     requests: Vec<Request>,
     /// The index of the request that is being sent.
@@ -94,7 +95,7 @@
 }
 
 impl Script {
-    /// Records an attempt, and returns its fault.
+    /// Records an attempt of the current request and returns its fault.
     fn next_fault(&self) -> Fault {
         let current = self.current.load(Ordering::SeqCst);
         let arrivals = &mut self.arrivals.lock().expect("unpoisoned")[current];
@@ -106,7 +107,7 @@
     }
 }
 
-/// Endpoints that follow a script, of either protocol.
+/// Two endpoints of one protocol that follow a script.
 enum Endpoints {
     Http(Vec<MockEndpoint>),
     Rpc(Vec<MockRpcEndpoint>),
@@ -116,7 +117,7 @@
     fn start(script: &Arc<Script>, is_rpc: bool) -> Endpoints {
         let script = || Arc::clone(script);
         if is_rpc {
-            let node = |script: Arc<Script>| {
+            let endpoint = |script: Arc<Script>| {
                 MockRpcEndpoint::of(Framing::Lines, move |_| match script.next_fault() {
                     Fault::None => RpcBehavior::Result(json!("done")),
                     Fault::Error => RpcBehavior::Error(-32050),
@@ -124,9 +125,9 @@
                     Fault::ConnectionClosed => RpcBehavior::Disconnect,
                 })
             };
-            return Endpoints::Rpc(vec![node(script()), node(script())]);
+            return Endpoints::Rpc(vec![endpoint(script()), endpoint(script())]);
         }
-        let node = |script: Arc<Script>| {
+        let endpoint = |script: Arc<Script>| {
             MockEndpoint::of(move |_| match script.next_fault() {
                 Fault::None => ok("done"),
                 Fault::Error => answer("500 Internal Server Error", "", ""),
@@ -134,13 +135,13 @@
                 Fault::ConnectionClosed => Behavior::Disconnect,
             })
         };
-        Endpoints::Http(vec![node(script()), node(script())])
+        Endpoints::Http(vec![endpoint(script()), endpoint(script())])
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
         match self {
-            Endpoints::Http(nodes) => nodes.iter().map(|n| n.address).collect(),
-            Endpoints::Rpc(nodes) => nodes.iter().map(|n| n.address).collect(),
+            Endpoints::Http(endpoints) => endpoints.iter().map(|n| n.address).collect(),
+            Endpoints::Rpc(endpoints) => endpoints.iter().map(|n| n.address).collect(),
         }
     }
 }
@@ -171,7 +172,7 @@
     }
 }
 
-/// Sends a sequence, one request after the other.
+/// Sends the requests of a sequence one after the other.
 fn play(requests: &[Request], protocols: Protocols) -> Vec<RequestResult> {
     let script = Arc::new(Script {
         requests: requests.to_vec(),
@@ -198,7 +199,7 @@
     results.map(|(outcome, arrivals)| RequestResult { outcome, arrivals: *arrivals }).collect()
 }
 
-/// Sends the sequence of a seed over each pair of protocols, and compares the results.
+/// Sends the sequence of a seed over each pair of protocols and compares the results.
 fn compare_protocols(seed: u64) -> Vec<RequestResult> {
     let requests = sequence(seed);
     let http = Protocols { downstream_is_rpc: false, upstream_is_rpc: false };
@@ -232,7 +233,7 @@
         .collect();
     let all: Vec<RequestResult> =
         workers.into_iter().flat_map(|worker| worker.join().expect("no panic")).collect();
-    // The test is of no use unless every case occurs.
+    // Without these cases the comparison would have no value.
     let count = |is_counted: &dyn Fn(&RequestResult) -> bool| all.iter().filter(|r| is_counted(r)).count();
     let served = count(&|result| result.outcome == Outcome::Served);
     let replayed = count(&|result| result.outcome == Outcome::Served && result.arrivals.attempts == 0);
@@ -240,8 +241,8 @@
     let failed = count(&|result| result.outcome == Outcome::Failed);
     let retried = count(&|result| result.arrivals.attempts > 1);
     println!(
-        "{} requests: served {served}, of which {replayed} from the table of keys; refused {rejected}, failed {failed}; \
-         {retried} tried again",
+        "{} requests: served {served}, of which {replayed} from stored responses; rejected {rejected}, failed {failed}; \
+         {retried} retried",
         all.len(),
     );
     assert!(replayed > 50 && retried > 50 && failed > 50 && rejected > 5);
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -1,5 +1,5 @@
-//! Ambiguous and malformed requests, by RFC 9112: each is rejected with a status or a close, and the endpoint,
-//! which records raw bytes, gets none of it.
+//! Ambiguous and malformed requests by RFC 9112: each is rejected with a status or a close, and no byte of it
+//! is forwarded to the endpoint.
 mod stubs;
 
 use std::io::{Read, Write};
@@ -9,7 +9,7 @@
 
 use stubs::*;
 
-/// An endpoint that records every byte it receives, and answers each read.
+/// An endpoint that records every byte that it receives and responds to each read.
 fn raw_byte_recorder() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -30,7 +30,7 @@
     (address, bytes)
 }
 
-/// The status of the first response; None where the proxy closes without one.
+/// The status of the first response. `None` if the proxy closes the connection without one.
 fn status(address: SocketAddr, raw: &[u8]) -> Option<u16> {
     let mut stream = TcpStream::connect(address).expect("connects");
     stream.write_all(raw).expect("written");
@@ -60,7 +60,7 @@
         ("an open list", coded("chunked,"), 400),
         ("a quoted coding", coded("\"chunked\""), 400),
         ("a parameter", coded("chunked;a=b"), 400),
-        ("another word", coded("xchunked"), 400),
+        ("an unknown coding", coded("xchunked"), 400),
         ("two fields", coded("chunked\r\nTransfer-Encoding: chunked"), 400),
         ("two fields, the codings split", coded("gzip\r\nTransfer-Encoding: chunked"), 400),
         ("a length and chunks", coded("chunked\r\nContent-Length: 3"), 400),
@@ -72,16 +72,16 @@
         ("a sign", length("Content-Length: +3"), 400),
         ("a hex length", length("Content-Length: 0x3"), 400),
         ("an empty length", length("Content-Length:"), 400),
-        ("a length past any integer", length("Content-Length: 99999999999999999999"), 400),
+        ("a length that overflows every integer", length("Content-Length: 99999999999999999999"), 400),
         // The same field twice.
         ("two hosts", with("Host: b"), 400),
         ("the same host twice", with("host: a"), 400),
         ("two ids", with("X-Request-ID: id-1"), 400),
-        ("two of a field that nobody knows", with("X-Any: 1\r\nx-any: 1"), 400),
+        ("two of an unknown field", with("X-Any: 1\r\nx-any: 1"), 400),
         ("two types", with("Content-Type: a/b\r\nContent-Type: a/b"), 400),
         ("two credentials", with("Authorization: a\r\nAuthorization: b"), 400),
         ("two cookies", with("Cookie: a\r\nCookie: b"), 400),
-        // Ends of lines.
+        // Line endings.
         ("a bare LF after a field", with("X-Any: 1").replace("X-Any: 1\r\n", "X-Any: 1\n"), 400),
         ("a bare LF after the request line", GET.replacen("\r\n", "\n", 1), 400),
         ("a bare LF as the head's end", GET.replace("\r\n\r\n", "\r\n\n"), 400),
@@ -108,8 +108,8 @@
         ("no version", GET.replacen(" HTTP/1.1", "", 1), 400),
         ("another version", GET.replacen("HTTP/1.1", "HTTP/1.2", 1), 400),
         ("two digits of version", GET.replacen("HTTP/1.1", "HTTP/1.10", 1), 400),
-        ("a small version", GET.replacen("HTTP/1.1", "http/1.1", 1), 400),
-        ("a whole URL", GET.replacen("/read", "http://b/read", 1), 400),
+        ("a version in lower case", GET.replacen("HTTP/1.1", "http/1.1", 1), 400),
+        ("an absolute URL", GET.replacen("/read", "http://b/read", 1), 400),
         ("an authority", GET.replacen("GET /read/7f3a", "CONNECT b:80", 1), 400),
         ("an asterisk", GET.replacen("GET /read/7f3a", "OPTIONS *", 1), 400),
         ("a fragment", GET.replacen("7f3a", "7f3a#x", 1), 400),
@@ -125,11 +125,11 @@
     ];
     for (name, raw, expected) in &bad {
         let got = status(proxy.address, raw.as_bytes());
-        // A close with nothing said is as good for what is no request at all.
+        // A close without a response is accepted too.
         assert!(got.is_none() || got == Some(*expected), "{name}: {got:?}, not {expected}");
-        assert!(bytes.lock().expect("unpoisoned").is_empty(), "{name}: passed on");
+        assert!(bytes.lock().expect("unpoisoned").is_empty(), "{name}: forwarded");
     }
-    // Each of these is one request in one reading only, so what is rejected above is rejected for its fault.
+    // Each of these is unambiguously one request, so the requests above are rejected for their faults alone.
     let good: Vec<(&str, String)> = vec![
         ("plain", GET.to_owned()),
         ("an empty line first", format!("\r\n{GET}")),
@@ -137,8 +137,8 @@
         ("chunks", coded("chunked")),
         ("chunks in capitals", coded("CHUNKED")),
         ("a length", length("Content-Length: 3")),
-        ("white space round a value", with("X-Any: \t 1 \t")),
-        ("a byte past ASCII in a value", with("X-Any: \u{e9}")),
+        ("white space around a value", with("X-Any: \t 1 \t")),
+        ("a byte outside ASCII in a value", with("X-Any: \u{e9}")),
     ];
     for (name, raw) in &good {
         bytes.lock().expect("unpoisoned").clear();
--- a/tests/request_outcomes.rs
+++ b/tests/request_outcomes.rs
@@ -1,4 +1,4 @@
-//! Every way in which a request can end, many at once, against the metrics: nothing is counted twice, or not at all.
+//! All outcomes of requests, many at once, compared with the metrics: each is counted exactly once.
 mod stubs;
 
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
 
 use stubs::*;
 
-/// Larger than a body that is buffered.
+/// The length of a body that exceeds the buffer, in bytes.
 const LARGE: usize = 300_000;
-/// The rounds of requests at once.
+/// The number of rounds of simultaneous requests.
 const ROUNDS: usize = 40;
-/// The requests of a round after the first.
+/// The number of requests in each round after the first.
 const REQUESTS_PER_ROUND: usize = 6;
 
-/// How a request ends; its endpoint reads it from the request's id.
+/// The outcome of a request. Its endpoint derives it from the request's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ending {
+enum Outcome {
     Served,
     Error,
     /// The endpoint closes the connection without a response.
@@ -29,54 +29,54 @@
     ClientDisconnected,
     /// No response within the client's timeout.
     Timeout,
-    /// A large request, in full.
+    /// A large request that is sent completely.
     Upload,
-    /// A large request that breaks off.
+    /// A large request that is truncated.
     TruncatedUpload,
-    /// A large response, in full.
+    /// A large response that is sent completely.
     Download,
-    /// A large response that breaks off.
+    /// A large response that is truncated.
     TruncatedDownload,
     /// The client disconnects in the middle of a large response.
     AbandonedDownload,
-    /// Rejected, as its class is not known.
+    /// Rejected because its class is unknown.
     UnknownClass,
-    /// Rejected, as its class has another method.
+    /// Rejected because its class has another method.
     WrongMethod,
-    /// Rejected, as its id is invalid.
+    /// Rejected because its id is invalid.
     InvalidId,
     /// The endpoint responds to a large request before it has read it.
     EarlyResponse,
 }
 
-const ENDINGS: [Ending; 14] = [
-    Ending::Served,
-    Ending::Error,
-    Ending::ConnectionClosed,
-    Ending::ClientDisconnected,
-    Ending::Timeout,
-    Ending::Upload,
-    Ending::TruncatedUpload,
-    Ending::Download,
-    Ending::TruncatedDownload,
-    Ending::AbandonedDownload,
-    Ending::UnknownClass,
-    Ending::WrongMethod,
-    Ending::InvalidId,
-    Ending::EarlyResponse,
+const OUTCOMES: [Outcome; 14] = [
+    Outcome::Served,
+    Outcome::Error,
+    Outcome::ConnectionClosed,
+    Outcome::ClientDisconnected,
+    Outcome::Timeout,
+    Outcome::Upload,
+    Outcome::TruncatedUpload,
+    Outcome::Download,
+    Outcome::TruncatedDownload,
+    Outcome::AbandonedDownload,
+    Outcome::UnknownClass,
+    Outcome::WrongMethod,
+    Outcome::InvalidId,
+    Outcome::EarlyResponse,
 ];
 
-impl Ending {
-    /// Whether its class is known, so that it is counted.
+impl Outcome {
+    /// Whether the request is counted, which needs a known class.
     fn is_counted(self) -> bool {
-        !matches!(self, Ending::UnknownClass | Ending::WrongMethod | Ending::InvalidId)
+        !matches!(self, Outcome::UnknownClass | Outcome::WrongMethod | Outcome::InvalidId)
     }
 }
 
-/// The ids of requests that endpoints have received in full.
+/// The ids of the requests that endpoints have received completely.
 type ReceivedIds = Arc<Mutex<Vec<String>>>;
 
-/// An endpoint that records what it has received in full.
+/// An endpoint that records the requests that it has received completely.
 fn endpoint(received: ReceivedIds) -> SocketAddr {
     raw_endpoint(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
@@ -85,7 +85,7 @@
     })
 }
 
-/// Serves a request; none where its connection is to be closed.
+/// Serves a request. Returns `None` if the connection is to be closed.
 fn serve(reader: &mut BufReader<TcpStream>, mut stream: &TcpStream, received: &ReceivedIds) -> Option<()> {
     let mut length = 0;
     let mut line = String::new();
@@ -104,58 +104,58 @@
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n");
         stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body)).ok()
     };
-    let is = |ending: Ending| id.starts_with(&format!("{ending:?}-"));
-    if is(Ending::EarlyResponse) {
+    let is = |outcome: Outcome| id.starts_with(&format!("{outcome:?}-"));
+    if is(Outcome::EarlyResponse) {
         respond("200 OK", 2, b"ok")?;
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     received.lock().expect("unpoisoned").push(id.clone());
-    if is(Ending::Served) || is(Ending::Upload) || is(Ending::TruncatedUpload) {
+    if is(Outcome::Served) || is(Outcome::Upload) || is(Outcome::TruncatedUpload) {
         respond("200 OK", 2, b"ok")
-    } else if is(Ending::Error) {
+    } else if is(Outcome::Error) {
         respond("500 Internal Server Error", 0, b"")
-    } else if is(Ending::Download) || is(Ending::AbandonedDownload) {
+    } else if is(Outcome::Download) || is(Outcome::AbandonedDownload) {
         respond("200 OK", LARGE, &vec![7; LARGE])
-    } else if is(Ending::TruncatedDownload) {
+    } else if is(Outcome::TruncatedDownload) {
         respond("200 OK", LARGE, &vec![7; LARGE / 2])?;
         None
-    } else if is(Ending::ClientDisconnected) || is(Ending::Timeout) {
+    } else if is(Outcome::ClientDisconnected) || is(Outcome::Timeout) {
         // Wait until the connection is closed.
         let _ = reader.read(&mut [0]);
         None
-    } else if is(Ending::EarlyResponse) {
+    } else if is(Outcome::EarlyResponse) {
         Some(())
     } else {
         None
     }
 }
 
-/// Sends a request that ends in this way: the status, where there was one.
-fn send(proxy: SocketAddr, ending: Ending, id: u64, received: &ReceivedIds) -> Option<u16> {
-    let name = format!("{ending:?}-{id}");
+/// Sends a request with this outcome. Returns the status of its response, if there was one.
+fn send(proxy: SocketAddr, outcome: Outcome, id: u64, received: &ReceivedIds) -> Option<u16> {
+    let name = format!("{outcome:?}-{id}");
     let stream = TcpStream::connect(proxy).expect("connects");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut client = BufReader::new(stream);
-    let request = match ending {
-        Ending::Upload | Ending::TruncatedUpload | Ending::EarlyResponse => {
+    let request = match outcome {
+        Outcome::Upload | Outcome::TruncatedUpload | Outcome::EarlyResponse => {
             write(&name, 5000, "").replace("Content-Length: 0", &format!("Content-Length: {LARGE}"))
         }
-        Ending::Timeout => read(&name, 150),
-        Ending::UnknownClass => read(&name, 5000).replace("read", "nobodys"),
-        Ending::WrongMethod => read(&name, 5000).replace("GET", "PUT"),
-        Ending::InvalidId => read(&name, 5000).replace("X-Request-ID: ", "X-Request-ID: ,"),
+        Outcome::Timeout => read(&name, 150),
+        Outcome::UnknownClass => read(&name, 5000).replace("read", "nobodys"),
+        Outcome::WrongMethod => read(&name, 5000).replace("GET", "PUT"),
+        Outcome::InvalidId => read(&name, 5000).replace("X-Request-ID: ", "X-Request-ID: ,"),
         _ => read(&name, 5000),
     };
     client.get_mut().write_all(request.as_bytes()).expect("written");
-    match ending {
+    match outcome {
         // An early response may close the connection while the request is being written.
-        Ending::Upload | Ending::EarlyResponse => drop(client.get_mut().write_all(&vec![7; LARGE])),
-        Ending::TruncatedUpload => {
+        Outcome::Upload | Outcome::EarlyResponse => drop(client.get_mut().write_all(&vec![7; LARGE])),
+        Outcome::TruncatedUpload => {
             client.get_mut().write_all(&vec![7; LARGE / 2]).expect("written");
             return None;
         }
-        Ending::ClientDisconnected => {
+        Outcome::ClientDisconnected => {
             let since = Instant::now();
             while !received.lock().expect("unpoisoned").contains(&name) {
                 assert!(since.elapsed() < TEST_TIMEOUT, "{name} reaches an endpoint");
@@ -163,11 +163,11 @@
             }
             return None;
         }
-        Ending::AbandonedDownload => {
+        Outcome::AbandonedDownload => {
             client.read_exact(&mut [0; 64]).expect("the start");
             return None;
         }
-        Ending::TruncatedDownload => {
+        Outcome::TruncatedDownload => {
             let mut all = Vec::new();
             let _ = client.read_to_end(&mut all);
             assert!(all.len() < LARGE);
@@ -178,18 +178,18 @@
     read_message(&mut client).map(|response| response.status())
 }
 
-/// What the metrics say of all requests.
-struct RequestFigures {
+/// The metrics, summed over all classes.
+struct RequestMetrics {
     ended: u64,
     active: u64,
     attempts: u64,
 }
 
-impl RequestFigures {
-    fn read(proxy: &Process) -> RequestFigures {
+impl RequestMetrics {
+    fn read(proxy: &Process) -> RequestMetrics {
         let text = metrics(proxy);
         let ended = ["edge_lb_ok_total", "edge_lb_shed_total", "edge_lb_errors_total"];
-        RequestFigures {
+        RequestMetrics {
             ended: ended.iter().map(|name| sum(&text, name)).sum(),
             active: sum(&text, "edge_lb_active"),
             attempts: sum(&text, "edge_lb_tries_total"),
@@ -213,24 +213,24 @@
     proxy: SocketAddr,
     received: ReceivedIds,
     last_id: u64,
-    /// The requests so far that are counted.
+    /// The number of requests so far that are counted.
     counted: u64,
-    /// The responses to them, by status.
+    /// The number of responses to counted requests, by status.
     responses: BTreeMap<u16, u64>,
 }
 
 impl Run {
-    /// Sends requests at once, and checks the metrics at each moment: no more than was sent, and nothing forgotten that had
-    /// ended before.
-    fn send_at_once(&mut self, endings: &[Ending]) {
+    /// Sends requests simultaneously, and checks the metrics meanwhile: they never count more requests than
+    /// were sent, nor fewer than before.
+    fn send_at_once(&mut self, outcomes: &[Outcome]) {
         let counted_before = self.counted;
-        self.counted += endings.iter().filter(|ending| ending.is_counted()).count() as u64;
+        self.counted += outcomes.iter().filter(|outcome| outcome.is_counted()).count() as u64;
         let counted = self.counted;
         let is_over = AtomicBool::new(false);
         thread::scope(|scope| {
             scope.spawn(|| {
                 while !is_over.load(Ordering::SeqCst) {
-                    let RequestFigures { ended, active, .. } = RequestFigures::read(&self.process);
+                    let RequestMetrics { ended, active, .. } = RequestMetrics::read(&self.process);
                     assert!(
                         (counted_before..=counted).contains(&(ended + active)),
                         "{counted_before} {ended} {active} {counted}"
@@ -239,18 +239,18 @@
                 }
             });
             let first_id = self.last_id + 1;
-            self.last_id += endings.len() as u64;
+            self.last_id += outcomes.len() as u64;
             let requests: Vec<_> = (first_id..)
-                .zip(endings)
-                .map(|(id, &ending)| {
+                .zip(outcomes)
+                .map(|(id, &outcome)| {
                     let received = &self.received;
                     let proxy = self.proxy;
-                    scope.spawn(move || (ending, send(proxy, ending, id, received)))
+                    scope.spawn(move || (outcome, send(proxy, outcome, id, received)))
                 })
                 .collect();
             for request in requests {
-                let (ending, status) = request.join().expect("no panic");
-                if let Some(status) = status.filter(|_| ending.is_counted()) {
+                let (outcome, status) = request.join().expect("no panic");
+                if let Some(status) = status.filter(|_| outcome.is_counted()) {
                     *self.responses.entry(status).or_default() += 1;
                 }
             }
@@ -258,25 +258,25 @@
         });
     }
 
-    /// Waits until all requests have ended, and each attempt that an endpoint received is counted.
-    fn wait_until_settled(&self, round: usize, endings: &[Ending]) {
+    /// Waits until all requests have ended and each attempt that an endpoint received is counted.
+    fn wait_until_settled(&self, round: usize, outcomes: &[Outcome]) {
         let since = Instant::now();
         loop {
-            let RequestFigures { ended, active, attempts } = RequestFigures::read(&self.process);
+            let RequestMetrics { ended, active, attempts } = RequestMetrics::read(&self.process);
             let received = self.received.lock().expect("unpoisoned").len() as u64;
             let counted = self.counted;
             if (ended, active) == (counted, 0) && attempts == received {
                 return;
             }
             let state = format!(
-                "round {round}, {endings:?}: {ended} ended, {active} active of {counted}, {attempts} attempts of {received}"
+                "round {round}, {outcomes:?}: {ended} ended, {active} active of {counted}, {attempts} attempts of {received}"
             );
             assert!(since.elapsed() < TEST_TIMEOUT, "{state}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The responses with such a status.
+    /// The number of responses whose status matches.
     fn responses(&self, is_counted: impl Fn(u16) -> bool) -> u64 {
         self.responses.iter().filter(|(status, _)| is_counted(**status)).map(|(_, count)| count).sum()
     }
@@ -298,14 +298,14 @@
     let proxy = socket.address;
     let mut run = Run { process, proxy, received, last_id: 0, counted: 0, responses: BTreeMap::new() };
     for round in 0..ROUNDS {
-        let endings: Vec<Ending> =
-            (0..REQUESTS_PER_ROUND).map(|_| ENDINGS[rng.usize(0..ENDINGS.len())]).collect();
-        // The first round has each once.
-        let endings = if round == 0 { ENDINGS.to_vec() } else { endings };
-        run.send_at_once(&endings);
-        run.wait_until_settled(round, &endings);
+        let outcomes: Vec<Outcome> =
+            (0..REQUESTS_PER_ROUND).map(|_| OUTCOMES[rng.usize(0..OUTCOMES.len())]).collect();
+        // The first round contains each outcome once.
+        let outcomes = if round == 0 { OUTCOMES.to_vec() } else { outcomes };
+        run.send_at_once(&outcomes);
+        run.wait_until_settled(round, &outcomes);
     }
-    // Clients that disconnected got no response, so these are a part of what was counted.
+    // Clients that disconnected got no response, so the metrics may count more than the clients.
     let text = metrics(&run.process);
     let served = run.responses(|status| status < 300);
     let responses = &run.responses;
