--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -1,4 +1,5 @@
-//! Tenants of a hosted service on loopback: isolation from each other, and the cost of idle ones.
+//! Tenants of a hosted service on loopback: isolation from each other, and the resources that idle tenants
+//! use.
 #[path = "stubs/api.rs"]
 mod api;
 mod stubs;
@@ -12,6 +13,7 @@
 use serde_json::{json, Value};
 use stubs::*;
 
+/// Starts an endpoint with a fixed latency, which names itself in `X-Served-By`.
 fn endpoint(name: &str, latency_ms: u64) -> FixedLatencyEndpoint {
     FixedLatencyEndpoint::start(name, Duration::from_millis(latency_ms)).expect("a port")
 }
@@ -35,7 +37,8 @@
         service.process.request(&request).status()
     };
     assert_eq!((claim("two"), claim("nobody"), claim("one")), (403, 403, 200));
-    // Hosts that overlap with another tenant's, and local files, are rejected when they are configured.
+    // Hosts that overlap with those of another tenant, and local files, are rejected when they are
+    // configured.
     for host in ["one.example", "b.two.example", "*.example"] {
         let response = service.put("/v1/tenants/three", &tenant(host, &[one.address], json!({})));
         assert_eq!(response.status, 422, "{host}: {response:?}");
@@ -44,9 +47,9 @@
             "{response:?}"
         );
     }
-    let mut reads = tenant("three.example", &[], json!({}));
-    reads["config"]["pool"] = json!([{ "name": "p", "file": "/etc/passwd" }]);
-    assert!(service.put("/v1/tenants/three", &reads).body["error"]
+    let mut with_file = tenant("three.example", &[], json!({}));
+    with_file["config"]["pool"] = json!([{ "name": "p", "file": "/etc/passwd" }]);
+    assert!(service.put("/v1/tenants/three", &with_file).body["error"]
         .as_str()
         .expect("an error text")
         .contains("no `file`"));
@@ -71,7 +74,7 @@
     assert_eq!(service.request("club.example", "/x").status(), 200);
     let rejected = service.request("club.example", "/x");
     assert_eq!((rejected.status(), rejected.header("X-Refusal-Cause")), (429, Some("rate")));
-    assert!(rejected.header("Retry-After").expect("told").parse::<u64>().expect("whole seconds") >= 1);
+    assert!(rejected.header("Retry-After").expect("a header").parse::<u64>().expect("whole seconds") >= 1);
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
     assert_eq!(service.request("club.example", "/x").status(), 404);
     service.put("/v1/tenants/club", &tenant("club.example", &[new.address], limits));
@@ -80,11 +83,11 @@
         (&status["admitted"], &status["refused"]["rate"], &status["started"]),
         (&json!(0), &json!(0), &json!(false))
     );
-    let answer = service.request("club.example", "/x");
-    assert_eq!((answer.status(), answer.header("X-Served-By")), (200, Some("new")));
+    let response = service.request("club.example", "/x");
+    assert_eq!((response.status(), response.header("X-Served-By")), (200, Some("new")));
 }
 
-/// Requests in flight when the tenant is deleted get their response; then its connections are closed.
+/// Requests in flight when their tenant is deleted get a response. Then its upstream connections are closed.
 #[test]
 fn a_deleted_tenant_completes_requests_in_flight() {
     let release = Arc::new(Release::default());
@@ -92,38 +95,39 @@
     let endpoint = MockEndpoint::new([Behavior::RespondOnRelease(Arc::clone(&release), done)]);
     let service = start_hosted(&hosted_config("", ""));
     service.put("/v1/tenants/club", &tenant("club.example", &[endpoint.address], json!({})));
-    let mut caller = service.process.connect();
-    caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
+    let mut client = service.process.connect();
+    client.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     endpoint.request();
     assert_eq!(service.delete("/v1/tenants/club").status, 200);
     assert_eq!(service.get("/v1/tenants/club/status").status, 404);
     release.release();
-    assert_eq!(caller.receive().body, b"done");
-    assert_eq!(caller.ask("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n").status(), 404);
+    assert_eq!(client.receive().body, b"done");
+    assert_eq!(client.ask("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n").status(), 404);
     endpoint.wait_for_close();
 }
 
-/// Maintenance of an endpoint outlasts changes of its tenant, and leaves another tenant's endpoint of the same name alone.
+/// Maintenance of an endpoint persists over changes of its tenant, and does not affect another tenant's
+/// endpoint of the same name.
 #[test]
 fn metrics_and_maintenance_are_separate_for_each_tenant() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
     let file = hosted_config("", "[operators]\nlisten = \"127.0.0.1:0\"\nfolder = \"operators\"\n");
     let service = start_hosted(&file);
-    let configure = |name: &str, node: &FixedLatencyEndpoint, rate: u64| {
+    let configure = |name: &str, endpoint: &FixedLatencyEndpoint, rate: u64| {
         let limits = json!({ "requests_per_s": rate });
-        let doc = tenant(&format!("{name}.example"), &[node.address], limits);
+        let doc = tenant(&format!("{name}.example"), &[endpoint.address], limits);
         assert_eq!(service.put(&format!("/v1/tenants/{name}"), &doc).status, 200);
     };
     configure("one", &one, 1000);
     configure("two", &two, 1000);
-    let call = |path: &str, id: &str| service.process.operator_request("POST", path, id).0;
-    // An endpoint is unknown before its tenant's pools have run.
-    assert_eq!(call("/maintenance/enter", "one/p/n0"), 404);
+    let post = |path: &str, id: &str| service.process.operator_request("POST", path, id).0;
+    // An endpoint is unknown before its tenant's pools are started, which is on the first request.
+    assert_eq!(post("/maintenance/enter", "one/p/n0"), 404);
     for host in ["one.example", "two.example", "two.example"] {
         assert_eq!(service.request(host, "/x").status(), 200);
     }
-    assert_eq!(call("/maintenance/enter", "n0"), 409);
-    assert_eq!(call("/maintenance/enter", "one/p/n0"), 200);
+    assert_eq!(post("/maintenance/enter", "n0"), 409);
+    assert_eq!(post("/maintenance/enter", "one/p/n0"), 200);
     let metric = |name: &str, tenant: &str| {
         service.process.metric(&format!("edge_lb_{name}{{pool=\"p\",tenant=\"{tenant}\"}}"))
     };
@@ -133,7 +137,7 @@
     assert_eq!((status("one.example"), status("two.example")), (503, 200));
     configure("one", &one, 900);
     assert_eq!((status("one.example"), metric("pool_size", "one")), (503, 1));
-    assert_eq!(call("/maintenance/exit", "one/p/n0"), 200);
+    assert_eq!(post("/maintenance/exit", "one/p/n0"), 200);
     assert_eq!(status("one.example"), 200);
 }
 
@@ -146,14 +150,15 @@
     doc
 }
 
-/// The listeners' addresses in their order, as the process logs them.
+/// The addresses of the listeners in their configured order, from the log.
 fn logged_listeners(process: &Process) -> Vec<SocketAddr> {
     let log = process.log();
     let addresses = log.lines().filter_map(|line| line.strip_prefix("listening on "));
     addresses.map(|address| address.parse().expect("an address")).collect()
 }
 
-/// Calls belong to the listener's tenant, or to the one that has its host, under the same limits and idempotency keys.
+/// A JSON-RPC call belongs to the tenant of its listener, or to the tenant that has the listener's host.
+/// Limits and idempotency keys are those of the tenant over either protocol.
 #[test]
 fn json_rpc_calls_belong_to_a_tenant_like_http_requests() {
     let (one, two) = (endpoint("one", 0), endpoint("two", 0));
@@ -173,16 +178,17 @@
     );
     let listeners = logged_listeners(&service.process);
     let connect = |address: &SocketAddr| RpcClient::connect(*address, Framing::Lines);
-    let mut callers: Vec<RpcClient> = listeners.iter().map(connect).collect();
-    let served = |answer: &Value| answer["result"].as_str().map(|r| r.split(':').next() == Some("one"));
+    let mut clients: Vec<RpcClient> = listeners.iter().map(connect).collect();
+    let is_served_by_one =
+        |response: &Value| response["result"].as_str().map(|r| r.split(':').next() == Some("one"));
     let key = json!({ "key": "k" });
-    assert_eq!(served(&callers[0].call(1, "standings", key.clone())), Some(true));
+    assert_eq!(is_served_by_one(&clients[0].call(1, "standings", key.clone())), Some(true));
     assert_eq!(
-        served(&callers[1].call(1, "standings", key.clone())),
+        is_served_by_one(&clients[1].call(1, "standings", key.clone())),
         Some(false),
-        "another's key is another"
+        "the key of another tenant was recognized"
     );
-    // Over HTTP it is the same key of the same tenant.
+    // The tenant's key is recognized over HTTP too.
     let post = |host: &str| {
         let head =
             format!("POST /x HTTP/1.1\r\nHost: {host}\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
@@ -192,12 +198,12 @@
         post("one.example").body.starts_with(b"\"one: ") || post("one.example").body.starts_with(b"one: ")
     );
     assert_eq!((one.served(), two.served()), (1, 1));
-    // A claim to be another tenant is rejected; the limits are the same.
+    // A call that claims another tenant is rejected. The tenant's limits apply to calls.
     let claim = json!({ "key": "l", "_meta": { "tenant": "two" } });
-    assert_eq!(callers[0].call(2, "standings", claim)["error"]["code"], -32602);
-    let mut last = callers[0].call(3, "standings", json!({ "key": "l" }));
+    assert_eq!(clients[0].call(2, "standings", claim)["error"]["code"], -32602);
+    let mut last = clients[0].call(3, "standings", json!({ "key": "l" }));
     for id in 4..8 {
-        last = callers[0].call(id, "standings", json!({ "key": format!("m{id}") }));
+        last = clients[0].call(id, "standings", json!({ "key": format!("m{id}") }));
     }
     assert_eq!((&last["error"]["code"], &last["error"]["data"]["cause"]), (&json!(-32000), &json!("rate")));
     assert!(last["error"]["data"]["retryAfterMs"].as_u64() > Some(0), "{last}");
@@ -205,22 +211,22 @@
         service.get("/v1/tenants/one/status").body["refused"]["rate"].as_u64().map(|n| n > 0),
         Some(true)
     );
-    assert_eq!(served(&callers[1].call(9, "standings", json!({ "key": "n" }))), Some(false));
-    // A connection over the limit is rejected with a notification, and closed.
+    assert_eq!(is_served_by_one(&clients[1].call(9, "standings", json!({ "key": "n" }))), Some(false));
+    // A connection over the limit gets an error and a notification, and is closed.
     service.put("/v1/tenants/two/limits", &json!({ "connections": 1 }));
     let mut extra = RpcClient::connect(listeners[1], Framing::Lines);
-    let refused = extra.call(1, "standings", json!({ "key": "o" }));
+    let rejected = extra.call(1, "standings", json!({ "key": "o" }));
     assert_eq!(
-        (&refused["error"]["code"], &refused["error"]["data"]["cause"]),
+        (&rejected["error"]["code"], &rejected["error"]["data"]["cause"]),
         (&json!(-32000), &json!("connections"))
     );
     assert_eq!(extra.receive()["method"], "$/closing");
     assert!(extra.try_receive().is_none());
-    assert_eq!(served(&callers[1].call(10, "standings", json!({ "key": "o" }))), Some(false));
+    assert_eq!(is_served_by_one(&clients[1].call(10, "standings", json!({ "key": "o" }))), Some(false));
 }
 
 #[test]
-fn a_thousand_mostly_idle_tenants_cost_little() {
+fn idle_tenants_use_little_memory_and_cpu_time() {
     let one = endpoint("one", 0);
     let service = |tenants: usize| {
         let mut file = hosted_config("sockets = 20000\n", "");
@@ -228,7 +234,7 @@
         for i in 0..tenants {
             let doc = tenant(&format!("t{i}.example"), &[one.address], json!({}));
             let path = format!("t{i}.json");
-            // A TOML file for each; JSON strings and numbers are valid TOML.
+            // A TOML file for each tenant. JSON strings are valid TOML.
             let class = "[[class]]\nname = \"standings\"\naim_ms = 4000\ndeadline_ms = 4000\nsemantics = \"idempotent\"\n";
             let rest = format!("{class}[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n0\", address = \"{}\" }}]\n[[route]]\nname = \"r\"\nmatch = {{ path = \"/*\" }}\nclass = \"standings\"\npool = \"p\"\n", one.address);
             std::fs::write(folder.join(&path), rest).expect("written");
@@ -246,17 +252,17 @@
         (many.process.descriptors_and_memory().1 - few.process.descriptors_and_memory().1) as f64 / 990.0;
     let started = many.get("/v1/status").body;
     let started = started.as_array().expect("all").iter().filter(|s| s["started"] == true).count();
-    assert_eq!(started, 10, "nothing runs for the idle");
-    let idle = |service: &HostedService| {
+    assert_eq!(started, 10, "pools of idle tenants were started");
+    let idle_cpu_ms = |service: &HostedService| {
         let before = service.process.cpu_time_ns();
         thread::sleep(Duration::from_secs(1));
         (service.process.cpu_time_ns() - before) as f64 / 1e6
     };
-    let (one_ms, other_ms) = (idle(&few), idle(&many));
-    eprintln!("{per_tenant:.1} KiB for each idle tenant; a second of rest: {one_ms:.1} ms with 10, {other_ms:.1} ms with 1,000");
+    let (few_ms, many_ms) = (idle_cpu_ms(&few), idle_cpu_ms(&many));
+    eprintln!("{per_tenant:.1} KiB for each idle tenant; CPU time in an idle second: {few_ms:.1} ms with 10 tenants, {many_ms:.1} ms with 1,000");
     assert!(per_tenant < 50.0, "{per_tenant:.1} KiB for each idle tenant");
     assert!(
-        other_ms < one_ms * 2.0 + 20.0,
-        "{one_ms:.1} ms, then {other_ms:.1} ms of work in a second of rest"
+        many_ms < few_ms * 2.0 + 20.0,
+        "{few_ms:.1} ms with 10 tenants, {many_ms:.1} ms with 1,000 of CPU time in an idle second"
     );
 }
--- a/tests/hosted_limits.rs
+++ b/tests/hosted_limits.rs
@@ -12,6 +12,7 @@
 use serde_json::json;
 use stubs::*;
 
+/// Starts an endpoint with a fixed latency.
 fn endpoint(name: &str, latency_ms: u64) -> FixedLatencyEndpoint {
     FixedLatencyEndpoint::start(name, Duration::from_millis(latency_ms)).expect("a port")
 }
@@ -26,16 +27,16 @@
     first.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     stuck.request();
     let rejection = || {
-        let answer = service.request("club.example", "/x");
-        (answer.status(), answer.header("X-Refusal-Cause").map(str::to_owned))
+        let response = service.request("club.example", "/x");
+        (response.status(), response.header("X-Refusal-Cause").map(str::to_owned))
     };
     assert_eq!(rejection(), (429, Some("in-flight".to_owned())));
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "connections": 1 })).status, 200);
     assert_eq!(rejection(), (429, Some("connections".to_owned())));
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "body_bytes": 10 })).status, 200);
     let post = "POST /x HTTP/1.1\r\nHost: club.example\r\nContent-Length: 11\r\n\r\nhello world";
-    let answer = service.process.request(post);
-    assert_eq!((answer.status(), answer.header("X-Refusal-Cause")), (429, Some("bodies")));
+    let response = service.process.request(post);
+    assert_eq!((response.status(), response.header("X-Refusal-Cause")), (429, Some("bodies")));
     let status = service.get("/v1/tenants/club/status").body;
     assert_eq!(
         status["refused"],
@@ -45,7 +46,11 @@
     for bad in [json!({ "weight": 0 }), json!({ "requests_per_s": -1 }), json!({ "burst": 1e300 })] {
         assert_eq!(service.put("/v1/tenants/club/limits", &bad).status, 422, "{bad}");
     }
-    assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "speed": 1 })).status, 422, "an unknown key");
+    assert_eq!(
+        service.put("/v1/tenants/club/limits", &json!({ "speed": 1 })).status,
+        422,
+        "an unknown limit was accepted"
+    );
 }
 
 /// With endpoints that never respond, a tenant's requests accumulate up to its own limit only.
@@ -66,27 +71,27 @@
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let stream = std::net::TcpStream::connect(address).expect("connects");
-                    let mut caller = HttpClient::of(stream);
-                    caller.send("GET /x HTTP/1.1\r\nHost: stuck.example\r\nX-Timeout-Ms: 3900\r\n\r\n");
-                    caller.try_receive();
+                    let mut client = HttpClient::of(stream);
+                    client.send("GET /x HTTP/1.1\r\nHost: stuck.example\r\nX-Timeout-Ms: 3900\r\n\r\n");
+                    client.try_receive();
                 }
             })
         })
         .collect();
-    // Until it has reached its limit.
+    // Waits until the tenant's requests have accumulated.
     while service.get("/v1/tenants/stuck/status").body["in_flight"].as_u64() < Some(20) {
         thread::sleep(Duration::from_millis(10));
     }
-    let mut caller = service.process.connect();
+    let mut client = service.process.connect();
     for _ in 0..300 {
-        assert_eq!(caller.ask("GET /x HTTP/1.1\r\nHost: good.example\r\n\r\n").status(), 200);
+        assert_eq!(client.ask("GET /x HTTP/1.1\r\nHost: good.example\r\n\r\n").status(), 200);
     }
-    let stuck_uses = service.get("/v1/tenants/stuck/status").body;
+    let stuck_status = service.get("/v1/tenants/stuck/status").body;
     let (during, memory) = service.process.descriptors_and_memory();
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|p| p.join().expect("no panic"));
-    assert!(stuck_uses["in_flight"].as_u64() <= Some(190), "{stuck_uses}");
-    // Its downstream connections, and its half of the upstream connections.
+    clients.into_iter().for_each(|thread| thread.join().expect("no panic"));
+    assert!(stuck_status["in_flight"].as_u64() <= Some(190), "{stuck_status}");
+    // The bound covers its downstream connections and its half of the upstream connections.
     assert!(during < before + 170 + 96 + 10, "{before}, then {during}");
     assert!(memory < memory_before + (16 << 10), "{memory_before} kB, then {memory} kB");
     assert_eq!(service.get("/v1/tenants/good/status").body["refused"]["in-flight"], 0);
@@ -97,31 +102,31 @@
 fn a_tenant_without_retries_left_has_one_attempt_for_each_request() {
     let disconnecting: Vec<MockEndpoint> =
         (0..3).map(|_| MockEndpoint::new([Behavior::Disconnect])).collect();
-    let nodes: Vec<_> = disconnecting.iter().map(|endpoint| endpoint.address).collect();
+    let addresses: Vec<_> = disconnecting.iter().map(|endpoint| endpoint.address).collect();
     let attempts = || disconnecting.iter().map(|endpoint| endpoint.requests().len()).sum::<usize>();
     let service = start_hosted(&hosted_config("", ""));
     let status = || service.get("/v1/tenants/club/status").body;
-    service.put("/v1/tenants/club", &tenant("club.example", &nodes, json!({})));
+    service.put("/v1/tenants/club", &tenant("club.example", &addresses, json!({})));
     // Every attempt fails or is rejected.
     let send_request = || assert!(matches!(service.request("club.example", "/x").status(), 502 | 503));
     send_request();
     let unlimited = attempts();
-    assert!(unlimited > 1, "attempts are retried without a limit: {unlimited}");
+    assert!(unlimited > 1, "no retry without a limit: {unlimited} attempts");
     assert_eq!(status()["retries"], unlimited - 1);
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "retries_per_s": 0.001 })).status, 200);
-    // One retry is left of the burst; the request that uses it may overdraw the limit.
+    // One retry of the burst is left. The request that uses it may exceed the limit.
     send_request();
     let limited = attempts();
     (0..5).for_each(|_| send_request());
-    assert!(attempts() <= 5, "one attempt each");
+    assert!(attempts() <= 5, "more than one attempt each");
     assert_eq!(status()["retries"], unlimited - 1 + limited.saturating_sub(1));
 }
 
 #[test]
 fn retries_of_a_disconnected_client_count_against_the_limit() {
-    // Whichever endpoint gets the second attempt does not respond.
-    let first = Arc::new(AtomicUsize::new(0));
-    let listen = |first: Arc<AtomicUsize>| {
+    // The endpoint that gets the second attempt does not respond.
+    let attempts = Arc::new(AtomicUsize::new(0));
+    let listen = |attempts: Arc<AtomicUsize>| {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         thread::spawn(move || {
@@ -129,114 +134,120 @@
             for stream in listener.incoming() {
                 let stream = stream.expect("accepts");
                 let mut reader = std::io::BufReader::new(stream.try_clone().expect("a copy"));
-                if read_message(&mut reader).is_some() && first.fetch_add(1, Ordering::SeqCst) > 0 {
+                if read_message(&mut reader).is_some() && attempts.fetch_add(1, Ordering::SeqCst) > 0 {
                     open_streams.push(stream);
                 }
             }
         });
         address
     };
-    let nodes: Vec<_> = (0..3).map(|_| listen(Arc::clone(&first))).collect();
+    let addresses: Vec<_> = (0..3).map(|_| listen(Arc::clone(&attempts))).collect();
     let service = start_hosted(&hosted_config("", ""));
     let limits = json!({ "retries_per_s": 0.001 });
-    assert_eq!(service.put("/v1/tenants/club", &tenant("club.example", &nodes, limits)).status, 200);
+    assert_eq!(service.put("/v1/tenants/club", &tenant("club.example", &addresses, limits)).status, 200);
     let status = || service.get("/v1/tenants/club/status").body;
-    let mut caller = service.process.connect();
-    caller.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
+    let mut client = service.process.connect();
+    client.send("GET /x HTTP/1.1\r\nHost: club.example\r\n\r\n");
     let since = Instant::now();
-    while first.load(Ordering::SeqCst) < 2 {
+    while attempts.load(Ordering::SeqCst) < 2 {
         assert!(since.elapsed() < TEST_TIMEOUT, "no second attempt");
         thread::sleep(Duration::from_millis(2));
     }
-    drop(caller);
+    drop(client);
     while status()["in_flight"] != 0 {
-        assert!(since.elapsed() < TEST_TIMEOUT, "the request goes on without its client");
+        assert!(since.elapsed() < TEST_TIMEOUT, "the request continues without its client");
         thread::sleep(Duration::from_millis(2));
     }
     assert_eq!(status()["retries"], 1);
-    // No retry is left: the next request has one attempt at most, which is not responded to.
+    // No retry is left: the next request has at most one attempt, which gets no response.
     let ask = "GET /x HTTP/1.1\r\nHost: club.example\r\nX-Timeout-Ms: 300\r\n\r\n";
     assert!(matches!(service.process.request(ask).status(), 503 | 504));
-    assert!(first.load(Ordering::SeqCst) <= 3);
+    assert!(attempts.load(Ordering::SeqCst) <= 3);
     assert_eq!(status()["retries"], 1);
 }
 
-/// A fallback to another pool is a retry like any other, if the first pool made an attempt.
+/// A fallback to another pool counts as a retry if the first pool made an attempt.
 #[test]
 fn a_tenant_without_retries_left_does_not_fall_back_for_a_second_attempt() {
     let (busy, spare) = (MockEndpoint::new([full()]), MockEndpoint::new([ok("spare")]));
     let service = start_hosted(&hosted_config("", ""));
     let mut club = tenant("club.example", &[busy.address], json!({}));
-    let pool = |name: &str, node: &MockEndpoint| json!({ "name": name, "nodes": [{ "name": name, "address": node.address.to_string() }] });
+    let pool = |name: &str, endpoint: &MockEndpoint| json!({ "name": name, "nodes": [{ "name": name, "address": endpoint.address.to_string() }] });
     club["config"]["pool"] = json!([pool("p", &busy), pool("q", &spare)]);
     club["config"]["route"][0]["fallback"] = json!([{ "pool": "q", "when": ["refused"] }]);
     assert_eq!(service.put("/v1/tenants/club", &club).status, 200);
-    assert_eq!(service.request("club.example", "/x").status(), 200, "the spare pool serves");
+    assert_eq!(service.request("club.example", "/x").status(), 200, "the fallback pool did not serve");
     let before = (busy.requests().len(), spare.requests().len());
     assert_eq!(before.1, 1);
     assert_eq!(service.put("/v1/tenants/club/limits", &json!({ "retries_per_s": 0.001 })).status, 200);
-    // The retry that is left is used for a fallback, and then there is none.
-    let answers: Vec<u16> = (0..4).map(|_| service.request("club.example", "/x").status()).collect();
-    assert_eq!(answers[0], 200);
-    let (asked, fell_back) = (busy.requests().len(), spare.requests().len());
-    // If the first pool makes no attempt, the first one may be the other pool's.
-    let tried_both = asked + fell_back;
-    assert!(tried_both <= 4 + 2, "one attempt each and what was left: {answers:?}, {asked} and {fell_back}");
+    // The first request uses the last retry for a fallback.
+    let responses: Vec<u16> = (0..4).map(|_| service.request("club.example", "/x").status()).collect();
+    assert_eq!(responses[0], 200);
+    let (first_attempts, fallback_attempts) = (busy.requests().len(), spare.requests().len());
+    // A fallback without an attempt in the first pool is a first attempt and needs no retry.
+    let total = first_attempts + fallback_attempts;
+    assert!(
+        total <= 4 + 2,
+        "more than one attempt each and one retry: {responses:?}, {first_attempts} and {fallback_attempts}"
+    );
 }
 
-/// Latencies of a tenant's requests over some time, in microseconds, sorted.
+/// Sends requests of a tenant for this time. Returns their latencies in microseconds, sorted.
 fn latencies(service: &HostedService, host: &str, time: Duration) -> Vec<u64> {
-    let mut caller = service.process.connect();
+    let mut client = service.process.connect();
     let (since, mut all) = (Instant::now(), Vec::new());
     while since.elapsed() < time {
         let sent = Instant::now();
-        assert_eq!(caller.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n")).status(), 200, "{host}");
+        assert_eq!(client.ask(&format!("GET /x HTTP/1.1\r\nHost: {host}\r\n\r\n")).status(), 200, "{host}");
         all.push(sent.elapsed().as_micros() as u64);
-        // A hundred a second at most: well under a third of the capacity.
+        // At most 100 per second: well below a third of the capacity.
         thread::sleep(Duration::from_millis(10));
     }
     all.sort_unstable();
     all
 }
 
-/// Clients of one tenant retry at once at five times its share; two tenants below their shares are served completely.
+/// The clients of one tenant retry at once, at five times its share. All requests of two tenants below their
+/// shares are served.
 #[test]
 fn a_retry_storm_of_one_tenant_does_not_affect_two_others() {
-    let nodes: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 1)).collect();
+    let endpoints: Vec<FixedLatencyEndpoint> = (0..3).map(|i| endpoint(&format!("n{i}"), 1)).collect();
     let service = start_hosted(&hosted_config("capacity = { requests_per_s = 450 }\n", ""));
     for (i, name) in ["storm", "b", "c"].iter().enumerate() {
         let response = service.put(
             &format!("/v1/tenants/{name}"),
-            &tenant(&format!("{name}.example"), &[nodes[i].address], json!({})),
+            &tenant(&format!("{name}.example"), &[endpoints[i].address], json!({})),
         );
         assert_eq!(response.status, 200, "{response:?}");
     }
-    let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
+    let (stop, sent) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
     let address = service.process.address;
     let storm: Vec<_> = (0..8)
         .map(|_| {
-            let (stop, asked) = (Arc::clone(&stop), Arc::clone(&asked));
+            let (stop, sent) = (Arc::clone(&stop), Arc::clone(&sent));
             thread::spawn(move || {
-                let mut caller = HttpClient::of(std::net::TcpStream::connect(address).expect("connects"));
+                let mut client = HttpClient::of(std::net::TcpStream::connect(address).expect("connects"));
                 while !stop.load(Ordering::Relaxed) {
-                    let answer = caller.ask("GET /x HTTP/1.1\r\nHost: storm.example\r\nX-Retried: 1\r\n\r\n");
-                    assert!([200, 429, 503].contains(&answer.status()));
-                    asked.fetch_add(1, Ordering::Relaxed);
-                    // Eight of them: far more than a share of 150 a second, also on a slow machine.
+                    let response =
+                        client.ask("GET /x HTTP/1.1\r\nHost: storm.example\r\nX-Retried: 1\r\n\r\n");
+                    assert!([200, 429, 503].contains(&response.status()));
+                    sent.fetch_add(1, Ordering::Relaxed);
+                    // With eight clients this is far more than the share of 150 per second, also on a slow
+                    // machine.
                     thread::sleep(Duration::from_millis(4));
                 }
             })
         })
         .collect();
-    while asked.load(Ordering::Relaxed) < 400 {
+    while sent.load(Ordering::Relaxed) < 400 {
         thread::sleep(Duration::from_millis(5));
     }
     let quiet = thread::scope(|s| {
         let c = s.spawn(|| latencies(&service, "c.example", Duration::from_secs(2)));
-        [latencies(&service, "b.example", Duration::from_secs(2)), c.join().expect("served")]
+        [latencies(&service, "b.example", Duration::from_secs(2)), c.join().expect("no panic")]
     });
     stop.store(true, Ordering::Relaxed);
-    storm.into_iter().for_each(|t| t.join().expect("answered"));
+    storm.into_iter().for_each(|t| t.join().expect("no panic"));
     for (name, all) in ["b", "c"].iter().zip(&quiet) {
         let status = service.get(&format!("/v1/tenants/{name}/status")).body;
         let refused: u64 =
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What was learned outlives the process, and whatever happens to its folder costs a line at most.
+//! Learned state persists over restarts, and faults of its folder cost at most a line of the log.
 mod stubs;
 
 use std::path::{Path, PathBuf};
@@ -8,11 +8,12 @@
 
 use stubs::*;
 
-fn config(nodes: &[&FixedLatencyEndpoint], folder: &Path) -> String {
-    let nodes: Vec<String> = nodes
+/// A configuration with these endpoints, which stores learned state in this folder.
+fn config(endpoints: &[&FixedLatencyEndpoint], folder: &Path) -> String {
+    let endpoints: Vec<String> = endpoints
         .iter()
         .enumerate()
-        .map(|(i, node)| format!("{{ name = \"n{i}\", address = \"{}\" }}", node.address))
+        .map(|(i, endpoint)| format!("{{ name = \"n{i}\", address = \"{}\" }}", endpoint.address))
         .collect();
     format!(
         r#"[server]
@@ -38,41 +39,42 @@
 class = "read"
 pool = "p"
 "#,
-        nodes.join(", ")
+        endpoints.join(", ")
     )
 }
 
-/// A quick node and one ten times slower.
-fn nodes() -> [FixedLatencyEndpoint; 2] {
+/// A fast endpoint and one that is ten times slower.
+fn fast_and_slow_endpoints() -> [FixedLatencyEndpoint; 2] {
     [40, 400]
         .map(|ms| FixedLatencyEndpoint::start(&ms.to_string(), Duration::from_millis(ms)).expect("a port"))
 }
 
-const ASK: &str = "GET /x HTTP/1.1\r\nHost: a\r\nX-Timeout-Ms: 900\r\n\r\n";
+const REQUEST: &str = "GET /x HTTP/1.1\r\nHost: a\r\nX-Timeout-Ms: 900\r\n\r\n";
 
-/// So many callers ask at the same moment, so often; all are answered.
-fn crowd(proxy: &Process, callers: usize, times: usize) {
-    let together = Arc::new(Barrier::new(callers));
-    let one = |mut caller: HttpClient, together: Arc<Barrier>| {
+/// Sends requests from a number of clients that start simultaneously, a number of times each. Each client is
+/// served at least once.
+fn send_simultaneously(proxy: &Process, clients: usize, times: usize) {
+    let start = Arc::new(Barrier::new(clients));
+    let send = |mut client: HttpClient, start: Arc<Barrier>| {
         thread::spawn(move || {
-            together.wait();
-            (0..times).filter(|_| caller.ask(ASK).status() == 200).count()
+            start.wait();
+            (0..times).filter(|_| client.ask(REQUEST).status() == 200).count()
         })
     };
-    let all: Vec<_> = (0..callers).map(|_| one(proxy.connect(), Arc::clone(&together))).collect();
-    for served in all {
-        assert!(served.join().expect("no panic") > 0);
+    let threads: Vec<_> = (0..clients).map(|_| send(proxy.connect(), Arc::clone(&start))).collect();
+    for thread in threads {
+        assert!(thread.join().expect("no panic") > 0);
     }
 }
 
-/// Of eight at once, how many go to the slow node?
-fn slow_of_eight(proxy: &Process, nodes: &[FixedLatencyEndpoint; 2]) -> usize {
-    let before = nodes[1].served();
-    crowd(proxy, 8, 1);
-    nodes[1].served() - before
+/// Sends eight simultaneous requests. Returns the number that the slow endpoint served.
+fn slow_of_eight(proxy: &Process, endpoints: &[FixedLatencyEndpoint; 2]) -> usize {
+    let before = endpoints[1].served();
+    send_simultaneously(proxy, 8, 1);
+    endpoints[1].served() - before
 }
 
-/// The files kept in a folder, the oldest first.
+/// The learned-state files in a folder, the oldest first.
 fn files(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
     let mut files: Vec<PathBuf> =
@@ -82,85 +84,87 @@
 }
 
 #[track_caller]
-fn until(what: &str, mut is_so: impl FnMut() -> bool) {
+fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let since = Instant::now();
-    while !is_so() {
-        assert!(since.elapsed() < TEST_TIMEOUT, "{what}");
+    while !holds() {
+        assert!(since.elapsed() < TEST_TIMEOUT, "timeout: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// The newest learned-state file in a folder.
 fn newest(folder: &Path) -> PathBuf {
     files(folder).pop().expect("a file")
 }
 
 #[test]
 fn a_proxy_that_starts_again_knows_the_slow_node_and_an_old_file_says_nothing() {
-    let nodes = nodes();
+    let endpoints = fast_and_slow_endpoints();
     let folder = temp_folder().join("learned");
-    let config = config(&[&nodes[0], &nodes[1]], &folder);
+    let config = config(&[&endpoints[0], &endpoints[1]], &folder);
     let mut first = start_standalone(&config, &[]);
-    let blind = slow_of_eight(&first, &nodes);
-    assert!(blind >= 3, "knows nothing yet: {blind} of 8 to the slow node");
-    crowd(&first, 8, 10);
+    let without_state = slow_of_eight(&first, &endpoints);
+    assert!(without_state >= 3, "without learned state {without_state} of 8 to the slow endpoint");
+    send_simultaneously(&first, 8, 10);
     first.terminate();
     assert!(first.wait_for_exit().success());
 
     let mut second = start_standalone(&config, &[]);
     assert!(second.log().contains("learned state: written "), "{}", second.log());
-    let taught = slow_of_eight(&second, &nodes);
-    assert!(taught <= 2, "{taught} of 8 to the slow node");
+    let with_state = slow_of_eight(&second, &endpoints);
+    assert!(with_state <= 2, "with learned state {with_state} of 8 to the slow endpoint");
     second.terminate();
     assert!(second.wait_for_exit().success());
 
-    // The same, as if written six hours ago; and by a clock that was wrong by years.
+    // The same state with a time of writing six hours ago, and one years in the future, as from a wrong
+    // clock.
     for (hours, words) in [(6, "learned state: written 21"), (-30_000, "learned state: very old")] {
         let file = newest(&folder);
-        let bytes = std::fs::read(&file).expect("kept");
-        let (mut learned, _) = learned_state::decode(&bytes).expect("sound");
-        let written = learned.written_ms.expect("says when");
+        let bytes = std::fs::read(&file).expect("readable");
+        let (mut learned, _) = learned_state::decode(&bytes).expect("intact");
+        let written = learned.written_ms.expect("a time of writing");
         learned.written_ms = written.checked_add_signed(-hours * 3_600_000);
         std::fs::write(&file, learned_state::encode(&learned)).expect("written");
         let third = start_standalone(&config, &[]);
         assert!(third.log().contains(words), "{}", third.log());
-        let forgot = slow_of_eight(&third, &nodes);
-        assert!(forgot >= 3, "{forgot} of 8 to the slow node, after {hours} hours");
-        // Killed, so that it writes no more.
+        let with_old_state = slow_of_eight(&third, &endpoints);
+        assert!(with_old_state >= 3, "{with_old_state} of 8 to the slow endpoint, after {hours} hours");
+        // The process is killed, so that it writes no further file.
         drop(third);
     }
 }
 
 #[test]
 fn what_a_killed_process_learned_is_there_and_a_damaged_file_costs_itself() {
-    let nodes = nodes();
+    let endpoints = fast_and_slow_endpoints();
     let folder = temp_folder().join("learned");
-    let config = config(&[&nodes[0], &nodes[1]], &folder);
+    let config = config(&[&endpoints[0], &endpoints[1]], &folder);
     let first = start_standalone(&config, &[]);
-    crowd(&first, 8, 10);
+    send_simultaneously(&first, 8, 10);
     let before = files(&folder).pop();
-    until("no two files since", || files(&folder).iter().rev().nth(1) > before.as_ref());
+    wait_for("two new files", || files(&folder).iter().rev().nth(1) > before.as_ref());
     drop(first);
-    // The newest is torn: the one before it counts.
+    // The newest file is truncated, so the previous one is used.
     std::fs::write(newest(&folder), b"amberkno").expect("written");
     let second = start_standalone(&config, &[]);
     assert!(second.log().contains("learned state: written "), "{}", second.log());
-    assert!(slow_of_eight(&second, &nodes) <= 2);
-    // Four are kept, and the newest of them is sound.
-    until("never more than four", || files(&folder).len() == 4);
-    until("a sound file", || {
+    assert!(slow_of_eight(&second, &endpoints) <= 2);
+    // Four files are kept, and the newest of them is intact.
+    wait_for("four files", || files(&folder).len() == 4);
+    wait_for("an intact newest file", || {
         let bytes = std::fs::read(newest(&folder)).unwrap_or_default();
         learned_state::decode(&bytes).is_ok_and(|(learned, _)| learned.pools[0].endpoints.len() == 2)
     });
 }
 
 #[test]
-fn a_folder_that_another_process_has_is_read_and_taken_over_when_it_is_free() {
-    let nodes = nodes();
+fn a_folder_in_use_by_another_process_is_read_and_written_once_it_is_free() {
+    let endpoints = fast_and_slow_endpoints();
     let folder = temp_folder().join("learned");
-    let config = config(&[&nodes[0], &nodes[1]], &folder);
+    let config = config(&[&endpoints[0], &endpoints[1]], &folder);
     let mut first = start_standalone(&config, &[]);
-    crowd(&first, 8, 4);
-    until("no file", || !files(&folder).is_empty());
+    send_simultaneously(&first, 8, 4);
+    wait_for("a file", || !files(&folder).is_empty());
     let second = start_standalone(&config, &[]);
     second.wait_for_log("another process uses it");
     assert!(second.log().contains("learned state: written "), "{}", second.log());
@@ -168,20 +172,20 @@
     assert!(first.wait_for_exit().success());
     second.wait_for_log("learned state: writing to ");
     let before = newest(&folder);
-    until("a file of its own", || newest(&folder) != before);
-    assert_eq!(second.log().matches("another process uses it").count(), 1, "said once");
+    wait_for("a file of the second process", || newest(&folder) != before);
+    assert_eq!(second.log().matches("another process uses it").count(), 1, "logged more than once");
 }
 
 #[test]
-fn a_folder_that_cannot_be_had_costs_a_line_and_nothing_else() {
-    let nodes = nodes();
+fn an_unusable_folder_is_logged_once_and_used_once_it_can_be_created() {
+    let endpoints = fast_and_slow_endpoints();
     let folder = temp_folder().join("learned");
     std::fs::write(&folder, "a file in its place").expect("written");
-    let mut proxy = start_standalone(&config(&[&nodes[0], &nodes[1]], &folder), &[]);
+    let mut proxy = start_standalone(&config(&[&endpoints[0], &endpoints[1]], &folder), &[]);
     proxy.wait_for_log("learned state: cannot write to ");
-    crowd(&proxy, 2, 4);
-    assert_eq!(proxy.log().matches("cannot write to").count(), 1, "said once");
-    // What stood in the way is gone: kept from then on.
+    send_simultaneously(&proxy, 2, 4);
+    assert_eq!(proxy.log().matches("cannot write to").count(), 1, "logged more than once");
+    // Once the file in its place is removed, learned state is written.
     std::fs::remove_file(&folder).expect("removed");
     proxy.wait_for_log("learned state: writing to ");
     proxy.terminate();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address in the standalone mode: several pools, maintenance over reloads, and inherited sockets.
+//! The operators' address in standalone mode: several pools, maintenance over reloads, and inherited sockets.
 mod stubs;
 
 use std::net::{TcpListener, TcpStream};
@@ -10,8 +10,8 @@
 use stubs::*;
 
 /// Two pools that both have an endpoint `n1`; the second one also has `n2`.
-fn config(listen: &str, nodes: [&MockEndpoint; 3], extra: &str) -> String {
-    let [a1, b1, b2] = nodes.map(|n| n.address);
+fn config(listen: &str, endpoints: [&MockEndpoint; 3], extra: &str) -> String {
+    let [a1, b1, b2] = endpoints.map(|e| e.address);
     format!(
         r#"
 [server]
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn maintenance_outlasts_a_reload_and_metrics_are_separate_for_each_pool() {
-    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
-    let text = config("127.0.0.1:0", nodes.each_ref(), "folder = \"kept\"");
+fn maintenance_persists_over_a_reload_and_metrics_are_separate_for_each_pool() {
+    let endpoints = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
+    let text = config("127.0.0.1:0", endpoints.each_ref(), "folder = \"kept\"");
     let process = start_standalone(&text, &[]);
     for (path, body, status) in [
         ("/maintenance/enter", "n1", 409),
@@ -70,12 +70,12 @@
         }
     };
     send_requests(10, "b", "out");
-    // The pool is replaced: its endpoint stays in maintenance.
+    // The pool is replaced, and its endpoint stays in maintenance.
     process.reload(&text.replace("\"b\"\nnodes", "\"b\"\nshare = 2\nnodes"));
     process.wait_for_log("configuration 2");
     send_requests(10, "b", "reloaded");
     send_requests(5, "a", "other");
-    assert_eq!(nodes.each_ref().map(|n| n.requests().len()), [5, 0, 20]);
+    assert_eq!(endpoints.each_ref().map(|n| n.requests().len()), [5, 0, 20]);
     let metric = |name: &str| process.metric(name);
     assert_eq!(metric("edge_lb_ok_total{kind=\"read\",pool=\"b\"}"), 20);
     assert_eq!(metric("edge_lb_ok_total{kind=\"read\",pool=\"a\"}"), 5);
@@ -90,7 +90,7 @@
     drop(first);
     let second = start_standalone(&text.replace("\"kept\"", &format!("{folder:?}")), &[]);
     assert_eq!(second.metric("edge_lb_pool_ejected{pool=\"a\"}"), 1);
-    assert_eq!(second.request(&get("a", "none")).status(), 503, "all of its nodes are out by hand");
+    assert_eq!(second.request(&get("a", "none")).status(), 503, "all of its endpoints are in maintenance");
     assert_eq!(second.metric("edge_lb_shed_total{kind=\"read\",pool=\"a\"}"), 1);
 }
 
@@ -109,10 +109,10 @@
 
 #[test]
 fn a_successor_on_an_inherited_socket_loses_no_request() {
-    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
+    let endpoints = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
-    let text = config(&at.to_string(), nodes.each_ref(), "");
+    let text = config(&at.to_string(), endpoints.each_ref(), "");
     let start = || Process::attach(start_with(&listener, &text, 1), temp_folder());
     let mut old = start();
     assert_eq!(old.address, at);
@@ -121,7 +121,7 @@
     let new = start();
     assert_eq!(new.operator_request("GET", "/status", "").0, 200);
     old.terminate();
-    // Its operators' address shows when the signal has arrived.
+    // The operators' address shows when the process has received the signal.
     let since = Instant::now();
     while old.operator_request("GET", "/status", "").0 != 503 {
         assert!(since.elapsed() < TEST_TIMEOUT);
@@ -139,29 +139,29 @@
 
 #[test]
 fn inherited_sockets_that_do_not_match_the_listeners_end_the_program_with_one_line() {
-    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
+    let endpoints = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = TcpListener::bind("127.0.0.1:0").expect("another").local_addr().expect("bound");
     let right = listener.local_addr().expect("bound").to_string();
-    for (at, count, why) in [(right.clone(), 2, "2 sockets"), (other.to_string(), 1, "listens on")] {
-        let child = start_with(&listener, &config(&at, nodes.each_ref(), ""), count);
-        let ended = child.wait_with_output().expect("the program exits");
-        let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(!ended.status.success() && stderr.contains(why), "{stderr}");
+    for (at, count, cause) in [(right.clone(), 2, "2 sockets"), (other.to_string(), 1, "listens on")] {
+        let child = start_with(&listener, &config(&at, endpoints.each_ref(), ""), count);
+        let output = child.wait_with_output().expect("the program exits");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && stderr.contains(cause), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
 
 #[test]
 fn an_operators_address_that_is_not_on_loopback_is_rejected() {
-    let nodes = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
-    let text = config("127.0.0.1:0", nodes.each_ref(), "").replacen(
+    let endpoints = [(); 3].map(|()| MockEndpoint::of(|_| ok("done")));
+    let text = config("127.0.0.1:0", endpoints.each_ref(), "").replacen(
         "[operators]\nlisten = \"127.0.0.1:0\"",
         "[operators]\nlisten = \"0.0.0.0:9600\"",
         1,
     );
     let (child, _) = spawn_standalone(&text, &[]);
-    let ended = child.wait_with_output().expect("the program exits");
-    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert!(!ended.status.success() && stderr.contains("not on loopback"), "{stderr}");
+    let output = child.wait_with_output().expect("the program exits");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success() && stderr.contains("not on loopback"), "{stderr}");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reload without loss: requests complete under the configuration that they were routed by.
+//! Reloads lose no request: each is completed under the configuration that routed it.
 mod stubs;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,6 +8,7 @@
 
 use stubs::*;
 
+/// A configuration with these pools and a route to each.
 fn config(pools: &[(&str, &MockEndpoint)], more: &str) -> String {
     let mut text = r#"[server]
 listen = [{ address = "127.0.0.1:0" }]
@@ -19,10 +20,10 @@
 semantics = "at-most-once"
 "#
     .to_owned();
-    for (name, backend) in pools {
+    for (name, endpoint) in pools {
         text += &format!(
             "\n[[pool]]\nname = \"{name}\"\nnodes = [{{ name = \"n\", address = \"{}\" }}]\n\n[[route]]\nname = \"{name}\"\nmatch = {{ path = \"/{name}/*\" }}\nclass = \"write\"\npool = \"{name}\"\n",
-            backend.address
+            endpoint.address
         );
     }
     text + more
@@ -51,16 +52,16 @@
     assert_eq!(persistent.ask(&post("/new/1", "")).body, b"new");
     proxy.reload(&config(&[("new", &new)], ""));
     proxy.wait_for_log("configuration 2: 1 routes, 1 pools");
-    // No new request goes there, on open connections either.
+    // No new request is sent to the removed pool, from open connections either.
     assert_eq!(proxy.request(&post("/old/3", "")).status(), 404);
     assert_eq!(persistent.ask(&post("/new/2", "")).body, b"new");
-    // Requests in flight: one response each, at their end or their deadline.
+    // Requests in flight get one response each, when they complete or at their deadline.
     release.release();
     assert_eq!(running.receive().body, b"done");
-    assert_eq!(running.ask(&post("/new/3", "")).body, b"new", "its connection goes on");
+    assert_eq!(running.ask(&post("/new/3", "")).body, b"new", "its connection is not usable");
     assert_eq!(silent.receive().status(), 504);
     assert_eq!(silent.ask(&post("/new/4", "")).body, b"new");
-    // Its connections are closed once no request needs them.
+    // The connections to the removed endpoint are closed once no request uses them.
     old.wait_for_close();
     old.wait_for_close();
     assert!(old.requests().is_empty());
@@ -70,40 +71,40 @@
 fn an_unchanged_pool_keeps_its_connections() {
     let (same, other) = (MockEndpoint::new([ok("same")]), MockEndpoint::new([ok("other")]));
     let proxy = start_standalone(&config(&[("same", &same)], ""), &[]);
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     for reload in 2..6 {
-        caller.ask(&post("/same/1", ""));
-        assert_eq!(same.request().0, 0, "the first connection serves on");
+        client.ask(&post("/same/1", ""));
+        assert_eq!(same.request().0, 0, "the first connection is not in use");
         let pools: &[(&str, &MockEndpoint)] =
             if reload % 2 == 0 { &[("same", &same), ("other", &other)] } else { &[("same", &same)] };
         proxy.reload(&config(pools, ""));
         proxy.wait_for_log(&format!("configuration {reload}: "));
     }
-    // Another setting of its class: a new pool.
+    // A changed setting of its class replaces the pool.
     proxy.reload(&config(&[("same", &same)], "").replace("aim_ms = 8000", "aim_ms = 7000"));
     proxy.wait_for_log("configuration 6: ");
-    caller.ask(&post("/same/1", ""));
+    client.ask(&post("/same/1", ""));
     assert_eq!(same.request().0, 1);
 }
 
 #[test]
 fn an_invalid_configuration_leaves_the_current_one_in_place() {
-    let node = MockEndpoint::new([ok("done")]);
-    let good = config(&[("p", &node)], "");
+    let endpoint = MockEndpoint::new([ok("done")]);
+    let valid = config(&[("p", &endpoint)], "");
     let expect = "[[expect]]\nname = \"p stays\"\nwhen = { method = \"POST\", path = \"/p/1\" }\nthen = { pool = \"p\" }\n";
-    let good = good.replacen("\n\n[[class]]", "\nexpectations = [\"expect.toml\"]\n\n[[class]]", 1);
-    let proxy = start_standalone(&good, &[("expect.toml", expect)]);
+    let valid = valid.replacen("\n\n[[class]]", "\nexpectations = [\"expect.toml\"]\n\n[[class]]", 1);
+    let proxy = start_standalone(&valid, &[("expect.toml", expect)]);
     let bad = [
         ("[server]".to_owned(), "configuration 1 stays: "),
         (
-            good.replace("\"/p/*\"", "\"/q/*\""),
+            valid.replace("\"/p/*\"", "\"/q/*\""),
             "`p stays`: expected pool `p`, but it would be refused with 404",
         ),
         (
-            good.replace("listen = [", "listen = [{ address = \"127.0.0.1:1\" }, "),
+            valid.replace("listen = [", "listen = [{ address = \"127.0.0.1:1\" }, "),
             "another `server.listen` takes a restart",
         ),
-        (good.replace("pool = \"p\"\n", "pool = \"q\"\n"), "there is no pool `q` (there are `p`)"),
+        (valid.replace("pool = \"p\"\n", "pool = \"q\"\n"), "there is no pool `q` (there are `p`)"),
     ];
     for (text, words) in &bad {
         proxy.reload(text);
@@ -111,16 +112,17 @@
         assert_eq!(proxy.request(&post("/p/1", "")).status(), 200, "{words}");
     }
     assert_eq!(proxy.log().matches("configuration 1 stays: ").count(), bad.len(), "{}", proxy.log());
-    proxy.reload(&good);
+    proxy.reload(&valid);
     proxy.wait_for_log("configuration 2: ");
 }
 
-/// A pool that stays, and one that changes its name and endpoint. Every third round starts both anew.
-fn config_of_round(round: usize, nodes: &[FixedLatencyEndpoint]) -> String {
-    let pool = |name: &str, node: &FixedLatencyEndpoint| {
+/// The configuration of a round: a pool that stays, and one whose name and endpoint change. Every third round
+/// replaces both.
+fn config_of_round(round: usize, endpoints: &[FixedLatencyEndpoint]) -> String {
+    let pool = |name: &str, endpoint: &FixedLatencyEndpoint| {
         format!(
             "\n[[pool]]\nname = \"{name}\"\nnodes = [{{ name = \"n\", address = \"{}\" }}]\n",
-            node.address
+            endpoint.address
         )
     };
     let route = |name: &str, pool: &str| {
@@ -133,63 +135,65 @@
         "[server]\nlisten = [{{ address = \"127.0.0.1:0\" }}]\n\n[[class]]\nname = \"write\"\naim_ms = {}\ndeadline_ms = 20000\nsemantics = \"at-most-once\"\n",
         10_000 + round / 3
     );
-    text += &pool("steady", &nodes[0]);
-    text += &pool(&changing, &nodes[1 + round % 2]);
+    text += &pool("steady", &endpoints[0]);
+    text += &pool(&changing, &endpoints[1 + round % 2]);
     text += &route("steady", "steady");
     text += &route("changing", &changing);
     text
 }
 
+/// Sends requests on one connection until `stop` is set, and counts the responses.
 fn send_until_stopped(proxy: &Process, path: &str, stop: &AtomicBool, answered: &AtomicUsize) {
-    let mut caller = proxy.connect();
+    let mut client = proxy.connect();
     while !stop.load(Ordering::Relaxed) {
-        let answer = caller.ask(&post(path, ""));
-        assert_eq!(answer.status(), 200, "{path}");
+        let response = client.ask(&post(path, ""));
+        assert_eq!(response.status(), 200, "{path}");
         answered.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Pools are added, removed and changed while six clients send requests without a pause: each gets one response.
+/// Pools are added, removed and changed while six clients send requests without a pause. Each request gets
+/// one response.
 #[test]
 fn two_hundred_reloads_under_load_lose_no_request_and_leak_nothing() {
-    let nodes: Vec<FixedLatencyEndpoint> = (0..3)
+    let endpoints: Vec<FixedLatencyEndpoint> = (0..3)
         .map(|i| FixedLatencyEndpoint::start(&format!("n{i}"), Duration::from_millis(1)).expect("a port"))
         .collect();
-    let text = |round: usize| config_of_round(round, &nodes);
+    let text = |round: usize| config_of_round(round, &endpoints);
     let proxy = Arc::new(start_standalone(&text(0), &[]));
     let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::<AtomicUsize>::default());
-    let callers: Vec<_> = (0..6)
+    let clients: Vec<_> = (0..6)
         .map(|i| {
             let (proxy, stop, answered) = (Arc::clone(&proxy), Arc::clone(&stop), Arc::clone(&answered));
             let path = if i % 2 == 0 { "/steady/1" } else { "/changing/1" };
             thread::spawn(move || send_until_stopped(&proxy, path, &stop, &answered))
         })
         .collect();
-    let settled = |until: usize| {
-        // Some traffic in between, so that memory and descriptors are compared in the same state.
+    let wait_for_responses = |count: usize| {
+        // Memory and descriptors are compared in the same state, which takes some traffic after a reload.
         let from = answered.load(Ordering::Relaxed);
-        while answered.load(Ordering::Relaxed) < from + until {
+        while answered.load(Ordering::Relaxed) < from + count {
             thread::sleep(Duration::from_millis(2));
         }
     };
-    let mut began = None;
+    let mut baseline = None;
     let since = Instant::now();
     for round in 1..=200 {
         proxy.reload(&text(round));
         proxy.wait_for_log(&format!("configuration {}: ", round + 1));
         if round == 20 {
-            settled(200);
-            began = Some(proxy.descriptors_and_memory());
+            wait_for_responses(200);
+            baseline = Some(proxy.descriptors_and_memory());
         }
     }
     eprintln!("200 reloads in {:?}, {} requests", since.elapsed(), answered.load(Ordering::Relaxed));
-    settled(200);
+    wait_for_responses(200);
     let ((descriptors, memory), (before, memory_before)) =
-        (proxy.descriptors_and_memory(), began.expect("taken"));
+        (proxy.descriptors_and_memory(), baseline.expect("a baseline"));
     stop.store(true, Ordering::Relaxed);
-    callers.into_iter().for_each(|caller| caller.join().expect("every request was answered"));
+    clients.into_iter().for_each(|client| client.join().expect("every request was answered"));
     assert!(descriptors <= before + 4, "{before} descriptors, then {descriptors}");
     assert!(memory <= memory_before + 2048, "{memory_before} kB, then {memory} kB");
-    let served: usize = nodes.iter().map(FixedLatencyEndpoint::served).sum();
-    assert_eq!(served, answered.load(Ordering::Relaxed), "each request ran once");
+    let served: usize = endpoints.iter().map(FixedLatencyEndpoint::served).sum();
+    assert_eq!(served, answered.load(Ordering::Relaxed), "each request is executed once");
 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,8 +1,9 @@
-//! The program that speaks the simulator's protocol, from input to output.
+//! The simulator program, from its input to its output.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn simulator(input: &str) -> Output {
+/// Runs the program with this input.
+fn run_simulator(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_amberlever-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -14,6 +15,7 @@
     child.wait_with_output().expect("the program ends")
 }
 
+/// The settings of a proxy; `extra` holds further fields, each after a comma.
 fn settings(extra: &str) -> String {
     let class = r#"{"name":"a","promise_ms":100,"deadline_ms":400,"semantics":"idempotent","gain":1}"#;
     format!(
@@ -23,6 +25,7 @@
     .replace('\n', "")
 }
 
+/// The events that start an instance with one endpoint.
 fn start(name: &str, extra: &str) -> String {
     format!(
         "SWITCH_TO {name}\nPOWER_ON 7 {}\nPOOL 0 1\nBACKEND 1 1 - z k 5 -\nENDPOINTS 0 2 1\n",
@@ -34,9 +37,10 @@
     format!("SUBMIT {id} - 0 - a 400 -\n")
 }
 
+/// Asserts that the program fails and names this line and this cause.
 #[track_caller]
 fn assert_fails(input: &str, line: usize, cause: &str) {
-    let output = simulator(input);
+    let output = run_simulator(input);
     let text = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success(), "it continued: {text}");
     assert!(text.contains(&format!("line {line}")) && text.contains(cause), "{text}");
@@ -51,7 +55,7 @@
         settings(""),
         submit(12),
     );
-    let output = simulator(&input);
+    let output = run_simulator(&input);
     let text = String::from_utf8(output.stdout).expect("text");
     assert!(output.status.success());
     assert!(text.contains("TRANSMIT 11 5 1100.000"), "{text}");
@@ -68,7 +72,7 @@
         settings(""),
         submit(2),
     );
-    let text = String::from_utf8(simulator(&input).stdout).expect("text");
+    let text = String::from_utf8(run_simulator(&input).stdout).expect("text");
     assert!(text.contains("TRANSMIT 1 5") && text.contains("DECLINE 2"), "{text}");
 }
 
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -1,5 +1,6 @@
-//! A process that starts with a list from its configuration: nothing proves the age of the list, so changes that were made while the
-//! process was down count as notified from its start, and nothing is forwarded past the drain grace until discovery confirms the list.
+//! A process that starts with a list from its configuration: the list may be of any age, so changes that were
+//! made while the process was down count as notified at its start. After the drain grace nothing is forwarded
+//! until discovery confirms the list.
 
 mod stubs;
 
@@ -11,10 +12,10 @@
 
 /// The drain grace in the settings: after it no request may be forwarded.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// For how long requests come.
+/// The time for which clients send requests.
 const RUN_TIME: Duration = Duration::from_secs(4);
 
-/// The configuration of one proxy of a large fleet, whose balancer polls late for the first time.
+/// The configuration of one proxy of a large fleet, in which the first poll may be late.
 fn fleet_config(hosts: Vec<String>, discovery: SocketAddr, seed: u64) -> String {
     let mut setup = Setup::with_endpoints(&[]);
     (setup.endpoints, setup.balancers) = (hosts, 300);
@@ -22,14 +23,14 @@
     config.replace("8c1f30d27a5be964", &format!("{seed:016x}"))
 }
 
-/// Sends requests until the time is up; returns how many were served.
+/// Sends requests for this time. Returns the number that were served.
 fn send_for(proxy: &Process, time: Duration) -> usize {
     let until = Instant::now() + time;
     let (mut served, mut number) = (0, 0);
     while Instant::now() < until {
         number += 1;
-        let answer = proxy.connect().ask(&read(&format!("asked-{number}"), 9_000));
-        served += usize::from(answer.status() == 200);
+        let response = proxy.connect().ask(&read(&format!("request-{number}"), 9_000));
+        served += usize::from(response.status() == 200);
         thread::sleep(Duration::from_millis(20));
     }
     served
@@ -41,21 +42,21 @@
         thread::spawn(move || {
             let ((draining, received_at), (other, _)) = (recording_endpoint(), recording_endpoint());
             let discovery = MockDiscovery::new();
-            // The endpoint has been draining for an hour; the list in hand is older.
+            // The endpoint has been draining for an hour. The configured list is older.
             let hosts = [host("s-0", draining, "DRAINING"), host("s-1", other, "SERVING")];
             discovery.push(PollResponse::List(list(2, true, &hosts)));
             let stale_hosts = vec![host("s-0", draining, "SERVING"), host("s-1", other, "SERVING")];
             let proxy = start_config(&fleet_config(stale_hosts, discovery.address, seed));
-            let started = Instant::now();
+            let started_at = Instant::now();
             let served = send_for(&proxy, RUN_TIME);
             let late_requests = received_at
                 .lock()
                 .expect("unpoisoned")
                 .iter()
-                .filter(|at| **at > started + DRAIN_GRACE)
+                .filter(|at| **at > started_at + DRAIN_GRACE)
                 .count();
-            assert_eq!(late_requests, 0, "seed {seed}: forwarded past the grace, {served} served");
-            assert!(served > 20, "seed {seed}: {served} served: forwards next to nothing");
+            assert_eq!(late_requests, 0, "seed {seed}: forwarded after the drain grace, {served} served");
+            assert!(served > 20, "seed {seed}: only {served} served");
         })
     });
     for run in runs.collect::<Vec<_>>() {
@@ -71,17 +72,21 @@
         discovery.set_default_response(Some(failure.clone()));
         let hosts = vec![host("s-0", address, "SERVING")];
         let proxy = start_config(&fleet_config(hosts.clone(), discovery.address, 7));
-        let started = Instant::now();
+        let started_at = Instant::now();
         send_for(&proxy, RUN_TIME);
-        let late_requests =
-            received_at.lock().expect("unpoisoned").iter().filter(|at| **at > started + DRAIN_GRACE).count();
-        assert_eq!(late_requests, 0, "{failure:?}: forwarded by a list that nothing proves");
-        // A response without a change is enough.
+        let late_requests = received_at
+            .lock()
+            .expect("unpoisoned")
+            .iter()
+            .filter(|at| **at > started_at + DRAIN_GRACE)
+            .count();
+        assert_eq!(late_requests, 0, "{failure:?}: forwarded by an unconfirmed list");
+        // A response without a change confirms the list.
         discovery.set_default_response(None);
         discovery.push(PollResponse::List(list(1, false, &[])));
         let until = Instant::now() + TEST_TIMEOUT;
         while proxy.connect().ask(&read("after", 9_000)).status() != 200 {
-            assert!(Instant::now() < until, "{failure:?}: does not go on");
+            assert!(Instant::now() < until, "{failure:?}: forwarding does not resume");
         }
     }
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Files that commit ad41793 wrote, in `tests/data`: they are read as they were meant, to the last field, and written
-//! again as the same bytes.
+//! Stored files of commit ad41793, in `tests/data`: every field is read with the value that was written, and
+//! the same bytes are written again.
 #[path = "stubs/api.rs"]
 mod api;
 #[path = "stubs/stored.rs"]
@@ -18,8 +18,8 @@
 use stubs::*;
 
 const EVERY_FIELD: &str = "every-field.known";
-const IN_A_FOLDER: &str = "learned/00000000000000000003.known";
-const HANDED_OVER: &str = "amberlever.learned";
+const LEARNED_FOLDER_FILE: &str = "learned/00000000000000000003.known";
+const HANDOVER_FILE: &str = "amberlever.learned";
 const MAINTENANCE: &str = "amberlever.maintenance";
 const VERSION_FILES: [&str; 3] = ["state.redb", "recent-0", "recent-1"];
 
@@ -35,12 +35,12 @@
     String::from_utf8(bytes(name)).expect("text")
 }
 
-/// Puts a copy of a file into a folder, under the same name.
+/// Copies a file into a folder under the same name.
 fn copy(name: &str, folder: &Path) -> PathBuf {
     let original = data(name);
     let copied = folder.join(original.file_name().expect("a name"));
     fs::create_dir_all(folder).expect("made");
-    // Not with its permissions, which a checkout may have made read-only.
+    // The permissions are not copied, because a checkout may have made the file read-only.
     fs::write(&copied, fs::read(original).expect("a file of tests/data")).expect("copied");
     copied
 }
@@ -51,7 +51,7 @@
 
 // ---- Learned state ----
 
-/// Checks every field and every byte: what was decoded is encoded as the same bytes.
+/// Checks that a file is decoded to the expected state, field by field, and encoded to the same bytes.
 #[track_caller]
 fn assert_holds(name: &str, expected: &LearnedSnapshot) {
     let bytes = bytes(name);
@@ -65,12 +65,12 @@
 #[test]
 fn learned_state_is_read_field_by_field_and_written_as_the_same_bytes() {
     assert_holds(EVERY_FIELD, &stored::every_field());
-    assert_holds(IN_A_FOLDER, &stored::learned_folder_file());
-    assert_holds(HANDED_OVER, &stored::handover_file());
+    assert_holds(LEARNED_FOLDER_FILE, &stored::learned_folder_file());
+    assert_holds(HANDOVER_FILE, &stored::handover_file());
 }
 
 #[test]
-fn the_program_shows_learned_state_as_it_did() {
+fn the_program_shows_learned_state_with_unchanged_text() {
     let show = |format: &str, name: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberlever"));
         command.env_remove("LB_CONFIG").args(["state", "--format", format, "show"]).arg(data(name));
@@ -80,20 +80,20 @@
     };
     assert_eq!(show("text", EVERY_FIELD), text("shown/every-field.txt"));
     assert_eq!(show("json", EVERY_FIELD), text("shown/every-field.json"));
-    assert_eq!(show("json", IN_A_FOLDER), text("shown/learned.json"));
-    assert_eq!(show("json", HANDED_OVER), text("shown/amberlever.learned.json"));
+    assert_eq!(show("json", LEARNED_FOLDER_FILE), text("shown/learned.json"));
+    assert_eq!(show("json", HANDOVER_FILE), text("shown/amberlever.learned.json"));
 }
 
-/// An installation with the pools, classes and nodes of the file in the folder.
+/// A configuration with the pools, classes and endpoints of `LEARNED_FOLDER_FILE`.
 fn two_pools(folder: &Path) -> String {
-    let nowhere = unused_address();
+    let address = unused_address();
     let class = |name: &str| {
         format!(
             "[[class]]\nname = \"{name}\"\naim_ms = 1000\ndeadline_ms = 2000\nsemantics = \"idempotent\"\n"
         )
     };
     let node = |name: &str, zone: &str| {
-        format!("{{ name = \"{name}\", address = \"{nowhere}\", zone = \"{zone}\" }}")
+        format!("{{ name = \"{name}\", address = \"{address}\", zone = \"{zone}\" }}")
     };
     let near = [node("n0", "south"), node("n1", "north"), node("n2", "north")].join(", ");
     format!(
@@ -126,65 +126,71 @@
     )
 }
 
-/// Starts with a folder and stops without a request; returns the log and the state that was written under this name.
+/// Starts a proxy with a folder and stops it without a request. Returns the log and the state that it wrote
+/// to the file `written`.
 fn start_and_stop(folder: &Path, written: &str) -> (String, LearnedSnapshot) {
     let mut proxy = start_standalone(&two_pools(folder), &[]);
     proxy.terminate();
     assert!(proxy.wait_for_exit().success());
-    let bytes = fs::read(folder.join(written)).expect("the next number");
-    let (written_state, skipped) = learned_state::decode(&bytes).expect("sound");
+    let bytes = fs::read(folder.join(written)).expect("a file with the next number");
+    let (written_state, skipped) = learned_state::decode(&bytes).expect("intact");
     assert_eq!(skipped, SkippedSections::default());
     (proxy.log(), written_state)
 }
 
 /// The samples of an endpoint in the class `read`.
-fn samples(learned: &LearnedSnapshot, pool: &str, node: &str) -> f64 {
+fn samples(learned: &LearnedSnapshot, pool: &str, endpoint: &str) -> f64 {
     let pool = learned.pools.iter().find(|p| p.name == pool).expect("the pool");
     let class = pool.classes.iter().position(|class| class == "read").expect("the class");
-    pool.endpoints.iter().find(|n| n.name == node).expect("the node").latency_by_class[class].weight
+    pool.endpoints.iter().find(|e| e.name == endpoint).expect("the endpoint").latency_by_class[class].weight
 }
 
 #[test]
 fn a_proxy_starts_with_the_learned_state_of_its_folder() {
     let folder = temp_folder().join("learned");
-    let stored_file = copy(IN_A_FOLDER, &folder);
+    let stored_file = copy(LEARNED_FOLDER_FILE, &folder);
     let (log, _) = start_and_stop(&folder, "00000000000000000004.known");
-    // The older the file is, the less it counts.
+    // The log depends on the age of the file: the older it is, the lower its weight.
     let is_read =
         ["learned state: written ", "learned state: very old"].iter().any(|words| log.contains(words));
     assert!(is_read && !log.contains("in part"), "{log}");
-    assert!(fs::read(&stored_file).expect("still there") == bytes(IN_A_FOLDER), "as it was");
-    // The same state, as if it were written now.
+    assert!(
+        fs::read(&stored_file).expect("readable") == bytes(LEARNED_FOLDER_FILE),
+        "the stored file was changed"
+    );
+    // The same state with the current time of writing.
     let written_ms = Some(unix_ms());
-    let current_state =
-        LearnedSnapshot { written_ms, ..learned_state::decode(&bytes(IN_A_FOLDER)).expect("readable").0 };
+    let current_state = LearnedSnapshot {
+        written_ms,
+        ..learned_state::decode(&bytes(LEARNED_FOLDER_FILE)).expect("readable").0
+    };
     fs::write(folder.join("00000000000000000005.known"), learned_state::encode(&current_state))
         .expect("written");
     let (log, written_state) = start_and_stop(&folder, "00000000000000000006.known");
     assert!(log.contains("learned state: written "), "{log}");
-    for (pool, node) in [("near", "n0"), ("far", "n0")] {
+    for (pool, endpoint) in [("near", "n0"), ("far", "n0")] {
         let (stored_samples, imported_samples) =
-            (samples(&current_state, pool, node), samples(&written_state, pool, node));
+            (samples(&current_state, pool, endpoint), samples(&written_state, pool, endpoint));
         assert!(
             stored_samples > 50.0 && imported_samples > 1.0 && imported_samples <= stored_samples,
-            "{pool}/{node}: {stored_samples}, then {imported_samples}"
+            "{pool}/{endpoint}: {stored_samples}, then {imported_samples}"
         );
     }
-    assert!(samples(&written_state, "near", "n1") < 1.0, "nothing was known of it");
+    assert!(samples(&written_state, "near", "n1") < 1.0, "samples of an endpoint without requests");
 }
 
-// ---- The handover to the next process of the platform mode ----
+// ---- The handover to the next process in platform mode ----
 
 #[test]
 fn a_process_takes_over_learned_state_and_maintenance() {
-    let nodes: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
-    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let endpoints: Vec<MockEndpoint> = (0..2).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
+    let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let config = with_operators_address(
-        &Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address),
+        &Setup::with_endpoints(&endpoints.iter().collect::<Vec<_>>()).config(discovery.address),
     );
-    copy(HANDED_OVER, &held.folder);
-    let maintenance = copy(MAINTENANCE, &held.folder);
-    let process = held.start(&config);
+    copy(HANDOVER_FILE, &listener.folder);
+    let maintenance = copy(MAINTENANCE, &listener.folder);
+    let process = listener.start(&config);
     let log = process.log();
     let is_read =
         ["learned state: written ", "learned state: very old"].iter().any(|words| log.contains(words));
@@ -193,10 +199,10 @@
     for i in 0..10 {
         assert_eq!(process.request(&read(&format!("r-{i}"), 5000)).status(), 200);
     }
-    assert_eq!(nodes.iter().map(|n| n.requests().len()).collect::<Vec<_>>(), [10, 0]);
-    // The endpoint is drained already: the file stays the same, to the byte.
+    assert_eq!(endpoints.iter().map(|n| n.requests().len()).collect::<Vec<_>>(), [10, 0]);
+    // The endpoint is in maintenance already, so the file is unchanged.
     assert_eq!(process.operator_request("POST", "/maintenance/enter", "s-1").0, 200);
-    assert_eq!(fs::read_to_string(&maintenance).expect("kept"), text(MAINTENANCE));
+    assert_eq!(fs::read_to_string(&maintenance).expect("readable"), text(MAINTENANCE));
     assert_eq!(text(MAINTENANCE), "amberlever-maintenance 1 29c25ce6\n-s-1\n+s-0\n+s-1\n");
 }
 
@@ -207,11 +213,11 @@
 const BOTH: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"requests_per_s":50.0,"burst":5.0},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}},"two":{"hosts":["*.two.example"],"limits":{},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"a.two.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7103","name":"n0"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
 const BOTH_WITH_LIMITS: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"weight":2,"requests_per_s":60.5,"burst":7.0,"in_flight":9,"connections":11,"body_bytes":70000,"retries_per_s":0.25},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}},"two":{"hosts":["*.two.example"],"limits":{},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"a.two.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7103","name":"n0"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
 const ONE_WITH_LIMITS: &str = r#"{"tenants":{"one":{"hosts":["one.example"],"limits":{"weight":2,"requests_per_s":60.5,"burst":7.0,"in_flight":9,"connections":11,"body_bytes":70000,"retries_per_s":0.25},"config":{"class":[{"aim_ms":4000,"deadline_ms":4000,"name":"standings","semantics":"idempotent"}],"expect":[{"name":"served","then":{"pool":"p"},"when":{"host":"one.example","path":"/x"}}],"pool":[{"name":"p","nodes":[{"address":"127.0.0.1:7101","name":"n0"},{"address":"127.0.0.1:7102","name":"n1"}]}],"route":[{"class":"standings","match":{"path":"/*"},"name":"r","pool":"p"}]}}}}"#;
-/// The value of the name `tokens`: the four that were issued, by their hashes.
+/// The stored value `tokens`: the hashes of the four tokens that were issued.
 const TOKENS: &str = r#"[{"name":"op","role":"operator","sha256":[194,97,20,228,57,174,205,155,14,24,66,103,55,174,3,224,65,9,75,80,84,88,195,231,165,144,156,63,185,125,216,216]},{"name":"adm","role":{"administrator":"one"},"sha256":[185,92,27,108,71,187,40,94,148,196,201,1,172,148,203,30,66,230,183,171,215,119,206,95,161,50,98,7,134,180,223,81]},{"name":"read","role":{"reader":null},"sha256":[67,57,163,170,141,169,184,188,252,103,79,141,113,39,83,81,106,5,189,84,51,47,119,122,191,245,214,200,81,77,242,234]},{"name":"reads","role":{"reader":"one"},"sha256":[214,247,10,144,23,99,123,56,80,222,172,97,41,2,118,193,210,40,235,88,54,102,255,240,65,137,186,157,26,121,198,220]}]"#;
 
-/// The tokens themselves, which let nobody in anywhere else: the operator's, the administrator's of tenant `one`, and
-/// two readers', of everything and of tenant `one`.
+/// The tokens themselves, which no other installation accepts: of the operator, of the administrator of
+/// tenant `one`, of a reader of all tenants, and of a reader of tenant `one`.
 const BEARERS: [&str; 4] = [
     "5b633c61ab25050ade0b9535c3e1de1661a2841bd401f6495e95fdf03e3c5fd1",
     "236f4bf4132e645bfacd806ec121fde72210d7e0c9474689ed09aeefcd402f16",
@@ -264,7 +270,7 @@
     assert_eq!(disk.value("another"), None);
 }
 
-/// All that a tenant can be given, and all roles that a token can have.
+/// The documents contain every limit of a tenant, and the tokens every role.
 #[test]
 fn documents_and_tokens_are_written_as_the_same_text() {
     for version in versions() {
@@ -282,7 +288,7 @@
         let bytes = bytes(&format!("versions/{name}"));
         assert_eq!(Record::decode(&bytes).as_ref(), Some(version), "{name}");
         assert!(version.encode() == bytes, "{name} is written as other bytes");
-        // It serves where the store is lost.
+        // The file is used when the store is lost.
         let OpenedStore { newest, warnings, .. } =
             DiskStore::open(&state_with(&[name]).join("state")).expect("opens");
         assert_eq!(newest.as_ref(), Some(version));
@@ -296,8 +302,8 @@
     let get = |path: &str, token: &str| service.call("GET", path, Some(token), None, None);
     let [operator, administrator, reader, own_reader] = BEARERS;
     let listed = get("/v1/versions", operator);
-    let numbers = |told: &ApiResponse| -> Vec<u64> {
-        let all = told.body.as_array().into_iter().flatten();
+    let numbers = |response: &ApiResponse| -> Vec<u64> {
+        let all = response.body.as_array().into_iter().flatten();
         all.filter_map(|version| version["number"].as_u64()).collect()
     };
     assert_eq!((listed.status, numbers(&listed)), (200, vec![5, 4, 3, 2, 1]), "{listed:?}");
@@ -310,13 +316,13 @@
     assert_eq!(get("/v1/tokens", operator).body, tokens);
     let statuses = |path: &str| [administrator, reader, own_reader].map(|token| get(path, token).status);
     assert_eq!(statuses("/v1/tenants/one"), [200, 200, 200]);
-    assert_eq!(statuses("/v1/tenants/two"), [403, 404, 403], "taken out in version 5");
+    assert_eq!(statuses("/v1/tenants/two"), [403, 404, 403], "the tenant was removed in version 5");
     assert_eq!(statuses("/v1/versions"), [403, 200, 403]);
     let expected: serde_json::Value = serde_json::from_str(ONE_WITH_LIMITS).expect("JSON");
     for part in ["hosts", "limits", "config"] {
-        let told = &get("/v1/tenants/one", operator).body[part];
-        assert_eq!(told, &expected["tenants"]["one"][part], "{part}");
+        let response = &get("/v1/tenants/one", operator).body[part];
+        assert_eq!(response, &expected["tenants"]["one"][part], "{part}");
     }
-    assert_eq!(service.get("/v1/tenants/one").status, 401, "there are tokens");
+    assert_eq!(service.get("/v1/tenants/one").status, 401, "a call without a token was accepted");
     assert!(!service.process.log().contains("damaged"), "{}", service.process.log());
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,5 +1,7 @@
-//! Processes that take over from each other under load: no request is lost, rejected or failed.
-//! The number of upgrades is `UPGRADES`, or a few: `UPGRADES=100 cargo test --release --test upgrades -- --nocapture`.
+//! Processes that take over from each other under load: no request is lost, is rejected or fails.
+//!
+//! The environment variable `UPGRADES` sets the number of upgrades, which is 8 by default:
+//! `UPGRADES=100 cargo test --release --test upgrades -- --nocapture`.
 mod stubs;
 
 use std::net::TcpStream;
@@ -10,34 +12,35 @@
 
 use stubs::*;
 
-/// Clients with persistent connections, and as many with a connection for each request.
+/// The number of clients with persistent connections, and of those with a connection for each request.
 const CLIENTS: usize = 4;
 /// The time between upgrades.
 const UPGRADE_INTERVAL: Duration = Duration::from_millis(300);
 
+/// The results of all requests.
 #[derive(Default)]
 struct Counts {
     served: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
-    /// Connections that ended without an answer.
+    /// Requests whose connection was closed without a response.
     unanswered: AtomicU64,
     next_id: AtomicU64,
 }
 
 #[test]
 fn consecutive_upgrades_under_load_lose_and_reject_nothing() {
-    let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("how many upgrades"));
-    let nodes: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
-    let (discovery, held) = (MockDiscovery::new(), InheritedListener::new());
+    let count: usize = std::env::var("UPGRADES").map_or(8, |n| n.parse().expect("a number of upgrades"));
+    let endpoints: Vec<MockEndpoint> = (0..4).map(|_| MockEndpoint::of(|_| ok("done"))).collect();
+    let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let config = with_operators_address(
-        &Setup::with_endpoints(&nodes.iter().collect::<Vec<_>>()).config(discovery.address),
+        &Setup::with_endpoints(&endpoints.iter().collect::<Vec<_>>()).config(discovery.address),
     );
-    let mut serving = held.start(&config);
+    let mut serving = listener.start(&config);
     let (counts, stop) = (Arc::<Counts>::default(), Arc::<AtomicBool>::default());
-    let callers: Vec<_> = (0..2 * CLIENTS)
+    let clients: Vec<_> = (0..2 * CLIENTS)
         .map(|n| {
-            let (counts, stop, at) = (Arc::clone(&counts), Arc::clone(&stop), held.address);
+            let (counts, stop, at) = (Arc::clone(&counts), Arc::clone(&stop), listener.address);
             thread::spawn(move || send_until_stopped(&counts, &stop, at, n >= CLIENTS))
         })
         .collect();
@@ -45,22 +48,22 @@
     for _ in 0..count {
         thread::sleep(UPGRADE_INTERVAL);
         let since = Instant::now();
-        let next = held.start(&config);
+        let next = listener.start(&config);
         while next.operator_request("GET", "/status", "").0 != 200 {
             thread::sleep(Duration::from_millis(1));
         }
         slowest_start = slowest_start.max(since.elapsed());
-        let mut before = std::mem::replace(&mut serving, next);
-        before.terminate();
+        let mut previous = std::mem::replace(&mut serving, next);
+        previous.terminate();
         let since = Instant::now();
-        assert!(before.wait_for_exit().success(), "{}", before.log());
+        assert!(previous.wait_for_exit().success(), "{}", previous.log());
         longest_shutdown = longest_shutdown.max(since.elapsed());
     }
     stop.store(true, Ordering::Relaxed);
-    callers.into_iter().for_each(|c| c.join().expect("no panic"));
+    clients.into_iter().for_each(|c| c.join().expect("no panic"));
     let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
     println!(
-        "{count} upgrades: {} served, {} refused, {} failed, {} unheard; slowest yes {} ms, longest end {} ms",
+        "{count} upgrades: {} served, {} rejected, {} failed, {} unanswered; slowest start {} ms, longest shutdown {} ms",
         of(&counts.served),
         of(&counts.rejected),
         of(&counts.failed),
@@ -72,7 +75,7 @@
     assert!(of(&counts.served) > 40 * count as u64);
 }
 
-/// Sends requests on one connection for as long as that is open, or on a new one each.
+/// Sends requests until `stop` is set, on a persistent connection or on a new one for each request.
 fn send_until_stopped(counts: &Counts, stop: &AtomicBool, at: std::net::SocketAddr, is_persistent: bool) {
     let mut connection = None;
     while !stop.load(Ordering::Relaxed) {
@@ -84,22 +87,23 @@
     }
 }
 
+/// Sends a request, counts its result, and keeps its connection unless that is to be closed.
 fn send_request(counts: &Counts, connection: &mut Option<HttpClient>, at: std::net::SocketAddr) {
     let id = counts.next_id.fetch_add(1, Ordering::Relaxed);
-    let mut caller =
+    let mut client =
         connection.take().unwrap_or_else(|| HttpClient::of(TcpStream::connect(at).expect("connects")));
-    caller.send(&read(&format!("u-{id}"), 5000));
-    let Some(answer) = caller.try_receive() else {
+    client.send(&read(&format!("u-{id}"), 5000));
+    let Some(response) = client.try_receive() else {
         counts.unanswered.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let count = match answer.status() {
+    let count = match response.status() {
         200 => &counts.served,
         429 | 503 => &counts.rejected,
         _ => &counts.failed,
     };
     count.fetch_add(1, Ordering::Relaxed);
-    if answer.header("Connection") != Some("close") {
-        *connection = Some(caller);
+    if response.header("Connection") != Some("close") {
+        *connection = Some(client);
     }
 }
