--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -29,7 +29,7 @@
     );
 }
 
-/// The configuration of a hosted service is checked together with each of its initial tenants.
+/// The configuration of a hosted service is checked with its initial tenants, each by itself.
 #[test]
 fn a_hosted_configuration_is_checked_with_its_initial_tenants() {
     let root = env!("CARGO_MANIFEST_DIR");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -45,7 +45,7 @@
     let config = with_operators_address(&setup.config(down));
     let proxy = start_with_descriptor_limit(&config, MIN_DESCRIPTORS);
     // Far more idle connections than the limit allows: without any byte, with a part of a head, and with a
-    // complete request whose response is not read. The loop goes on when one is not accepted in time.
+    // complete request whose response is not read. A connection that is not accepted in time is skipped.
     let mut idle: Vec<TcpStream> = Vec::new();
     for number in 0..450 {
         let Ok(mut stream) = TcpStream::connect_timeout(&proxy.address, Duration::from_millis(300)) else {
--- a/tests/flow.rs
+++ b/tests/flow.rs
@@ -96,18 +96,18 @@
             )
             .expect("written");
         assert!(read_head(&mut client).contains(" 200 "));
-        let mut some = vec![0; 50_000];
-        client.read_exact(&mut some).expect("a part, before the rest has been sent");
+        let mut received = vec![0; 50_000];
+        client.read_exact(&mut received).expect("a part, before the rest has been sent");
         assert_eq!(process.metric("edge_lb_active"), 1, "the request is still active");
         release.release();
         let mut rest = Vec::new();
         client.read_to_end(&mut rest).expect("all of it");
-        some.extend(rest);
+        received.extend(rest);
         if chunked {
             // The proxy may split chunks anywhere, so only the length and the end are checked.
-            assert!(some.len() >= LARGE && some.ends_with(b"0\r\n\r\n"));
+            assert!(received.len() >= LARGE && received.ends_with(b"0\r\n\r\n"));
         } else {
-            assert!(some == pattern(LARGE), "byte for byte");
+            assert!(received == pattern(LARGE), "byte for byte");
         }
         process.wait_for_metric("edge_lb_ok_total{kind=\"read\"}", 1);
         assert_eq!(process.metric("edge_lb_active"), 0);
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -234,7 +234,7 @@
         for i in 0..tenants {
             let doc = tenant(&format!("t{i}.example"), &[one.address], json!({}));
             let path = format!("t{i}.json");
-            // A TOML file for each tenant. JSON strings are valid TOML.
+            // A TOML file for each tenant. JSON strings and numbers are valid TOML.
             let class = "[[class]]\nname = \"standings\"\naim_ms = 4000\ndeadline_ms = 4000\nsemantics = \"idempotent\"\n";
             let rest = format!("{class}[[pool]]\nname = \"p\"\nnodes = [{{ name = \"n0\", address = \"{}\" }}]\n[[route]]\nname = \"r\"\nmatch = {{ path = \"/*\" }}\nclass = \"standings\"\npool = \"p\"\n", one.address);
             std::fs::write(folder.join(&path), rest).expect("written");
@@ -263,6 +263,6 @@
     assert!(per_tenant < 50.0, "{per_tenant:.1} KiB for each idle tenant");
     assert!(
         many_ms < few_ms * 2.0 + 20.0,
-        "{few_ms:.1} ms with 10 tenants, {many_ms:.1} ms with 1,000 of CPU time in an idle second"
+        "CPU time in an idle second: {few_ms:.1} ms with 10 tenants, {many_ms:.1} ms with 1,000"
     );
 }
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -178,13 +178,14 @@
     );
     let responses = client.ask(&batch);
     let responses = responses.as_array().expect("answers");
-    let of = |id: Value| responses.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
+    let response_to =
+        |id: Value| responses.iter().find(|a| a["id"] == id).unwrap_or_else(|| panic!("none for {id}"));
     assert_eq!(responses.len(), 5, "{responses:?}");
-    assert_eq!(of(json!(1))["result"]["method"], "standings");
-    assert_eq!(code(of(json!(2))), -32000, "a call that was not executed is rejected");
-    assert_eq!(code(of(json!(3))), -32001, "a call that may have been executed fails");
-    assert_eq!(code(of(json!(4))), -32600);
-    assert_eq!(code(of(json!("five"))), -32602, "its class requires a key");
+    assert_eq!(response_to(json!(1))["result"]["method"], "standings");
+    assert_eq!(code(response_to(json!(2))), -32000, "a call that was not executed is rejected");
+    assert_eq!(code(response_to(json!(3))), -32001, "a call that may have been executed fails");
+    assert_eq!(code(response_to(json!(4))), -32600);
+    assert_eq!(code(response_to(json!("five"))), -32602, "its class requires a key");
     // The notification was executed once too, and no call that may have been executed was retried.
     let calls = endpoint.requests();
     let executions = |what: &Value| {
@@ -203,10 +204,10 @@
     );
     let responses = client.ask(&slow);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let of = |id: i64| {
+    let response_to = |id: i64| {
         responses.as_array().into_iter().flatten().find(|a| a["id"] == id).expect("answered").clone()
     };
-    assert_eq!((code(&of(1)), &of(2)["result"]["method"]), (-32002, &json!("standings")));
+    assert_eq!((code(&response_to(1)), &response_to(2)["result"]["method"]), (-32002, &json!("standings")));
 }
 
 #[test]
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -453,7 +453,7 @@
     let (old, new) = (MockEndpoint::new([ok("old")]), MockEndpoint::new([ok("new")]));
     let proxy = Setup::with_endpoints(&[&old]).start();
     let discovery = &proxy.discovery;
-    // Discovery never responds to the first poll, as if the network were partitioned. The next poll uses a
+    // Discovery never responds to the first poll, as if it were disconnected. The next poll uses a
     // new connection, and brings the update that was made meanwhile.
     let (silent, again) = (discovery.wait_for_poll(0).1, discovery.wait_for_poll(1).1);
     assert!(again - silent < Duration::from_secs(15), "{:?}", again - silent);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -41,12 +41,12 @@
 
 const LOOPBACK: &str = r#"{ address = "127.0.0.1:0" }"#;
 
-fn pool(name: &str, nodes: &[(&str, SocketAddr, &str)]) -> String {
-    let nodes: Vec<String> = nodes
+fn pool(name: &str, endpoints: &[(&str, SocketAddr, &str)]) -> String {
+    let endpoints: Vec<String> = endpoints
         .iter()
         .map(|(name, address, more)| format!("{{ name = \"{name}\", address = \"{address}\"{more} }}"))
         .collect();
-    format!("[[pool]]\nname = \"{name}\"\nnodes = [{}]\n", nodes.join(", "))
+    format!("[[pool]]\nname = \"{name}\"\nnodes = [{}]\n", endpoints.join(", "))
 }
 
 fn route(name: &str, matches: &str, class: &str, to: &str) -> String {
@@ -201,11 +201,11 @@
     proxy.wait_for_log("configuration 2: ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
     // A removed endpoint is not draining: the preferred pool rejects the request.
-    let node = format!("{{ name = \"m\", address = \"{}\" }}", main.address);
-    proxy.reload(&config(LOOPBACK, &rest.replace(&node, "")));
+    let entry = format!("{{ name = \"m\", address = \"{}\" }}", main.address);
+    proxy.reload(&config(LOOPBACK, &rest.replace(&entry, "")));
     proxy.wait_for_log("configuration 3: ");
     assert_eq!(proxy.request(&get("/x", "")).status(), 503);
-    proxy.reload(&config(LOOPBACK, &rest.replace(&node, "").replace("all-draining", "none-ready")));
+    proxy.reload(&config(LOOPBACK, &rest.replace(&entry, "").replace("all-draining", "none-ready")));
     proxy.wait_for_log("configuration 4: ");
     assert_eq!(proxy.request(&get("/x", "")).body, b"spare");
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -92,10 +92,10 @@
             "[[class]]\nname = \"{name}\"\naim_ms = 1000\ndeadline_ms = 2000\nsemantics = \"idempotent\"\n"
         )
     };
-    let node = |name: &str, zone: &str| {
+    let entry = |name: &str, zone: &str| {
         format!("{{ name = \"{name}\", address = \"{address}\", zone = \"{zone}\" }}")
     };
-    let near = [node("n0", "south"), node("n1", "north"), node("n2", "north")].join(", ");
+    let near = [entry("n0", "south"), entry("n1", "north"), entry("n2", "north")].join(", ");
     format!(
         r#"[server]
 listen = [{{ address = "127.0.0.1:0" }}]
@@ -122,7 +122,7 @@
 "#,
         class("read"),
         class("write"),
-        node("n0", "south"),
+        entry("n0", "south"),
     )
 }
 
--- a/tests/stubs/api.rs
+++ b/tests/stubs/api.rs
@@ -65,8 +65,8 @@
 }
 
 /// The document of a tenant with one class, one pool and one route.
-pub fn tenant(host: &str, nodes: &[SocketAddr], limits: Value) -> Value {
-    let nodes: Vec<Value> = nodes
+pub fn tenant(host: &str, endpoints: &[SocketAddr], limits: Value) -> Value {
+    let entries: Vec<Value> = endpoints
         .iter()
         .enumerate()
         .map(|(i, a)| json!({ "name": format!("n{i}"), "address": a.to_string() }))
@@ -76,7 +76,7 @@
         "limits": limits,
         "config": {
             "class": [{ "name": "standings", "aim_ms": 4000, "deadline_ms": 4000, "semantics": "idempotent" }],
-            "pool": [{ "name": "p", "nodes": nodes }],
+            "pool": [{ "name": "p", "nodes": entries }],
             "route": [{ "name": "r", "match": { "path": "/*" }, "class": "standings", "pool": "p" }],
             "expect": [{ "name": "served", "when": { "path": "/x", "host": host.replace('*', "a") }, "then": { "pool": "p" } }],
         },
--- a/tests/stubs/process.rs
+++ b/tests/stubs/process.rs
@@ -172,7 +172,7 @@
     }
 }
 
-/// Waits until `holds` returns true. Panics with "not" and `what` after `TEST_TIMEOUT`.
+/// Waits until `holds` returns true. After `TEST_TIMEOUT` panics with the message `not {what}`.
 #[track_caller]
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -61,18 +61,18 @@
     }
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().expect("no panic"));
-    let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
+    let value = |n: &AtomicU64| n.load(Ordering::Relaxed);
     println!(
         "{count} upgrades: {} served, {} rejected, {} failed, {} unanswered; slowest start {} ms, longest shutdown {} ms",
-        of(&counts.served),
-        of(&counts.rejected),
-        of(&counts.failed),
-        of(&counts.unanswered),
+        value(&counts.served),
+        value(&counts.rejected),
+        value(&counts.failed),
+        value(&counts.unanswered),
         slowest_start.as_millis(),
         longest_shutdown.as_millis()
     );
-    assert_eq!((of(&counts.rejected), of(&counts.failed), of(&counts.unanswered)), (0, 0, 0));
-    assert!(of(&counts.served) > 40 * count as u64);
+    assert_eq!((value(&counts.rejected), value(&counts.failed), value(&counts.unanswered)), (0, 0, 0));
+    assert!(value(&counts.served) > 40 * count as u64);
 }
 
 /// Sends requests until `stop` is set, on a persistent connection or on a new one for each request.
