--- a/benches/bodies.rs
+++ b/benches/bodies.rs
@@ -35,7 +35,7 @@
     let (discovery, listener) = (MockDiscovery::new(), InheritedListener::new());
     let mut setup = Setup { latency_objective_ms: 5000, ..Setup::with_endpoints(&[]) };
     setup.endpoints = vec![host("s-0", endpoint, "SERVING")];
-    let process = listener.start(&with_operators(&setup.config(discovery.address)));
+    let process = listener.start(&with_operators_address(&setup.config(discovery.address)));
     measure_throughput(listener.address, endpoint);
     measure_memory(&process, listener.address);
 }
--- a/benches/protocols.rs
+++ b/benches/protocols.rs
@@ -59,7 +59,7 @@
             self.http.iter().map(|endpoint| endpoint.address).collect()
         };
         DualProtocolProxy::start(&RpcSite {
-            nodes_speak_rpc: to_rpc,
+            has_rpc_endpoints: to_rpc,
             rpc_listener_settings: rpc_listener_settings.to_owned(),
             ..RpcSite::http(&addresses)
         })
