--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -60,7 +60,7 @@
     fn new(frontend: Frontend, max_connections: usize) -> ListenerState {
         let router = &frontend.router;
         let policy = ShutdownPolicy {
-            longest_client_timeout: router.max_request_deadline().as_micros() as Micros,
+            longest_client_timeout: router.longest_client_timeout().as_micros() as Micros,
             has_kill_deadline: router.has_termination_deadline(),
             clients_may_have_no_other_proxy: router.may_shut_down_alone(),
             shares_listener: frontend.is_socket_shared,
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -102,7 +102,7 @@
         self.ready.get()
     }
 
-    fn max_request_deadline(&self) -> Duration {
+    fn longest_client_timeout(&self) -> Duration {
         let longest = self.settings.classes.iter().map(|class| class.deadline).max();
         Duration::from_micros(longest.unwrap_or_default().max(0) as u64)
     }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -56,11 +56,11 @@
     fn is_ready(&self) -> bool;
 
     /// The longest client timeout that is known before any request arrives; 0 if none is known.
-    fn max_request_deadline(&self) -> Duration {
+    fn longest_client_timeout(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Whether the process is killed no later than [`Router::max_request_deadline`] after the signal to
+    /// Whether the process is killed no later than [`Router::longest_client_timeout`] after the signal to
     /// terminate.
     fn has_termination_deadline(&self) -> bool {
         false
