--- a/crates/proxy/src/metrics/attempt_write.rs
+++ b/crates/proxy/src/metrics/attempt_write.rs
@@ -6,9 +6,9 @@
 
 /// Counts a message once the kernel has accepted its last byte.
 #[derive(Default)]
-pub struct WriteCompletionCounter(RefCell<Option<Counter>>);
+pub struct NextWriteCounter(RefCell<Option<Counter>>);
 
-impl WriteCompletionCounter {
+impl NextWriteCounter {
     /// Marks the next write as the last one of a message that `counter` counts.
     pub fn count_next_write(&self, counter: &Counter) {
         *self.0.borrow_mut() = Some(counter.clone());
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -19,7 +19,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-pub use attempt_write::WriteCompletionCounter;
+pub use attempt_write::NextWriteCounter;
 use pool_metric::PoolMetric;
 pub use request::{RequestCounters, RequestOutcome, RequestRecorder};
 
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::metrics::WriteCompletionCounter;
+use crate::metrics::NextWriteCounter;
 
 /// The maximum number of bytes that [`Socket::read_some`] reads at a time.
 const READ_BUFFER_BYTES: usize = 16 << 10;
@@ -29,7 +29,7 @@
 struct Shared {
     stream: TcpStream,
     bytes_written: Cell<u64>,
-    write_counter: WriteCompletionCounter,
+    write_counter: NextWriteCounter,
     /// Set for a downstream socket only.
     inbound: Option<RefCell<InboundMessage>>,
     _descriptor: Option<DescriptorGuard>,
@@ -116,7 +116,7 @@
         Socket(Rc::new(Shared {
             stream,
             bytes_written: Cell::new(0),
-            write_counter: WriteCompletionCounter::default(),
+            write_counter: NextWriteCounter::default(),
             inbound,
             _descriptor: descriptor,
         }))
@@ -163,7 +163,7 @@
     }
 
     /// The counter of completely written messages.
-    pub fn write_counter(&self) -> &WriteCompletionCounter {
+    pub fn write_counter(&self) -> &NextWriteCounter {
         &self.0.write_counter
     }
 
