--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -14,7 +14,8 @@
 use crate::exchange::MAX_HEAD_BYTES;
 use crate::socket::{Socket, NO_HEAD_CAPTURE};
 
-/// Pause before accepting again after a failure or at the limit; accepting at once would spin.
+/// The pause before accepting again after a failure, and before checking the limit again. Retries without a
+/// pause would saturate the CPU.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Accepts and serves connections for as long as it is polled.
@@ -28,7 +29,7 @@
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
-        // At the limit, new connections wait in the backlog; accepting and dropping one would lose its
+        // Above the limit, new connections wait in the backlog; accepting and dropping one would lose its
         // request.
         while connections.is_over_limit() {
             if connections.stays_over_limit() {
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -146,7 +146,7 @@
         self.abort_request.notify_one();
     }
 
-    /// Closes the connection immediately unless a request arrives in the meantime.
+    /// Closes the connection immediately if no request is open and no unread bytes of one have arrived.
     pub fn abort_if_idle(&self) {
         self.idle_abort_request.notify_one();
     }
@@ -176,8 +176,8 @@
         }
     }
 
-    /// The state that decides whether the connection may be closed. The kernel is checked for a partial
-    /// request only if `checks_input`.
+    /// The state that decides whether the connection may be closed. A partial request is only
+    /// detected if `checks_input`.
     pub fn shutdown_state(&self, clock: Clock, checks_input: bool) -> shutdown::ConnectionState {
         let unused_for = self.last_used_at().elapsed().as_micros() as decide::Micros;
         shutdown::ConnectionState {
--- a/crates/proxy/src/downstream/dispatch.rs
+++ b/crates/proxy/src/downstream/dispatch.rs
@@ -1,5 +1,5 @@
-//! Submits an accepted request of any protocol to the decisions of one pool after another, as pools reject
-//! it, until it has its final response.
+//! Submits an accepted request of any protocol to the balancer of its first pool, and to that of the next
+//! pool each time a pool rejects it, until it has its final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 /// The reserved time is at most the client's timeout divided by this number.
 const RESPONSE_TIME_DIVISOR: u32 = 10;
 /// A request without a decision fails this long before its client's timeout. Shorter than [`RESPONSE_TIME`],
-/// so that the decisions answer first, except for client timeouts under 80 ms.
+/// so that the balancer responds first, except for client timeouts under 80 ms.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(8);
 
 /// The time that a request may take.
 struct TimeBudget {
     received_at: Instant,
-    /// The time available to the decisions, from when the request is complete.
+    /// The time available to the balancers, from when the request is complete.
     decision_time: Duration,
-    /// When the request fails regardless of the decisions.
+    /// When the request fails even if the balancer has not responded.
     backstop: Instant,
 }
 
@@ -43,14 +43,14 @@
         }
     }
 
-    /// The time left for the decisions of a later pool, in microseconds.
+    /// The time left for the balancer of a later pool, in microseconds.
     fn time_left(&self) -> Micros {
         self.decision_time.saturating_sub(self.received_at.elapsed()).as_micros() as Micros
     }
 }
 
 /// Submits a request and waits for its final response. `received_at` is when the request arrived. Dropping
-/// this future notifies the decisions that the client disconnected.
+/// this future notifies the balancer that the client has disconnected.
 pub async fn dispatch(
     listener: &ListenerState,
     request: AcceptedRequest,
@@ -84,7 +84,7 @@
     if let Some(mut key) = reserved_key {
         key.record_response(&response);
     }
-    // The id stays claimed while attempts run.
+    // The id is claimed until the final response is known.
     drop(id_claim);
     response
 }
--- a/crates/proxy/src/downstream/drain.rs
+++ b/crates/proxy/src/downstream/drain.rs
@@ -20,17 +20,18 @@
 
 /// The interval at which connections are checked while the listener drains.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Replaces a client timeout that does not fit into [`Micros`]; sums with clock times stay in range. Requests
-/// are validated against `MAX_CLIENT_TIMEOUT_MS` in `request::routed` instead.
+/// The value used for a client timeout that does not fit into [`Micros`], so that sums with clock times stay
+/// in range. Valid requests have shorter timeouts: `request::routed` rejects those over
+/// `MAX_CLIENT_TIMEOUT_MS`.
 const MAX_CLIENT_TIMEOUT: Micros = Micros::MAX / 4;
 
 /// The progress of a listener's graceful shutdown.
 pub struct DrainState {
     shutdown: RefCell<Shutdown>,
     clock: Clock,
-    /// Whether the time for accepting further requests is over: connections then close after their next
-    /// response.
-    is_serving_over: Cell<bool>,
+    /// Whether the time for accepting further requests is over: connections then close after the response to
+    /// their current or next request.
+    is_accept_time_over: Cell<bool>,
     /// True once open requests must fail because the process is about to be killed.
     is_deadline_passed: watch::Sender<bool>,
 }
@@ -41,7 +42,7 @@
         DrainState {
             shutdown: RefCell::new(shutdown),
             clock,
-            is_serving_over: Cell::new(false),
+            is_accept_time_over: Cell::new(false),
             is_deadline_passed: watch::Sender::new(false),
         }
     }
@@ -51,9 +52,9 @@
         self.shutdown.borrow().has_begun()
     }
 
-    /// Whether connections close after their next response.
-    pub fn is_serving_over(&self) -> bool {
-        self.is_serving_over.get()
+    /// Whether connections close after the response to their current or next request.
+    pub fn is_accept_time_over(&self) -> bool {
+        self.is_accept_time_over.get()
     }
 
     /// Records how long after its due time a timer of this process ran.
@@ -94,7 +95,7 @@
     /// Updates the state to the time `now`.
     fn advance(&self, now: Micros) {
         let shutdown = self.shutdown.borrow();
-        self.is_serving_over.set(shutdown.accepts_until().is_some_and(|until| until <= now));
+        self.is_accept_time_over.set(shutdown.accepts_until().is_some_and(|until| until <= now));
         if shutdown.is_time_up(now) {
             self.is_deadline_passed.send_replace(true);
         }
@@ -149,7 +150,8 @@
         for connection in open {
             close_connection(drain, &connection, now);
         }
-        // Ended connections are collected until the next check, so that many ending at once are checked once.
+        // Waits for the next check, or until no connection is open. The end of a single connection causes no
+        // check, because many may end at once.
         let next_check = Instant::now() + CHECK_INTERVAL;
         while timeout_at(next_check, listener.connections.connection_ended()).await.is_ok()
             && listener.connections.open_count() > 0
@@ -160,7 +162,7 @@
 /// Applies the action that the shutdown decides on for a connection.
 fn close_connection(drain: &DrainState, connection: &DownstreamConnection, now: Micros) {
     let shutdown = drain.shutdown.borrow();
-    let state = connection.shutdown_state(drain.clock, drain.is_serving_over());
+    let state = connection.shutdown_state(drain.clock, drain.is_accept_time_over());
     match shutdown.connection_action(now, &state) {
         ConnectionAction::Keep => {}
         ConnectionAction::CloseAfterResponse => connection.close_after_response(),
--- a/crates/proxy/src/downstream/error.rs
+++ b/crates/proxy/src/downstream/error.rs
@@ -71,7 +71,7 @@
     /// Another open request has the same id.
     DuplicateRequestId,
     /// The route that a JSON-RPC call matches belongs to another class than its method.
-    MethodNotRouted,
+    MethodClassMismatch,
 }
 
 impl InvalidRequest {
@@ -89,7 +89,7 @@
             InvalidRequest::SlowBody => StatusCode::REQUEST_TIMEOUT,
             InvalidRequest::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             InvalidRequest::DuplicateRequestId => StatusCode::CONFLICT,
-            InvalidRequest::MethodNotRouted => StatusCode::NOT_FOUND,
+            InvalidRequest::MethodClassMismatch => StatusCode::NOT_FOUND,
         }
     }
 }
@@ -103,7 +103,8 @@
         }
     }
 
-    /// The limit or key that rejects the request; `None` if neither does.
+    /// The limit, or the state of the idempotency key, because of which the request is rejected; `None` if
+    /// there is no such cause.
     pub fn cause(&self) -> Option<&'static str> {
         match self {
             DownstreamError::Invalid(_) => None,
@@ -132,7 +133,8 @@
         }
     }
 
-    /// The limit or key that rejects the request; `None` if neither does.
+    /// The limit, or the state of the idempotency key, because of which the request is rejected; `None` if
+    /// there is no such cause.
     pub fn cause(&self) -> Option<&'static str> {
         match self {
             RequestError::Downstream(error) => error.cause(),
--- a/crates/proxy/src/downstream/error/tests.rs
+++ b/crates/proxy/src/downstream/error/tests.rs
@@ -15,7 +15,7 @@
         (InvalidRequest::SlowBody.into(), StatusCode::REQUEST_TIMEOUT),
         (InvalidRequest::BodyTooLarge.into(), StatusCode::PAYLOAD_TOO_LARGE),
         (InvalidRequest::DuplicateRequestId.into(), StatusCode::CONFLICT),
-        (InvalidRequest::MethodNotRouted.into(), StatusCode::NOT_FOUND),
+        (InvalidRequest::MethodClassMismatch.into(), StatusCode::NOT_FOUND),
         (rejection(StatusCode::FORBIDDEN, None), StatusCode::FORBIDDEN),
         (RequestError::Upstream(UpstreamError::Shed { retry_after: 0 }), StatusCode::SERVICE_UNAVAILABLE),
         (RequestError::Upstream(UpstreamError::Failed), StatusCode::BAD_GATEWAY),
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -43,7 +43,8 @@
         () = connection.aborted() => return,
         () = connection.close_requested() => {}
     }
-    // A request that is just arriving is answered first, with `Connection: close`.
+    // hyper's graceful shutdown would drop a request that has arrived only in part. The response to such a
+    // request closes the connection instead, with `Connection: close`.
     if connection.is_busy() || !connection.has_partial_request() {
         http.as_mut().graceful_shutdown();
     }
@@ -62,8 +63,8 @@
 ) -> ClientResponse {
     connection.set_busy(true);
     connection.on_request_received();
-    // Bytes that follow a chunked or large body are not captured, so the connection closes after such a
-    // request.
+    // It is not known whether further bytes follow a chunked or large body, so the connection closes after
+    // such a request.
     let is_end_uncertain = request.headers().contains_key(header::TRANSFER_ENCODING)
         || request.body().size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let has_body = !request.body().is_end_stream();
@@ -74,7 +75,7 @@
     };
     let must_close = is_end_uncertain
         || closes_after_status(response.status(), has_body)
-        || listener.drain.is_serving_over()
+        || listener.drain.is_accept_time_over()
         || connection.is_closing();
     if must_close {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -85,8 +86,8 @@
     response
 }
 
-/// Whether the connection closes after a response with this status: after every 4xx and 501, because the
-/// request's body may not have been read. 429 closes it only if the request has a body.
+/// Whether the connection closes after a response with this status: after 4xx and 501, because the request's
+/// body may not have been read, except after 429 to a request without a body.
 fn closes_after_status(status: StatusCode, has_body: bool) -> bool {
     match status {
         StatusCode::TOO_MANY_REQUESTS => has_body,
--- a/crates/proxy/src/downstream/http/response.rs
+++ b/crates/proxy/src/downstream/http/response.rs
@@ -17,7 +17,7 @@
 use crate::metrics::{RequestOutcome, RequestRecorder};
 use crate::router::NO_RETRY_AFTER;
 
-/// The header that names the limit or key that rejected a request.
+/// The header with the cause of a rejection: a limit, or the state of the idempotency key.
 const REJECTION_CAUSE_HEADER: &str = "x-refusal-cause";
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
@@ -125,5 +125,5 @@
         return HeaderValue::from(rounded_up / MICROS_PER_SECOND);
     }
     let seconds = retry_after as f64 / MICROS_PER_SECOND as f64;
-    HeaderValue::from_str(&format!("{seconds:.3}")).expect("digits make a header")
+    HeaderValue::from_str(&format!("{seconds:.3}")).expect("a decimal number is a valid header value")
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A listener accepts connections up to a limit and serves each one with its protocol (`http` or `rpc`). A
 //! request of either protocol passes through these phases: read and validate the head, route the request,
-//! read the body, reserve the id and the idempotency key (`request`); submit the request to the decisions of
+//! read the body, reserve the id and the idempotency key (`request`); submit the request to the balancer of
 //! one pool after another and wait for the response (`dispatch`); send the response and count the outcome.
 //! The errors of all phases share one type (`error`).
 //!
@@ -73,10 +73,11 @@
         }
     }
 
-    /// The remaining client connections once no new ones are accepted; `None` before that.
+    /// The client connections during a graceful shutdown; `None` before it, and if another process shares the
+    /// listening socket.
     fn remaining_connections(&self) -> Option<DownstreamConnections> {
-        let gets_no_new_ones = self.drain.is_started() && !self.frontend.is_socket_shared;
-        gets_no_new_ones.then(|| DownstreamConnections {
+        let is_draining_alone = self.drain.is_started() && !self.frontend.is_socket_shared;
+        is_draining_alone.then(|| DownstreamConnections {
             idle: self.connections.idle_count(),
             open: self.connections.open_count(),
         })
--- a/crates/proxy/src/downstream/request/head.rs
+++ b/crates/proxy/src/downstream/request/head.rs
@@ -74,7 +74,7 @@
     Http11,
 }
 
-/// The fields of a head that decide where the request ends, and the names of all fields.
+/// The names of the fields of a head, and what the validation of all fields together needs.
 struct Fields<'a> {
     names: Vec<&'a [u8]>,
     has_host: bool,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Validates one field line. White space before the colon and folded lines are malformed, because neither
-    /// is part of a token.
+    /// Validates one field line. White space before the colon and folded lines are malformed, because the
+    /// name before the colon must be a token.
     fn add(&mut self, line: &'a [u8]) -> Result<(), HeadError> {
         let colon = line.iter().position(|byte| *byte == b':').ok_or(Malformed)?;
         let name = &line[..colon];
--- a/crates/proxy/src/downstream/request/mod.rs
+++ b/crates/proxy/src/downstream/request/mod.rs
@@ -2,8 +2,8 @@
 //! is sent upstream.
 //!
 //! The phases are, in order: validate the head, route the request, read the body (all of it, or only its
-//! start if it may be streamed), and accept the request (reserve its id and idempotency key). The size of
-//! head and body together is bounded, and so is the time to read them.
+//! start if it is streamed), and accept the request (reserve its id and idempotency key). The sizes of head
+//! and body are bounded, and so is the time to read them.
 
 mod head;
 mod routed;
@@ -29,13 +29,13 @@
 use crate::router::{PoolSequence, Router, RouterConnectionState};
 use crate::socket::{Socket, UnreadInput};
 
-/// The maximum time from the first byte of a buffered request to its last; bounds clients that send slowly or
-/// less than they announce.
+/// The maximum time from the first byte of a buffered request to its last. Without it, clients that send
+/// slowly or less than they announce would hold their connections indefinitely.
 const MAX_REQUEST_READ_TIME: Duration = Duration::from_millis(2500);
 
 /// A valid request that is ready to be submitted; a streamed body may still be arriving.
 pub struct AcceptedRequest {
-    /// The input for the decisions.
+    /// The properties of the request that the balancer uses.
     pub decision_input: NewRequest,
     /// The message to send to an endpoint.
     pub message: Rc<UpstreamRequest>,
@@ -110,7 +110,10 @@
     }
 
     /// Reads a body: all of it, or only its start if the body may be streamed and is larger than the buffer
-    /// limit or slow.
+    /// limit, or if nothing of it arrives in time.
+    ///
+    /// # Errors
+    /// Returns an error if the body ends early, is too large, or arrives in part but not completely in time.
     async fn read_body(
         &self,
         routed: &RoutedRequest,
--- a/crates/proxy/src/downstream/rpc/call.rs
+++ b/crates/proxy/src/downstream/rpc/call.rs
@@ -34,7 +34,7 @@
 enum CallState {
     Accepted(Box<AcceptedRequest>),
     Replayed(FinalResponse),
-    /// The call is invalid or rejected as a request.
+    /// The request that the call is mapped to is invalid or rejected.
     Rejected(RequestError),
     /// The message is invalid; holds the encoded response.
     Invalid(Vec<u8>),
@@ -43,13 +43,13 @@
 }
 
 impl PreparedCall {
-    /// Creates the entry of a message that is not a call and gets no response. `is_alone` is true if the
-    /// message is not part of a batch.
+    /// Creates a call in place of a message that is not a call and gets no response. `is_alone` is true if
+    /// the message is not part of a batch; it is then handled as a notification.
     pub fn ignored(is_alone: bool) -> PreparedCall {
         PreparedCall::new(None, is_alone, CallState::Ignored)
     }
 
-    /// Creates the entry of an invalid message with its encoded response.
+    /// Creates a call in place of an invalid message, with its encoded response.
     pub fn invalid(id: CallId, response: Vec<u8>) -> PreparedCall {
         PreparedCall::new(id, false, CallState::Invalid(response))
     }
@@ -146,7 +146,7 @@
     let body_bytes = body.len() as u64;
     let mut routed = request::route(&*router, &connection.router_state, &mut head, body_bytes)?;
     if class_of_method.is_some_and(|class| class != routed.class) {
-        return Err(InvalidRequest::MethodNotRouted.into());
+        return Err(InvalidRequest::MethodClassMismatch.into());
     }
     recorder.set_counters(routed.counters.take());
     recorder.on_received();
--- a/crates/proxy/src/downstream/rpc/mod.rs
+++ b/crates/proxy/src/downstream/rpc/mod.rs
@@ -1,7 +1,8 @@
 //! JSON-RPC client connections, which carry many concurrent calls; each is answered as soon as its response
 //! is available.
 //!
-//! The number of open calls is bounded: at the limit nothing more is read until a response has been written.
+//! The number of open calls is limited: at the limit no further message is read until a response has been
+//! written. Only the last batch read may exceed the limit.
 //! Before this proxy closes a connection, it sends a notification with the number of messages read.
 
 mod batch;
@@ -31,7 +32,8 @@
 use super::ListenerState;
 use crate::socket::{Socket, UnreadInput, NO_HEAD_CAPTURE};
 
-/// A client that reads nothing of its responses for this long is disconnected.
+/// A client that reads nothing of its responses for this long is disconnected. The time restarts when a call
+/// ends.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// The time that a client has to close its side after the last response; closing earlier would lose data in
 /// transit.
@@ -39,7 +41,7 @@
 /// The method of the notification that is sent before this proxy closes a connection.
 const CLOSING_METHOD: &str = "$/closing";
 
-/// Serves a connection until it ends. At most `max_open_calls` are open at a time.
+/// Serves a connection until it ends. No message is read while `max_open_calls` or more calls are open.
 pub async fn serve(
     listener: &Rc<ListenerState>,
     connection: &Rc<DownstreamConnection>,
@@ -167,7 +169,8 @@
         self.output.push(jsonrpc::encode_frame(self.framing, message).into(), calls);
     }
 
-    /// Queues the response to a message that started no call.
+    /// Queues the response to a message that started no call. Until it is written, it counts as an open call,
+    /// so that the queue stays bounded.
     fn send_error(&mut self, response: &[u8]) {
         self.open_calls += 1;
         self.send(response, 1);
@@ -306,7 +309,8 @@
     }
 }
 
-/// Normalizes an id, so that differently escaped forms of the same string compare equal.
+/// Normalizes an id, so that differently escaped forms of the same string compare equal. The leading quote
+/// keeps strings distinct from numbers.
 fn normalize_id(id: &RawValue) -> String {
     match serde_json::from_str::<String>(id.get()) {
         Ok(text) => format!("\"{text}"),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
 //! The data plane: the I/O around the load balancing decisions of the `decide` crate. The [`driver`] passes
-//! events to the decisions and executes their actions.
+//! events to the balancer and carries out its actions.
 //!
 //! - Modes: [`standalone`], [`hosting`] and [`platform`], which share `process`, `inherited_socket` and
 //!   [`start_error`].
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -60,8 +60,8 @@
         Duration::ZERO
     }
 
-    /// Whether the process is killed no later than [`Router::longest_client_timeout`] after the signal to
-    /// terminate.
+    /// Whether the process is killed soon after [`Router::longest_client_timeout`] has passed since the
+    /// signal to terminate, even if requests are open.
     fn has_termination_deadline(&self) -> bool {
         false
     }
@@ -125,7 +125,7 @@
     pub semantics: Semantics,
     /// The deadline of the class, in microseconds from the arrival of the request.
     pub deadline: Micros,
-    /// The index of the tenant in the settings of the decisions; `None` if the request has none there.
+    /// The index of the tenant in the settings of the balancer; `None` if it is not listed there.
     pub tenant: Option<usize>,
     /// The JSON-RPC method to call; `None` if the class has none or no pool speaks JSON-RPC.
     pub rpc_method: Option<Arc<str>>,
