--- a/crates/proxy/src/body/mod.rs
+++ b/crates/proxy/src/body/mod.rs
@@ -1,9 +1,9 @@
 //! Message bodies: buffered and replayable, or streamed from one connection to another.
 //!
-//! A streamed body buffers no more than what hyper reads ahead and has a single reader; the buffer is bounded
-//! only by the flow control of the two connections. Each transfer has a stall timeout and a maximum size in
-//! bytes. In addition, a request body has a minimum rate, and a response body of unknown length has a bounded
-//! wait past the deadline of its request.
+//! A streamed body has a single reader. While it is streamed, it is buffered only as far as hyper reads
+//! ahead; beyond that, the flow control of the two connections stops the sender. Each transfer has a stall
+//! timeout and a maximum size in bytes. In addition, a request body has a minimum rate, and the wait for a
+//! response body of unknown length is limited once the deadline of its request has passed.
 
 mod buffering;
 mod streaming;
@@ -19,7 +19,7 @@
 pub use buffering::{buffer, BufferOutcome};
 pub use streaming::StreamingBody;
 
-/// The largest body that is streamed on the platform, in bytes.
+/// The largest body that is streamed in the platform mode, in bytes.
 pub const MAX_STREAMED_BODY_BYTES: u64 = config::MAX_BODY_BYTES;
 /// The minimum rate of a transfer in bytes per second; a slower transfer is aborted. This is half of the rate
 /// that clients are promised.
--- a/crates/proxy/src/body/streaming.rs
+++ b/crates/proxy/src/body/streaming.rs
@@ -3,7 +3,7 @@
 //! A request body is read to its end whatever the result of the request, because some clients read no
 //! response before they have sent the whole body. A response body of unknown length is bounded by the
 //! deadline of its request: past the deadline, only a body that arrives at `MIN_BYTES_PER_SECOND` or faster
-//! continues, until more than `MAX_BODY_WITHIN_DEADLINE_BYTES` have arrived.
+//! continues. Once more than `MAX_BODY_WITHIN_DEADLINE_BYTES` have arrived, the deadline no longer applies.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -69,8 +69,9 @@
 
 /// The maximum total time spent waiting for the sender of a response of unknown length, once the deadline of
 /// the request has passed and `bytes_read` have arrived. `None` if more than
-/// [`MAX_BODY_WITHIN_DEADLINE_BYTES`] have arrived, so that the deadline was met by the first bytes. Without
-/// this bound, a response that never ends would keep a proxy that is shutting down from ending.
+/// [`MAX_BODY_WITHIN_DEADLINE_BYTES`] have arrived, because the deadline applies only to the first bytes of
+/// such a body. Without this bound, a response that never ends would keep a proxy that is shutting down from
+/// ending.
 fn max_sender_wait(bytes_read: u64) -> Option<Duration> {
     let is_bounded = bytes_read <= MAX_BODY_WITHIN_DEADLINE_BYTES;
     is_bounded.then(|| Duration::from_millis(bytes_read * 1000 / MIN_BYTES_PER_SECOND))
@@ -165,6 +166,7 @@
         }
         let mut incoming = self.incoming.borrow_mut();
         let Some(incoming) = incoming.as_mut() else {
+            // Not reached: the rest is discarded only when the body is dropped.
             return Poll::Ready(Some(Err(BodyError::TooLarge)));
         };
         let data = ready!(self.poll_data(incoming, context));
--- a/crates/proxy/src/driver/attempt_history.rs
+++ b/crates/proxy/src/driver/attempt_history.rs
@@ -9,7 +9,7 @@
 pub struct AttemptHistory {
     attempts: Vec<AttemptRecord>,
     last_timed_out: bool,
-    /// Whether an attempt ended with an outcome that doesn't rule out its execution.
+    /// Whether an attempt ended with an outcome that does not rule out its execution.
     may_have_run: bool,
 }
 
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -90,7 +90,7 @@
 
     /// Handles an input, and replaces the balancer if it panics.
     fn handle_input_or_replace_balancer(&mut self, input: DriverInput) {
-        // A new balancer that panics on the cached list would panic on it forever, so it isn't sent again.
+        // A new balancer that panics on the cached list would panic on it forever, so it is not sent again.
         let is_cached_list = matches!(input, DriverInput::EndpointUpdate { scope: UpdateScope::Cached, .. });
         if catch_unwind(AssertUnwindSafe(|| self.handle_input(input))).is_err() {
             self.replace_balancer(!is_cached_list);
--- a/crates/proxy/src/idempotency_keys.rs
+++ b/crates/proxy/src/idempotency_keys.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use crate::exchange::{FinalResponse, UpstreamResponse};
-use crate::router::Rejection;
+use crate::router::{Rejection, NO_RETRY_AFTER};
 
 /// The cause of a rejection while a request with the same key is in progress.
 pub const IN_PROGRESS_CAUSE: &str = "key-open";
@@ -100,7 +100,7 @@
                 Err(rejection(StatusCode::CONFLICT, IN_PROGRESS_CAUSE, IN_PROGRESS_RETRY_AFTER))
             }
             ReserveOutcome::ResponseEvicted => {
-                Err(rejection(StatusCode::CONFLICT, RESPONSE_EVICTED_CAUSE, 0))
+                Err(rejection(StatusCode::CONFLICT, RESPONSE_EVICTED_CAUSE, NO_RETRY_AFTER))
             }
             ReserveOutcome::TableFull { retry_after } => {
                 Err(rejection(StatusCode::TOO_MANY_REQUESTS, TABLE_FULL_CAUSE, retry_after))
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -19,13 +19,13 @@
     BodyReceived(RequestId),
     /// An attempt ended.
     AttemptEnded { attempt: AttemptId, result: AttemptResult },
-    /// An attempt was cancelled because its request is over.
+    /// An attempt was cancelled because its request is no longer open.
     AttemptCancelled { attempt: AttemptId, target: AttemptTarget, outcome: Outcome },
     /// The client of a request disconnected.
     ClientDisconnected(RequestId),
     /// A timer of the balancer with this seed is due.
     Timer { balancer_seed: u64, token: u64 },
-    /// A gossip message arrived from the peer of this rank.
+    /// A gossip message arrived from the peer with the rank `from` in the tier.
     GossipReceived { from: u32, payload: Vec<u8> },
     /// A health check ended.
     HealthCheckEnded { target: AttemptTarget, result: AttemptResult },
@@ -117,7 +117,7 @@
         self.send(DriverInput::EndpointUpdate { scope, endpoints });
     }
 
-    /// Reports a gossip message from the peer of rank `from`.
+    /// Reports a gossip message from the peer with the rank `from` in the tier.
     pub fn gossip_received(&self, from: u32, payload: Vec<u8>) {
         self.send(DriverInput::GossipReceived { from, payload });
     }
--- a/crates/proxy/src/membership/discovery/call.rs
+++ b/crates/proxy/src/membership/discovery/call.rs
@@ -21,7 +21,7 @@
 use crate::socket::Socket;
 
 /// The time after which connecting is given up. It is long enough for two lost packets of the handshake; the
-/// watch makes another call sooner.
+/// watch makes another call before it has passed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A report of a call. Every report except [`CallProgress::ResponseStarted`] ends the call.
--- a/crates/proxy/src/membership/discovery/mod.rs
+++ b/crates/proxy/src/membership/discovery/mod.rs
@@ -63,10 +63,11 @@
 }
 
 impl Discovery {
-    /// Applies the last known list, if any, and then watches discovery. The balancer is notified when a watch
-    /// ends, and requests the next one.
-    pub async fn run(mut self, known: Option<ParsedEndpointList>) {
-        let initial_list = self.apply_known(known);
+    /// Applies the list that the process starts with, if any, and then watches discovery. When a watch ends,
+    /// the balancer is notified and requests the next one. If lists are pushed, the next one starts after
+    /// `PUSHED_RESTART_DELAY` instead.
+    pub async fn run(mut self, initial: Option<ParsedEndpointList>) {
+        let initial_list = self.apply_initial(initial);
         let clock = self.registry.clock;
         let mut session = Session {
             watch: DiscoveryWatch::new(self.policy, initial_list, clock.now(), self.seed),
@@ -76,7 +77,7 @@
             ready_at: Instant::now() + READY_UNCONFIRMED_AFTER,
         };
         loop {
-            self.apply_lease(&session);
+            self.apply_watch_state(&session);
             let input = self.next_input(&mut session).await;
             let Some(event) = self.event_of(input, &mut session.calls) else { continue };
             let mut actions = Vec::new();
@@ -87,8 +88,8 @@
         }
     }
 
-    fn apply_known(&mut self, known: Option<ParsedEndpointList>) -> InitialList {
-        match known {
+    fn apply_initial(&mut self, initial: Option<ParsedEndpointList>) -> InitialList {
+        match initial {
             Some(list) => {
                 self.registry.apply_parsed(list, UpdateScope::Cached);
                 InitialList::Unconfirmed
@@ -155,9 +156,9 @@
         }
     }
 
-    /// Sets the expiry of the list in the upstream pool. A process that started with a list reports ready
-    /// when the list is confirmed, or after [`READY_UNCONFIRMED_AFTER`].
-    fn apply_lease(&self, session: &Session) {
+    /// Sets the expiry of the list in the upstream pool, and the readiness: a process that started with a
+    /// list reports ready when the list is confirmed, or after [`READY_UNCONFIRMED_AFTER`].
+    fn apply_watch_state(&self, session: &Session) {
         let clock = self.registry.clock;
         let expiry = session.watch.expiry().map(|expiry| ListExpiry {
             from: clock.instant(expiry.from),
--- a/crates/proxy/src/membership/file.rs
+++ b/crates/proxy/src/membership/file.rs
@@ -111,7 +111,7 @@
         self.fingerprint = fingerprint;
     }
 
-    /// Logs a fault, but a fault that persists only once.
+    /// Logs a fault. A fault that persists is logged only once.
     fn log_fault(&mut self, fault: String) {
         if self.logged_fault.as_ref() != Some(&fault) {
             let (pool, path) = (&self.pool, self.path.display());
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The sources of a pool's endpoints: discovery, or a watched file. Each source applies its lists to an
-//! [`EndpointRegistry`], which passes them on to the balancer and the upstream pool.
+//! The sources of a pool's endpoints other than the configuration: discovery, or a watched file. Each source
+//! applies its lists to an [`EndpointRegistry`], which passes them on to the balancer and the upstream pool.
 
 mod discovery;
 mod file;
--- a/crates/proxy/src/membership/registry/mod.rs
+++ b/crates/proxy/src/membership/registry/mod.rs
@@ -30,8 +30,8 @@
     pub names: Rc<RefCell<NameTable>>,
     pub driver: DriverHandle,
     pub upstreams: Rc<UpstreamPool>,
-    /// Whether the process may report ready: a list was confirmed, or the list of the configuration has
-    /// stayed unconfirmed for `READY_UNCONFIRMED_AFTER`.
+    /// Whether the process may report ready: a list was received or confirmed, or the list that the process
+    /// started with has stayed unconfirmed for `READY_UNCONFIRMED_AFTER`.
     pub ready: Rc<Cell<bool>>,
     /// The time when the source last responded.
     pub last_contact: Rc<Cell<Instant>>,
@@ -85,7 +85,7 @@
         self.apply_entries(parsed.list, &parsed.unreadable, scope);
     }
 
-    /// Applies a list before any further request is forwarded.
+    /// Applies a list, so that it is in effect for all requests that are submitted later.
     pub fn apply(&mut self, list: EndpointList, scope: UpdateScope) {
         self.apply_entries(list, &BTreeSet::new(), scope);
     }
@@ -103,7 +103,7 @@
         }
         self.endpoints.forget_removed();
         self.driver.endpoint_update(scope, endpoints);
-        // A cached list comes with the configuration and is unconfirmed.
+        // A cached list is the one that the process started with, which is not confirmed yet.
         if scope != UpdateScope::Cached {
             self.ready.set(true);
         }
@@ -123,8 +123,8 @@
         endpoint
     }
 
-    /// Marks an endpoint with an unreadable entry as draining, otherwise as it was listed last. Returns
-    /// `None` if it was not listed before.
+    /// Returns an endpoint with an unreadable entry as it was listed last, but as draining. Returns `None` if
+    /// it was not listed before.
     fn drain_unreadable(&self, name: &str) -> Option<Endpoint> {
         let ListedAddress { mut endpoint, address } = self.endpoints.last_listed(name)?;
         endpoint.state = EndpointState::Draining;
--- a/crates/proxy/src/membership/registry/registered.rs
+++ b/crates/proxy/src/membership/registry/registered.rs
@@ -133,6 +133,7 @@
         let mut used_ids = self.used_ids.borrow_mut();
         self.by_name.borrow_mut().retain(|_, endpoint| {
             let is_retained = endpoint.removed_at.is_none_or(|at| at.elapsed() < REMOVED_NAME_RETENTION);
+            // A forgotten endpoint also releases its id; the removal returns true, because the id is in use.
             is_retained || !used_ids.remove(&endpoint.id)
         });
     }
--- a/crates/proxy/src/metrics/attempt_write.rs
+++ b/crates/proxy/src/metrics/attempt_write.rs
@@ -1,15 +1,15 @@
-//! Counting of attempts when their last byte is written.
+//! Counting of attempts at a write to their connection.
 
 use std::cell::RefCell;
 
 use prometheus_client::metrics::counter::Counter;
 
-/// Counts a message once the kernel has accepted its last byte.
+/// Counts a message at the next write of which the kernel accepts bytes.
 #[derive(Default)]
 pub struct NextWriteCounter(RefCell<Option<Counter>>);
 
 impl NextWriteCounter {
-    /// Marks the next write as the last one of a message that `counter` counts.
+    /// Increments `counter` at the next write, even if that does not complete the message.
     pub fn count_next_write(&self, counter: &Counter) {
         *self.0.borrow_mut() = Some(counter.clone());
     }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The counter of attempts that were written completely to endpoints of a pool. A restarted pool gets the
-    /// same counter.
+    /// The counter of attempts that were written to endpoints of a pool. A restarted pool gets the same
+    /// counter.
     pub fn attempts(&self, pool: &Labels) -> Counter {
         let mut known = self.pools_with_attempts.borrow_mut();
         if known.len() >= MAX_LABEL_SETS && !known.contains(pool) {
--- a/crates/proxy/src/pool/start.rs
+++ b/crates/proxy/src/pool/start.rs
@@ -146,7 +146,8 @@
 ) {
     // The address never changes, because a pool with another address is another pool.
     let (_address_sender, address) = watch::channel(address);
-    // The configuration has no time limit for drains, so the list may be used while discovery is down.
+    // The configuration sets no time within which a drain must take effect. The watch thus needs no lease,
+    // and the list may be used while discovery is down.
     let policy = WatchPolicy { mode: DiscoveryMode::Polled, lease: None };
     let discovery = Discovery {
         address,
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -162,7 +162,7 @@
         .await
     }
 
-    /// The counter of completely written messages.
+    /// The counter that counts a message at the next write.
     pub fn write_counter(&self) -> &NextWriteCounter {
         &self.0.write_counter
     }
--- a/crates/proxy/src/upstream/endpoint_table.rs
+++ b/crates/proxy/src/upstream/endpoint_table.rs
@@ -151,8 +151,8 @@
         self.close_idle_http() || self.close_idle_rpc()
     }
 
-    /// Among the longest idle HTTP connections of all endpoints, closes the one with the shortest idle time.
-    /// This is not the longest idle connection of the pool.
+    /// Compares the HTTP connections that have been idle the longest at each endpoint, and closes the one of
+    /// these with the shortest idle time. Other connections of the pool may have been idle for longer.
     fn close_idle_http(&mut self) -> bool {
         let connections = self.endpoints.values_mut().map(|endpoint| &mut endpoint.connections);
         let idle = connections.filter_map(|all| Some((all.longest_http_idle_time()?, all)));
--- a/crates/proxy/src/upstream/http_response.rs
+++ b/crates/proxy/src/upstream/http_response.rs
@@ -54,7 +54,7 @@
 }
 
 /// The maximum size of the response body in bytes, or `None` if the response may not be streamed. Small
-/// responses are buffered so that they can be retried.
+/// responses are buffered so that their attempts can be retried.
 fn max_streamed_bytes(request: &AttemptRequest, status: StatusCode, body: &Incoming) -> Option<u64> {
     let StreamedResponseLimit(max_bytes) = request.message.extensions().get()?;
     let is_streamed = status == StatusCode::OK && !body::must_complete_within_deadline(body);
--- a/crates/proxy/src/upstream/list_expiry.rs
+++ b/crates/proxy/src/upstream/list_expiry.rs
@@ -59,9 +59,11 @@
 fn log_text(cause: ExpiryCause) -> &'static str {
     match cause {
         ExpiryCause::Unconfirmed => "discovery has not confirmed the list that this process started with",
-        ExpiryCause::CallsFailed => "calls to discovery failed, and other proxies may have received a drain",
+        ExpiryCause::CallsFailed => {
+            "calls to discovery failed, and other proxies may have been notified of a drain"
+        }
         ExpiryCause::ResponseMissing => {
-            "a response of discovery was not received, and it may have contained a drain"
+            "a response of discovery was not received, and it may have listed a draining endpoint"
         }
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -124,9 +124,7 @@
     load_reports: LoadReportParser,
     /// Whether the pool is no longer part of the configuration.
     is_retired: Cell<bool>,
-    /// Counts HTTP attempts at the first write of a buffered request, or at the first write after the end of
-    /// a streamed body, and JSON-RPC calls that ended other than `NotWritten`. Calls that timed out or were
-    /// abandoned are not counted.
+    /// Counts the attempts that were written; see [`UpstreamPool::with_attempt_counter`].
     attempts_written: Counter,
 }
 
@@ -145,9 +143,9 @@
         }
     }
 
-    /// Sets the counter of the attempts that were written: HTTP attempts are counted at the first write of a
-    /// buffered request, or at the first write after the end of a streamed body, and JSON-RPC calls when they
-    /// have ended.
+    /// Sets the counter of the attempts that were written. An HTTP attempt is counted at the first write of a
+    /// buffered request, or at the first write after the end of a streamed body. A JSON-RPC call is counted
+    /// when it ends, unless it ends with `NotWritten`, times out or is abandoned.
     pub fn with_attempt_counter(mut self, attempts_written: Counter) -> UpstreamPool {
         self.attempts_written = attempts_written;
         self
--- a/crates/proxy/src/upstream/rpc_connection/state.rs
+++ b/crates/proxy/src/upstream/rpc_connection/state.rs
@@ -187,7 +187,7 @@
         self.enqueue(frame);
         self.mark_used();
         if self.is_closed() {
-            // The connection has closed, so its task will not handle this call.
+            // The task may have ended, in which case nothing would end this call.
             self.end_all_calls();
         }
     }
