--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -20,12 +20,13 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// The Retry-After for the client, in microseconds; 0 sends none.
+        /// The Retry-After for the client, in microseconds; if 0, none is sent.
         retry_after: Micros,
     },
     /// Answer the client with a failure: the request was not served, and may have been executed.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt. Its end is still to be passed as
+    /// [`Event::AttemptEnded`](crate::Event::AttemptEnded).
     Cancel {
         /// The request.
         request: RequestId,
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -1,8 +1,8 @@
 //! Pending requests and their attempts.
 //!
 //! A request is added when it arrives, and removed when it has its final answer and all its attempts have
-//! ended. An attempt counts as in flight from the time when its endpoint has received the whole request:
-//! until then, the endpoint does not work on it.
+//! ended. The counts of attempts in flight include an attempt only once its endpoint has received the whole
+//! request: until then, the endpoint does not work on it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,7 +27,8 @@
 pub(crate) struct Attempt {
     /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointIndex,
-    /// The time at which the endpoint had the whole request.
+    /// The time at which the attempt started or, if the body was received later, the time at which the
+    /// endpoint had the whole request.
     pub sent_at: Micros,
     status: AttemptStatus,
 }
@@ -38,7 +39,7 @@
         Attempt { endpoint, sent_at: now, status: AttemptStatus::InFlight }
     }
 
-    /// Whether the attempt has not ended yet.
+    /// Whether the attempt has not ended yet, also if its endpoint has not received the whole request.
     pub fn is_in_flight(&self) -> bool {
         self.status == AttemptStatus::InFlight
     }
@@ -59,8 +60,8 @@
     pub max_attempts: usize,
     /// The time at which its attempts are given up.
     pub deadline: Micros,
-    /// Whether a streamed answer has begun. The client then owns the attempt: it is not cancelled, retried or
-    /// rejected.
+    /// Whether a streamed answer has begun. The request is then not cancelled, retried or rejected, because
+    /// the client may have received a part of the answer.
     pub streaming: bool,
     /// Whether the body has not been received yet.
     pub body_pending: bool,
@@ -91,9 +92,9 @@
     }
 }
 
-/// The time at which the attempts of a request are given up: its deadline or, if a late answer of its class
-/// has no value, the end of its latency objective if that is earlier. An answer without value only loads the
-/// endpoints.
+/// The time at which the attempts of a request are given up. It is the deadline of the request. If a late
+/// answer of its class has no value, it is the end of the latency objective if that is earlier, because a
+/// further wait would only load the endpoints.
 fn attempt_deadline(now: Micros, request: &NewRequest, class: &Class) -> Micros {
     let received = now + request.body_pending.clamp(0, TIME_LIMIT);
     let deadline = received + request.time_left.clamp(0, TIME_LIMIT);
@@ -227,8 +228,9 @@
         }
     }
 
-    /// The longest duration so far of an attempt in flight beyond its latency objective, as a multiple of
-    /// that objective; `None` if all attempts are within it. Requests past their deadline do not count.
+    /// The duration so far of the attempt that has exceeded its latency objective by the greatest factor, as
+    /// a multiple of that objective; `None` if all attempts are within it. Attempts that have ended and
+    /// requests past their deadline are not included.
     pub fn longest_overdue(&self, now: Micros, latency: &LatencyModel) -> Option<f64> {
         let due = self.requests.values().filter(|request| request.deadline > now);
         let attempts =
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -23,11 +23,11 @@
 
 /// The number of control periods in the shortest latency objective.
 const PERIODS_PER_OBJECTIVE: i64 = 4;
-/// The shortest control period, in timer resolutions.
-const MIN_PERIOD_TIMER_TICKS: i64 = 4;
+/// The shortest control period, as a multiple of the timer resolution.
+const MIN_PERIOD_TIMER_RESOLUTIONS: i64 = 4;
 /// The shortest control period, in microseconds.
 const MIN_PERIOD_US: Micros = 1000;
-/// The time constant of measurements, in shortest latency objectives.
+/// The time constant of measurements, as a multiple of the shortest latency objective.
 const OBJECTIVES_PER_WINDOW: f64 = 4.0;
 /// The token of the timer of the control period.
 pub(crate) const PERIOD_TIMER: u64 = 0;
@@ -65,7 +65,7 @@
         let latency = LatencyModel::new(&settings);
         let shortest_objective = latency.shortest_objective();
         let period = (shortest_objective as Micros / PERIODS_PER_OBJECTIVE)
-            .max(MIN_PERIOD_TIMER_TICKS * settings.timer_resolution)
+            .max(MIN_PERIOD_TIMER_RESOLUTIONS * settings.timer_resolution)
             .max(MIN_PERIOD_US);
         Balancer {
             rng: Rng::with_seed(seed),
@@ -91,7 +91,9 @@
         }
     }
 
-    /// The number of ready endpoints that get no requests at present, because requests to them failed.
+    /// The number of ready endpoints that are ejected, because attempts there failed or because they rejected
+    /// an attempt. An ejected endpoint gets a request only if no other candidate may get it, or if most of
+    /// the candidates' pool is ejected.
     #[must_use]
     pub fn ejected_count(&self, now: Micros) -> usize {
         outlier::ejected_count(now, &self.ready.all, &self.endpoints)
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Sets the first timers at random times. Cursors that move in step on the same late samples would
+    /// Sets the first timers at random times, so that the control periods of the balancers are not
+    /// synchronised. If all balancers adjusted admission at the same times by the same late samples, it would
     /// oscillate.
     fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.started {
--- a/crates/decide/src/control_period.rs
+++ b/crates/decide/src/control_period.rs
@@ -1,5 +1,5 @@
 //! The end of a control period: the measurements decay, the base threshold is updated from the rate served,
-//! and the cursor moves by the load of the period.
+//! and the admission cursor moves at most one slot, depending on the load of the period.
 
 use crate::admission::{PeriodInputs, SheddingChange};
 use crate::balancer::{Balancer, PERIOD_TIMER};
--- a/crates/decide/src/discovery.rs
+++ b/crates/decide/src/discovery.rs
@@ -1,11 +1,13 @@
-//! The times at which a watch of discovery is started: the first one, and a new one after a watch ended
-//! ([`UpdateScope::Failed`]). While a watch runs, the crate `membership` (`DiscoveryWatch`) decides when to
-//! poll.
+//! The times of the polls that start a watch of discovery: the first one, and another one after a poll failed
+//! or its watch ended ([`UpdateScope::Failed`]). While a watch runs, the crate `membership`
+//! (`DiscoveryWatch`) decides when to poll.
 //!
-//! Rule: a poll is scheduled only if the endpoint list is not pushed. The first poll is spread over a span
-//! that grows with the fleet, because discovery takes longer to answer a fleet that starts at once. A poll
-//! that failed is repeated after a random time of at most the backoff, which doubles from a fifth of
-//! `max_poll_interval` up to all of it. Times are in microseconds.
+//! Rule: a poll is scheduled only if the endpoint list is not pushed. The time of the first poll is drawn
+//! from a span that grows with the number of balancers, because discovery takes longer to answer many
+//! balancers that start together. A poll that failed is repeated after a random time of at most the backoff,
+//! which doubles from a fifth of `max_poll_interval` up to all of it. A list that is not from the cache
+//! resets the backoff to 0, so a watch that ends afterwards is started again at once. Times are in
+//! microseconds.
 
 use fastrand::Rng;
 
@@ -14,7 +16,7 @@
 
 /// The number of balancers of a tier that discovery is usually built for; a smaller tier counts as this many.
 const TYPICAL_BALANCERS: i64 = 8;
-/// The divisor of the poll interval that yields the span of the first polls of a fleet of the typical size.
+/// The span of the first polls of [`TYPICAL_BALANCERS`] balancers is the poll interval divided by this.
 const FIRST_POLL_DIVISOR: i64 = 8;
 
 /// Whether a poll is needed.
@@ -52,14 +54,14 @@
         if self.state == PollState::Pushed {
             return None;
         }
-        let fleet_span = self.balancers.max(TYPICAL_BALANCERS) * self.max_poll_interval
+        let tier_span = self.balancers.max(TYPICAL_BALANCERS) * self.max_poll_interval
             / (FIRST_POLL_DIVISOR * TYPICAL_BALANCERS);
-        let span = fleet_span.min(self.max_poll_interval * 3 / 4).max(1);
+        let span = tier_span.min(self.max_poll_interval * 3 / 4).max(1);
         Some(now + rng.i64(0..span))
     }
 
-    /// Records that a poll failed or a subscription broke, and returns the time of the next poll; `None` if
-    /// the list is pushed.
+    /// Records that a poll failed or its watch ended, and returns the time of the next poll; `None` if the
+    /// list is pushed.
     pub fn on_failure(&mut self, now: Micros, rng: &mut Rng) -> Option<Micros> {
         if self.state == PollState::Pushed {
             return None;
--- a/crates/decide/src/dispatch.rs
+++ b/crates/decide/src/dispatch.rs
@@ -1,6 +1,7 @@
 //! The lifecycle of a request: admitted or shed, sent to an endpoint, retried, answered.
 //!
-//! All actions on requests are created here, from the decisions of the other modules.
+//! The actions on requests are created here from the decisions of the other modules, except cancellations,
+//! which [`attempts`](crate::attempts) creates.
 
 use crate::admission::{AdmissionDecision, Occupancy};
 use crate::attempts::{EndedAttempt, PendingRequest};
@@ -96,8 +97,8 @@
         self.publish_load(endpoint, LoadSignal::None, actions);
     }
 
-    /// Sends the number of attempts in flight at an endpoint to the peers that share the subset of this
-    /// balancer.
+    /// Sends the number of attempts in flight at an endpoint, and the load signal of an attempt that ended
+    /// there, to the peers that share the subset of this balancer.
     fn publish_load(&self, endpoint: EndpointIndex, signal: LoadSignal, actions: &mut Vec<Action>) {
         if self.ready.gossip_peers.is_empty() || !self.ready.subset.contains(&endpoint) {
             return;
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Gives up a request: rejects it if a rejection may guarantee that nothing was executed, and fails it
-    /// otherwise.
+    /// Gives up a request: rejects it if a rejection may guarantee that a retry by the client does no harm,
+    /// and fails it otherwise.
     fn give_up(&mut self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.streaming || request.answered {
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -27,16 +27,18 @@
     pub id: EndpointId,
     /// The state of the endpoint in its lifecycle.
     pub state: EndpointState,
-    /// The capacity of the endpoint relative to the others. Used only for address announcements; load
-    /// balancing measures the capacity itself.
+    /// The capacity of the endpoint relative to the others. Not used by the decisions, which measure the
+    /// capacity; the BGP speaker uses it to decide whether to announce addresses.
     pub weight: f64,
-    /// The time at which the process of the endpoint started; `None` if that was in the distant past.
+    /// The time at which the process of the endpoint started; `None` if that is unknown or long ago. The
+    /// endpoint then counts as warm.
     pub up_since: Option<Micros>,
     /// The zone of the endpoint, as an index into the names of the settings.
     pub zone: usize,
     /// The machine kind of the endpoint, as an index into the names of the settings.
     pub machine_kind: usize,
-    /// The cell of the endpoint, for deduplication; `None` if it is in no cell.
+    /// The cell of the endpoint: a group of endpoints that discard each other's repeats. `None` if it is in
+    /// no cell.
     pub cell: Option<u64>,
 }
 
@@ -49,7 +51,7 @@
     Full,
     /// All entries from a cache, which may be outdated.
     Cached,
-    /// No entries, because the poll failed or the subscription broke.
+    /// No entries, because the poll failed or the watch that it started has ended.
     Failed,
 }
 
@@ -70,14 +72,14 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// The endpoints to which a request may be sent; an empty list sets no condition.
+/// The endpoints to which a request may be sent; an empty list permits every value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointFilter {
-    /// The zones of which the endpoint must be in one.
+    /// The permitted zones.
     pub zones: Vec<usize>,
-    /// The machine kinds of which the endpoint must be one.
+    /// The permitted machine kinds.
     pub machine_kinds: Vec<usize>,
-    /// The cells of which the endpoint must be in one.
+    /// The permitted cells.
     pub cells: Vec<u64>,
 }
 
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -58,21 +58,21 @@
         self.slow_start.spend();
     }
 
-    /// Counts an attempt as in flight; `sent_age` is the age of the balancer in microseconds.
-    pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Counts an attempt as in flight; `balancer_age` is the age of the balancer in microseconds.
+    pub fn begin_attempt(&mut self, class: ClassIndex, balancer_age: f64) {
         self.in_flight += 1;
-        self.latency.begin_attempt(class, sent_age);
+        self.latency.begin_attempt(class, balancer_age);
     }
 
-    /// Removes an attempt from those in flight; `sent_age` is the age of the balancer when it began, in
-    /// microseconds.
-    pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Removes an attempt from those in flight; `age_at_start` is the value that was passed to
+    /// [`EndpointRecord::begin_attempt`].
+    pub fn end_attempt(&mut self, class: ClassIndex, age_at_start: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.latency.end_attempt(class, sent_age);
+        self.latency.end_attempt(class, age_at_start);
     }
 
-    /// Replaces the entry. If the process of the endpoint is another than before, all other state except the
-    /// attempts in flight is reset, because it does not apply to a new process.
+    /// Replaces the entry. If the endpoint has a new process, all its state is reset except this balancer's
+    /// attempts in flight, because the state does not apply to the new process.
     fn update(&mut self, entry: Endpoint) {
         let is_restarted = entry.up_since.is_some() && self.entry.up_since != entry.up_since;
         if is_restarted {
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -18,7 +18,7 @@
     Request(NewRequest),
     /// The body of a request that had [`NewRequest::body_pending`] has been received in full.
     BodyReceived(RequestId),
-    /// A streamed answer began; the client owns the attempt from now on.
+    /// A streamed answer began; from now on the attempt is not cancelled, retried or rejected.
     StreamStarted {
         /// The request.
         request: RequestId,
--- a/crates/decide/src/ewma.rs
+++ b/crates/decide/src/ewma.rs
@@ -1,5 +1,5 @@
 //! An exponentially weighted moving average with separate sum and weight. It can therefore also count events,
-//! add cost without an answer, and use a prior while it has few samples.
+//! add to the sum without counting a sample, and use a prior while it has few samples.
 
 use crate::time::{elapsed, Micros};
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -42,15 +42,16 @@
 //! // The first event sets the timer of the control period; return it when it is due.
 //! let Action::Timer { at, token } = actions[0] else { panic!("{actions:?}") };
 //!
-//! // A request: start the attempt, and end it at `deadline` with `Outcome::Timeout`.
+//! // A request: start the attempt, and end it at `deadline` with `Outcome::Timeout`. An answer of this class
+//! // past its latency objective has no value, so the attempt ends there and not after `time_left`.
 //! actions.clear();
 //! let request = NewRequest { id: RequestId(1), class: 0, time_left: 2_000_000, ..NewRequest::default() };
 //! balancer.handle(1_000, Event::Request(request), &mut actions);
 //! let Action::Send { request, endpoint, deadline } = actions[0] else { panic!("{actions:?}") };
 //! assert_eq!((endpoint, deadline), (EndpointId(40), 501_000));
 //!
-//! // The outcome. A first `Ok` answers the client, so it is final. After any other outcome the balancer
-//! // retries, rejects or fails the request.
+//! // The outcome. It is final here, because the answer was forwarded to the client. After an outcome that is
+//! // not final the balancer retries, rejects or fails the request.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     request,
@@ -66,14 +67,19 @@
 //!
 //! balancer.handle(at, Event::Timer(token), &mut actions);
 //! assert!(matches!(actions[0], Action::Timer { .. }));
-//! // To shut down, drop it: clients retry what was in flight.
+//! // To shut down, drop the balancer. It returns no actions for the requests that are still in flight, so
+//! // clients have to retry them.
 //! ```
 //!
 //! # Contract
 //!
-//! The owner of a balancer passes one event at a time and carries out actions in order. It returns exactly
-//! one outcome for each [`Action::Send`] (at its `deadline` at the latest) and every timer, and never uses a
-//! request id twice.
+//! The owner of a balancer:
+//!
+//! - passes one event at a time and carries out actions in order
+//! - passes exactly one [`Event::AttemptEnded`] for each [`Action::Send`], at its `deadline` at the latest,
+//!   also if the attempt was cancelled
+//! - passes one [`Event::Timer`] for each [`Action::Timer`]
+//! - never uses a request id twice
 //!
 //! # Bad input
 //!
--- a/crates/decide/src/load_report.rs
+++ b/crates/decide/src/load_report.rs
@@ -8,7 +8,8 @@
 
 /// The last load report of one endpoint.
 pub(crate) struct LastLoadReport {
-    /// The number of requests at the endpoint, as last reported.
+    /// The number of requests at the endpoint as last reported, or the number that wait there if only that
+    /// was reported.
     in_flight: f64,
     /// The fraction of the processors of the endpoint in use, as last reported; `None` before the first
     /// report of it.
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -22,11 +22,11 @@
     Timeout,
     /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection broke, or the response cannot be parsed; the request may have been executed.
     Reset,
     /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// The request was not sent.
+    /// The attempt ended before anything was sent to the endpoint.
     NotSent,
 }
 
@@ -57,8 +57,8 @@
     pub endpoint_filter: Option<Arc<EndpointFilter>>,
     /// The highest number of attempts, if lower than that of the settings; 0 sets no limit.
     pub max_attempts: usize,
-    /// The time within which the body will have been received, in microseconds; `time_left` counts from then.
-    /// 0 if the body has been received already.
+    /// The longest time until the body is received in full, in microseconds; 0 if it has been received
+    /// already. `time_left` counts from the end of this time.
     pub body_pending: Micros,
     /// The downstream connections of the balancer; `None` if it accepts new ones.
     pub downstream_connections: Option<DownstreamConnections>,
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,5 +1,5 @@
-//! Retry rules: whether another attempt may start, and whether a rejection may guarantee that nothing was
-//! executed.
+//! Retry rules: whether another attempt may start, and whether a rejection may guarantee that a retry by the
+//! client does no harm.
 //!
 //! Rules:
 //! - Each request adds a fixed fraction of a retry to the retry budget, so retries cannot sustain an
@@ -10,8 +10,8 @@
 //! - A request that was executed, or may have been, is repeated only if the [`Semantics`] of its class allow
 //!   it.
 //!
-//! Bounds: `max_attempts` of the settings and of the request. There is one attempt at a time, because nothing
-//! starts a second one (`hedging_allowed` only permits it).
+//! Bounds: `max_attempts` of the settings and of the request. A request has at most one attempt at a time,
+//! also if `hedging_allowed` permits two, because this version does not hedge.
 
 use crate::attempts::{Attempt, PendingRequest};
 use crate::endpoint_table::EndpointTable;
@@ -37,13 +37,14 @@
         RetryBudget { tokens: INITIAL_RETRIES }
     }
 
-    /// Adds the fraction of a retry that one request permits.
+    /// Adds tokens for one request that arrived; a retry takes one token.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Whether an attempt with this outcome may be retried; requires a token for every outcome. `time_left`
-    /// and `typical_latency` are in microseconds.
+    /// Whether an attempt with this outcome may be retried. The budget must have a token, also if
+    /// [`RetryBudget::spend`] takes none after this outcome. `time_left` and `typical_latency` are in
+    /// microseconds.
     pub fn allows(&self, outcome: Outcome, time_left: f64, typical_latency: f64) -> bool {
         time_left > typical_latency / 2.0 && outcome != Outcome::Timeout && self.tokens >= 1.0
     }
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -35,8 +35,8 @@
     /// Time spent per successful answer, as a multiple of the typical latency of the class in the pool.
     pub relative: Ewma,
     in_flight: u32,
-    /// The sum over the attempts in flight of the age of the balancer when they were sent, in microseconds.
-    sent_age_sum: f64,
+    /// The sum over the attempts in flight of the age of the balancer at their start, in microseconds.
+    age_at_start_sum: f64,
 }
 
 /// The latency of one endpoint, by class.
@@ -68,19 +68,20 @@
         }
     }
 
-    /// Counts an attempt as in flight; `sent_age` is the age of the balancer in microseconds when it was
-    /// sent.
-    pub fn begin_attempt(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Counts an attempt as in flight; `balancer_age` is the age of the balancer in microseconds.
+    pub fn begin_attempt(&mut self, class: ClassIndex, balancer_age: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight += 1;
-        class.sent_age_sum += sent_age;
+        class.age_at_start_sum += balancer_age;
     }
 
-    /// Removes an attempt from those in flight; `sent_age` is the value given at its start.
-    pub fn end_attempt(&mut self, class: ClassIndex, sent_age: f64) {
+    /// Removes an attempt from those in flight; `age_at_start` is the value that was passed to
+    /// [`EndpointLatency::begin_attempt`].
+    pub fn end_attempt(&mut self, class: ClassIndex, age_at_start: f64) {
         let class = &mut self.classes[class.0];
         class.in_flight = class.in_flight.saturating_sub(1);
-        class.sent_age_sum = if class.in_flight == 0 { 0.0 } else { class.sent_age_sum - sent_age };
+        class.age_at_start_sum =
+            if class.in_flight == 0 { 0.0 } else { class.age_at_start_sum - age_at_start };
     }
 }
 
@@ -207,7 +208,7 @@
         class: ClassIndex,
     ) -> Ewma {
         let max_time = f64::from(latency.in_flight) * window.age(now);
-        let time_so_far = (max_time - latency.sent_age_sum).clamp(0.0, max_time.max(0.0));
+        let time_so_far = (max_time - latency.age_at_start_sum).clamp(0.0, max_time.max(0.0));
         let mut mean = latency.relative;
         mean.decay(now, window.time_constant);
         mean.sum += time_so_far / self.typical(class);
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -81,7 +81,7 @@
     pub cross_zone_price: f64,
     /// Whether the endpoint list has to be polled.
     pub poll_discovery: bool,
-    /// The interval within which to poll again if there is no subscription.
+    /// The longest interval between two polls of the endpoint list while there is no watch.
     pub max_poll_interval: Micros,
     /// Whether attempts may be cancelled.
     pub can_cancel: bool,
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -4,8 +4,9 @@
 //! - The capacity of a warming endpoint grows linearly from `slow_start_min_capacity` to its full capacity
 //!   within `slow_start_duration`. The endpoint fails if all balancers together send more than
 //!   `overload_multiple` times that capacity for `overload_window`.
-//! - Each balancer has an even share of that budget, as if all others used theirs in full. It uses only a
-//!   fraction of its share, because balancers do not see each other's requests.
+//! - That limit is divided evenly among the balancers, as if all of them used their shares in full. A
+//!   balancer uses only a fraction of its share (its budget), because balancers do not observe each other's
+//!   requests.
 //! - The capacity of a warm endpoint is measured in the successful answers that this balancer gets.
 //! - A warming endpoint ranks last and would get no request until the warm endpoints are crowded. If it has
 //!   had none for a while, it occasionally gets a warm-up request.
@@ -28,7 +29,7 @@
 /// The number of standard deviations of a Poisson count by which the budget exceeds the mean number of
 /// requests.
 const SAFETY_DEVIATIONS: f64 = 3.0;
-/// The lowest divisor for a budget, in requests; prevents a division by zero.
+/// The value that replaces a smaller budget in a divisor, in requests; prevents a division by zero.
 const MIN_BUDGET: f64 = 1e-9;
 /// The lowest fraction of its capacity that is assumed for a warming endpoint.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
@@ -39,8 +40,8 @@
 /// difference per control period. It is low because requests that are shed when too few endpoints are warm
 /// must not lower the measurement.
 const CAPACITY_FALL: f64 = 0.003;
-/// The divisor of the number of ready endpoints that yields the lowest number of warm endpoints assumed while
-/// at least one is warm.
+/// While at least one endpoint is warm, at least the number of ready endpoints divided by this is assumed to
+/// be warm.
 const MIN_WARM_DIVISOR: f64 = 8.0;
 /// Warm-up requests as a fraction of all requests.
 const WARMUP_SHARE: f64 = 0.1;
@@ -111,7 +112,7 @@
     pub throughput: &'a mut Throughput,
 }
 
-/// The capacity of warming endpoints, and the budgets derived from it.
+/// The capacity of warming endpoints, and the rate at which this balancer may send to them.
 pub(crate) struct SlowStart {
     min_capacity: f64,
     /// The duration of slow start, in microseconds.
@@ -154,8 +155,8 @@
         self.capacity_fraction(now, entry).is_none()
     }
 
-    /// Measures the capacity of a warm endpoint, once per control period. If less than half of the ready
-    /// endpoints are warm, the last measurement is kept.
+    /// Measures the capacity of a warm endpoint, once per control period. In the first observation window,
+    /// and while less than half of the ready endpoints are warm, the last measurement is kept.
     pub fn on_period(&mut self, pool: &mut SlowStartPool<'_>) {
         let SlowStartPool { now, window, ref endpoints, ready, ref mut throughput } = *pool;
         throughput.served_warm.decay(now, window.time_constant);
@@ -181,9 +182,9 @@
     }
 
     /// The capacity of a warm endpoint: the last measurement, or the rate served now if that is higher. The
-    /// rate served now is divided by the number of warm endpoints or, if none is warm, by the sum of the
-    /// capacity fractions of the warming ones. Without a measurement and without warm endpoints, it is an
-    /// even share of the arrivals.
+    /// rate served now is divided by the number of warm endpoints ([`MIN_WARM_DIVISOR`] sets the lowest) or,
+    /// if none is warm, by the sum of the capacity fractions of the warming ones. Without a measurement and
+    /// without warm endpoints, it is an even share of the arrivals.
     fn warm_capacity_now(&self, pool: &mut SlowStartPool<'_>) -> f64 {
         let SlowStartPool { now, window, ref endpoints, ready, ref mut throughput } = *pool;
         throughput.arrivals.decay(now, window.time_constant);
@@ -206,7 +207,8 @@
 
     /// The rate at which this balancer may send to an endpoint that has this fraction of `capacity`. It is an
     /// even share of what all balancers may send within the overload window, less three standard deviations,
-    /// because an even share of a small budget is often exceeded by chance.
+    /// because an even share of a small budget is often exceeded by chance. It is at most [`MAX_BUDGET_USE`]
+    /// of the even share.
     fn safe_rate(&self, fraction: f64, capacity: f64) -> f64 {
         let limit = self.overload_multiple * fraction * capacity * self.balancers;
         let budget = limit * self.overload_window;
@@ -218,7 +220,7 @@
         safe_fraction.min(MAX_BUDGET_USE) * limit / self.balancers
     }
 
-    /// Adds the fraction of a warm-up request that one request permits.
+    /// Adds tokens for one request that arrived; a warm-up request takes one token.
     pub fn earn_warmup(&mut self) {
         self.warmup_tokens = (self.warmup_tokens + WARMUP_SHARE).min(1.0);
     }
--- a/crates/decide/src/throughput.rs
+++ b/crates/decide/src/throughput.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Throughput {
     /// The number of requests that arrived.
     pub arrivals: Ewma,
-    /// The successful answers; the sum is of their latency objectives, in microseconds.
+    /// The number of successful answers, and the sum of their latency objectives in microseconds.
     pub served: Ewma,
     /// The number of successful answers of endpoints that have completed their slow start.
     pub served_warm: Ewma,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Scales the sum of the objectives served to a pool whose size has changed by the factor `size_ratio`;
-    /// the number of answers stays.
+    /// Multiplies the sum of the latency objectives of successful answers by `size_ratio`, the factor by
+    /// which the number of ready endpoints has changed. The number of answers is not changed.
     pub fn scale_served(&mut self, size_ratio: f64) {
         self.served.sum *= size_ratio;
     }
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -8,8 +8,8 @@
 /// The bound of all times in both directions, about 35 years; times beyond it are clamped.
 pub const TIME_LIMIT: Micros = 1 << 50;
 
-/// The time of an event that never happened: earlier than any time within [`TIME_LIMIT`], and safe to
-/// subtract from one.
+/// The time of an event that never happened. It is earlier than any time within [`TIME_LIMIT`]; subtracting
+/// it from such a time does not overflow.
 pub(crate) const DISTANT_PAST: Micros = Micros::MIN / 4;
 
 /// The time from `from` to `to`, in microseconds.
@@ -17,7 +17,7 @@
     (to - from) as f64
 }
 
-/// A random time after `now` by between half of `wait` and all of it, so that balancers do not act in step.
+/// A random time from `now + wait / 2` to `now + wait`, so that balancers do not act at the same time.
 pub(crate) fn jittered(now: Micros, wait: Micros, rng: &mut Rng) -> Micros {
     now + wait / 2 + rng.i64(0..=wait / 2)
 }
