--- a/crates/decide/src/admission/cursor_table.rs
+++ b/crates/decide/src/admission/cursor_table.rs
@@ -1,22 +1,24 @@
-//! The cursor table: for each priority level, the fraction of the base threshold that applies at each slot.
+//! The cursor table: a row for each priority level and a column (slot) for each position of the cursor. An
+//! entry is the fraction of the base threshold that applies to the level while the cursor is at the slot.
 //!
 //! Rule: in the first slots each level has its starting fraction of the threshold, which is lower for lower
-//! levels. Further right, the levels fall one after another, the lowest first, each to zero within a fixed
-//! number of steps. The highest keeps a small fraction, so that some answers still show when the overload
-//! ends. A cursor moves over the slots, at most one slot per control period.
+//! levels. In the slots to the right of these, the levels fall one after another, the lowest first, each to
+//! zero within a fixed number of steps. The highest keeps a small fraction, so that some answers still show
+//! when the overload ends. A cursor moves over the slots, at most one slot per control period.
 
 use super::PriorityLevel;
 
-/// The number of slots at rest. In them each level has its starting fraction of the base threshold (1.0 for
-/// the highest, 0.8 for the lowest), so low priority can be shed here without [`CursorTable::is_shedding`].
+/// The number of the first slots, in which the cursor is at rest. In them each level has its starting
+/// fraction of the base threshold (1.0 for the highest, 0.8 for the lowest). Requests of low priority may
+/// therefore be shed although [`CursorTable::is_shedding`] returns `false`.
 const REST_SLOTS: usize = 3;
 /// The number of steps in which one level falls to its end.
 const STEPS_PER_LEVEL: usize = 6;
 /// The fraction of the base threshold that the highest level keeps at the last slot.
 const TOP_LEVEL_END: f64 = 0.15;
-/// The difference of the starting fractions of the highest and the lowest level. It makes a sudden peak shed
-/// low priority first.
-const LEVEL_LEAD: f64 = 0.2;
+/// The difference of the starting fractions of the highest and the lowest level. Because of it, low priority
+/// is shed first in a sudden peak, before the cursor has moved.
+const STARTING_FRACTION_RANGE: f64 = 0.2;
 
 /// The table and its cursor.
 pub(crate) struct CursorTable {
@@ -75,7 +77,7 @@
 /// The fractions of the base threshold of one level, by slot.
 fn level_fractions(level: usize, levels: usize) -> Vec<f64> {
     let levels_above = levels - 1 - level;
-    let start = 1.0 - LEVEL_LEAD * levels_above as f64 / (levels - 1).max(1) as f64;
+    let start = 1.0 - STARTING_FRACTION_RANGE * levels_above as f64 / (levels - 1).max(1) as f64;
     let end = if levels_above == 0 { TOP_LEVEL_END } else { 0.0 };
     let slots = REST_SLOTS + levels * STEPS_PER_LEVEL;
     (0..slots).map(|slot| start * (1.0 - fallen_fraction(slot, level) * (1.0 - end))).collect()
--- a/crates/decide/src/admission/load.rs
+++ b/crates/decide/src/admission/load.rs
@@ -1,10 +1,10 @@
 //! The load of the pool, from the samples of one control period.
 //!
 //! Rule: the load is the median utilisation that endpoints report, over its target; or the median latency in
-//! latency objectives, over its target, plus the fraction of the attempts that were rejected or failed. Above
-//! 1 the pool is overloaded. The median is used so that one slow endpoint does not shed what the others could
-//! serve. Utilisation does not include the queues of deeper tiers, so in all but the deepest tier the greater
-//! of the two counts.
+//! latency objectives, over its target, plus the fraction of the attempts that were answered with a rejection
+//! or an error. Above 1 the pool is overloaded. The median is used so that one slow endpoint does not shed
+//! what the others could serve. Utilisation does not include the queues of deeper tiers, so in all but the
+//! deepest tier the greater of the two counts.
 //!
 //! The latency target lies between the latency of the quiet pool (the baseline) and the objective.
 
@@ -56,7 +56,7 @@
     latencies: Vec<f64>,
     /// The number of attempts that ended in this period with a load signal, and of clients that disconnected.
     ended: f64,
-    /// The number of attempts in this period that were rejected or failed.
+    /// The number of attempts in this period that were answered with a rejection or an error.
     rejected_or_failed: f64,
     /// The latency of the quiet pool, in latency objectives; `None` until it is sampled or set.
     baseline: Option<f64>,
@@ -99,7 +99,7 @@
     }
 
     /// Records that a client disconnected while its request was in flight. It counts as a latency of one
-    /// objective, because the answer came too late for that client.
+    /// objective, because the client did not get its answer in time.
     pub fn record_disconnect(&mut self) {
         self.latencies.push(1.0);
         self.ended += 1.0;
@@ -111,12 +111,14 @@
     }
 
     /// Records the time that an attempt in flight has taken so far, in latency objectives, when no answer has
-    /// arrived. The late answers of a balancer with few requests arrive too late to detect an overload.
+    /// arrived. A balancer with few requests gets so few answers in an overload that waiting for them would
+    /// detect it too late.
     pub fn record_overdue(&mut self, latency: f64) {
         self.latencies.push(latency);
     }
 
-    /// The load of the control period that ends; `None` without samples.
+    /// The load of the control period that ends; `None` without samples. `is_quiet` permits a rise of the
+    /// baseline: the cursor is at the first slot.
     pub fn read(&mut self, reported_utilisation: &mut [f64], is_quiet: bool) -> Option<LoadReading> {
         let by_reports = median(reported_utilisation).map(|utilisation| utilisation / TARGET_UTILISATION);
         let by_answers = median(&mut self.latencies).map(|latency| self.load_by_latency(latency, is_quiet));
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -1,10 +1,11 @@
 //! Admission: decides whether a request is admitted or shed at once.
 //!
 //! Rule (cursor table of Villen-Altamirano, ITC 11, section 3.3): each control period, the load of the pool
-//! moves a cursor over a table of thresholds on this balancer's requests in flight. A request whose priority
-//! level has reached its threshold is shed. Requests that cannot meet their deadline are shed as well, and so
-//! are those that would take the last connections of clients that may have no other balancer to connect to.
-//! `docs/design.md` lists the differences from the paper.
+//! moves a cursor over a table of thresholds on this balancer's requests in flight, one per priority level.
+//! The table holds them as fractions of a base threshold. A request is shed if the requests in flight have
+//! reached the threshold of its priority level. Requests that cannot meet their deadline are shed as well,
+//! and so are those that would take the last connections of clients that may have no other balancer to
+//! connect to. `docs/design.md` lists the differences from the paper.
 
 mod cursor_table;
 mod load;
@@ -30,11 +31,11 @@
 const MIN_TIME_LEFT: f64 = 0.5;
 /// The fraction of the base threshold in flight below which the cursor steps left although the load is above
 /// 1, when the load is read from answers. Answers arrive late and may result from an overload that is over.
-const DRAINED_BY_ANSWERS: f64 = 0.25;
+const DRAINED_FRACTION_ANSWERS: f64 = 0.25;
 /// The fraction of the base threshold in flight below which the cursor steps left although the load is above
 /// 1, when the load is read from load reports. Reports arrive later than answers, are noisier, and include
 /// the requests of other balancers.
-const DRAINED_BY_REPORTS: f64 = 0.45;
+const DRAINED_FRACTION_REPORTS: f64 = 0.45;
 
 /// The decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +44,7 @@
     Admit,
     /// The request is shed at once.
     Shed {
-        /// The Retry-After for its client, in microseconds; 0 sends none.
+        /// The Retry-After for its client, in microseconds; if 0, none is sent.
         retry_after: Micros,
     },
 }
@@ -80,16 +81,17 @@
 
 /// The state of admission.
 pub(crate) struct Admission {
-    /// The thresholds.
+    /// The thresholds of the priority levels, as fractions of the base threshold.
     pub table: CursorTable,
-    /// The base threshold, of which the table holds fractions.
+    /// The base threshold.
     pub threshold: BaseThreshold,
     /// The load that moves the cursor.
     pub load: LoadEstimator,
     levels: PriorityLevels,
     reserved: ReservedConnections,
     max_retry_after: Micros,
-    advises_retry_after: bool,
+    /// Whether rejections have a Retry-After. Only the front tier sends one.
+    sends_retry_after: bool,
 }
 
 impl Admission {
@@ -103,7 +105,7 @@
             levels,
             reserved: ReservedConnections::new(settings),
             max_retry_after: settings.max_retry_after,
-            advises_retry_after: settings.send_retry_after && settings.tier == 0,
+            sends_retry_after: settings.send_retry_after && settings.tier == 0,
         }
     }
 
@@ -126,30 +128,30 @@
             return AdmissionDecision::Shed { retry_after: typical_latency as Micros };
         }
         let cannot_meet_deadline = (request.time_left as f64) < MIN_TIME_LEFT * typical_latency;
-        if cannot_meet_deadline || self.has_met_threshold(level, occupancy) {
+        if cannot_meet_deadline || self.is_at_threshold(level, occupancy) {
             return AdmissionDecision::Shed { retry_after: 0 };
         }
         AdmissionDecision::Admit
     }
 
-    fn has_met_threshold(&self, level: PriorityLevel, occupancy: Occupancy) -> bool {
+    fn is_at_threshold(&self, level: PriorityLevel, occupancy: Occupancy) -> bool {
         let check = self.threshold.check(occupancy, self.table.is_shedding());
         f64::from(check.in_flight) >= check.threshold * self.table.fraction(level)
     }
 
-    /// The Retry-After to send with a rejection, in microseconds; 0 sends none. While shedding it is the
-    /// maximum, because the overload may have passed by then.
+    /// The Retry-After to send with a rejection, in microseconds; if 0, none is sent. While shedding it is
+    /// the maximum, because the overload may have passed by then.
     pub fn retry_after(&self, proposed: Micros) -> Micros {
         let wait = if self.table.is_shedding() { self.max_retry_after } else { proposed };
-        if self.advises_retry_after {
+        if self.sends_retry_after {
             wait.min(self.max_retry_after)
         } else {
             0
         }
     }
 
-    /// Moves the cursor by the load of the control period that ends. Called once the base threshold has been
-    /// updated.
+    /// Moves the cursor at most one slot, depending on the load of the control period that ends. To be called
+    /// after the base threshold has been updated.
     pub fn move_cursor(&mut self, mut inputs: PeriodInputs) -> Option<SheddingChange> {
         let reading = self.load.read(&mut inputs.reported_utilisation, self.table.is_at_start());
         let was_shedding = self.table.is_shedding();
@@ -157,8 +159,8 @@
             Some(reading) if reading.load > 1.0 && !self.is_drained(&reading, &inputs) => {
                 self.table.step_right();
             }
-            // Samples arrive late, so the cursor holds. If none arrive for too long it steps left, because a
-            // cursor position that sheds everything produces no samples.
+            // Samples arrive late, so the cursor holds while attempts are in flight. If no sample arrives for
+            // too long it steps left, because a cursor position that sheds everything produces no samples.
             None if self.load.may_hold() && inputs.in_flight > 0 => {}
             _ => self.table.step_left(),
         }
@@ -174,8 +176,8 @@
     /// the load then includes requests of other balancers.
     fn is_drained(&self, reading: &LoadReading, inputs: &PeriodInputs) -> bool {
         let drained_fraction = match reading.source {
-            LoadSource::Answers => DRAINED_BY_ANSWERS,
-            LoadSource::Reports => DRAINED_BY_REPORTS,
+            LoadSource::Answers => DRAINED_FRACTION_ANSWERS,
+            LoadSource::Reports => DRAINED_FRACTION_REPORTS,
         };
         !inputs.has_gossip_peers && f64::from(inputs.in_flight) < drained_fraction * self.threshold.value()
     }
--- a/crates/decide/src/admission/priority.rs
+++ b/crates/decide/src/admission/priority.rs
@@ -2,16 +2,16 @@
 //!
 //! Rule: classes are ordered by their priority weight, one level per weight. Retries, and requests that
 //! exceed the quota of their tenant, are on the lowest level. A tenant exceeds its quota if its requests at
-//! this balancer within a window of two seconds are more than 1.3 times its even share of the quota, plus two
-//! requests of allowance for chance.
+//! this balancer, counted with an exponential decay over two seconds, are more than 1.3 times its even share
+//! of the quota, plus two requests of allowance for chance.
 
 use crate::ewma::Ewma;
 use crate::time::Micros;
 use crate::{NewRequest, Settings};
 
-/// The window over which the requests of a tenant are counted, in seconds.
+/// The time constant by which the counted requests of a tenant decay, in seconds.
 const QUOTA_WINDOW_S: f64 = 2.0;
-/// The window over which the requests of a tenant are counted, in microseconds.
+/// The time constant by which the counted requests of a tenant decay, in microseconds.
 const QUOTA_WINDOW_US: f64 = QUOTA_WINDOW_S * 1e6;
 /// The factor by which a tenant may exceed its share before its requests count as over quota.
 const QUOTA_TOLERANCE: f64 = 1.3;
--- a/crates/decide/src/admission/threshold.rs
+++ b/crates/decide/src/admission/threshold.rs
@@ -1,10 +1,10 @@
 //! The base threshold: the requests in flight up to which the highest priority level is admitted while the
 //! cursor is at rest.
 //!
-//! Rule: the threshold is a fraction of the requests in flight that, by Little's law, there would be if each
-//! answer took its whole latency objective at the rate served now. It rises at once and falls slowly. Before
-//! there are samples it is a fixed number per endpoint. When endpoints are added or removed it scales with
-//! their number.
+//! Rule: by Little's law, the rate served now times the latency objective is the number of requests that
+//! would be in flight if each answer took its whole objective. The threshold is a fraction of that number. It
+//! rises at once and falls slowly. Before there are samples it is a fixed number per endpoint. When endpoints
+//! are added or removed it scales with their number.
 //!
 //! Inputs: the sum of the latency objectives served, in microseconds; numbers of endpoints.
 
@@ -14,17 +14,17 @@
 
 /// The threshold as a fraction of the requests in flight at which answers take their whole objective.
 const OBJECTIVE_FRACTION: f64 = 0.45;
-/// The fraction of the threshold that remains after a control period in which less was served.
-const FALL_PER_PERIOD: f64 = 0.995;
+/// The lowest threshold after a control period, as a fraction of the previous threshold.
+const MIN_RETAINED_FRACTION: f64 = 0.995;
 /// The threshold per endpoint before there are samples, over all balancers; each has an even share of it.
 pub(crate) const INITIAL_THRESHOLD_PER_ENDPOINT: f64 = 10.0;
 /// The lowest threshold while nothing is shed, in requests in flight, so that a balancer with little traffic
 /// does not shed by chance. It does not apply while shedding: the sum over many small balancers would exceed
 /// the capacity of the pool.
 const MIN_THRESHOLD: f64 = 8.0;
-/// The highest difference between the lowest threshold and the computed one, in standard deviations of a
-/// random count (the square root of the threshold).
-const FLOOR_SPREAD: f64 = 1.5;
+/// The highest amount by which [`MIN_THRESHOLD`] raises a computed threshold, in standard deviations of a
+/// Poisson count (the square root of the threshold).
+const MAX_FLOOR_DEVIATIONS: f64 = 1.5;
 
 /// The base threshold of one balancer.
 pub(crate) struct BaseThreshold {
@@ -70,10 +70,11 @@
         }
     }
 
-    /// Adjusts the threshold to a changed endpoint list. Without a threshold, a start at full load would
-    /// build a backlog that outlasts it. A threshold of a pool of another size would crowd the endpoints that
-    /// are left, or leave new ones idle. The objectives served so far are scaled as well, because the next
-    /// threshold is computed from them.
+    /// Adjusts the threshold to a changed endpoint list. The first list sets an initial threshold, because a
+    /// start at full load without a threshold would build a backlog that lasts longer than the start. Later
+    /// ones scale it, because the threshold of the previous pool would overload the endpoints that are left,
+    /// or leave new ones idle. The objectives served so far are scaled as well, because the next threshold is
+    /// computed from them.
     pub fn on_pool_change(&mut self, ready_before: usize, ready: usize, throughput: &mut Throughput) {
         if ready == 0 {
             return;
@@ -94,7 +95,7 @@
             return;
         }
         let in_flight_at_objective = throughput.served.sum / window.span(now);
-        let fallen = if self.value.is_finite() { self.value * FALL_PER_PERIOD } else { 0.0 };
+        let fallen = if self.value.is_finite() { self.value * MIN_RETAINED_FRACTION } else { 0.0 };
         self.value = (in_flight_at_objective * OBJECTIVE_FRACTION).max(fallen);
     }
 
@@ -113,8 +114,11 @@
             in_flight += occupancy.peers_in_flight;
             threshold *= (occupancy.peers + 1) as f64;
         }
-        let floor =
-            if is_shedding { 0.0 } else { MIN_THRESHOLD.min(threshold + FLOOR_SPREAD * threshold.sqrt()) };
+        let floor = if is_shedding {
+            0.0
+        } else {
+            MIN_THRESHOLD.min(threshold + MAX_FLOOR_DEVIATIONS * threshold.sqrt())
+        };
         ThresholdCheck { in_flight, threshold: threshold.max(floor) }
     }
 }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -1,9 +1,9 @@
 //! Gossip: the messages on load between the balancers of a tier, and how long they count.
 //!
 //! A message holds the number of attempts that its sender has in flight at one endpoint, and how its last
-//! attempt there ended. It is a state and not a change, so the next message makes up for a lost one. A
-//! message has six bytes: endpoint id (little endian), in flight, load signal. All other payloads are
-//! ignored.
+//! attempt there ended. The number is absolute and not a difference, so the next message replaces a lost one;
+//! a lost load signal is not sent again. A message has six bytes: endpoint id (little endian), in flight,
+//! load signal. All other payloads are ignored.
 
 use std::collections::BTreeMap;
 
--- a/crates/decide/src/learned.rs
+++ b/crates/decide/src/learned.rs
@@ -30,7 +30,7 @@
     /// The time spent per successful answer by class, as a multiple of the typical latency of the class in
     /// the pool.
     pub classes: Vec<DecayedMean>,
-    /// The number of failures since the last successful answer.
+    /// The number of failures since the last successful answer. It is exported and never imported.
     pub consecutive_failures: u32,
     /// The time for which the endpoint is still ejected; 0 if it is not.
     pub ejected_for: Micros,
--- a/crates/decide/src/learned/evidence.rs
+++ b/crates/decide/src/learned/evidence.rs
@@ -1,8 +1,8 @@
 //! The weight of imported figures.
 //!
-//! Rule: a figure counts as a few samples at most, as fewer the older it is, and as fewer if the balancer
-//! that exported it had run only for a short time. Of several figures for one thing the median counts, so
-//! that a single wrong or outdated one has no effect.
+//! Rule: an imported figure counts as at most [`MAX_SAMPLES`] samples. It counts as fewer samples the older
+//! it is, and the shorter the balancer that exported it had run. If several states have a figure for the same
+//! mean, their median is used, so that a single wrong or outdated one has no effect.
 
 use super::{DecayedMean, LearnedState};
 use crate::ewma::Ewma;
@@ -10,19 +10,19 @@
 
 /// The time constant by which the weight of figures decays, in microseconds.
 pub(super) const DECAY_TIME_US: f64 = 60e6;
-/// The highest weight of a mean up to which figures are added, in samples: as many own samples then weigh as
-/// much.
+/// The highest weight that a mean may reach when a figure is added to it, in samples. That many samples of
+/// this balancer then have the same weight as the imported ones.
 const MAX_SAMPLES: f64 = 6.0;
 /// The highest accepted factor by which an endpoint is slower or faster than the pool.
 pub(super) const MAX_RELATIVE_LATENCY: f64 = 6.0;
 /// The uptime from which the figures of a balancer have their full weight, in observation windows.
 const FULL_TRUST_WINDOWS: f64 = 2.0;
-/// Figures that weigh no more than this are ignored, in samples.
+/// The weight, in samples, at or below which a figure is ignored.
 const MIN_SAMPLES: f64 = 0.01;
 /// The lowest divisor of a sum, in samples; prevents a division by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// A figure and its weight.
+/// An imported figure and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Evidence {
     /// The figure.
@@ -71,8 +71,8 @@
     let is_usable = sum.is_finite() && weight.is_finite() && sum >= 0.0 && weight >= 0.0;
     let age = age.max(0).saturating_add(state.age.max(0)) as f64;
     let source_trust = (state.uptime.max(0) as f64 / (FULL_TRUST_WINDOWS * time_constant)).min(1.0);
-    // A sum without samples counts as the number of samples that the slowest accepted endpoint would have for
-    // it.
+    // A mean of relative latency can have a sum without samples, if an endpoint never answered. Its sum then
+    // counts as the number of samples that would result in the highest accepted relative latency.
     let samples_of_sum = match prior {
         Prior::Zero => 0.0,
         Prior::One => (sum / MAX_RELATIVE_LATENCY).min(MAX_SAMPLES),
--- a/crates/decide/src/learned/import.rs
+++ b/crates/decide/src/learned/import.rs
@@ -1,9 +1,11 @@
 //! The import of learned states: of a previous process, or of other balancers.
 //!
-//! Rule: imported figures become samples of the same means as own answers, within the bounds of
-//! [`evidence`](super::evidence). Their weight varies randomly per balancer, so that balancers that import
-//! the same state do not act in step. The base threshold, the cursor and the baseline are imported only until
-//! there are own samples for them. Retry rules and slow start budgets are not affected.
+//! Rule: imported figures are added as samples to the means to which this balancer adds its own samples,
+//! within the bounds of [`evidence`](super::evidence). Their weight varies randomly per balancer, so that
+//! balancers that import the same state do not act in step. The base threshold, the cursor and the baseline
+//! are imported only in the first half of the first observation window, and the baseline only if there is
+//! none yet, because samples of this balancer then replace them. Retry rules and slow start budgets are not
+//! affected.
 
 use std::collections::BTreeMap;
 
@@ -78,8 +80,9 @@
 }
 
 impl Balancer {
-    /// Imports the learned states of a previous process or of other balancers; of several states the median
-    /// counts. Called once the endpoints are known.
+    /// Imports the learned states of a previous process or of other balancers. If several states have a
+    /// figure, their median is used. To be called after the first endpoint list, because a state of an
+    /// endpoint that was never listed is ignored.
     pub fn import_learned_state(&mut self, now: Micros, states: &[LearnedState]) {
         self.now = now.clamp(self.now, TIME_LIMIT);
         let now = self.now;
@@ -162,8 +165,8 @@
         }
     }
 
-    /// Ejects an endpoint only if most of the states have it ejected, and only while ejected endpoints stay
-    /// at most half of the ready ones.
+    /// Ejects an endpoint only if it is ejected in most of the states of its present process, and only if at
+    /// most half of the ready endpoints are then ejected.
     fn import_ejection(
         &mut self,
         now: Micros,
--- a/crates/decide/src/platform_settings.rs
+++ b/crates/decide/src/platform_settings.rs
@@ -1,8 +1,8 @@
 //! The settings object of a deployment.
 //!
-//! The simulator's bridge and the real proxy read the same JSON object. It contains the indexes and numbers
-//! of the decisions ([`Settings`]), the names of these indexes ([`NameTable`]), and the settings that only a
-//! real proxy uses ([`Transport`]). Unknown keys are ignored.
+//! The program for the simulator (`amberlever-simulator`) and the proxy read the same JSON object. It
+//! contains the indexes and numbers of the decisions ([`Settings`]), the names of these indexes
+//! ([`NameTable`]), and the settings that only the proxy uses ([`Transport`]). Unknown keys are ignored.
 
 mod document;
 mod load_report_field;
@@ -28,7 +28,7 @@
     pub transport: Transport,
 }
 
-/// The settings that only a real proxy uses; all times are in microseconds.
+/// The settings that only the proxy uses, not the simulator; all times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Transport {
     /// The time after which an endpoint closes an idle connection.
--- a/crates/decide/src/platform_settings/document.rs
+++ b/crates/decide/src/platform_settings/document.rs
@@ -1,5 +1,5 @@
 //! The JSON form of the settings object, and its conversion to [`Settings`]. The keys are those of the
-//! platform; the fields have the names of the decisions. Times are in milliseconds.
+//! platform. The fields here are named as in [`Settings`]. Times are in milliseconds.
 
 use std::fmt;
 
@@ -39,7 +39,8 @@
 
 impl std::error::Error for DocumentError {}
 
-/// The settings object. Its name, and those of its members, occur in the texts of errors.
+/// The settings object. The names of this type and of the types of its members occur in the texts of serde's
+/// errors ("expected struct Config").
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct Config {
--- a/crates/decide/src/platform_settings/name_table.rs
+++ b/crates/decide/src/platform_settings/name_table.rs
@@ -9,7 +9,8 @@
     pub classes: Vec<String>,
     /// The names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The fields of a load report, in the order in which the simulator writes them.
+    /// The fields of a load report, in the order of the settings object, which is that of the values in the
+    /// events of the simulator.
     pub fields: Vec<LoadReportField>,
     zones: Vec<String>,
     machine_kinds: Vec<String>,
--- a/crates/decide/src/selection/candidates.rs
+++ b/crates/decide/src/selection/candidates.rs
@@ -1,13 +1,15 @@
 //! The candidates of a selection.
 //!
-//! Rules: each balancer has a subset of the pool, an even segment of a ring that all balancers order in the
-//! same way. In a small pool all endpoints are ranked. In a larger one the subset and some endpoints drawn at
-//! random are ranked; while none of these may get the request, more are drawn. A request with a filter draws
-//! from the endpoints that match the filter.
+//! Rules: each balancer has a subset of the pool: a segment of a ring of endpoints. The order of the ring
+//! depends on the endpoint ids alone, and the segments of the balancers are spread evenly over it. In a small
+//! pool all endpoints are ranked. In a larger one the subset and some endpoints drawn at random are ranked;
+//! while none of these may get the request, more are drawn. A request with a filter draws from the endpoints
+//! that match the filter.
 //!
-//! If balancers gossip, a group of them shares one subset and gossips about it, because each alone observes
-//! too few requests to it. Otherwise the subset is cut from the balancer's own zone if that is large enough,
-//! because attempts that cross zones have a price, and zones may be partitioned from each other.
+//! If balancers gossip, a group of them shares one subset and gossips about its endpoints, because a single
+//! balancer sends them too few requests to measure them. Otherwise the ring consists of the endpoints in the
+//! zone of the balancer if these are enough, because attempts that cross zones have a price, and zones may be
+//! partitioned from each other.
 
 use fastrand::Rng;
 
@@ -22,7 +24,9 @@
 const SAMPLE_BESIDE_SUBSET: usize = SAMPLE_SIZE / 2;
 /// The number of endpoints drawn one by one while none of the others may get the request.
 const FALLBACK_SAMPLE_SIZE: usize = 24;
-/// The size of a subset, as a multiple of the number of endpoints divided by the number of balancers.
+/// The size of a subset, as a multiple of the number of endpoints divided by the number of balancers. It is
+/// also the mean number of balancers that have the same endpoint in their subset, unless [`MIN_SUBSET_SIZE`]
+/// makes the subsets larger.
 const SUBSET_OVERLAP: f64 = 2.0;
 /// The smallest size of a subset.
 const MIN_SUBSET_SIZE: usize = 4;
@@ -60,7 +64,8 @@
         }
     }
 
-    /// The ring that subsets are cut from, in the order that is the same for all balancers.
+    /// The ring of which a subset is a segment. All balancers with the same ready endpoints and, if the ring
+    /// is that of a zone, in the same zone have the same ring.
     fn ring(&self, endpoints: &EndpointTable, gossip_allowed: bool) -> Vec<EndpointIndex> {
         let is_zone_large = self.local.len() >= 2 * MIN_SUBSET_SIZE;
         let mut ring = if is_zone_large && !gossip_allowed { self.local.clone() } else { self.all.clone() };
@@ -123,8 +128,9 @@
         }
     }
 
-    /// The number of positions that are always ranked.
-    pub fn always_ranked(&self) -> usize {
+    /// The number of positions that are always read. A candidate there may still be skipped, if it may not
+    /// get the request.
+    pub fn always_read(&self) -> usize {
         match self {
             Candidates::All(pool) => pool.len(),
             Candidates::Sample(_) => SAMPLE_SIZE,
@@ -132,12 +138,12 @@
         }
     }
 
-    /// The number of all positions. Those from [`Candidates::always_ranked`] on are read only while no
+    /// The number of all positions. Those from [`Candidates::always_read`] on are read only while no
     /// candidate may get the request.
     pub fn max_positions(&self) -> usize {
         match self {
-            Candidates::SubsetAndSample(_) => self.always_ranked() + FALLBACK_SAMPLE_SIZE,
-            _ => self.always_ranked(),
+            Candidates::SubsetAndSample(_) => self.always_read() + FALLBACK_SAMPLE_SIZE,
+            _ => self.always_read(),
         }
     }
 
--- a/crates/decide/src/selection/candidates/tests.rs
+++ b/crates/decide/src/selection/candidates/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(Candidates::new(&small, None).max_positions(), SAMPLE_SIZE);
     let large = ready(200, &Settings { balancers: 100, ..settings });
     let candidates = Candidates::new(&large, None);
-    assert!(candidates.max_positions() > candidates.always_ranked());
+    assert!(candidates.max_positions() > candidates.always_read());
     let filtered = Candidates::new(&large, Some(&large.all[..3]));
-    assert_eq!([filtered.always_ranked(), filtered.max_positions()], [3, 3]);
+    assert_eq!([filtered.always_read(), filtered.max_positions()], [3, 3]);
 }
--- a/crates/decide/src/selection/latency.rs
+++ b/crates/decide/src/selection/latency.rs
@@ -4,7 +4,8 @@
 //! multiple of the typical latency of the class in the pool. Attempts that are in flight, cancelled or failed
 //! add time spent, so an endpoint, or one class on it, that does not answer, fails or slows down is detected
 //! early. If an endpoint has few answers of the class, its other classes, then its machine kind, then the
-//! pool count as prior. Errors caused by deeper tiers raise the relative latency of all endpoints equally.
+//! pool count as prior. Errors caused by deeper tiers raise the relative latency of all endpoints equally, so
+//! they do not change the ranking.
 //!
 //! Inputs are in microseconds. All means decay over the observation window.
 
@@ -16,7 +17,7 @@
 use crate::time::{Micros, ObservationWindow};
 use crate::{Outcome, Settings};
 
-/// The time that a failed attempt adds to its duration, in latency objectives.
+/// The time that is added to the duration of a failed attempt, in latency objectives.
 const FAILURE_COST: f64 = 2.0;
 /// The weight of the pool as the prior of a machine kind, in samples.
 const POOL_PRIOR_WEIGHT: f64 = 3.0;
@@ -98,8 +99,8 @@
 }
 
 impl LatencyModel {
-    /// Creates the model without samples. The objective of a tier is the fraction of the class objective that
-    /// its own and the deeper tiers make up of all tiers.
+    /// Creates the model without samples. The latency objective in a tier is the objective of the class
+    /// multiplied by the number of this and all deeper tiers and divided by the number of all tiers.
     pub fn new(settings: &Settings) -> Self {
         let tiers = settings.tiers.max(1);
         let tier_fraction = 1.0 - settings.tier.min(tiers - 1) as f64 / tiers as f64;
--- a/crates/decide/src/selection/locality.rs
+++ b/crates/decide/src/selection/locality.rs
@@ -1,8 +1,9 @@
 //! Locality: the contribution of an endpoint's zone to its score.
 //!
-//! Rule: an attempt that crosses zones costs its price, and in addition the fraction of the attempts into
-//! that zone that got no answer. If a zone is partitioned, detecting that by one failure per endpoint would
-//! cost too much.
+//! Rule: the score of an endpoint in another zone is raised by the price of crossing zones and by the
+//! fraction of the attempts into that zone that got no answer. The fraction is counted per zone because, if a
+//! zone is partitioned, ejecting each of its endpoints separately would cost at least one failure per
+//! endpoint.
 
 use std::collections::BTreeMap;
 
--- a/crates/decide/src/selection/outlier.rs
+++ b/crates/decide/src/selection/outlier.rs
@@ -2,15 +2,16 @@
 //!
 //! Rules:
 //! - A failure ejects an endpoint when the number of consecutive failures of any kind reaches the limit of
-//!   its own kind: 1 connect failure, 2 resets (a sound endpoint may also send a response that cannot be
-//!   parsed), 3 timeouts. The first ejection takes about one observation window; each further failure doubles
-//!   the time, at most three times.
-//! - An endpoint that rejects a request because it is full is ejected until one of its requests may have
-//!   ended. It answers at once, so it has no attempts of this balancer in flight and would rank first.
+//!   its own kind: 1 connect failure, 2 resets (a response that cannot be parsed also counts as a reset, and
+//!   a healthy endpoint may send one), 3 timeouts. The time of ejection is one observation window. It doubles
+//!   with each consecutive failure beyond the limit, at most three times.
+//! - An endpoint that rejects a request because it is full is ejected for one typical latency of the pool,
+//!   because one of its requests may have ended by then. A full endpoint rejects at once, so it has no
+//!   attempts of this balancer in flight and would rank first.
 //! - If most of a pool is ejected, ejection is ignored.
 //!
-//! Times are in microseconds. Ends of ejection are jittered, so that balancers do not return to an endpoint
-//! at the same time.
+//! Times are in microseconds. An ejection ends at random after half to all of its time, so that balancers do
+//! not return to an endpoint at the same time.
 
 use fastrand::Rng;
 
@@ -33,7 +34,7 @@
 pub(crate) struct Ejection {
     /// The number of failures since the last successful answer.
     pub consecutive_failures: u32,
-    /// The time from which the endpoint gets requests again.
+    /// The time at which the ejection ends. Until then the endpoint ranks behind those that are not ejected.
     pub ejected_until: Micros,
 }
 
--- a/crates/decide/src/selection/ranking.rs
+++ b/crates/decide/src/selection/ranking.rs
@@ -2,9 +2,9 @@
 //! endpoint. The lowest score wins.
 //!
 //! Factors: up to a tenth at random, so that balancers with equal measurements do not all choose the same
-//! endpoint; the zone; the capacity of a warming endpoint; a position outside the subset, because the queue
-//! there consists mostly of other balancers' requests; ejection, so that an ejected endpoint is a last
-//! resort; and an earlier attempt of the same request.
+//! endpoint; the zone; the capacity of a warming endpoint; a warm-up request that is due, which lowers the
+//! score; an endpoint outside the subset, because its queue consists mostly of other balancers' requests;
+//! ejection, so that an ejected endpoint is a last resort; and an earlier attempt of the same request.
 
 use fastrand::Rng;
 
@@ -26,7 +26,7 @@
 /// The factor of an endpoint outside the subset.
 const OUTSIDE_SUBSET_FACTOR: f64 = 2.0;
 /// The divisor of an endpoint that is due for a warm-up request.
-const WARMUP_FACTOR: f64 = 1e3;
+const WARMUP_DIVISOR: f64 = 1e3;
 /// The factor of an ejected endpoint.
 const EJECTED_FACTOR: f64 = 1e6;
 /// The factor of an endpoint that had an attempt of the same request.
@@ -56,7 +56,7 @@
     pub ready: &'a ReadyEndpoints,
     /// All endpoints. Permissions are drawn from their slow start budgets.
     pub endpoints: &'a mut EndpointTable,
-    /// The rules that limit further attempts.
+    /// The rules on whether an attempt may start.
     pub retry: &'a RetryPolicy,
     /// The latency of the pool and its classes.
     pub latency: &'a LatencyModel,
@@ -79,7 +79,7 @@
         let most_ejected = 2 * outlier::ejected_count(self.now, pool, self.endpoints) > pool.len();
         let mut best: Option<(f64, EndpointIndex)> = None;
         for position in 0..candidates.max_positions() {
-            if position >= candidates.always_ranked() && best.is_some() {
+            if position >= candidates.always_read() && best.is_some() {
                 break;
             }
             let endpoint = candidates.pick(position, self.rng);
@@ -123,7 +123,7 @@
             score *= OUTSIDE_SUBSET_FACTOR;
         }
         if self.is_warmup_due(endpoint) {
-            score /= WARMUP_FACTOR;
+            score /= WARMUP_DIVISOR;
         }
         if !most_ejected && self.endpoints[endpoint].ejection.is_ejected(self.now) {
             score *= EJECTED_FACTOR;
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -92,19 +92,20 @@
     pub health_checks_allowed: bool,
     /// Whether balancers of a tier may send each other short messages, which may be late or lost.
     pub gossip_allowed: bool,
-    /// Whether rejections have a Retry-After.
+    /// Whether rejections have a Retry-After. Only balancers of the front tier send one.
     pub send_retry_after: bool,
     /// The longest Retry-After that clients observe.
     pub max_retry_after: Micros,
     /// The highest number of attempts of a request.
     pub max_attempts: usize,
-    /// The timer resolution: the shortest time between two decisions.
+    /// The timer resolution of the platform. The control period is at least four times as long.
     pub timer_resolution: Micros,
-    /// The fraction of its capacity that an endpoint has at least, right after its start.
+    /// The fraction of its full capacity that an endpoint has at its start.
     pub slow_start_min_capacity: f64,
     /// The time after which a started endpoint has its full capacity.
     pub slow_start_duration: Micros,
-    /// The multiple of its capacity within `overload_window` beyond which an endpoint fails.
+    /// The load beyond which an endpoint fails: the requests that it gets within `overload_window`, as a
+    /// multiple of those that it can serve in that time.
     pub overload_multiple: f64,
     /// The time over which `overload_multiple` is measured.
     pub overload_window: Micros,
@@ -115,7 +116,7 @@
 /// The number of balancers of a tier that are down at once during a rolling restart: the next one begins to
 /// shut down before the previous one is running again and has been detected.
 const MAX_CONCURRENT_RESTARTS: u32 = 2;
-/// The bound of all numbers.
+/// The highest value of each setting that is a floating-point number.
 const MAX_NUMBER: f64 = 1e12;
 
 impl Settings {
--- a/crates/decide/src/settings/check.rs
+++ b/crates/decide/src/settings/check.rs
@@ -148,7 +148,8 @@
     Ok(())
 }
 
-/// Checks the durations. The keys in errors are those of the settings object.
+/// Checks the durations. The keys in errors are those of the settings object without the unit; `cold_time`
+/// and `fall_time` stand for `cold_ms` and `fall_ms`.
 fn check_spans(settings: &Settings) -> Result<(), SettingsError> {
     let spans = [
         ("must_ask_in", settings.max_poll_interval),
@@ -163,7 +164,8 @@
     }
 }
 
-/// Checks the numbers. The keys in errors are those of the settings object.
+/// Checks the numbers. The keys in errors are those of the settings object; `cross_zone_price` stands for
+/// `cross_zone` in `penalties`.
 fn check_numbers(settings: &Settings) -> Result<(), SettingsError> {
     let numbers = [
         ("cross_zone_price", settings.cross_zone_price),
