--- a/crates/membership/src/call.rs
+++ b/crates/membership/src/call.rs
@@ -6,8 +6,8 @@
 use crate::lease::{NOTIFIED_AFTER_CALL, NOTIFIED_AFTER_WAIT};
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// The time from the requested wait or the queue limit, whichever is longer, until a call whose response has
-/// not started is overdue.
+/// The grace period for a response to start. It begins at the end of the requested wait or at
+/// [`QUEUE_LIMIT`], whichever is later; at its end the call is overdue.
 pub(crate) const RESPONSE_GRACE: Micros = 250 * MILLISECOND;
 /// The longest time that discovery queues a call before it rejects it (rule of the platform). Discovery
 /// serves calls in turn.
@@ -28,9 +28,11 @@
     /// How long discovery may hold the call until there is a change; 0 requests the full list.
     pub wait: Micros,
     pub response_started_at: Option<Micros>,
-    /// Whether the call was found overdue, so that another call replaces it.
+    /// Whether the call was found overdue. It stays open, because it may only be slow, and another call is
+    /// made.
     pub is_overdue: bool,
-    /// Whether the call continues the watch of the last response. Such a call skips the queue of discovery.
+    /// Whether the call follows the last response so soon that discovery holds it at once. Such a call skips
+    /// the queue of discovery.
     pub continues_watch: bool,
 }
 
@@ -54,8 +56,9 @@
         QUEUE_LIMIT_WINDOW.contains(&(now - self.started_at))
     }
 
-    /// Returns whether the call has left the queue and is held as a watch. This is inferred from its age.
-    pub fn was_watching(&self, now: Micros) -> bool {
+    /// Returns whether discovery has taken the call from its queue and holds it until there is a change. This
+    /// is inferred from the age of the call.
+    pub fn is_held(&self, now: Micros) -> bool {
         self.continues_watch || now > self.started_at + QUEUE_LIMIT + RESPONSE_GRACE
     }
 }
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -5,18 +5,22 @@
 //! Because the proxy may have missed the drain, it then stops sending to all endpoints.
 //!
 //! The lease has one bound: the earliest time at which a change that this process has not received may count
-//! as notified. Every state has such a bound, including those without a call or without a failed call:
+//! as notified. There is also a bound while no call is in flight and while no call has failed:
 //!
 //! - Unconfirmed (the list came with the configuration, and its age is unknown): from the start of the
 //!   process, until a response or a refused connection.
 //! - Confirmed, a call is in flight: from two seconds after the wait of the call, or from six seconds after
 //!   the call if it requests the full list, until a response.
 //! - Confirmed, no call is in flight: from six seconds after the last response, until the next call.
-//! - A call failed: by [`CallFailure`], from six seconds after the first failure unless discovery was
-//!   unreachable for every proxy, until a response.
+//! - A call to a polled discovery failed: from six seconds after the list last counted as confirmed (at the
+//!   latest, the time of the first failure), until a response. The six seconds start later if discovery was
+//!   unreachable for every proxy, which is inferred from the [`CallFailure`].
 //! - A response broke off, or is missing: from two seconds after the wait of its call, until a response.
 //!
-//! Forwarding is suspended from `drain_grace` less a margin after the bound.
+//! There is no bound while there is no list and no call has failed. If an agent pushes lists, its silence
+//! sets no bound, because it sends nothing while nothing changes.
+//!
+//! Forwarding is suspended from a time after the bound: `drain_grace` minus `margin`.
 
 mod outage;
 mod terms;
@@ -46,8 +50,8 @@
     Unconfirmed { since: Micros },
     /// The list has not been confirmed, and the connection of a call was refused, so that no proxy could
     /// reach discovery.
-    DiscoveryUnreachable,
-    /// The list was current at this time, as a response of discovery or an open watch confirmed.
+    UnconfirmedConnectionRefused,
+    /// The list was current at this time, as a response of discovery or a call that discovery held confirmed.
     Confirmed { at: Micros },
 }
 
@@ -60,11 +64,12 @@
     response_missing_from: Option<Micros>,
     /// When all changes at discovery begin to count as notified because calls fail. `None` if no call failed.
     calls_failed_from: Option<Micros>,
-    /// The time from which `max_suspension` counts, unless [`Lease::response_missing_from`] or the bound
-    /// itself is later.
+    /// The time from which changes would count as notified because calls fail, if the list had been confirmed
+    /// until the start of the first failed call. The end of the suspension follows from this time, from
+    /// [`Lease::response_missing_from`] or from the bound, whichever is latest. `None` if no call failed.
     suspension_counts_from: Option<Micros>,
-    /// Whether other proxies may have reached discovery, while it had a change, since the calls began to
-    /// fail.
+    /// Whether discovery may have been reachable for other proxies, and may have notified them of a change,
+    /// since the first failed call.
     others_reached_discovery: bool,
     outage: Outage,
 }
@@ -134,15 +139,15 @@
             (unconfirmed_since, ExpiryCause::Unconfirmed),
             (self.response_missing_from, ExpiryCause::ResponseMissing),
             (self.calls_failed_from, ExpiryCause::CallsFailed),
-            (self.undisturbed_bound(calls), ExpiryCause::ResponseMissing),
+            (self.bound_without_failure(calls), ExpiryCause::ResponseMissing),
         ];
         let known_bounds = bounds.into_iter().filter_map(|(from, cause)| Some((from?, cause)));
         known_bounds.min_by_key(|(from, _)| *from)
     }
 
     /// Returns the bound while no call has failed and no response is missing. It always lies in the future,
-    /// unless the process itself was suspended.
-    fn undisturbed_bound(&self, calls: &[DiscoveryCall]) -> Option<Micros> {
+    /// unless the operating system stopped the process for a while.
+    fn bound_without_failure(&self, calls: &[DiscoveryCall]) -> Option<Micros> {
         // An agent sends nothing while nothing changes, so its silence sets no bound.
         if self.mode == DiscoveryMode::Pushed || self.is_in_doubt() {
             return None;
@@ -168,8 +173,9 @@
         self.response_missing_from = Some(earliest);
     }
 
-    /// Records that discovery moved to another address. The whole fleet moves at once, so the first errors at
-    /// the new address are due to overload and do not concern changes from before.
+    /// Records that discovery moved to another address. All proxies move at once and may overload the new
+    /// address. An outage is presumed, because the errors that result do not concern changes from before the
+    /// move.
     pub fn change_address(&mut self, now: Micros) {
         if self.is_confirmed() && !self.is_outage_presumed() {
             self.outage = Outage::Presumed { since: now };
@@ -188,7 +194,7 @@
     pub fn fail(&mut self, now: Micros, call: &DiscoveryCall, failure: CallFailure) {
         let Some(terms) = self.terms else { return };
         if failure == CallFailure::ConnectionRefused && self.is_unconfirmed() {
-            self.confirmation = ListConfirmation::DiscoveryUnreachable;
+            self.confirmation = ListConfirmation::UnconfirmedConnectionRefused;
         }
         match self.mode {
             DiscoveryMode::Polled => self.fail_service(now, call, failure, terms),
@@ -208,7 +214,8 @@
     }
 
     /// Records a failed call to a polled discovery. The order matters: the failure is classified by the
-    /// confirmation and the outage before it, and the bound follows from both after it.
+    /// values of `confirmation` and `outage` from before the failure. Both are then updated, and the bound is
+    /// computed from the updated values.
     fn fail_service(&mut self, now: Micros, call: &DiscoveryCall, failure: CallFailure, terms: LeaseTerms) {
         let previous_outage = self.outage;
         let failure_class = self.classify(now, call, failure);
@@ -217,7 +224,7 @@
         if let ListConfirmation::Confirmed { at } = &mut self.confirmation {
             *at = confirmed_until.max(*at);
         }
-        // Until this time discovery had no change, or may still have been down.
+        // The time until which discovery had no change that was not received, or is presumed down.
         let counted_from = match self.outage {
             Outage::Refused => now,
             Outage::Presumed { since } => since + terms.presumed_outage,
@@ -228,7 +235,7 @@
             || self.restarts_failure_bound(previous_outage, failure);
         self.update_failure_bound(notified_from, call.started_at - confirmed_until, restarts);
         let reached_discovery = failure != CallFailure::ConnectionRefused && !self.is_outage_presumed();
-        self.others_reached_discovery |= reached_discovery && !call.was_watching(now);
+        self.others_reached_discovery |= reached_discovery && !call.is_held(now);
     }
 
     /// Returns whether [`NOTIFIED_AFTER_CALL`] starts again: discovery was unreachable for every proxy, and
@@ -256,8 +263,10 @@
         if failure == CallFailure::ConnectionRefused {
             return now;
         }
-        // The connection may have been dead for some time before it broke.
-        if failure == CallFailure::ConnectionLost && call.was_watching(now) {
+        // The connection may have been dead for some time before it broke. The changes of the call count as
+        // notified from `NOTIFIED_AFTER_WAIT` after its wait. The list counts as confirmed until
+        // `NOTIFIED_AFTER_CALL` before that time, but at least until the call started.
+        if failure == CallFailure::ConnectionLost && call.is_held(now) {
             let silence = (call.wait + NOTIFIED_AFTER_WAIT - NOTIFIED_AFTER_CALL).max(0);
             return now.min(call.started_at + silence);
         }
--- a/crates/membership/src/lease/outage.rs
+++ b/crates/membership/src/lease/outage.rs
@@ -1,8 +1,9 @@
 //! Classification of failed calls: outage of discovery, or overload.
 //!
-//! An overloaded discovery rejects queued calls, at once or at the queue limit, and ends no watch. A watch
-//! that ends with an error, or an error at any other time, therefore indicates that discovery went down. A
-//! process that never received a response presumes no outage, because its list is unconfirmed in either case.
+//! An overloaded discovery rejects queued calls, at once or at the queue limit, and ends no call that it
+//! holds. An error to a held call, or an error at any other time, therefore indicates that discovery went
+//! down. A process that never received a response presumes no outage, because its list is unconfirmed in
+//! either case.
 
 use super::{CallFailure, Lease, ListConfirmation, NOTIFIED_AFTER_CALL};
 use crate::call::DiscoveryCall;
@@ -34,16 +35,15 @@
 pub(super) enum FailureClass {
     /// The kernel refused the connection.
     Refused,
-    /// Discovery went down just now. The time until its earlier changes count as notified starts again,
-    /// because they do not count as notified yet.
+    /// Discovery went down just now. No change since the last confirmation counts as notified yet, so
+    /// [`NOTIFIED_AFTER_CALL`] starts again.
     OutageBegins,
     /// Discovery was already presumed down.
     OutageContinues {
         /// The start of the outage.
         since: Micros,
     },
-    /// Discovery is down, as this call shows. The time until its earlier changes count as notified does not
-    /// start again.
+    /// This call indicates that discovery is down. [`NOTIFIED_AFTER_CALL`] does not start again.
     OutageFound {
         /// The start of the outage.
         since: Micros,
@@ -75,7 +75,7 @@
         let is_error = failure == CallFailure::ErrorResponse;
         let ended_at_once = ends_at_once(now, call);
         let is_at_limit = call.is_at_queue_limit(now);
-        // An overload ends no call at any other time.
+        // An overload ends calls only at once or at the queue limit, so this error indicates an outage.
         if is_error && !ended_at_once && !is_at_limit && self.is_confirmation_recent(now) {
             return FailureClass::OutageBegins;
         }
@@ -84,7 +84,8 @@
         }
         let may_be_overload = ended_at_once || (is_at_limit && !call.continues_watch);
         if is_error && self.is_confirmed() && !may_be_overload {
-            // A call that is rejected at the queue limit was made when discovery was already down.
+            // A call that continues a watch is not queued, so an overload does not reject it at the queue
+            // limit: discovery was already down when the call was made.
             let since = if is_at_limit { call.started_at } else { now };
             return FailureClass::OutageFound { since };
         }
--- a/crates/membership/src/lease/terms.rs
+++ b/crates/membership/src/lease/terms.rs
@@ -12,8 +12,8 @@
     /// The longest suspension of forwarding. By its end, draining endpoints have stopped or reject
     /// requests themselves.
     pub max_suspension: Micros,
-    /// The time for which discovery is presumed down after it ended an open watch with an error. A proxy
-    /// cannot distinguish an outage from an overload that follows it.
+    /// The time for which discovery is presumed down after it ended a held call with an error. A proxy cannot
+    /// distinguish an outage from an overload that follows it.
     pub presumed_outage: Micros,
 }
 
--- a/crates/membership/src/maintenance.rs
+++ b/crates/membership/src/maintenance.rs
@@ -113,8 +113,9 @@
         self.drained.iter().map(String::as_str)
     }
 
-    /// Adopts the later state of another process: replaces the drained endpoints and adds the known names.
-    /// Returns the names of the endpoints that are drained or restored by this.
+    /// Adopts the state of another process: replaces the drained endpoints and adds the known names. Returns
+    /// the names of the endpoints that are drained or restored by this. The method cannot check that `later`
+    /// is the later of the two states.
     pub fn adopt(&mut self, later: &Maintenance) -> Vec<String> {
         for name in &later.known_order {
             self.record_listed(name);
--- a/crates/membership/src/watch/backoff.rs
+++ b/crates/membership/src/watch/backoff.rs
@@ -17,8 +17,8 @@
 /// The upper bound of the backoff before the first retry. Each backoff is drawn from a quarter of its upper
 /// bound up to the upper bound.
 const MAX_FIRST_BACKOFF: Micros = 200 * MILLISECOND;
-/// The upper bound of the backoff before a further retry. It is short because changes at discovery soon count
-/// as notified.
+/// The upper bound of the backoff before a further retry. It is short because a retry has to succeed before
+/// changes at discovery count as notified.
 const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
 /// The upper bound of the backoff after discovery rejected the call. It is longer because rejections cost an
 /// overloaded discovery work. The retry still completes before the lease expires.
@@ -60,7 +60,8 @@
         if !self.lease.is_confirmed() && !self.has_version {
             return backoff.min(FIRST_CALL_SPREAD);
         }
-        // An outage may end at any time, and a call must follow its end soon enough.
+        // An outage may end at any time. The backoff stays short, so that a call follows before the changes
+        // after the outage count as notified.
         if !self.was_rejected || self.lease.is_outage_presumed() {
             return backoff;
         }
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -4,14 +4,15 @@
 //!
 //! A call can go wrong in two ways:
 //!
-//! - **The call fails**: it is refused, reset, or answered with an error. It then notified no change itself,
-//!   but changes that discovery had while it [was reachable](CallFailure) still count as notified six seconds
-//!   later.
+//! - **The call fails**: it is refused, reset, or answered with an error. The call itself then notified no
+//!   change. The changes that discovery had while discovery [was reachable](CallFailure) still count as
+//!   notified six seconds later.
 //! - **The call may have notified a change that was not received**: the response broke off, cannot be parsed,
 //!   or is missing although the requested wait is over.
 //!
-//! In both cases the watch polls again without a further event. If no terms bound the list, a failure ends
-//! the watch ([`WatchAction::WatchEnded`]), and [`WatchEvent::StartWatch`] starts it again.
+//! In both cases the watch sets its timer and polls again when the timer is due. A failure instead ends the
+//! watch ([`WatchAction::WatchEnded`]) if no terms bound the list, or if an agent that pushes lists cannot be
+//! reached or does not respond. [`WatchEvent::StartWatch`] then starts it again.
 
 mod backoff;
 mod event;
@@ -130,7 +131,8 @@
             return self.poll_if_due(now, actions);
         }
         if !self.has_version && self.last_call == 0 {
-            // No request can be served before the first response.
+            // Without a list no request can be served before the first response. The first call is spread as
+            // in `DiscoveryWatch::new`.
             self.is_active = true;
             self.next_call_at = Some(now + self.rng.i64(0..FIRST_CALL_SPREAD));
             return;
