--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! A listener whose decisions never answer: the request must still time out before its client does.
+//! A listener whose balancer never answers: the request must still time out before its client does.
 
 use std::io::{BufRead, BufReader, Write};
 
--- a/crates/proxy/src/hosting/limits.rs
+++ b/crates/proxy/src/hosting/limits.rs
@@ -1,4 +1,5 @@
-//! Enforcement of a tenant's limits on connections, requests and attempts for one connection or request.
+//! The permits of one connection and of one request, which enforce a tenant's limits on connections, requests
+//! and attempts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -116,6 +117,7 @@
     }
 
     fn max_attempts(&self) -> usize {
+        // 0 stands for the number in the settings.
         self.remaining_attempts().unwrap_or(0)
     }
 
--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -1,5 +1,5 @@
-//! The hosted mode: many tenants in one process, isolated from each other by limits. All tenants change
-//! together, from one version to the next.
+//! The hosted mode: many tenants in one process, isolated from each other by limits. A version
+//! contains the configurations of all tenants and is replaced as a whole.
 //!
 //! A tenant's pools start with its first request and stop after `IDLE_TIMEOUT` without a request, so that
 //! idle tenants use almost no resources. If any of a tenant's pools gets its endpoints from discovery, the
@@ -64,7 +64,7 @@
     pub version: u64,
     /// The tenants that are served first.
     pub tenants: Arc<Tenants>,
-    /// The seed of request ids and of the random numbers of the decisions.
+    /// The seed of request ids and of the random numbers of the balancers.
     pub seed: u64,
     /// Commands of the administration API.
     pub commands: mpsc::UnboundedReceiver<Command>,
--- a/crates/proxy/src/hosting/router.rs
+++ b/crates/proxy/src/hosting/router.rs
@@ -61,8 +61,8 @@
             return Ok(());
         }
         let permit = ConnectionPermit::acquire(&self.hosted.limiter, tenant.id)?;
-        // Drops the permit of the former tenant, which borrows the limiter, so the limiter must not be
-        // borrowed here.
+        // The assignment drops the permit of the former tenant. The drop borrows the limiter mutably, so the
+        // limiter must not be borrowed here.
         *state = Some(Box::new(permit));
         Ok(())
     }
--- a/crates/proxy/src/hosting/tenant.rs
+++ b/crates/proxy/src/hosting/tenant.rs
@@ -1,4 +1,5 @@
-//! One tenant of a hosted service: the version, the share of connections, and the pools while they run.
+//! One tenant of a hosted service: its configuration, its share of the connections, and its pools while they
+//! run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Replaces the configuration and the number of connections. A change of another tenant's weight changes
-    /// this tenant's connections, but not its version.
+    /// Replaces the configuration and the maximum number of connections. The connections are divided between
+    /// the tenants by weight, so another tenant's weight changes this tenant's maximum, but not its version.
     fn replace(&self, version: u64, tenant: &Arc<Tenant>, max_connections: usize) -> Change {
         let is_same_tenant = Arc::ptr_eq(&self.tenant.borrow(), tenant);
         if !is_same_tenant {
--- a/crates/proxy/src/hosting/tenants.rs
+++ b/crates/proxy/src/hosting/tenants.rs
@@ -84,15 +84,15 @@
         let tenant = &tenants.all[name];
         let limits = tenants.limits(&self.shared, tenant);
         let max_connections = tenants.sockets(&self.shared, tenant);
-        let key_bounds = tenants.idempotency_limits(&self.shared, tenant);
+        let key_limits = tenants.idempotency_limits(&self.shared, tenant);
         let mut limiter = self.limiter.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
         let hosted = by_name.entry(name.to_owned()).or_insert_with(|| {
             let id = limiter.add_tenant(now, limits);
-            let keys = KeyTable::new(key_bounds, self.clock);
+            let keys = KeyTable::new(key_limits, self.clock);
             Rc::new(HostedTenant::new(id, name, version, tenant, max_connections, keys))
         });
-        hosted.keys.set_limits(key_bounds);
+        hosted.keys.set_limits(key_limits);
         limiter.set_limits(now, hosted.id, limits);
         hosted.update(version, tenant, max_connections, &self.pool_context());
     }
--- a/crates/proxy/src/inherited_socket.rs
+++ b/crates/proxy/src/inherited_socket.rs
@@ -95,7 +95,8 @@
 /// other thread is started, because it sets environment variables.
 ///
 /// # Errors
-/// Returns an error if the named descriptor is not a listening socket.
+/// Returns an error if the value is not the number of an inheritable descriptor, or the descriptor is not a
+/// listening socket.
 pub fn platform_listener() -> Result<Option<TcpListener>, InheritedSocketError> {
     let Some(value) = std::env::var_os(DESCRIPTOR_VARIABLE) else { return Ok(None) };
     let value = value.to_string_lossy().into_owned();
@@ -109,7 +110,7 @@
     let range = FIRST_DESCRIPTOR..FIRST_DESCRIPTOR + MAX_DESCRIPTORS;
     let descriptor = value.trim().parse().ok().filter(|number| range.contains(number));
     let index = descriptor.ok_or(SocketFault::BadDescriptor)? - FIRST_DESCRIPTOR;
-    // `listenfd` only reads systemd's variables.
+    // `listenfd` only reads systemd's variables, so the descriptor is passed to it in them.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", (index + 1).to_string());
     let listener = ListenFd::from_env().take_tcp_listener(index).map_err(SocketFault::Io)?;
--- a/crates/proxy/src/learned_state/names/mod.rs
+++ b/crates/proxy/src/learned_state/names/mod.rs
@@ -24,6 +24,7 @@
     u64::try_from(duration).unwrap_or(0)
 }
 
+/// Converts a stored duration, limited to [`MAX_AGE`].
 fn from_stored_duration(duration: learned_state::Micros) -> Micros {
     duration.min(MAX_AGE) as Micros
 }
@@ -99,11 +100,12 @@
         let uptime_now = endpoint.started_ms.and_then(&uptime);
         Some(learned::LearnedEndpoint {
             id: *learned_names.endpoint_ids.get(endpoint.name.as_str())?,
+            // Learned state has the uptime at the time of its export.
             uptime: uptime_now.map(|uptime| uptime.saturating_sub(age)),
             classes: class_order.apply(&endpoint.latency_by_class),
             consecutive_failures: endpoint.consecutive_failures,
             ejected_for: from_stored_duration(endpoint.ejected_for),
-            // Tokens that several balancers hold at once would be spent more than once.
+            // Several balancers that imported one slow start budget would together exceed it.
             slow_start_tokens: 0.0,
         })
     };
--- a/crates/proxy/src/learned_state/writer.rs
+++ b/crates/proxy/src/learned_state/writer.rs
@@ -16,8 +16,8 @@
 use super::timestamped;
 use crate::log::log_line;
 
-/// The maximum time to submit the last write, and then to wait for its end. It is bounded so that a disk that
-/// hangs does not delay the shutdown.
+/// The maximum time to submit the last write, and again the maximum time to wait for its end. Both are
+/// bounded so that a disk that hangs does not block the shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The interval at which the last write is submitted again while the thread is busy.
 const RESUBMIT_INTERVAL: Duration = Duration::from_millis(20);
@@ -70,7 +70,7 @@
     pub fn start(settings: &LearnedStateSettings) -> StateWriter {
         let (jobs, job_receiver) = mpsc::sync_channel(1);
         let writer = FolderWriter::new(settings.folder.clone(), settings.files);
-        let thread = thread::Builder::new().name("memory".to_owned());
+        let thread = thread::Builder::new().name("learned-state".to_owned());
         if let Err(error) = thread.spawn(move || writer.run(&job_receiver)) {
             log_line(format_args!("learned state: cannot start the writer thread: {error}: not writing it"));
         }
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Writes the state for the last time, and waits for the end of the write up to [`LAST_WRITE_TIMEOUT`].
+    /// Writes the state for the last time: submits the write and waits for its end, each for at most
+    /// [`LAST_WRITE_TIMEOUT`].
     pub async fn write_last(&self, snapshot: LearnedSnapshot) {
         let (done, written) = oneshot::channel();
         let mut job = WriteJob { snapshot: timestamped(snapshot), done: Some(done) };
--- a/crates/proxy/src/maintenance/file.rs
+++ b/crates/proxy/src/maintenance/file.rs
@@ -86,7 +86,7 @@
     /// the machine is up.
     ///
     /// # Errors
-    /// The file cannot be written or renamed.
+    /// Returns an error if the file cannot be written or renamed.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let path = self.path();
         let temporary = self.folder.join(TEMPORARY_NAME);
--- a/crates/proxy/src/maintenance/mod.rs
+++ b/crates/proxy/src/maintenance/mod.rs
@@ -15,8 +15,8 @@
 use crate::membership::RegistryObserver;
 use file::{FileChange, MaintenanceFile};
 
-/// The interval at which the file is checked, because another process may have written it. Well within the
-/// drain grace.
+/// The interval at which the file is checked, because another process may have written it. It is much
+/// shorter than the drain grace.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The maintenance state of one pool: the store, and the prefix of the pool's endpoints in the operators'
--- a/crates/proxy/src/metrics/attempt_write.rs
+++ b/crates/proxy/src/metrics/attempt_write.rs
@@ -1,4 +1,4 @@
-//! Counting of attempts at a write to their connection.
+//! Counts attempts when they are written to their connection.
 
 use std::cell::RefCell;
 
@@ -19,7 +19,8 @@
         self.0.take();
     }
 
-    /// Counts a marked message; called when the kernel has accepted bytes.
+    /// Increments the counter set by [`Self::count_next_write`], if any; called when the kernel has accepted
+    /// bytes.
     pub fn on_write(&self) {
         if let Some(counter) = self.0.take() {
             counter.inc();
--- a/crates/proxy/src/operators/context.rs
+++ b/crates/proxy/src/operators/context.rs
@@ -17,7 +17,7 @@
 pub struct OperatorContext {
     pub metrics: Rc<Metrics>,
     pub maintenance: Rc<MaintenanceStore>,
-    /// The tenant whose pools are started; `None` outside a hosted service.
+    /// The tenant that the pools belong to; `None` for all tenants, and outside a hosted service.
     pub tenant: Option<String>,
 }
 
@@ -32,7 +32,8 @@
     /// address is configured.
     ///
     /// # Errors
-    /// Returns an error if the address cannot be bound or the folder cannot be created.
+    /// Returns an error if the address cannot be bound or the folder of the maintenance state cannot be
+    /// created.
     pub async fn open(settings: Option<&Operators>) -> Result<Option<OperatorEndpoint>, StartError> {
         let Some(Operators { listen, folder }) = settings else { return Ok(None) };
         let listener = server::bind(*listen).await?;
--- a/crates/proxy/src/operators/server.rs
+++ b/crates/proxy/src/operators/server.rs
@@ -40,7 +40,7 @@
 const MAX_HEAD_BYTES: usize = 8 << 10;
 /// The largest request body, in bytes. A body is the id of an endpoint.
 const MAX_BODY_BYTES: usize = 512;
-/// The pause after a failed accept; an immediate retry would loop without a pause.
+/// The pause after a failed accept. Immediate retries would keep the thread busy while the cause lasts.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 const OPEN_METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -150,8 +150,9 @@
 
 /// The reason that a request body is not an endpoint's id.
 enum BodyError {
+    /// The declared length of the body is too large.
     TooLong,
-    /// The body is too long, or the client closed the connection early.
+    /// The received body is too long, or the client closed the connection early.
     Incomplete,
     /// The body is empty or not UTF-8.
     Empty,
--- a/crates/proxy/src/platform/config_file.rs
+++ b/crates/proxy/src/platform/config_file.rs
@@ -25,7 +25,7 @@
     pub discovery: SocketAddr,
     /// The operators' address, if there is one.
     pub operators: Option<SocketAddr>,
-    /// The seed of the random numbers of the decisions and of discovery.
+    /// The seed of the random numbers of the balancer and of discovery.
     pub seed: u64,
     /// The maximum number of client connections.
     pub max_downstream_connections: usize,
@@ -43,7 +43,8 @@
 pub struct GossipConfig {
     /// The address that receives messages of peers.
     pub listen: SocketAddr,
-    /// The addresses of the proxies of the tier, ordered by rank.
+    /// The addresses of the proxies of the tier. The position of a proxy is its rank, which identifies it in
+    /// gossip.
     pub peers: Vec<SocketAddr>,
 }
 
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -35,14 +35,14 @@
 
 pub use config_file::{Config, ConfigError, GossipConfig};
 
-/// The shortest deadline for polls of discovery, in microseconds; used if the settings have a shorter one or
-/// none.
+/// The shortest deadline for polls of discovery, in microseconds. The deadline is the maximum poll interval
+/// of the settings if that is longer.
 const MIN_POLL_DEADLINE: Micros = 10_000_000;
 /// Forwarding with an expired list stays suspended for at most this many poll deadlines after the last reason
 /// to suspend it, then resumes with the old list.
 const MAX_SUSPENSION_POLL_DEADLINES: Micros = 4;
-/// Discovery that ends standing watches with errors is presumed down for this fraction of a poll deadline,
-/// 4/5: the longest outage of discovery that operators specify is eight seconds.
+/// Discovery that ends standing watches with errors is presumed down for 4/5 of a poll deadline. For the
+/// shortest deadline that is eight seconds, the longest outage of discovery that operators specify.
 const PRESUMED_OUTAGE_NUMERATOR: Micros = 4;
 const PRESUMED_OUTAGE_DENOMINATOR: Micros = 5;
 /// The environment variable with the folder that a process of the platform shares with its successor. If
@@ -57,7 +57,7 @@
 pub fn run() -> Result<(), StartError> {
     let config = Config::from_env()?;
     let inherited = inherited_socket::platform_listener()?;
-    // A proxy has one core, so further threads would only move work between caches.
+    // Runs on one thread: a proxy has one core, so further threads would only move work between caches.
     process::block_on(serve(config, inherited))
 }
 
@@ -112,7 +112,7 @@
     driver: Driver,
     upstreams: Rc<UpstreamPool>,
     registry: EndpointRegistry,
-    /// Notified when the decisions request a poll of discovery.
+    /// Notified when the balancer requests a poll of discovery.
     poll_requested: Rc<Notify>,
 }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Starts the decisions, discovery, and the maintenance of upstream connections.
+    /// Starts the driver of the balancer, discovery, and the maintenance of upstream connections.
     fn start(
         self,
         platform: &PlatformSettings,
--- a/crates/proxy/src/platform/operations.rs
+++ b/crates/proxy/src/platform/operations.rs
@@ -18,7 +18,7 @@
 /// The operators' actions on the platform's only pool.
 struct Operations {
     metrics: Rc<Metrics>,
-    /// Subscribed to the maintenance store for as long as it exists.
+    /// Applies maintenance to the pool. It is subscribed to the maintenance store until it is dropped.
     applier: Rc<MaintenanceApplier>,
     ready: Rc<Cell<bool>>,
     shutting_down: Rc<Cell<bool>>,
@@ -38,8 +38,8 @@
     }
 }
 
-/// Serves operators and applies the maintenance state kept in `state_folder` to the registry. If `None`, the
-/// state is not kept.
+/// Serves operators and applies the maintenance state stored in `state_folder` to the registry. If the folder
+/// is `None`, the state is not stored.
 pub fn serve(
     listener: TcpListener,
     state_folder: Option<PathBuf>,
--- a/crates/proxy/src/platform_router.rs
+++ b/crates/proxy/src/platform_router.rs
@@ -48,7 +48,7 @@
         Ok(class)
     }
 
-    /// The index of the tenant named by the header. If no tenants are configured, the header is ignored.
+    /// The index of the tenant named by the header. If no tenants are configured, the name is ignored.
     fn tenant(&self, headers: &HeaderMap) -> Result<Option<usize>, StatusCode> {
         match single_header_value(headers, TENANT_HEADER)? {
             Some(name) if !self.settings.tenants.is_empty() => {
--- a/crates/proxy/src/rpc_mapping/call_to_http.rs
+++ b/crates/proxy/src/rpc_mapping/call_to_http.rs
@@ -72,8 +72,8 @@
     })
 }
 
-fn http_method(verb: HttpMethod) -> hyper::Method {
-    match verb {
+fn http_method(method: HttpMethod) -> hyper::Method {
+    match method {
         HttpMethod::Get => hyper::Method::GET,
         HttpMethod::Post => hyper::Method::POST,
     }
--- a/crates/proxy/src/snapshot/mod.rs
+++ b/crates/proxy/src/snapshot/mod.rs
@@ -119,7 +119,7 @@
         pools.map(|pool| (pool.name.clone(), pool.announced_endpoints(slow_start_duration))).collect()
     }
 
-    /// Retires all pools, because no configuration has them anymore; open requests complete.
+    /// Retires all pools; open requests complete.
     pub fn retire(&self) {
         self.pools.iter().for_each(|pool| pool.retire());
     }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -42,7 +42,7 @@
     head: Vec<u8>,
     /// The maximum number of bytes to keep in `head`.
     max_head_bytes: usize,
-    /// The number of bytes read of the message and of any bytes that follow it.
+    /// The number of bytes read since the message started, including any that follow its end.
     bytes: u64,
     /// When the first byte of the message arrived.
     started_at: Option<Instant>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The number of head bytes to keep if heads are not validated byte by byte.
+/// The value of `max_head_bytes` with which no bytes are kept.
 pub const NO_HEAD_CAPTURE: usize = 0;
 
 /// Counts a descriptor while it is open.
@@ -131,7 +131,7 @@
         })
     }
 
-    /// The number of bytes read of the current message and of any bytes that follow it.
+    /// The number of bytes read since the current message started, including any that follow its end.
     pub fn message_bytes(&self) -> u64 {
         self.0.inbound.as_ref().map_or(0, |inbound| inbound.borrow().bytes)
     }
--- a/crates/proxy/src/standalone/announcer.rs
+++ b/crates/proxy/src/standalone/announcer.rs
@@ -1,4 +1,4 @@
-//! Publication of the endpoints behind this proxy's addresses to the announcer of the addresses.
+//! Publishes the endpoints that serve the announced addresses to the announcer of these addresses.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -31,8 +31,8 @@
 }
 
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// The number of updates per update that includes the endpoints although no list has changed, because
-/// endpoints may have warmed up in the meantime.
+/// One update out of this number includes the endpoints even if no list has changed, because endpoints may
+/// have warmed up in the meantime.
 const UPDATES_PER_FULL_UPDATE: u32 = 10;
 
 /// The task that publishes updates to the announcer.
--- a/crates/proxy/src/standalone/mod.rs
+++ b/crates/proxy/src/standalone/mod.rs
@@ -41,7 +41,7 @@
 pub struct Options {
     /// The configuration that is served first.
     pub config: Config,
-    /// The seed of request ids and of the random numbers of the decisions.
+    /// The seed of request ids and of the random numbers of the balancers.
     pub seed: u64,
     /// Loads the configuration on SIGHUP.
     pub load_config: LoadConfig,
