--- a/src/bin/amberlever/check.rs
+++ b/src/bin/amberlever/check.rs
@@ -1,4 +1,4 @@
-//! `amberlever check`: checks a configuration and plays its expectations, without sending anything.
+//! `amberlever check`: checks a configuration and evaluates its expectations, without sending anything.
 
 use std::io::Write;
 use std::path::Path;
--- a/src/bin/amberlever/cli.rs
+++ b/src/bin/amberlever/cli.rs
@@ -23,7 +23,7 @@
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Check a configuration file and play its expectations, without sending anything.
+    /// Check a configuration file and evaluate its expectations, without sending anything.
     ///
     /// Exit status: 0 on success, 1 if an expectation fails, 2 if the configuration is invalid.
     Check {
--- a/src/bin/amberlever/hosted.rs
+++ b/src/bin/amberlever/hosted.rs
@@ -71,7 +71,7 @@
     let (version, tenants) = block_on(service.current());
     let options = hosting::Options { setup: settings, version, tenants, seed: crate::seed(), commands };
     hosting::run(options, |listeners| {
-        // The administration API opens only now, since its changes apply to a data plane that serves.
+        // The administration API opens only now, because its changes need a data plane that is serving.
         match admin::serve::start(listener, service) {
             Ok(()) => log_line(format_args!("administration API listening on {address}")),
             Err(error) => {
@@ -95,7 +95,7 @@
 pub fn serve(path: &Path) -> Option<std::process::ExitCode> {
     let (settings, initial) = match HostedSettings::load(path, &read) {
         Ok(loaded) => loaded?,
-        // This includes files of either kind that cannot be read or parsed.
+        // A file that cannot be read or parsed ends here, even if it was meant for a standalone proxy.
         Err(diagnostics) => return Some(failed(&diagnostics.to_string(), BAD_CONFIGURATION)),
     };
     Some(match run(&settings, initial, |_, _| {}) {
--- a/src/bin/amberlever/main.rs
+++ b/src/bin/amberlever/main.rs
@@ -1,4 +1,5 @@
-//! The program `amberlever`: a proxy of the platform, or an installation with a configuration file.
+//! The program `amberlever`: a proxy of the platform, a standalone proxy or a hosted service, and commands
+//! for operators.
 
 mod announce;
 mod check;
@@ -66,7 +67,7 @@
     std::fs::read_to_string(path).map_err(|e| e.to_string())
 }
 
-/// Loads a configuration and plays its expectations.
+/// Loads a configuration and evaluates its expectations.
 ///
 /// # Errors
 /// A one-line message and the exit code, if the configuration is invalid or fails an expectation.
