--- a/crates/proxy/src/hosting/mod.rs
+++ b/crates/proxy/src/hosting/mod.rs
@@ -1,5 +1,5 @@
-//! The hosted mode: many tenants in one process, isolated from each other by limits. A version
-//! contains the configurations of all tenants and is replaced as a whole.
+//! The hosted mode: many tenants in one process, isolated from each other by limits. A version contains the
+//! configurations of all tenants and is replaced as a whole.
 //!
 //! A tenant's pools start with its first request and stop after `IDLE_TIMEOUT` without a request, so that
 //! idle tenants use almost no resources. If any of a tenant's pools gets its endpoints from discovery, the
--- a/crates/proxy/src/hosting/tenant.rs
+++ b/crates/proxy/src/hosting/tenant.rs
@@ -1,5 +1,5 @@
-//! One tenant of a hosted service: its configuration, its share of the connections, and its pools while they
-//! run.
+//! One tenant of a hosted service: its configuration and version, its share of the connections, and its pools
+//! while they run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
