--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -68,8 +68,8 @@
     key: Box<str>,
 }
 
-/// The end of the retention of a completed key, ordered by time. The reservation distinguishes ends at the
-/// same time.
+/// The end of the retention of a completed key, ordered by time. The reservation keeps the expiries of two
+/// keys distinct if they are at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Micros,
--- a/crates/learned-state/src/decode.rs
+++ b/crates/learned-state/src/decode.rs
@@ -39,9 +39,9 @@
 /// Counts of the sections that were not decoded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedSections {
-    /// The number of sections that are damaged, or whose pool section is damaged.
+    /// The number of sections that are damaged, and of endpoints sections whose pool section was skipped.
     pub damaged: usize,
-    /// The number of sections of an unknown kind, or of pools above the maximum number of pools.
+    /// The number of sections of an unknown kind, and of pool sections above the maximum number of pools.
     pub unknown: usize,
     /// Whether the bytes end within a section.
     pub truncated: bool,
@@ -96,7 +96,8 @@
 struct Decoder {
     snapshot: LearnedSnapshot,
     skipped: SkippedSections,
-    /// Whether the last pool section was decoded, so that endpoints sections belong to the last pool.
+    /// Whether the content of the last pool section with a valid checksum was decoded, so that endpoints
+    /// sections may belong to the last pool. The checksum of the pool's name shows whether they do.
     has_pool: bool,
 }
 
@@ -244,7 +245,7 @@
     }
 
     /// Reads the endpoints of the pool of this name. Returns `None` if they belong to another pool, whose
-    /// section was lost.
+    /// section was skipped.
     fn endpoints(&mut self, pool: &str, class_count: usize) -> Option<Vec<StoredEndpoint>> {
         if self.u32()? != crc32c::crc32c(pool.as_bytes()) {
             return None;
--- a/crates/learned-state/src/encode.rs
+++ b/crates/learned-state/src/encode.rs
@@ -68,7 +68,7 @@
 }
 
 fn write_endpoints(content: &mut Vec<u8>, pool: &PoolRecord, endpoints: &[StoredEndpoint]) {
-    content.extend(crc32c::crc32c(bounded(&pool.name)).to_le_bytes());
+    content.extend(crc32c::crc32c(truncated_name(&pool.name)).to_le_bytes());
     write_count(content, endpoints.len());
     let class_count = pool.classes.len().min(MAX_LIST_ENTRIES);
     for endpoint in endpoints {
@@ -91,13 +91,13 @@
 }
 
 fn write_name(content: &mut Vec<u8>, name: &str) {
-    let name = bounded(name);
+    let name = truncated_name(name);
     write_count(content, name.len());
     content.extend_from_slice(name);
 }
 
 /// Returns the bytes of a name, truncated after the last character within [`MAX_NAME_BYTES`].
-fn bounded(name: &str) -> &[u8] {
+fn truncated_name(name: &str) -> &[u8] {
     let mut end = name.len().min(MAX_NAME_BYTES);
     while !name.is_char_boundary(end) {
         end -= 1;
--- a/crates/learned-state/src/format.rs
+++ b/crates/learned-state/src/format.rs
@@ -2,7 +2,7 @@
 
 /// The version that [`encode`](crate::encode()) writes.
 pub const VERSION: u16 = 1;
-/// The largest file that is read, in bytes.
+/// The maximum size of a file that is read, in bytes.
 pub const MAX_FILE_BYTES: usize = 64 << 20;
 
 /// The oldest version whose readers can read the output of [`encode`](crate::encode()).
--- a/crates/learned-state/src/lib.rs
+++ b/crates/learned-state/src/lib.rs
@@ -1,9 +1,9 @@
 //! Learned state as it is stored on disk and sent to peers: a [`LearnedSnapshot`], and its binary form.
 //!
 //! The crate does no I/O and reads no clock. Ages are durations, so that the clocks of two machines need not
-//! be synchronised. A file is a head and sections, each with a length and a CRC-32C: a damaged section or one
-//! of an unknown kind is skipped without the others, and data beyond a bound is not read. The contents are
-//! not validated further; the balancer validates them on import.
+//! be synchronised. A file is a head and a sequence of sections, each with a length and a CRC-32C. A section
+//! that is damaged or of an unknown kind is skipped, and the other sections are still read. Data beyond a
+//! bound is not read. The contents are not validated further; the balancer validates them on import.
 //!
 //! # The format, version 1
 //!
--- a/crates/learned-state/src/snapshot.rs
+++ b/crates/learned-state/src/snapshot.rs
@@ -3,7 +3,7 @@
 /// A duration in microseconds.
 pub type Micros = u64;
 
-/// The age from which on learned state is no longer meaningful, in microseconds: 365 days.
+/// The maximum age of a snapshot, in microseconds: 365 days. Older learned state is no longer meaningful.
 pub const MAX_AGE: Micros = 365 * 86_400_000_000;
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
@@ -68,7 +68,7 @@
     pub uptime: Micros,
     /// The base threshold of admission for each ready endpoint. `None` if it is unknown.
     pub threshold_per_endpoint: Option<f64>,
-    /// The position of the admission cursor, as a fraction of its table.
+    /// The position of the admission cursor, as a fraction of the length of the cursor table.
     pub cursor_position: f64,
     /// The latency of the idle pool, as a fraction of the latency objective. `None` if it is unknown.
     pub baseline_latency: Option<f64>,
--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -119,7 +119,7 @@
         if now - self.period_start >= SHARE_PERIOD {
             self.begin_period(now);
         }
-        // A removed tenant has no share of the capacity.
+        // The reason is the share because a removed tenant has no share of the capacity.
         let unknown_tenant = Rejection { reason: RejectReason::Share, retry_after: 0 };
         let tenant = self.tenants.get_mut(id).ok_or(unknown_tenant)?;
         tenant.record_request(now);
@@ -203,8 +203,8 @@
     }
 }
 
-/// Returns the fair shares, each with a fraction of the capacity beyond the total demand by weight. The
-/// surplus serves tenants whose demand grows within the period.
+/// Returns the fair shares. If the capacity exceeds the total demand, the surplus is added to the shares in
+/// proportion to the weights. It serves tenants whose demand grows within the period.
 fn shares_with_surplus(capacity: f64, demands: &[Demand]) -> Vec<f64> {
     let mut shares = max_min_fair_shares(capacity, demands);
     let surplus = (capacity - shares.iter().sum::<f64>()).max(0.0);
--- a/crates/limit/src/limits.rs
+++ b/crates/limit/src/limits.rs
@@ -15,7 +15,7 @@
 /// The limits of one tenant. Infinity, or the maximum of an integer, means unlimited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The weight of its fair share against other tenants; at least 1.
+    /// The weight of the tenant in the division of capacity among tenants; 0 counts as 1.
     pub weight: u32,
     /// The maximum rate of requests, in requests per second.
     pub requests_per_s: f64,
--- a/crates/limit/src/quota.rs
+++ b/crates/limit/src/quota.rs
@@ -1,8 +1,8 @@
 //! A resource that requests hold until they end. Each tenant has a guaranteed amount and may borrow from the
 //! rest.
 
-/// The divisor of the resource that gives the amount that is never borrowed, so that an inactive tenant can
-/// acquire some when it becomes active.
+/// The total amount divided by this is never borrowed, so that an inactive tenant can acquire some when it
+/// becomes active.
 const IDLE_RESERVE_DIVISOR: u64 = 16;
 
 /// The resource of the whole process.
--- a/crates/limit/src/rejection.rs
+++ b/crates/limit/src/rejection.rs
@@ -9,13 +9,13 @@
 pub enum RejectReason {
     /// The limit of the tenant on requests per second.
     Rate,
-    /// The fair share of the tenant in the request rate of the process, while other tenants use theirs.
+    /// The fair share of the tenant in the request rate of the process.
     Share,
     /// The limit or quota of requests in flight.
     InFlight,
     /// The limit on downstream connections.
     Connections,
-    /// The limit or quota of bytes of buffered bodies.
+    /// The limit or quota of bytes of request bodies, by announced length.
     Bodies,
 }
 
--- a/crates/limit/src/tenant.rs
+++ b/crates/limit/src/tenant.rs
@@ -5,8 +5,8 @@
 
 /// The maximum credit from its fair share that a tenant may accumulate, in seconds of the share.
 const CREDIT_SECONDS: f64 = 0.2;
-/// The minimum of the maximum credit, in requests. With less, small shares would reject requests that arrive
-/// close together by chance.
+/// The credit that a tenant may accumulate however small its share, in requests. With less, tenants with a
+/// small share would be rejected when requests arrive close together by chance.
 const MIN_CREDIT_REQUESTS: f64 = 4.0;
 /// The fraction of the credit that a request of the lowest priority must leave unused.
 const LOW_PRIORITY_RESERVE: f64 = 0.5;
--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -6,8 +6,8 @@
 //! proxy that shares its listening socket with its successor.
 //!
 //! ```text
-//! begin  accepts and serves        closes idle connections     only open responses
-//!   |------------------------------|---------------------------|------------------------------> killed
+//! begin  accepts and serves        closes idle connections     sends the last responses
+//!   |------------------------------|---------------------------|------------------------------|
 //!   0                              accepts_until               responses_due_at               kill
 //! ```
 #![warn(missing_docs)]
--- a/crates/shutdown/src/policy.rs
+++ b/crates/shutdown/src/policy.rs
@@ -9,7 +9,7 @@
 const KILL_DELAY: Micros = 700 * MILLISECOND;
 /// The longest client timeout that delays the kill. Longer timeouts count as this one.
 const MAX_COUNTED_CLIENT_TIMEOUT: Micros = 3_000 * MILLISECOND;
-/// The time before the kill at which requests are no longer accepted. Most responses take less.
+/// The time before the kill at which requests are no longer accepted. Most requests are served within it.
 const LAST_REQUEST_MARGIN: Micros = 1_200 * MILLISECOND;
 /// The time before the kill at which requests are no longer accepted if clients have no other proxy. Requests
 /// that cannot be answered in time are rejected at once.
@@ -20,7 +20,7 @@
 /// The number of times that lateness can occur before a response is sent: the process may receive the signal
 /// late, detect the deadline late, and write the response late.
 const LATENESS_FACTOR: Micros = 3;
-/// The divisor of the time until the kill that gives the maximum response margin.
+/// The maximum response margin is the time until the kill divided by this.
 const MAX_RESPONSE_MARGIN_DIVISOR: Micros = 4;
 
 /// The properties of a shutdown that are fixed before it begins.
--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -27,8 +27,8 @@
         Shutdown { policy, began_at: None, lateness: 0 }
     }
 
-    /// Records the timeout of a client, in microseconds. With a kill deadline it has no effect, because
-    /// client timeouts do not move the kill.
+    /// Records the timeout of a client, in microseconds. With a kill deadline it has no effect, because the
+    /// time of the kill then follows from [`ShutdownPolicy::longest_client_timeout`] alone.
     pub fn observe_client_timeout(&mut self, timeout: Micros) {
         if !self.policy.has_kill_deadline {
             self.policy.longest_client_timeout = self.policy.longest_client_timeout.max(timeout);
@@ -70,7 +70,8 @@
     pub fn responses_due_at(&self) -> Option<Micros> {
         let began_at = self.began_at?;
         Some(if self.policy.has_kill_deadline {
-            // With short client timeouts, connections are still accepted when the last responses are due.
+            // With short client timeouts, the response time ends before acceptance does. Responses are not due
+            // before the end of acceptance.
             began_at + self.policy.response_time(self.lateness).max(self.accept_time())
         } else {
             began_at + self.accept_time() + PARTIAL_REQUEST_TIMEOUT
