--- a/crates/atomic-file/src/lib.rs
+++ b/crates/atomic-file/src/lib.rs
@@ -1,10 +1,10 @@
 //! Files that are replaced atomically: a crash at any time, or a power loss that drops, tears and reorders
 //! writes that were not synced, leaves either the previous file or the new one.
 //!
-//! Each [`AtomicFileStore::put`] writes a new file under a temporary name, syncs it, renames it to its
-//! number, and syncs the folder. Only then are older files removed, down to a given number.
-//! [`AtomicFileStore::newest_valid`] returns the newest file that the given decoder accepts, so that damage
-//! loses one file and not all.
+//! Each [`AtomicFileStore::put`] writes a new file under a temporary name, syncs it, renames it to the next
+//! number, and syncs the folder. Then the oldest files above the configured number of files are removed.
+//! [`AtomicFileStore::newest_valid`] returns the newest file that the given decoder accepts, so that an older
+//! file is used if the newest one is damaged.
 #![warn(missing_docs)]
 
 mod folder;
@@ -15,5 +15,5 @@
 pub use storage::FileStorage;
 pub use store::{newest_valid, AtomicFileStore};
 
-/// The largest file that is written or read, in bytes.
+/// The maximum size of a file that is written or read, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 << 20;
--- a/crates/atomic-file/src/storage.rs
+++ b/crates/atomic-file/src/storage.rs
@@ -8,7 +8,7 @@
     /// Returns the names of all files.
     ///
     /// # Errors
-    /// Returns the error of the operating system, as all operations do.
+    /// Returns the error of the operating system.
     fn list(&self) -> io::Result<Vec<String>>;
     /// Returns the content of a file.
     ///
--- a/crates/atomic-file/src/store.rs
+++ b/crates/atomic-file/src/store.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the newest file that can be read and that `decode` accepts, as [`AtomicFileStore::newest_valid`]
-/// does. It changes no file, so another process may hold the folder.
+/// does. Changes no file, so another process may hold the lock of the folder.
 ///
 /// # Errors
 /// Returns an error if the folder cannot be listed.
--- a/crates/jsonrpc/src/framing.rs
+++ b/crates/jsonrpc/src/framing.rs
@@ -83,7 +83,8 @@
         self.buffer.len()
     }
 
-    /// Returns the next complete message, or `None` if it has not arrived yet. Skips empty lines.
+    /// Returns the next complete message, or `None` if it has not arrived yet. Skips empty lines with
+    /// [`Framing::Line`].
     ///
     /// # Errors
     /// If the stream can no longer be split. Later calls return the same error.
--- a/crates/jsonrpc/src/lib.rs
+++ b/crates/jsonrpc/src/lib.rs
@@ -60,6 +60,6 @@
     pub const CONFLICT: i64 = -32003;
     /// An endpoint rejected the call before executing any of it.
     pub const NOT_PROCESSED: i64 = -32004;
-    /// The message exceeds a limit.
+    /// A message is too long, or a batch has too many entries.
     pub const TOO_LARGE: i64 = -32005;
 }
--- a/crates/jsonrpc/src/message.rs
+++ b/crates/jsonrpc/src/message.rs
@@ -89,7 +89,7 @@
 /// Parses the content of a frame.
 ///
 /// # Errors
-/// If it is not JSON, or exceeds a limit. One error response answers the whole frame.
+/// If it is not JSON, or exceeds a limit. One error response is sent for the whole frame.
 pub fn parse<'a>(frame: &'a [u8], limits: &Limits) -> Result<Parsed<'a>, InvalidMessage<'a>> {
     if frame.len() > limits.message_bytes {
         return Err(InvalidMessage::new(code::TOO_LARGE, "more bytes than are taken"));
@@ -197,7 +197,7 @@
         return false;
     }
     if text.starts_with('"') {
-        // An id with a lone surrogate could not be sent back.
+        // A string with an escaped lone surrogate is not valid Unicode, so it could not be sent back.
         return serde_json::from_str::<BorrowedText<'_>>(text).is_ok();
     }
     let digits = text.strip_prefix('-').unwrap_or(text);
--- a/crates/route/src/host_map.rs
+++ b/crates/route/src/host_map.rs
@@ -20,7 +20,7 @@
 }
 
 impl<T> HostMap<T> {
-    /// Returns the value for a pattern, and inserts this one first if there is none.
+    /// Returns the value for a pattern. If there is none, inserts `value` and returns it.
     pub fn get_or_insert(&mut self, pattern: HostPattern, value: T) -> &mut T {
         match pattern {
             HostPattern::Exact(name) => self.exact.entry(name).or_insert(value),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,8 +1,9 @@
 //! Routing: selects the class and the pool of a request, and the pools to which it may fall back.
 //!
 //! The crate does no I/O and uses neither clock nor randomness. A [`RouteTable`] is built once, checked as a
-//! whole and never changed; the proxy and `amberlever check` look up routes in the same table. The decision
-//! module selects the endpoint of a pool, among those that the route allows ([`EndpointScope`]).
+//! whole and never changed; the proxy and `amberlever check` look up routes in the same table. The endpoint of
+//! the pool is not selected here but by the balancer of the pool (its decision module), among the endpoints
+//! that the route allows ([`EndpointScope`]).
 //!
 //! # Precedence of routes
 //!
--- a/crates/route/src/normalize/mod.rs
+++ b/crates/route/src/normalize/mod.rs
@@ -1,10 +1,10 @@
-//! The normal form of hosts and paths. Requests are routed by it and forwarded to endpoints in it.
+//! The normal form of hosts and paths, which is used for routing and in the requests forwarded to endpoints.
 //!
 //! Paths (RFC 3986, sections 5.2.4 and 6.2.2): percent-encoded unreserved characters are decoded, the hex
 //! digits of other encodings are in upper case, characters that need encoding are encoded, `.` and `..`
-//! segments are resolved, and repeated slashes are merged. Rejected are paths that lead above the root,
-//! control characters (NUL included), malformed percent-encodings, and segments that contain a dot segment
-//! once a recipient decodes `%2F` or `%5C`.
+//! segments are resolved, and repeated slashes are merged. A path is rejected if it leads above the root, or
+//! contains a control character (NUL included), a malformed percent-encoding, or a segment that contains a dot
+//! segment once a recipient decodes `%2F` or `%5C`.
 //!
 //! Hosts: lower case, no trailing dot, no port; IPv6 addresses in their shortest form.
 
--- a/crates/route/src/normalize/path.rs
+++ b/crates/route/src/normalize/path.rs
@@ -23,8 +23,8 @@
     normalize_segments(&raw[1..]).map(Cow::Owned)
 }
 
-/// Whether a path is certainly in normal form. A cheap check without allocation: false also for some normal
-/// paths, such as those with a dot after a slash, which are then normalized in full.
+/// Whether a path is certainly in normal form. The check is cheap and allocates nothing. It returns false also
+/// for some normal paths, such as those with a dot after a slash, which are then normalized in full.
 fn is_normal(raw: &str) -> bool {
     let mut previous = 0;
     raw.bytes().all(|byte| {
--- a/crates/route/src/split.rs
+++ b/crates/route/src/split.rs
@@ -9,7 +9,7 @@
 
 use crate::PoolId;
 
-/// The number of bits of a hash that an `f64` represents exactly.
+/// The number of bits of the significand of an `f64`; an integer of this many bits is represented exactly.
 const MANTISSA_BITS: u32 = 53;
 
 /// The property of a request that is hashed to choose a pool.
@@ -55,7 +55,7 @@
     /// The score for a key; the pool with the smallest score is chosen.
     fn score(&self, key: &[u8]) -> f64 {
         let hash = xxh3_64_with_seed(key, self.seed) >> (u64::BITS - MANTISSA_BITS);
-        // Uniform over (0, 1). Adding one half keeps the value above 0, whose logarithm is infinite.
+        // Uniform over (0, 1]. Adding one half avoids 0, since the logarithm of 0 is infinite.
         let uniform = (hash as f64 + 0.5) / (1u64 << MANTISSA_BITS) as f64;
         -uniform.ln() / self.weight as f64
     }
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,8 +1,9 @@
 //! The table of routes, which is built once and searched for each request.
 //!
 //! Hosts are looked up in hash maps, paths in a trie of segments. The cost of a lookup depends on the length
-//! of the path and on the number of routes that end at one node of the trie, not on the total number of
-//! routes.
+//! of the path, on the number of nodes of the trie that match the beginning of the path (a literal and a
+//! parameter may both match a segment), and on the number of routes that end at one node, but not on the
+//! total number of routes.
 
 use std::collections::HashMap;
 
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -35,7 +35,7 @@
     StoreError(source.to_string())
 }
 
-/// Converts a panic of the database library over damaged data into an error.
+/// Converts a panic of the database library, which damaged data can cause, into an error.
 fn catch_damage<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|_| Err(StoreError("the store is damaged".to_owned())))
@@ -89,17 +89,17 @@
     path: &Path,
     warnings: &mut Vec<String>,
 ) -> Result<(Database, Vec<StoredVersion>), StoreError> {
-    // Panics over damage are reported as warnings below, so the panic hook must not print them.
+    // A panic caused by damage is reported as a warning below, so the panic hook must not print it.
     let panic_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     let opened = catch_damage(|| open_checked(path));
     std::panic::set_hook(panic_hook);
     opened.or_else(|error| {
-        let aside = set_aside(path)?;
+        let renamed_to = rename_damaged(path)?;
         warnings.push(format!(
             "the database {} cannot be opened ({error}): set aside as {}, replaced by an empty one",
             path.display(),
-            aside.display()
+            renamed_to.display()
         ));
         let database = Database::create(path).map_err(store_error)?;
         Ok((database, Vec::new()))
@@ -147,12 +147,12 @@
 }
 
 /// Renames a damaged database to the first free name with the extension `damaged-N`, and returns that name.
-fn set_aside(path: &Path) -> Result<PathBuf, StoreError> {
+fn rename_damaged(path: &Path) -> Result<PathBuf, StoreError> {
     let mut names = (1..).map(|number| path.with_extension(format!("damaged-{number}")));
-    let aside = names.find(|name| !name.exists());
-    let aside = aside.unwrap_or_else(|| path.with_extension("damaged"));
-    fs::rename(path, &aside).map_err(store_error)?;
-    Ok(aside)
+    let free_name = names.find(|name| !name.exists());
+    let new_path = free_name.unwrap_or_else(|| path.with_extension("damaged"));
+    fs::rename(path, &new_path).map_err(store_error)?;
+    Ok(new_path)
 }
 
 impl VersionStore for DiskStore {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,7 +12,7 @@
 pub use disk::{DiskStore, OpenedStore};
 pub use record::Record;
 
-/// The reason for which a version or value could not be stored or read, as one line.
+/// The reason why a version or value could not be stored or read, as one line of text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -38,7 +38,7 @@
         bytes
     }
 
-    /// Decodes a version. Returns `None` if any byte differs from the encoded form.
+    /// Decodes a version. Returns `None` if the bytes are damaged, truncated or too long.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         let (header, json) = bytes.split_at_checked(HEADER_BYTES)?;
