--- a/crates/emulate/examples/sizes.rs
+++ b/crates/emulate/examples/sizes.rs
@@ -1,5 +1,5 @@
 //! Prints the results of a rolling release in fleets of 1, 10, 50 and 200 proxies with forty endpoints, for
-//! each seed.
+//! each seed. The fleets of 50 and 200 proxies are also simulated with a shorter actual slow start.
 
 use emulate::{run, Fleet, Release, MILLISECOND, SECOND};
 
--- a/crates/emulate/src/discovery.rs
+++ b/crates/emulate/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The simulated discovery service. It serves calls one after another, rejects calls that would be queued for
-//! too long, and may truncate a response or not respond. A change that it starts to write counts as notified
-//! two seconds later at the latest, whether the response arrives or not.
+//! too long, and may truncate a response or not respond. A change counts as notified at most two seconds after
+//! discovery starts to write a response with it, even if the response does not arrive.
 
 use decide::{EndpointId, EndpointState, Micros};
 use fastrand::Rng;
@@ -15,7 +15,7 @@
 const WATCH_CONTINUES: Micros = 200 * MILLISECOND;
 /// The time that a response takes to reach the proxy.
 const RESPONSE_LATENCY: Micros = 2 * MILLISECOND;
-/// The time from the start of writing a change until it counts as notified.
+/// The time from the start of writing a response until its changes count as notified.
 const NOTIFIED_AFTER_WRITE: Micros = 2 * SECOND;
 
 /// A change of the list.
@@ -47,7 +47,7 @@
     },
 }
 
-/// The changes up to a version, which count as notified although their response does not arrive.
+/// The changes up to a version. They count as notified even though the response with them does not arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct MissedChanges {
     pub notified_at: Micros,
--- a/crates/emulate/src/notification.rs
+++ b/crates/emulate/src/notification.rs
@@ -1,6 +1,6 @@
-//! The platform's rule for when a change of the list counts as notified to a process: six seconds after
-//! discovery had the change and could be reached, whichever calls the process made, and not before the
-//! process started.
+//! The platform's rule for when a change of the list counts as notified to a process: six seconds after the
+//! first time at which discovery had the change and could be reached, but not before the process started. The
+//! calls that the process made have no effect.
 //!
 //! The rule does not depend on the state of the process's own watch, so it can be used to check that watch.
 
@@ -25,8 +25,8 @@
     (last_change.state != EndpointState::Ready).then_some(notified_at)
 }
 
-/// Returns the time at which a change counts as notified. An outage of discovery before that restarts the
-/// period at the end of the outage.
+/// Returns the time at which a change counts as notified. If discovery has an outage before that time, the
+/// period starts again at the end of the outage.
 fn change_notified_at(fleet: &Fleet, changed_at: Micros) -> Micros {
     let reachable_from = match fleet.outage {
         Some(outage) if outage.start < changed_at + NOTIFIED_AFTER && changed_at < outage.end => outage.end,
--- a/crates/emulate/src/process.rs
+++ b/crates/emulate/src/process.rs
@@ -58,8 +58,8 @@
     /// was received or not.
     pub removal_notified_at: BTreeMap<u32, Micros>,
     pub missed_changes: Vec<MissedChanges>,
-    /// Set if discovery has not responded to a call since the last response: the time from which the changes
-    /// that the call misses count as notified, if it is later than by the rule.
+    /// The time before which no removal counts as notified by the rule of [`crate::notification`]. Set by the
+    /// first call since the last response to which discovery does not respond.
     pub silent_call_notified_at: Option<Micros>,
 }
 
--- a/crates/emulate/src/report.rs
+++ b/crates/emulate/src/report.rs
@@ -11,10 +11,10 @@
     pub client_attempts: u64,
     /// Attempts of clients that were rejected.
     pub rejected: u64,
-    /// Requests that were forwarded to an endpoint after its drain counted as notified and the drain grace
-    /// had passed.
+    /// Attempts that were sent to an endpoint after its drain counted as notified and the drain grace had
+    /// passed.
     pub late_forwards: u64,
-    /// Requests that were not forwarded because the list had expired.
+    /// Attempts that were not sent because the list had expired.
     pub withheld: u64,
     /// Endpoints that failed under overload during slow start.
     pub overloaded_endpoints: u64,
--- a/crates/emulate/src/world/attempts.rs
+++ b/crates/emulate/src/world/attempts.rs
@@ -35,7 +35,7 @@
         self.schedule(ends_at, SimulatedEvent::AttemptEnds { proxy, request: id, attempt, outcome });
     }
 
-    /// Counts a request that is forwarded to an endpoint after the grace of its drain.
+    /// Counts an attempt that is sent to an endpoint after its drain grace has passed.
     fn check_late_forward(&mut self, proxy: usize, endpoint: EndpointId) {
         let now = self.now;
         self.apply_missed_changes(proxy);
--- a/crates/emulate/src/world/clients.rs
+++ b/crates/emulate/src/world/clients.rs
@@ -11,7 +11,7 @@
 /// The maximum number of attempts of a client for a request.
 const MAX_CLIENT_ATTEMPTS: u8 = 3;
 /// The longest backoff of a client.
-const CLIENT_BACKOFF: Micros = 400 * MILLISECOND;
+const MAX_CLIENT_BACKOFF: Micros = 400 * MILLISECOND;
 /// The fraction of requests of the first class, whose priority is higher.
 const FIRST_CLASS_FRACTION: f64 = 0.15;
 const MIN_WORK: Micros = MILLISECOND;
@@ -85,7 +85,7 @@
     pub(super) fn on_rejection(&mut self, proxy: usize, id: u64) {
         self.report.rejected += 1;
         let Some(request) = self.answer(proxy, id, false) else { return };
-        let retry_at = self.now + self.rng.i64(CLIENT_BACKOFF / 8..CLIENT_BACKOFF);
+        let retry_at = self.now + self.rng.i64(MAX_CLIENT_BACKOFF / 8..MAX_CLIENT_BACKOFF);
         let is_in_time = retry_at < request.first_sent_at + LATENCY_OBJECTIVE;
         if request.attempts < MAX_CLIENT_ATTEMPTS && is_in_time {
             self.schedule(retry_at, SimulatedEvent::RequestArrives(request));
--- a/crates/emulate/src/world/mod.rs
+++ b/crates/emulate/src/world/mod.rs
@@ -21,7 +21,7 @@
 pub use clients::ClientRequest;
 
 /// The time for which the simulation continues after the last request.
-const RUN_OUT: Micros = 5 * SECOND;
+const COMPLETION_TIME: Micros = 5 * SECOND;
 /// The time for which a replaced endpoint drains before it stops.
 const DRAIN_TIME: Micros = 5 * SECOND;
 
@@ -107,7 +107,7 @@
     /// Simulates to the end of the run.
     pub fn run(mut self) -> Report {
         self.schedule_start();
-        let end = self.fleet.duration + RUN_OUT;
+        let end = self.fleet.duration + COMPLETION_TIME;
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > end {
                 break;
@@ -151,7 +151,7 @@
         Incarnation { proxy, incarnation: self.proxies[proxy].incarnation }
     }
 
-    /// Returns whether this run of the process still lasts: it was not killed since.
+    /// Returns whether the process has not been killed since this incarnation.
     fn is_current(&self, process: Incarnation) -> bool {
         self.incarnation(process.proxy) == process
     }
--- a/crates/testkit/src/bgp_router/message.rs
+++ b/crates/testkit/src/bgp_router/message.rs
@@ -10,7 +10,7 @@
 pub struct Routes {
     /// Prefixes that are no longer reachable.
     pub withdrawn: Vec<Prefix>,
-    /// Prefixes announced with the attributes below.
+    /// Prefixes announced with the attributes of this UPDATE.
     pub announced: Vec<Prefix>,
     /// AS_PATH, without segment types.
     pub path: Vec<u32>,
--- a/crates/testkit/src/http_client.rs
+++ b/crates/testkit/src/http_client.rs
@@ -44,7 +44,8 @@
         self.receive()
     }
 
-    /// Waits until the proxy closes the connection or sends data. Returns true if the connection is closed.
+    /// Waits until the proxy closes the connection or sends data. Returns false if it sends data, and true if
+    /// the connection is closed or [`TEST_TIMEOUT`] has passed.
     pub fn is_closed(&mut self) -> bool {
         self.0.get_ref().set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         !matches!(self.0.fill_buf(), Ok(data) if !data.is_empty())
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
 //! Mock peers of the proxy on loopback, shared by tests, benchmarks and the demo: endpoints with scripted
 //! behavior, discovery, BGP routers, and clients.
 //!
-//! The system chooses all ports. Each wait for an event ends after [`TEST_TIMEOUT`] at the latest. A panic is a
-//! failure of the test.
+//! The system chooses all ports. Each wait of a test ends after [`TEST_TIMEOUT`] at the latest. A panic on the
+//! thread of the test fails the test.
 
 pub mod bgp_router;
 mod discovery_list;
@@ -29,5 +29,5 @@
 pub use release::Release;
 pub use reserved_port::{unused_address, ReservedPort};
 
-/// The time-out of every wait, far above what a busy machine needs.
+/// The timeout of every wait, far above what a busy machine needs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/testkit/src/mock_endpoint.rs
+++ b/crates/testkit/src/mock_endpoint.rs
@@ -14,7 +14,8 @@
 pub enum Behavior {
     /// Writes this response and keeps the connection open.
     Respond(String),
-    /// Writes this response and closes the connection, although the response has no `Connection: close`.
+    /// Writes this response and closes the connection. Unless the response has `Connection: close`, the close
+    /// is not announced.
     RespondAndClose(String),
     /// Writes this response after the release.
     RespondOnRelease(Arc<Release>, String),
--- a/crates/testkit/src/release.rs
+++ b/crates/testkit/src/release.rs
@@ -18,7 +18,7 @@
         self.changed.notify_all();
     }
 
-    /// Waits for the release, at most for [`TEST_TIMEOUT`].
+    /// Waits for the release. Returns without an error if [`TEST_TIMEOUT`] passes before it.
     pub fn wait(&self) {
         let released = self.released.lock().expect("unpoisoned");
         let wait = self.changed.wait_timeout_while(released, TEST_TIMEOUT, |released| !*released);
