--- a/crates/limit/src/rejection.rs
+++ b/crates/limit/src/rejection.rs
@@ -9,7 +9,8 @@
 pub enum RejectReason {
     /// The limit of the tenant on requests per second.
     Rate,
-    /// The fair share of the tenant in the request rate of the process.
+    /// The fair share of the tenant in the request rate of the process. The tenant may exceed its own share
+    /// only by shares that other tenants do not use.
     Share,
     /// The limit or quota of requests in flight.
     InFlight,
