--- a/crates/admin/src/announce.rs
+++ b/crates/admin/src/announce.rs
@@ -1,5 +1,6 @@
-//! The API by which operators inspect and hold the announced addresses of a process with a single
-//! configuration. It listens on loopback and has no tokens: whoever can connect to it has all permissions.
+//! The API by which operators inspect the addresses that a standalone proxy announces by BGP, and withdraw
+//! them until they are released. It listens on loopback and has no tokens: whoever can connect to it has all
+//! permissions.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/admin/src/auth/mod.rs
+++ b/crates/admin/src/auth/mod.rs
@@ -156,14 +156,14 @@
         let hashed = hash(token);
         // All tokens are compared in constant time, so that the duration reveals nothing about a token that
         // is similar.
-        let (mut found, mut at) = (Choice::from(0), 0_u64);
+        let (mut found, mut index) = (Choice::from(0), 0_u64);
         for (i, known) in self.tokens.iter().enumerate() {
             let same = known.sha256.ct_eq(&hashed);
-            at = u64::conditional_select(&at, &(i as u64), same);
+            index = u64::conditional_select(&index, &(i as u64), same);
             found |= same;
         }
         if bool::from(found) {
-            let token = &self.tokens[at as usize];
+            let token = &self.tokens[index as usize];
             return Ok(Principal { name: token.name.clone(), role: token.role.clone() });
         }
         if self.failures.len() >= MAX_ADDRESSES && !self.failures.contains_key(&from) {
--- a/crates/admin/src/edit/mod.rs
+++ b/crates/admin/src/edit/mod.rs
@@ -80,7 +80,8 @@
     let by_key = |value: &Value| -> Option<Map<String, Value>> {
         match value {
             Value::Object(fields) => Some(fields.clone()),
-            // Named entries are matched by name, so that a change of their order is no difference.
+            // Named entries are matched by name, so that an entry that has moved is not reported as changed.
+            // If nothing but the order has changed, the whole list is reported.
             Value::Array(entries) => {
                 let name = |e: &Value| e.get("name").and_then(Value::as_str).map(str::to_owned);
                 entries.iter().map(|e| Some((name(e)?, e.clone()))).collect()
--- a/crates/bgp-speaker/src/connection.rs
+++ b/crates/bgp-speaker/src/connection.rs
@@ -50,8 +50,9 @@
     timeout(connect_timeout, socket.connect(address)).await.map_err(|_| std::io::ErrorKind::TimedOut)?
 }
 
-/// Serves a connection until `outgoing` is closed and fully written, or the peer closes it. `report` receives
-/// the events; nothing more is read from the peer until it returns.
+/// Serves a connection until `outgoing` is closed and fully written, or a write fails. If the peer closes the
+/// connection, reports this, upon which the receiver of the events closes `outgoing`. Nothing more is read
+/// from the peer until `report` returns.
 pub async fn serve(
     stream: TcpStream,
     outgoing: mpsc::Receiver<Vec<u8>>,
--- a/crates/bgp-speaker/src/data_plane.rs
+++ b/crates/bgp-speaker/src/data_plane.rs
@@ -50,6 +50,7 @@
 
     /// Compares the resident memory of the process with this limit in bytes; `None` means no limit.
     pub fn check_memory(&mut self, limit: Option<u64>) {
+        // An unknown use (`None`) is less than any limit.
         self.memory_limit_exceeded = limit.is_some_and(|limit| resident_bytes() > Some(limit));
     }
 
--- a/crates/bgp-speaker/src/manager.rs
+++ b/crates/bgp-speaker/src/manager.rs
@@ -39,7 +39,7 @@
 ) {
     let (event_sender, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let listener = listener.and_then(|listener| TcpListener::from_std(listener).ok());
-    let mut manager = SessionManager::new(config.clone(), seed, event_sender, log);
+    let mut manager = EventLoop::new(config.clone(), seed, event_sender, log);
     manager.configure(config);
     loop {
         // Queued messages are handled before timers expire: the hold timer must not end the session of a peer
@@ -73,7 +73,7 @@
     }
 }
 
-struct SessionManager {
+struct EventLoop {
     config: Bgp,
     clock: Clock,
     log: fn(&str),
@@ -92,10 +92,10 @@
     sessions_stopped_at: Option<Instant>,
 }
 
-impl SessionManager {
-    fn new(config: Bgp, seed: u64, events: mpsc::Sender<Event>, log: fn(&str)) -> SessionManager {
+impl EventLoop {
+    fn new(config: Bgp, seed: u64, events: mpsc::Sender<Event>, log: fn(&str)) -> EventLoop {
         let clock = Clock::start();
-        SessionManager {
+        EventLoop {
             sessions: Sessions::new(clock, seed, events.clone(), log),
             health_checker: HealthChecker::new(config.health_checks),
             config,
@@ -251,6 +251,7 @@
         if !self.announcer.decide(now, process, &pools) {
             return;
         }
+        // The addresses whose level has changed in this decision.
         for view in self.announcer.views(now).filter(|view| view.since == now) {
             (self.log)(&format!("bgp: {} {}: {}", view.prefix, view.level.name(), view.reason));
         }
--- a/crates/bgp/benches/sites.rs
+++ b/crates/bgp/benches/sites.rs
@@ -1,4 +1,5 @@
-//! Fifty sites behind two routers for four hours of simulated time, over several seeds: `cargo bench -p bgp`.
+//! Compares announcement policies by simulation: fifty sites with random faults behind two routers, for four
+//! hours of simulated time and over several seeds. Run by `cargo bench -p bgp`.
 #[path = "../tests/common/sites.rs"]
 mod sites;
 
--- a/crates/bgp/src/announce/address.rs
+++ b/crates/bgp/src/announce/address.rs
@@ -6,7 +6,8 @@
 use crate::table::Attributes;
 use crate::Micros;
 
-/// The conditions for announcing an address. Fractions are of a pool's capacity, from 0 to 1.
+/// The conditions for announcing an address. Fractions are of a pool's capacity, from 0 to 1. An endpoint is
+/// available if it is listed as ready and is not unhealthy; the listed state is ignored if the list is stale.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// The address is announced if at least this fraction is ready, past slow start and healthy.
--- a/crates/bgp/src/announce/entry.rs
+++ b/crates/bgp/src/announce/entry.rs
@@ -24,7 +24,7 @@
     pub(super) level: AnnouncementLevel,
     since: Micros,
     reason: StateReason,
-    /// When the running hold-up time before a better level began; `None` if it is not running.
+    /// When the hold-up time began that must pass before the level is raised; `None` if it is not running.
     hold_up_since: Option<Micros>,
     flaps: u64,
     penalty: f64,
@@ -39,6 +39,7 @@
             held: false,
             level: AnnouncementLevel::Withdrawn,
             since: now,
+            // Until the first decision, which replaces it.
             reason: StateReason::HoldUp,
             hold_up_since: None,
             flaps: 0,
@@ -158,7 +159,8 @@
         self.hold_up_since = None;
     }
 
-    /// Lowers the level at once, and raises it only after the hold-up time.
+    /// Lowers the level at once, and raises it only after the hold-up time. A change from normal to degraded
+    /// adds a penalty, but is not counted in `flaps`, which counts withdrawals.
     fn apply_available(&mut self, now: Micros, is_degraded: bool) {
         match self.level {
             AnnouncementLevel::Normal | AnnouncementLevel::GracefulShutdown => {
--- a/crates/bgp/src/announce/health.rs
+++ b/crates/bgp/src/announce/health.rs
@@ -101,7 +101,8 @@
 /// Assesses whether the pool of this name can serve an address with these thresholds.
 pub(super) fn assess(pool: &str, health: &PoolHealth, thresholds: &Thresholds) -> Assessment {
     let Some(endpoints) = &health.endpoints else {
-        // After a reload, for example: an address that was announced before stays announced.
+        // This is the case after a reload, for example. An address that was announced before it stays
+        // announced.
         return Assessment::Unconfirmed(StateReason::NoEndpointList(pool.to_owned()));
     };
     // A stale list does not show which endpoints are ready now, but the health checks still show which
--- a/crates/bgp/src/announce/mod.rs
+++ b/crates/bgp/src/announce/mod.rs
@@ -2,9 +2,9 @@
 //! them.
 //!
 //! An address is withdrawn at once when a pool behind it cannot serve, and announced only when all of them
-//! have been ready for the hold-up time without interruption. Each withdrawal doubles the next hold-up time
-//! up to a bound, and this penalty decays with a half-life (route flap damping). A withdrawal is never
-//! delayed.
+//! have been ready for the hold-up time without interruption. Each flap, which is a withdrawal that no
+//! operator has requested or a change from normal to degraded, doubles the next hold-up time up to a bound.
+//! This penalty decays with a half-life (route flap damping). A withdrawal is never delayed.
 //!
 //! Inputs are the health of the process and of the pools, and the time in microseconds. Unknown health, such
 //! as a stale endpoint list, neither withdraws an address nor announces one. Memory is bounded by
--- a/crates/bgp/src/announce/reason.rs
+++ b/crates/bgp/src/announce/reason.rs
@@ -27,7 +27,8 @@
     StaleEndpointList(String),
     /// No endpoint is available.
     NoEndpointAvailable(String),
-    /// The pool has too little available capacity; the number is the available percentage.
+    /// The pool has too little available capacity or too few available endpoints; the number is the available
+    /// percentage of the capacity.
     InsufficientCapacity(String, u8),
     /// Enough capacity is available, but part of it is in slow start or has not passed a health check yet.
     WarmingUp(String),
--- a/crates/bgp/src/health_check.rs
+++ b/crates/bgp/src/health_check.rs
@@ -15,7 +15,8 @@
 /// Settings of health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthCheckSettings {
-    /// The time between two checks of an endpoint, unless the last one failed without being conclusive.
+    /// The time between two checks of an endpoint. It is shorter after a failure that does not yet make the
+    /// endpoint unhealthy.
     pub interval: Micros,
     /// The duration after which a check fails.
     pub timeout: Micros,
@@ -139,7 +140,7 @@
         changed
     }
 
-    /// Makes the checks of up to `max_in_flight` endpoints without failures due at once.
+    /// Schedules immediate checks of up to `max_in_flight` endpoints whose last check has not failed.
     fn check_others(&mut self, now: Micros) {
         let is_eligible = |endpoint: &&mut EndpointState| {
             !endpoint.in_flight && endpoint.consecutive_failures == 0 && endpoint.due > now
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -14,7 +14,6 @@
 mod message;
 mod open;
 mod peer;
-
 mod table;
 mod update;
 mod write;
@@ -32,7 +31,6 @@
     Direction, MessageCounts, NotificationOrigin, NotificationRecord, Peer, PeerAction, PeerInput,
     PeerSettings, PeerView, PrefixCounts,
 };
-
 pub use table::{Attributes, EncodingParameters, Table};
 pub use update::{scan_update, SessionParameters, UpdateSummary};
 pub use write::{keepalive, notification, open_message, updates};
--- a/crates/bgp/src/machine/mod.rs
+++ b/crates/bgp/src/machine/mod.rs
@@ -164,7 +164,8 @@
             }
             Event::ConnectionFailed | Event::NotificationReceived => self.fail(now, out),
             Event::VersionErrorReceived => {
-                // Does not count as a further failure (RFC 4271, event 24), but the idle hold applies.
+                // Does not add to earlier failures (RFC 4271, event 24), but the idle hold applies. Without
+                // earlier failures it counts as the first one.
                 self.failures = self.failures.saturating_sub(1);
                 self.fail(now, out);
             }
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -26,6 +26,7 @@
 /// Returns the NOTIFICATION to send before the connection is closed.
 pub fn parse_header(header: &[u8; HEADER_LENGTH]) -> Result<(usize, MessageType), Notification> {
     if header[..16].iter().any(|octet| *octet != 0xff) {
+        // Code 1 is a message header error; the subcodes are those of RFC 4271 section 6.1.
         return Err(Notification::new(1, 1, &[]));
     }
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
@@ -38,6 +39,7 @@
         other if (HEADER_LENGTH..=MAX_MESSAGE_LENGTH).contains(&length) => {
             return Err(Notification::new(1, 3, &[other]));
         }
+        // An unknown type with an invalid length. The check below reports the length, and the type is unused.
         _ => (MessageType::Open, HEADER_LENGTH, MAX_MESSAGE_LENGTH),
     };
     if !(min_length..=max_length).contains(&length) {
--- a/crates/bgp/src/open.rs
+++ b/crates/bgp/src/open.rs
@@ -1,4 +1,5 @@
-//! Received OPENs and their capabilities (RFC 4271 section 4.2, RFC 5492, RFC 9072).
+//! Received OPENs and their capabilities (RFC 4271 section 4.2, RFC 5492, RFC 9072). Errors have code 2 and
+//! the subcodes of RFC 4271 section 6.2.
 
 use std::net::Ipv4Addr;
 
--- a/crates/bgp/src/peer/mod.rs
+++ b/crates/bgp/src/peer/mod.rs
@@ -225,6 +225,8 @@
         if session_up {
             self.on_established(now, direction, out);
         }
+        // The most advanced state of a machine that has no connection. An outbound machine in Connect or
+        // Active continues to dial, so its connection does not count as closed.
         let last_closed_state = match direction {
             Direction::Inbound => State::Active,
             Direction::Outbound => State::Idle,
@@ -307,8 +309,8 @@
         }
         let outbound = &mut self.connections[Direction::Outbound as usize].machine;
         match (direction, restart_at) {
-            // Not after a failed dial, because two speakers that reject each other after each failed dial
-            // would never connect.
+            // Inbound connections are not rejected after a failed dial, because two speakers that reject each
+            // other after each failed dial would never connect.
             (Direction::Outbound, Some(restart_at)) if was_connected => {
                 self.reject_inbound_until = restart_at;
             }
@@ -319,6 +321,8 @@
                 self.reject_inbound_until = now + wait;
                 outbound.start_after(now, wait);
             }
+            // The inbound connection has lost a collision or has ended before the peer's OPEN, which does not
+            // count as a failure.
             (Direction::Inbound, None) if outbound.timer(Timer::IdleHold).is_none() => {
                 let wait = outbound.idle_hold_time();
                 outbound.start_after(now, wait);
--- a/crates/bgp/src/peer/view.rs
+++ b/crates/bgp/src/peer/view.rs
@@ -50,7 +50,7 @@
 /// The state of a peer as shown to operators.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    /// The state of that of the two connections that has progressed further.
+    /// The state of the session: that of the more advanced of the two connections.
     pub state: State,
     /// When that connection entered this state.
     pub since: Micros,
--- a/crates/bgp/src/update.rs
+++ b/crates/bgp/src/update.rs
@@ -171,7 +171,6 @@
     session: &SessionParameters,
     summary: &mut UpdateSummary,
 ) -> Result<(), AttributeError> {
-    // The partial bit is not checked.
     let expected_flags = expected_flags(code);
     // If one of these is malformed, RFC 7606 requires that only the attribute is discarded.
     let is_internal_only = matches!(code, LOCAL_PREF | ORIGINATOR_ID | CLUSTER_LIST);
@@ -194,9 +193,11 @@
             )));
         }
         None => return Ok(()),
+        // The partial bit is not checked.
         Some(expected) if flags & (OPTIONAL | TRANSITIVE) != expected => return Err(error()),
         Some(_) => {}
     }
+    // An external session discards attributes of internal sessions even if they are valid.
     if is_discardable && is_internal_only {
         return Err(AttributeError::Discard);
     }
