--- a/crates/config/src/checker.rs
+++ b/crates/config/src/checker.rs
@@ -126,7 +126,8 @@
         })
     }
 
-    /// An address that only processes on this machine can reach. `section` is put before the key in messages.
+    /// An address that only processes on this machine can reach. `section` is a prefix of the key in
+    /// messages, with a space at its end, or empty.
     pub(crate) fn loopback_address(&mut self, section: &str, key: &str, word: &Word) -> SocketAddr {
         let address = self.address(key, word);
         if !address.ip().is_loopback() {
--- a/crates/config/src/config_file.rs
+++ b/crates/config/src/config_file.rs
@@ -35,7 +35,7 @@
     pub learned_state: Option<LearnedStateFile>,
     pub operators: Option<OperatorsFile>,
     pub bgp: Option<BgpFile>,
-    /// With this section or a tenant, the file is that of a hosted service.
+    /// A file with this section, or with a section `[[tenant]]`, configures a hosted service.
     pub admin: Option<AdminFile>,
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<InitialTenantFile>,
--- a/crates/config/src/diagnostics.rs
+++ b/crates/config/src/diagnostics.rs
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Gives the last diagnostic a position: the one at which another file names the unreadable file.
+    /// Gives the last diagnostic, which reports an unreadable file, a position: that of the name of this file
+    /// in the file that refers to it.
     pub(crate) fn relocate_last(&mut self, text: TextId, span: Range<usize>) {
         if let Some(diagnostic) = self.all.pop() {
             self.report(text, span, diagnostic.message, None);
--- a/crates/config/src/endpoint.rs
+++ b/crates/config/src/endpoint.rs
@@ -25,12 +25,13 @@
     pub zone: String,
     /// The kind of machine; empty if none is given.
     pub machine_kind: String,
-    /// The cell, for deduplication by cell; `None` if the endpoint is in none.
+    /// The cell; `None` if the endpoint is in none. With deduplication by cell, the endpoints of a cell
+    /// discard each other's repeats.
     pub cell: Option<u64>,
     /// The capacity, relative to the other endpoints.
     pub weight: f64,
     /// The state.
     pub state: EndpointState,
-    /// The time of its start, in Unix milliseconds; 0 means long ago.
+    /// The time of its start, in Unix milliseconds. If it is 0, the endpoint has no slow start.
     pub started_unix_ms: f64,
 }
--- a/crates/config/src/endpoint_list/mod.rs
+++ b/crates/config/src/endpoint_list/mod.rs
@@ -42,7 +42,8 @@
     /// The kind of machine.
     #[serde(rename = "class")]
     pub machine_kind: String,
-    /// The cell, for deduplication by cell; `None` if the endpoint is in none.
+    /// The cell; `None` if the endpoint is in none. With deduplication by cell, the endpoints of a cell
+    /// discard each other's repeats.
     #[serde(rename = "block")]
     pub cell: Option<u64>,
     /// The state.
@@ -51,7 +52,7 @@
     /// The capacity, relative to the other endpoints.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// The time of its start, in Unix milliseconds; 0 means long ago.
+    /// The time of its start, in Unix milliseconds. If it is 0, the endpoint has no slow start.
     #[serde(rename = "born_ms", default)]
     pub started_unix_ms: f64,
 }
@@ -87,8 +88,8 @@
     /// The well-formed entries. Of several entries with one name the last counts. Endpoints in `unreadable`
     /// are left out.
     pub list: EndpointList,
-    /// The names of endpoints with a malformed entry. Their states are unknown: the entry may have been a
-    /// drain.
+    /// The names of endpoints with a malformed entry. Their states are unknown: a malformed entry
+    /// may have changed the state to draining.
     pub unreadable: BTreeSet<String>,
     /// The first problem and the number of others, in one line; `None` if there are no problems.
     pub fault: Option<String>,
--- a/crates/config/src/evaluation/contradictions.rs
+++ b/crates/config/src/evaluation/contradictions.rs
@@ -10,8 +10,9 @@
 /// A request and the states of the endpoints.
 type Situation<'a> = (When, Vec<(usize, &'a str, EndpointState)>);
 
-/// Finds pairs of expectations that differ on one request in one situation: their indexes, and the reason why
-/// no configuration meets both. An expectation that contradicts itself is a pair with itself.
+/// Finds pairs of expectations with the same request and the same states of endpoints that no configuration
+/// can meet together. Returns the indexes of each pair and the reason; both indexes are the same if an
+/// expectation contradicts itself.
 pub(super) fn contradictions(config: &Config, all: &[Expectation]) -> Vec<(usize, usize, String)> {
     let mut groups: BTreeMap<Situation<'_>, Vec<usize>> = BTreeMap::new();
     let mut found = Vec::new();
@@ -51,9 +52,9 @@
     when
 }
 
-/// The reason why two expectations on the same request cannot both be met. The check is one-sided: a
-/// rejection that `a` expects is compared with all that `b` expects, and the endpoints and zones that `a`
-/// needs with the zones that `b` allows.
+/// The reason why two expectations on the same request cannot both be met. The check is not symmetric, so
+/// callers make it in both orders: a rejection that `a` expects is compared with all that `b` expects, and
+/// the endpoints and zones that `a` needs are compared with the zones that `b` allows.
 fn conflict(config: &Config, a: &Expectation, b: &Expectation) -> Option<String> {
     let endpoints = &a.given;
     let (first, second) = (&a.then, &b.then);
--- a/crates/config/src/evaluation/mod.rs
+++ b/crates/config/src/evaluation/mod.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// Evaluates expectations. Those that contradict each other are reported once, as contradictions.
+/// Evaluates expectations. Those that contradict each other are reported as contradictions and not evaluated.
 pub(crate) fn evaluate(config: &Config, all: &[Expectation]) -> Report {
     let mut report = Report { expectations: all.len(), ..Report::default() };
     let mut contradictory = BTreeSet::new();
@@ -107,7 +107,7 @@
             SplitKey::Header(name) => HeaderFields::get(&when.headers, name).is_none(),
             SplitKey::PathParameter(_) => false,
         };
-        // Without a key the request id chooses the pool, and it may be any.
+        // Without a key the pool depends on the request id, so it may be any pool of the split.
         let preferred: Vec<PoolId> =
             if keyless { route.split.pools().collect() } else { vec![route.preferred(&request, "")] };
         let usable = |pool: PoolId| {
--- a/crates/config/src/expect.rs
+++ b/crates/config/src/expect.rs
@@ -94,9 +94,10 @@
     pub name: String,
     pub file: String,
     pub line: usize,
-    /// The endpoints in the given states, with the added ones.
+    /// The endpoints in the states that the expectation gives them, with those that it adds.
     pub given: PoolEndpoints,
-    /// The endpoints in their ordinary states, with the added ones.
+    /// The endpoints in their ordinary states, those of the configuration, with those that the expectation
+    /// adds.
     pub ordinary: PoolEndpoints,
     pub when: When,
     pub then: Then,
@@ -120,13 +121,13 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Then {
     pub route: Option<String>,
-    /// The index of the only pool that may be tried first.
+    /// The index of the pool that must be tried first.
     pub pool: Option<usize>,
     /// The index of the class.
     pub class: Option<usize>,
     /// Exactly the endpoints that the request may reach.
     pub endpoints: Option<BTreeSet<EndpointId>>,
-    /// The zones outside which the request may reach no endpoint.
+    /// The only zones in which the request may reach endpoints.
     pub stays_in: Option<Vec<String>>,
     /// The zones in which the request may reach no endpoint.
     pub never_in: Vec<String>,
--- a/crates/config/src/hosted/document.rs
+++ b/crates/config/src/hosted/document.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 use crate::diagnostics::Diagnostic;
-use crate::play::Report;
+use crate::evaluation::Report;
 use crate::tenant_limits::TenantLimits;
 
 /// The document that administrators may change. Each change is stored as a version.
--- a/crates/config/src/hosted/tenants.rs
+++ b/crates/config/src/hosted/tenants.rs
@@ -111,8 +111,9 @@
         }
     }
 
-    /// The limits of a tenant. Limits that are not written are unbounded, except `connections`, which are
-    /// shared by weight, and `burst`, which is one second at `requests_per_s`, at least 1.
+    /// The limits of a tenant. Limits that are not written are unbounded, with two exceptions: `connections`
+    /// is a share by weight, at least `MIN_CONNECTIONS`, and `burst` is the number of requests of one second
+    /// at `requests_per_s`, at least 1.
     #[must_use]
     pub fn limits(&self, shared: &SharedSettings, tenant: &Tenant) -> Limits {
         let written = &tenant.document.limits;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,14 @@
-//! The configuration, which is checked completely before it is used, and its expectations.
+//! The configuration, which is checked completely before it is used, and its expectations: statements of how
+//! given requests must be routed, which are evaluated without sending any request.
 //!
 //! Uses no sockets and no clock. Files are read through a function ([`ReadFile`]), so that tests can replace
 //! the file system. The resulting [`Config`] is immutable and contains the [`route::RouteTable`] for
 //! requests.
 //!
 //! Each section of the file is a module under `section`, with its format in the file, its checked model and
-//! its check. `config_file` and `model` combine the sections, `standalone` and `hosted` check the two kinds
-//! of files, and `load` reads the files that a configuration names. Problems are collected as
-//! [`Diagnostics`].
+//! its check. `config_file` and `model` combine the sections. `standalone` checks the file of a proxy with a
+//! single configuration, and `hosted` that of a service with a configuration for each tenant. `load` reads
+//! the files that a configuration names. Problems are collected as [`Diagnostics`].
 #![warn(missing_docs)]
 
 mod checker;
@@ -15,12 +16,12 @@
 mod diagnostics;
 mod endpoint;
 mod endpoint_list;
+mod evaluation;
 mod expect;
 mod hosted;
 mod load;
 mod method;
 mod model;
-mod play;
 mod pool_endpoints;
 mod section;
 mod sockets;
@@ -32,11 +33,11 @@
 pub use endpoint_list::{
     parse_endpoint_list, parse_full_list, EndpointList, ListedEndpoint, ListedState, ParsedEndpointList,
 };
+pub use evaluation::{Failure, Report, RoutingOutcome};
 pub use hosted::{Document, DocumentError, HostedSettings, SharedSettings, Tenant, TenantDocument, Tenants};
 pub use load::{load, Loaded};
 pub use method::{escape, HttpMethod, Member, Members, Method, Methods, PathTemplate};
 pub use model::{Config, RouteOrigin};
-pub use play::{Failure, Report, RoutingOutcome};
 pub use pool_endpoints::PoolEndpoints;
 pub use section::admin::{Role, Token};
 pub use section::bgp::{Bgp, BgpPeer, MAX_OPERATOR_CONNECTIONS};
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -5,9 +5,9 @@
 use crate::checker::Word;
 use crate::config_file::ConfigFile;
 use crate::diagnostics::{Diagnostics, ReadFile, TextId};
+use crate::evaluation::{self, Report};
 use crate::expect::{self, Expectation, ExpectationsFile};
 use crate::model::Config;
-use crate::play::{self, Report};
 use crate::pool_endpoints::PoolEndpoints;
 use crate::standalone::{self, Emptiness};
 
@@ -25,7 +25,7 @@
     /// Evaluates every expectation, without sending any request.
     #[must_use]
     pub fn evaluate_expectations(&self) -> Report {
-        play::evaluate(&self.config, &self.expectations)
+        evaluation::evaluate(&self.config, &self.expectations)
     }
 }
 
@@ -38,7 +38,8 @@
     load_as(path, read, Emptiness::Forbidden)
 }
 
-/// Does the same as [`load`]; `emptiness` decides whether the configuration may be empty.
+/// Does the same as [`load`]; `emptiness` decides whether the configuration may be empty, as that of a new
+/// tenant may.
 pub(crate) fn load_as(path: &Path, read: ReadFile<'_>, emptiness: Emptiness) -> Result<Loaded, Diagnostics> {
     let mut diagnostics = Diagnostics::default();
     let Some(text) = diagnostics.read(path, read) else { return Err(diagnostics) };
--- a/crates/config/src/method/mod.rs
+++ b/crates/config/src/method/mod.rs
@@ -55,7 +55,7 @@
     pub timeout_ms: Member,
     /// The tenant that the client claims.
     pub tenant: Member,
-    /// The class, if a method has several.
+    /// The class of the call; without it, the class of the method applies.
     pub class: Member,
     /// The request id that is sent to endpoints.
     pub id: Member,
@@ -77,7 +77,8 @@
         self.all.iter().find(|method| *method.name == *name)
     }
 
-    /// The first method of a class. Requests of the class are sent to JSON-RPC endpoints by this method.
+    /// The first method of a class. Requests of the class are sent to JSON-RPC endpoints as calls of this
+    /// method.
     #[must_use]
     pub fn of_class(&self, class: usize) -> Option<&Method> {
         self.all.iter().find(|method| method.class == class)
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -21,7 +21,7 @@
     pub listeners: Vec<Listener>,
     /// The zone of this proxy.
     pub zone: String,
-    /// The number of descriptors of the process.
+    /// The number of sockets (file descriptors) that the process may use.
     pub sockets: usize,
     /// The position of this proxy among those that share the pools.
     pub proxies: ProxyRank,
@@ -64,7 +64,8 @@
 
 /// The load under which an endpoint in slow start fails, as a multiple of its capacity.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The duration of [`OVERLOAD_MULTIPLE`] after which an endpoint in slow start fails, in microseconds.
+/// The duration of a load of [`OVERLOAD_MULTIPLE`] after which an endpoint in slow start fails, in
+/// microseconds.
 const OVERLOAD_WINDOW: Micros = 1_000_000;
 /// The longest interval between polls of discovery, in microseconds.
 const MAX_POLL_INTERVAL: Micros = 2_000_000;
@@ -77,6 +78,7 @@
     pub fn socket_budget(&self) -> (usize, usize) {
         let bgp = self.bgp.as_ref().map_or(0, Bgp::sockets);
         let operators = Operators::sockets(self.operators.as_ref());
+        // The check of the configuration has ensured that the sockets suffice, so the fallback is not used.
         split_sockets(self.sockets.saturating_sub(bgp + operators))
             .unwrap_or((MIN_USABLE_SOCKETS, MIN_USABLE_SOCKETS))
     }
--- a/crates/config/src/pool_endpoints.rs
+++ b/crates/config/src/pool_endpoints.rs
@@ -28,6 +28,8 @@
                 let endpoints = read(path).and_then(|json| parse_full_list(&json)?.into_endpoints());
                 endpoints.unwrap_or_else(|error| {
                     let message = format!("pool `{}`: {}: {error}", pool.name, path.display());
+                    // The checked configuration does not contain the position of the path, so the name of the
+                    // file is searched for in the text, escaped as in a TOML string and without its quotes.
                     let quoted = format!("{:?}", path.file_name().unwrap_or_default().to_string_lossy());
                     let start = diagnostics.text(text).find(quoted.trim_matches('"')).unwrap_or(0);
                     let end = start + quoted.len() - 2;
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -78,7 +78,7 @@
     }
 
     /// The fractions of a pool's capacity at which an address is announced, degraded and withdrawn.
-    /// `least_nodes` is 1, and the check of the address overwrites it.
+    /// `min_endpoints` is 1 until `announced_address` replaces it with `least_nodes`.
     fn thresholds(&mut self, section: &AddressFile) -> bgp::Thresholds {
         let announce = self.share("announce_share", &section.announce_share, DEFAULT_ANNOUNCE_SHARE);
         let default_withdraw = announce.min(DEFAULT_WITHDRAW_SHARE);
--- a/crates/config/src/section/bgp/check.rs
+++ b/crates/config/src/section/bgp/check.rs
@@ -16,7 +16,7 @@
 const MIN_HOLD_TIME_S: usize = 3;
 const DEFAULT_RETRY_MS: usize = 5_000;
 const DEFAULT_MAX_RETRY_MS: usize = 60_000;
-const MAX_HOUR_MS: usize = 3_600_000;
+const MS_PER_HOUR: usize = 3_600_000;
 const DEFAULT_LEAVE_US: i64 = 5_000 * MICROS_PER_MS;
 const MAX_SHUTDOWN_TEXT_BYTES: usize = 255;
 const DEFAULT_STALE_LIST_S: usize = 30;
@@ -24,6 +24,7 @@
 const DEFAULT_STUCK_MS: usize = 2_000;
 const MAX_MEMORY_MB: usize = 1 << 24;
 
+/// The default interval and the default timeout of health checks.
 const DEFAULT_HEALTH_CHECK_MS: usize = 250;
 const MAX_HEALTH_CHECK_TIMEOUT_MS: usize = 60_000;
 const DEFAULT_HEALTH_CHECK_FAILURES: usize = 2;
@@ -47,7 +48,7 @@
             .map_or(DEFAULT_LEAVE_US, |value| self.milliseconds("leave_ms", value, 0));
         let list_old_s =
             self.bounded("list_old_s", &section.list_old_s, DEFAULT_STALE_LIST_S, MAX_STALE_LIST_S);
-        let stuck_ms = self.bounded("stuck_ms", &section.stuck_ms, DEFAULT_STUCK_MS, MAX_HOUR_MS);
+        let stuck_ms = self.bounded("stuck_ms", &section.stuck_ms, DEFAULT_STUCK_MS, MS_PER_HOUR);
         let memory_mb = self.bounded("memory_mb", &section.memory_mb, 1, MAX_MEMORY_MB);
         Bgp {
             listen,
@@ -88,9 +89,9 @@
             let help = "the minimum hold time of BGP is 3 s".to_owned();
             self.report(value.span(), format!("`hold_time_s`: {hold_time_s} is too short"), Some(help));
         }
-        let retry_ms = self.bounded("retry_ms", &section.retry_ms, DEFAULT_RETRY_MS, MAX_HOUR_MS);
+        let retry_ms = self.bounded("retry_ms", &section.retry_ms, DEFAULT_RETRY_MS, MS_PER_HOUR);
         let max_retry_ms =
-            self.bounded("retry_most_ms", &section.retry_most_ms, DEFAULT_MAX_RETRY_MS, MAX_HOUR_MS);
+            self.bounded("retry_most_ms", &section.retry_most_ms, DEFAULT_MAX_RETRY_MS, MS_PER_HOUR);
         SessionSettings {
             asn: *section.asn.get_ref(),
             id: *section.router_id.get_ref(),
@@ -132,7 +133,7 @@
 
     /// The settings of health checks and the path that they request.
     fn health_check(&mut self, section: &HealthCheckFile) -> (bgp::HealthCheckSettings, Option<String>) {
-        let every_ms = self.bounded("every_ms", &section.every_ms, DEFAULT_HEALTH_CHECK_MS, MAX_HOUR_MS);
+        let every_ms = self.bounded("every_ms", &section.every_ms, DEFAULT_HEALTH_CHECK_MS, MS_PER_HOUR);
         let timeout_ms = self.bounded(
             "timeout_ms",
             &section.timeout_ms,
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -20,15 +20,16 @@
     pub api: Option<SocketAddr>,
     /// Whether the speaker connects to no peer and only shows what it would announce.
     pub dry_run: bool,
-    /// The duration for which addresses are announced with graceful shutdown before the process ends.
+    /// The duration for which addresses are announced with the community GRACEFUL_SHUTDOWN before the process
+    /// ends.
     pub leave: Duration,
     /// The shutdown communication (RFC 9003) to peers.
     pub shutdown_text: String,
     /// The age of the last update above which an endpoint list is stale.
     pub max_list_age: Duration,
-    /// The duration without progress after which the data plane is stuck.
+    /// The duration without progress after which the data plane counts as stalled.
     pub stuck: Duration,
-    /// The resident memory above which nothing is announced; `None` for no bound.
+    /// The resident memory above which nothing is announced; `None` if there is no limit.
     pub memory_bytes: Option<u64>,
     /// The settings of health checks of endpoints.
     pub health_checks: bgp::HealthCheckSettings,
@@ -40,15 +41,15 @@
     pub addresses: Vec<bgp::Address>,
 }
 
-/// The maximum number of concurrent connections to the operators' API.
+/// The maximum number of concurrent connections to the API at `bgp.api`.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 
 impl Bgp {
     /// The maximum number of sockets of the speaker.
     #[must_use]
     pub fn sockets(&self) -> usize {
-        // For each peer two connections, and a third that is being rejected or replaces one of them.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
+        // Each peer has two connections, and a third that is being rejected or replaces one of them.
         3 * self.peers.len() + self.health_checks.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
     }
 }
--- a/crates/config/src/section/class.rs
+++ b/crates/config/src/section/class.rs
@@ -15,6 +15,7 @@
     pub parameters: decide::Class,
 }
 
+// Written by hand, because `decide::Class` does not implement `PartialEq`.
 impl PartialEq for Class {
     fn eq(&self, other: &Self) -> bool {
         let parameters = |class: &Class| {
--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -1,4 +1,4 @@
-//! Section `[knowledge]`: storage of learned state beyond the end of the process.
+//! Section `[knowledge]`: storage of learned state, so that it survives a restart of the process.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/config/src/section/methods.rs
+++ b/crates/config/src/section/methods.rs
@@ -30,8 +30,8 @@
 }
 
 impl Checker<'_> {
-    /// The configured methods, and a default method for each class that has none, unless its name is taken by
-    /// a method.
+    /// The configured methods, and a default method for each class that has none. A class gets no default
+    /// method if a method of another class has its name.
     pub(crate) fn methods(
         &mut self,
         sections: &[MethodFile],
--- a/crates/config/src/section/operators.rs
+++ b/crates/config/src/section/operators.rs
@@ -7,17 +7,17 @@
 
 use crate::checker::{Checker, Word};
 
-/// The maximum number of descriptors of the operators' address: the connections, the listener, and one
-/// connection that replaces the oldest.
+/// The maximum number of sockets of the operators' address: 16 for connections, one for the listener, and one
+/// for a connection that replaces the oldest.
 pub const OPERATORS_SOCKETS: usize = 18;
 
 /// Settings of the address that operators connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operators {
-    /// The address. It must be on loopback, because the address checks no tokens.
+    /// The address. It must be on loopback, because requests are not authenticated.
     pub listen: SocketAddr,
-    /// The folder in which maintenance overrides are stored beyond the end of the process; `None` if they are
-    /// not stored. Two processes may share it.
+    /// The folder that stores the changes that operators have made to the maintenance of endpoints, so that
+    /// they survive a restart; `None` if they are not stored. Two processes may share the folder.
     pub folder: Option<PathBuf>,
 }
 
--- a/crates/config/src/section/pool.rs
+++ b/crates/config/src/section/pool.rs
@@ -24,7 +24,8 @@
     pub source: Source,
     /// The protocol of the endpoints.
     pub protocol: Protocol,
-    /// The JSON-RPC notification that cancels a request; `None` if the endpoints support none.
+    /// The method of the JSON-RPC notification that cancels a request; `None` if the endpoints support no
+    /// cancellation.
     pub cancel: Option<String>,
 }
 
--- a/crates/config/src/section/route/mod.rs
+++ b/crates/config/src/section/route/mod.rs
@@ -95,12 +95,13 @@
     pub(crate) classes: &'c NameIndex,
     pub(crate) pools: &'c NameIndex,
     pub(crate) tenants: &'c [String],
-    /// Whether every endpoint list is in the file. If so, a zone or kind that no endpoint has is an error.
+    /// Whether every endpoint list is in the file. If so, a scope may name only zones and kinds of machines
+    /// that an endpoint, a listener, the proxy, or this or an earlier route of the file names.
     pub(crate) all_endpoints_known: bool,
 }
 
 impl Checker<'_> {
-    /// Checks a route. Returns `None` if it refers to something undefined.
+    /// Checks a route. Returns `None` if its class is undefined or it has no valid pool or split.
     pub(crate) fn route(&mut self, section: &RouteFile, context: &RouteContext<'_>) -> Option<Route> {
         let matches = self.matcher(&section.matcher, context.tenants);
         let class = self.resolve("class", &section.class, context.classes);
--- a/crates/config/src/sockets.rs
+++ b/crates/config/src/sockets.rs
@@ -1,8 +1,9 @@
-//! Division of the descriptors of a process among downstream connections and pools.
+//! Division of the sockets (file descriptors) of a process among downstream connections and pools.
 
 use crate::section::pool::Pool;
 
-/// The descriptors that are reserved for listeners, discovery, the runtime and standard streams.
+/// The number of file descriptors that are reserved for listeners, discovery, the runtime and standard
+/// streams.
 const RESERVED_SOCKETS: usize = 32;
 /// The minimum number of sockets for clients and endpoints together.
 pub(crate) const MIN_USABLE_SOCKETS: usize = 16;
--- a/crates/config/src/standalone.rs
+++ b/crates/config/src/standalone.rs
@@ -121,7 +121,7 @@
         (pools, names)
     }
 
-    /// Reports if the sockets are too few for the pools after those for [bgp] and [operators] are subtracted.
+    /// Reports if too few sockets remain for the pools without the sockets of `[bgp]` and `[operators]`.
     fn check_sockets(
         &mut self,
         server: &ServerFile,
