--- a/crates/config/src/checker.rs
+++ b/crates/config/src/checker.rs
@@ -13,7 +13,7 @@
 use crate::diagnostics::{suggest, Diagnostics, TextId};
 
 /// A string and its position in the file.
-pub(crate) type Word = Spanned<String>;
+pub(crate) type SpannedString = Spanned<String>;
 
 /// The index of each defined name.
 pub(crate) type NameIndex = BTreeMap<String, usize>;
@@ -88,7 +88,11 @@
     }
 
     /// Indexes the names of entries of one kind. Reports names that are malformed or defined twice.
-    pub(crate) fn name_index<'w>(&mut self, noun: &str, words: impl Iterator<Item = &'w Word>) -> NameIndex {
+    pub(crate) fn name_index<'w>(
+        &mut self,
+        noun: &str,
+        words: impl Iterator<Item = &'w SpannedString>,
+    ) -> NameIndex {
         let mut names = NameIndex::new();
         let mut lines: BTreeMap<&str, usize> = BTreeMap::new();
         for (index, word) in words.enumerate() {
@@ -108,7 +112,7 @@
     }
 
     /// The index of the entry that a word refers to. Reports a word that refers to none.
-    pub(crate) fn resolve(&mut self, noun: &str, word: &Word, names: &NameIndex) -> Option<usize> {
+    pub(crate) fn resolve(&mut self, noun: &str, word: &SpannedString, names: &NameIndex) -> Option<usize> {
         let found = names.get(word.get_ref()).copied();
         if found.is_none() {
             let known: Vec<&str> = names.keys().map(String::as_str).collect();
@@ -118,7 +122,7 @@
         found
     }
 
-    pub(crate) fn address(&mut self, key: &str, word: &Word) -> SocketAddr {
+    pub(crate) fn address(&mut self, key: &str, word: &SpannedString) -> SocketAddr {
         word.get_ref().parse().unwrap_or_else(|_| {
             let help = "write an IP address and a port, such as \"127.0.0.1:8080\"".to_owned();
             self.report(word.span(), format!("`{key}`: {:?} is no address", word.get_ref()), Some(help));
@@ -128,7 +132,7 @@
 
     /// An address that only processes on this machine can reach. `section` is a prefix of the key in
     /// messages, with a space at its end, or empty.
-    pub(crate) fn loopback_address(&mut self, section: &str, key: &str, word: &Word) -> SocketAddr {
+    pub(crate) fn loopback_address(&mut self, section: &str, key: &str, word: &SpannedString) -> SocketAddr {
         let address = self.address(key, word);
         if !address.ip().is_loopback() {
             let help = "it knows no tokens, and so stands on loopback only".to_owned();
@@ -174,7 +178,7 @@
     }
 
     /// The name of a header field, in lower case.
-    pub(crate) fn header(&mut self, key: &str, word: &Word) -> String {
+    pub(crate) fn header(&mut self, key: &str, word: &SpannedString) -> String {
         if !is_token(word.get_ref()) {
             self.report(word.span(), format!("`{key}`: {:?} is no header field", word.get_ref()), None);
         }
--- a/crates/config/src/config_file.rs
+++ b/crates/config/src/config_file.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 use crate::section::admin::{AdminFile, InitialTenantFile};
 use crate::section::bgp::BgpFile;
 use crate::section::class::ClassFile;
@@ -43,7 +43,7 @@
 
 impl ConfigFile {
     /// The names of the expectation files.
-    pub(crate) fn expectation_files(&self) -> &[Word] {
+    pub(crate) fn expectation_files(&self) -> &[SpannedString] {
         &self.server.expectations
     }
 
--- a/crates/config/src/expect.rs
+++ b/crates/config/src/expect.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 use crate::diagnostics::{suggest, Diagnostics, TextId};
 use crate::endpoint::{EndpointSpec, EndpointState};
 use crate::model::Config;
@@ -22,7 +22,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Raw")]
 struct ExpectationFile {
-    name: Word,
+    name: SpannedString,
     #[serde(default)]
     given: GivenFile,
     when: WhenFile,
@@ -34,10 +34,10 @@
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct RawGiven")]
 struct GivenFile {
-    ready: Vec<Word>,
-    draining: Vec<Word>,
-    gone: Vec<Word>,
-    lost_zones: Vec<Word>,
+    ready: Vec<SpannedString>,
+    draining: Vec<SpannedString>,
+    gone: Vec<SpannedString>,
+    lost_zones: Vec<SpannedString>,
     #[serde(rename = "nodes")]
     added_endpoints: Vec<AddedEndpointFile>,
 }
@@ -45,8 +45,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct RawNode")]
 struct AddedEndpointFile {
-    pool: Word,
-    name: Word,
+    pool: SpannedString,
+    name: SpannedString,
     zone: String,
     #[serde(default, rename = "kind")]
     machine_kind: String,
@@ -56,12 +56,12 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct RawWhen")]
 struct WhenFile {
-    zone: Option<Word>,
+    zone: Option<SpannedString>,
     #[serde(default = "default_method")]
     method: String,
     #[serde(default)]
     host: String,
-    path: Word,
+    path: SpannedString,
     #[serde(default)]
     headers: BTreeMap<String, String>,
     class: Option<String>,
@@ -75,13 +75,13 @@
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct RawThen")]
 struct ThenFile {
-    route: Option<Word>,
-    pool: Option<Word>,
-    class: Option<Word>,
+    route: Option<SpannedString>,
+    pool: Option<SpannedString>,
+    class: Option<SpannedString>,
     #[serde(rename = "nodes")]
-    endpoints: Option<Vec<Word>>,
-    stays_in: Option<Vec<Word>>,
-    never_in: Option<Vec<Word>>,
+    endpoints: Option<Vec<SpannedString>>,
+    stays_in: Option<Vec<SpannedString>>,
+    never_in: Option<Vec<SpannedString>>,
     refused: Option<toml::Spanned<u16>>,
 }
 
@@ -194,7 +194,7 @@
     }
 
     /// The index of the known name that a word refers to.
-    fn resolve(&mut self, noun: &str, word: &Word, known: &[&str]) -> Option<usize> {
+    fn resolve(&mut self, noun: &str, word: &SpannedString, known: &[&str]) -> Option<usize> {
         let found = known.iter().position(|name| name == word.get_ref());
         if found.is_none() {
             let message = format!("there is no {noun} `{}`", word.get_ref());
@@ -203,12 +203,12 @@
         found
     }
 
-    fn pool(&mut self, word: &Word) -> Option<usize> {
+    fn pool(&mut self, word: &SpannedString) -> Option<usize> {
         let known: Vec<&str> = self.config.pools.iter().map(|pool| pool.name.as_str()).collect();
         self.resolve("pool", word, &known)
     }
 
-    fn zone(&mut self, word: &Word) -> String {
+    fn zone(&mut self, word: &SpannedString) -> String {
         let zones = self.zones.clone();
         let known: Vec<&str> = zones.iter().map(String::as_str).collect();
         self.resolve("zone", word, &known);
@@ -216,7 +216,7 @@
     }
 
     /// Finds an endpoint by `name`, if only one pool has it, or by `pool/name`.
-    fn endpoint(&mut self, word: &Word, endpoints: &PoolEndpoints) -> Option<EndpointId> {
+    fn endpoint(&mut self, word: &SpannedString, endpoints: &PoolEndpoints) -> Option<EndpointId> {
         let text = word.get_ref();
         let (pool, name) = text.split_once('/').map_or((None, text.as_str()), |(p, n)| (Some(p), n));
         let mut found = Vec::new();
@@ -329,7 +329,7 @@
                 self.report(status.span(), message, Some(help.to_owned()));
             }
         }
-        let zones = |checker: &mut Self, words: &[Word]| {
+        let zones = |checker: &mut Self, words: &[SpannedString]| {
             words.iter().map(|word| checker.zone(word)).collect::<Vec<_>>()
         };
         let checked = Then {
--- a/crates/config/src/hosted/settings.rs
+++ b/crates/config/src/hosted/settings.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use super::{Document, TenantDocument};
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 use crate::config_file::ConfigFile;
 use crate::diagnostics::{Diagnostics, ReadFile, TextId};
 use crate::section::admin::Token;
@@ -59,7 +59,7 @@
     limits: TenantLimits,
     path: PathBuf,
     /// The name of the file of the tenant, with its position.
-    file_word: Word,
+    file_word: SpannedString,
 }
 
 impl HostedSettings {
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 use crate::config_file::ConfigFile;
 use crate::diagnostics::{Diagnostics, ReadFile, TextId};
 use crate::evaluation::{self, Report};
@@ -45,7 +45,7 @@
     let Some(text) = diagnostics.read(path, read) else { return Err(diagnostics) };
     let Some(file) = diagnostics.parse::<ConfigFile>(text) else { return Err(diagnostics) };
     let resolve_path = |name: &str| path.parent().unwrap_or(Path::new("")).join(name);
-    let expectation_files: Vec<Word> = file.expectation_files().to_vec();
+    let expectation_files: Vec<SpannedString> = file.expectation_files().to_vec();
     let config = standalone::check(file, text, &resolve_path, emptiness, &mut diagnostics);
     let endpoints = config.as_ref().map(|config| PoolEndpoints::read(config, text, read, &mut diagnostics));
     let checked = config.zip(endpoints);
@@ -69,7 +69,7 @@
 /// Reads a file that a configuration names. A problem is reported at the position of the name.
 fn read_named_file(
     text: TextId,
-    name: &Word,
+    name: &SpannedString,
     resolve_path: &dyn Fn(&str) -> PathBuf,
     read: ReadFile<'_>,
     diagnostics: &mut Diagnostics,
--- a/crates/config/src/section/admin.rs
+++ b/crates/config/src/section/admin.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 use crate::tenant_limits::TenantLimits;
 
 const SHA256_BYTES: usize = 32;
@@ -38,8 +38,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Admin")]
 pub(crate) struct AdminFile {
-    pub listen: Word,
-    pub state: Word,
+    pub listen: SpannedString,
+    pub state: SpannedString,
     #[serde(default, rename = "token")]
     pub tokens: Vec<TokenFile>,
 }
@@ -47,21 +47,21 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Token")]
 pub(crate) struct TokenFile {
-    pub name: Word,
-    pub role: Word,
-    pub tenant: Option<Word>,
-    pub sha256: Word,
+    pub name: SpannedString,
+    pub role: SpannedString,
+    pub tenant: Option<SpannedString>,
+    pub sha256: SpannedString,
 }
 
 /// A tenant of the first version, which is used if no version is stored yet.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Seed")]
 pub(crate) struct InitialTenantFile {
-    pub name: Word,
+    pub name: SpannedString,
     pub hosts: Vec<String>,
     #[serde(default)]
     pub limits: TenantLimits,
-    pub file: Word,
+    pub file: SpannedString,
 }
 
 #[derive(Default, Deserialize)]
@@ -94,7 +94,7 @@
         Some(Token { name: section.name.get_ref().clone(), role, sha256: sha256? })
     }
 
-    fn role(&mut self, role: &Word, tenant: Option<&Word>) -> Option<Role> {
+    fn role(&mut self, role: &SpannedString, tenant: Option<&SpannedString>) -> Option<Role> {
         let tenant = tenant.map(Spanned::get_ref).cloned();
         match (role.get_ref().as_str(), tenant) {
             ("operator", None) => Some(Role::Operator),
--- a/crates/config/src/section/bgp/address.rs
+++ b/crates/config/src/section/bgp/address.rs
@@ -4,7 +4,7 @@
 use toml::Spanned;
 
 use super::AddressFile;
-use crate::checker::{Checker, NameIndex, Word};
+use crate::checker::{Checker, NameIndex, SpannedString};
 
 const MICROS_PER_MS: i64 = 1_000;
 /// The maximum number of communities of an address, of each kind.
@@ -97,7 +97,7 @@
         value.as_ref().map_or(default, |value| self.number(key, value, 0.0..=1.0))
     }
 
-    fn prefix(&mut self, word: &Word) -> Option<IpNet> {
+    fn prefix(&mut self, word: &SpannedString) -> Option<IpNet> {
         let help =
             "write an address and its bits, such as \"192.0.2.1/32\" or \"2001:db8::1/128\"".to_owned();
         match word.get_ref().parse::<IpNet>() {
@@ -155,20 +155,20 @@
         count.min(MAX_PREPEND) as u8
     }
 
-    fn communities(&mut self, words: &[Word]) -> Vec<u32> {
+    fn communities(&mut self, words: &[SpannedString]) -> Vec<u32> {
         let help = "write two numbers up to 65535, such as \"64512:100\"";
         let parse = |word: &str| parse_community(word, 0xffff).map(|[high, low]| high << 16 | low);
         self.parsed_communities(words, "communities", help, parse)
     }
 
-    fn large_communities(&mut self, words: &[Word]) -> Vec<[u32; 3]> {
+    fn large_communities(&mut self, words: &[SpannedString]) -> Vec<[u32; 3]> {
         let help = "write three numbers, such as \"64512:1:2\"";
         self.parsed_communities(words, "large_communities", help, |word| parse_community(word, u32::MAX))
     }
 
     fn parsed_communities<T>(
         &mut self,
-        words: &[Word],
+        words: &[SpannedString],
         key: &str,
         help: &str,
         parse: impl Fn(&str) -> Option<T>,
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 
 /// Settings of the BGP speaker.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,15 +73,15 @@
     #[serde(rename = "as")]
     pub asn: Spanned<u32>,
     pub router_id: Spanned<Ipv4Addr>,
-    pub listen: Option<Word>,
-    pub api: Option<Word>,
+    pub listen: Option<SpannedString>,
+    pub api: Option<SpannedString>,
     #[serde(default)]
     pub dry_run: bool,
     pub hold_time_s: Option<Spanned<usize>>,
     pub retry_ms: Option<Spanned<usize>>,
     pub retry_most_ms: Option<Spanned<usize>>,
     pub leave_ms: Option<Spanned<u64>>,
-    pub shutdown_text: Option<Word>,
+    pub shutdown_text: Option<SpannedString>,
     pub list_old_s: Option<Spanned<usize>>,
     pub stuck_ms: Option<Spanned<usize>>,
     pub memory_mb: Option<Spanned<usize>>,
@@ -100,14 +100,14 @@
     pub timeout_ms: Option<Spanned<usize>>,
     pub failures: Option<Spanned<usize>>,
     pub at_once: Option<Spanned<usize>>,
-    pub path: Option<Word>,
+    pub path: Option<SpannedString>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Peer")]
 pub(crate) struct PeerFile {
-    pub name: Word,
-    pub address: Word,
+    pub name: SpannedString,
+    pub address: SpannedString,
     #[serde(rename = "as")]
     pub asn: Spanned<u32>,
     #[serde(default)]
@@ -120,8 +120,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Address")]
 pub(crate) struct AddressFile {
-    pub prefix: Word,
-    pub pools: Spanned<Vec<Word>>,
+    pub prefix: SpannedString,
+    pub pools: Spanned<Vec<SpannedString>>,
     pub announce_share: Option<Spanned<f64>>,
     pub withdraw_share: Option<Spanned<f64>>,
     pub degrade_share: Option<Spanned<f64>>,
@@ -131,9 +131,9 @@
     pub half_life_ms: Option<Spanned<u64>>,
     pub med: Option<u32>,
     #[serde(default)]
-    pub communities: Vec<Word>,
+    pub communities: Vec<SpannedString>,
     #[serde(default)]
-    pub large_communities: Vec<Word>,
+    pub large_communities: Vec<SpannedString>,
     pub degraded: Option<DegradedFile>,
 }
 
--- a/crates/config/src/section/class.rs
+++ b/crates/config/src/section/class.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 
 /// A class of requests.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Class")]
 pub(crate) struct ClassFile {
-    pub name: Word,
+    pub name: SpannedString,
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: Spanned<u64>,
     pub deadline_ms: Spanned<u64>,
--- a/crates/config/src/section/learned_state.rs
+++ b/crates/config/src/section/learned_state.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 
 const DEFAULT_WRITE_INTERVAL_S: usize = 10;
 const MAX_WRITE_INTERVAL_S: usize = 3600;
@@ -27,7 +27,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Knowledge")]
 pub(crate) struct LearnedStateFile {
-    pub folder: Word,
+    pub folder: SpannedString,
     pub every_s: Option<Spanned<usize>>,
     pub files: Option<Spanned<usize>>,
 }
--- a/crates/config/src/section/methods.rs
+++ b/crates/config/src/section/methods.rs
@@ -5,28 +5,28 @@
 use serde::Deserialize;
 
 use super::class::Class;
-use crate::checker::{Checker, NameIndex, Word};
+use crate::checker::{Checker, NameIndex, SpannedString};
 use crate::diagnostics::suggest;
 use crate::method::{HttpMethod, Member, Members, Method, Methods, PathTemplate};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Method")]
 pub(crate) struct MethodFile {
-    pub name: Word,
-    pub class: Word,
+    pub name: SpannedString,
+    pub class: SpannedString,
     #[serde(rename = "verb")]
-    pub http_method: Option<Word>,
-    pub path: Option<Word>,
+    pub http_method: Option<SpannedString>,
+    pub path: Option<SpannedString>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Members")]
 pub(crate) struct MembersFile {
-    pub key: Option<Word>,
-    pub timeout_ms: Option<Word>,
-    pub tenant: Option<Word>,
-    pub class: Option<Word>,
-    pub id: Option<Word>,
+    pub key: Option<SpannedString>,
+    pub timeout_ms: Option<SpannedString>,
+    pub tenant: Option<SpannedString>,
+    pub class: Option<SpannedString>,
+    pub id: Option<SpannedString>,
 }
 
 impl Checker<'_> {
@@ -65,7 +65,7 @@
         }
     }
 
-    fn member(&mut self, key: &str, word: &Option<Word>, default: Member) -> Member {
+    fn member(&mut self, key: &str, word: &Option<SpannedString>, default: Member) -> Member {
         let Some(word) = word else { return default };
         Member::parse(word.get_ref()).unwrap_or_else(|| {
             let help = "write \"name\" or \"object.name\"".to_owned();
@@ -95,7 +95,7 @@
         }
     }
 
-    fn path_template(&mut self, word: &Word) -> Option<PathTemplate> {
+    fn path_template(&mut self, word: &SpannedString) -> Option<PathTemplate> {
         let template = PathTemplate::parse(word.get_ref());
         if template.is_none() {
             let help = "write one such as \"/report-result/{table}\"".to_owned();
--- a/crates/config/src/section/operators.rs
+++ b/crates/config/src/section/operators.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 
 /// The maximum number of sockets of the operators' address: 16 for connections, one for the listener, and one
 /// for a connection that replaces the oldest.
@@ -31,8 +31,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct File")]
 pub(crate) struct OperatorsFile {
-    pub listen: Word,
-    pub folder: Option<Word>,
+    pub listen: SpannedString,
+    pub folder: Option<SpannedString>,
 }
 
 impl Checker<'_> {
--- a/crates/config/src/section/pool.rs
+++ b/crates/config/src/section/pool.rs
@@ -7,7 +7,7 @@
 use toml::Spanned;
 
 use super::protocol::{Protocol, ProtocolKeys};
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 use crate::endpoint::{EndpointSpec, EndpointState};
 
 const MAX_SHARE: u32 = 10_000;
@@ -43,23 +43,23 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Pool")]
 pub(crate) struct PoolFile {
-    pub name: Word,
+    pub name: SpannedString,
     pub share: Option<Spanned<u32>>,
     #[serde(rename = "nodes")]
     pub endpoints: Option<Vec<EndpointFile>>,
-    pub file: Option<Word>,
-    pub discovery: Option<Word>,
-    pub protocol: Option<Word>,
-    pub framing: Option<Word>,
+    pub file: Option<SpannedString>,
+    pub discovery: Option<SpannedString>,
+    pub protocol: Option<SpannedString>,
+    pub framing: Option<SpannedString>,
     pub calls: Option<Spanned<usize>>,
-    pub cancel: Option<Word>,
+    pub cancel: Option<SpannedString>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Node")]
 pub(crate) struct EndpointFile {
-    pub name: Word,
-    pub address: Word,
+    pub name: SpannedString,
+    pub address: SpannedString,
     pub zone: Option<String>,
     #[serde(rename = "kind", default)]
     pub machine_kind: String,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn cancel(&mut self, word: &Word, protocol: Protocol) -> String {
+    fn cancel(&mut self, word: &SpannedString, protocol: Protocol) -> String {
         if protocol == Protocol::Http {
             let help = "leave it out, or write protocol = \"json-rpc\"".to_owned();
             self.report(word.span(), "`cancel`: only JSON-RPC has such notifications", Some(help));
--- a/crates/config/src/section/protocol.rs
+++ b/crates/config/src/section/protocol.rs
@@ -3,7 +3,7 @@
 use jsonrpc::Framing;
 use toml::Spanned;
 
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 use crate::diagnostics::suggest;
 
 /// The default number of open calls of a JSON-RPC connection.
@@ -27,8 +27,8 @@
 
 /// The keys of a listener or pool that describe its protocol.
 pub(crate) struct ProtocolKeys<'f> {
-    pub(crate) protocol: &'f Option<Word>,
-    pub(crate) framing: &'f Option<Word>,
+    pub(crate) protocol: &'f Option<SpannedString>,
+    pub(crate) framing: &'f Option<SpannedString>,
     pub(crate) calls: &'f Option<Spanned<usize>>,
 }
 
@@ -49,14 +49,14 @@
     }
 
     fn forbid_json_rpc_keys(&mut self, keys: &ProtocolKeys<'_>) {
-        let span = keys.framing.as_ref().map(Word::span).or(keys.calls.as_ref().map(Spanned::span));
+        let span = keys.framing.as_ref().map(SpannedString::span).or(keys.calls.as_ref().map(Spanned::span));
         if let Some(span) = span {
             let help = "leave it out, or write protocol = \"json-rpc\"".to_owned();
             self.report(span, "`framing` and `calls` are of JSON-RPC", Some(help));
         }
     }
 
-    fn framing(&mut self, framing: &Option<Word>) -> Framing {
+    fn framing(&mut self, framing: &Option<SpannedString>) -> Framing {
         let Some(word) = framing else { return Framing::Line };
         match word.get_ref().as_str() {
             "line" => Framing::Line,
--- a/crates/config/src/section/route/matcher.rs
+++ b/crates/config/src/section/route/matcher.rs
@@ -3,7 +3,7 @@
 use route::{HostPattern, PathPattern, RouteMatcher};
 
 use super::MatcherFile;
-use crate::checker::{is_token, Checker, NameIndex, Word};
+use crate::checker::{is_token, Checker, NameIndex, SpannedString};
 
 /// The header fields that `match` has a key for, and that key.
 const FIELDS_WITH_KEYS: [(&str, &str); 3] =
@@ -44,7 +44,7 @@
         matcher
     }
 
-    fn match_method(&mut self, method: &Word, matcher: &mut RouteMatcher) {
+    fn match_method(&mut self, method: &SpannedString, matcher: &mut RouteMatcher) {
         let name = method.get_ref();
         if !is_token(name) || name.bytes().any(|byte| byte.is_ascii_lowercase()) {
             let help = format!("methods are in capitals; write {:?}", name.to_ascii_uppercase());
@@ -56,7 +56,7 @@
         matcher.methods.push(name.clone());
     }
 
-    fn match_header(&mut self, name: &str, value: &Word, matcher: &mut RouteMatcher) {
+    fn match_header(&mut self, name: &str, value: &SpannedString, matcher: &mut RouteMatcher) {
         let field = name.to_ascii_lowercase();
         if !is_token(name) {
             self.report(value.span(), format!("`headers`: {name:?} is no header field"), None);
--- a/crates/config/src/section/route/mod.rs
+++ b/crates/config/src/section/route/mod.rs
@@ -9,17 +9,17 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::checker::{Checker, Interner, NameIndex, Word};
+use crate::checker::{Checker, Interner, NameIndex, SpannedString};
 use crate::diagnostics::suggest;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Route")]
 pub(crate) struct RouteFile {
-    pub name: Word,
+    pub name: SpannedString,
     #[serde(default, rename = "match")]
     pub matcher: MatcherFile,
-    pub class: Word,
-    pub pool: Option<Word>,
+    pub class: SpannedString,
+    pub pool: Option<SpannedString>,
     pub split: Option<Spanned<SplitFile>>,
     #[serde(default, rename = "nodes")]
     pub scope: ScopeFile,
@@ -30,21 +30,21 @@
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Match")]
 pub(crate) struct MatcherFile {
-    pub host: Option<Word>,
-    pub path: Option<Word>,
-    pub methods: Vec<Word>,
-    pub headers: BTreeMap<String, Word>,
-    pub class: Option<Word>,
-    pub tenant: Option<Word>,
-    pub zones: Vec<Word>,
+    pub host: Option<SpannedString>,
+    pub path: Option<SpannedString>,
+    pub methods: Vec<SpannedString>,
+    pub headers: BTreeMap<String, SpannedString>,
+    pub class: Option<SpannedString>,
+    pub tenant: Option<SpannedString>,
+    pub zones: Vec<SpannedString>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Within")]
 pub(crate) struct ScopeFile {
-    pub zones: Vec<Word>,
+    pub zones: Vec<SpannedString>,
     #[serde(rename = "kinds")]
-    pub machine_kinds: Vec<Word>,
+    pub machine_kinds: Vec<SpannedString>,
     pub cells: Vec<u64>,
 }
 
@@ -52,21 +52,21 @@
 #[serde(deny_unknown_fields, expecting = "struct Split")]
 pub(crate) struct SplitFile {
     #[serde(rename = "by")]
-    pub key: Option<Word>,
+    pub key: Option<SpannedString>,
     pub pools: Vec<SplitPoolFile>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub(crate) struct SplitPoolFile {
-    pub pool: Word,
+    pub pool: SpannedString,
     pub weight: Spanned<u64>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Fallback")]
 pub(crate) struct FallbackFile {
-    pub pool: Word,
+    pub pool: SpannedString,
     #[serde(rename = "when")]
     pub conditions: Spanned<Vec<ConditionFile>>,
 }
@@ -153,8 +153,9 @@
                 self.report(problem.span, problem.message, Some(problem.help));
             }
         }
-        let values =
-            |words: &[Word]| words.iter().map(|word| word.get_ref().clone()).collect::<Vec<String>>();
+        let values = |words: &[SpannedString]| {
+            words.iter().map(|word| word.get_ref().clone()).collect::<Vec<String>>()
+        };
         let scope = EndpointScope {
             zones: values(&scope.zones),
             machine_kinds: values(&scope.machine_kinds),
@@ -194,9 +195,9 @@
     help: String,
 }
 
-fn unknown_words(noun: &str, words: &[Word], known: &Interner) -> Vec<Problem> {
+fn unknown_words(noun: &str, words: &[SpannedString], known: &Interner) -> Vec<Problem> {
     let unknown = words.iter().filter(|word| !known.contains(word.get_ref()));
-    let problem = |word: &Word| Problem {
+    let problem = |word: &SpannedString| Problem {
         span: word.span(),
         message: format!("no node has the {noun} `{}`", word.get_ref()),
         help: suggest(word.get_ref(), &known.non_empty()),
--- a/crates/config/src/section/route/split.rs
+++ b/crates/config/src/section/route/split.rs
@@ -4,7 +4,7 @@
 use toml::Spanned;
 
 use super::{RouteFile, SplitFile};
-use crate::checker::{is_token, Checker, NameIndex, Word};
+use crate::checker::{is_token, Checker, NameIndex, SpannedString};
 
 impl Checker<'_> {
     /// The pools of a route: one, or several by weight. Returns `None` if the route has no valid pool or
@@ -56,7 +56,7 @@
         split
     }
 
-    fn split_key(&mut self, key: &Word, path: &PathPattern) -> SplitKey {
+    fn split_key(&mut self, key: &SpannedString, path: &PathPattern) -> SplitKey {
         match key.get_ref().split_once(':') {
             Some(("header", field)) if is_token(field) => SplitKey::Header(field.to_ascii_lowercase()),
             Some(("path", parameter)) if path.has_parameter(parameter) => {
--- a/crates/config/src/section/server.rs
+++ b/crates/config/src/section/server.rs
@@ -8,7 +8,7 @@
 
 use super::admin::CapacityFile;
 use super::protocol::{Protocol, ProtocolKeys};
-use crate::checker::{Checker, Word};
+use crate::checker::{Checker, SpannedString};
 
 const MIN_SOCKETS: usize = 48;
 const MAX_SOCKETS: usize = 1_000_000;
@@ -44,9 +44,9 @@
     #[serde(default)]
     pub proxies: ProxiesFile,
     #[serde(default)]
-    pub tenants: Vec<Word>,
+    pub tenants: Vec<SpannedString>,
     #[serde(default)]
-    pub expectations: Vec<Word>,
+    pub expectations: Vec<SpannedString>,
     /// The capacity of the whole process; for hosted services only.
     #[serde(default)]
     pub capacity: CapacityFile,
@@ -66,15 +66,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Listen")]
 pub(crate) struct ListenerFile {
-    pub address: Word,
+    pub address: SpannedString,
     pub zone: Option<String>,
-    pub zone_header: Option<Word>,
-    pub tenant: Option<Word>,
-    pub protocol: Option<Word>,
-    pub framing: Option<Word>,
+    pub zone_header: Option<SpannedString>,
+    pub tenant: Option<SpannedString>,
+    pub protocol: Option<SpannedString>,
+    pub framing: Option<SpannedString>,
     pub calls: Option<Spanned<usize>>,
     /// The host of JSON-RPC calls; for listeners of JSON-RPC only.
-    pub host: Option<Word>,
+    pub host: Option<SpannedString>,
 }
 
 #[derive(Default, Deserialize)]
