--- a/crates/config/src/config_file.rs
+++ b/crates/config/src/config_file.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 use crate::section::admin::{AdminFile, InitialTenantFile};
 use crate::section::bgp::BgpFile;
 use crate::section::class::ClassFile;
@@ -35,7 +35,7 @@
     pub learned_state: Option<LearnedStateFile>,
     pub operators: Option<OperatorsFile>,
     pub bgp: Option<BgpFile>,
-    /// With this section or a tenant, the file is that of a hosted service.
+    /// A file with this section, or with a section `[[tenant]]`, configures a hosted service.
     pub admin: Option<AdminFile>,
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<InitialTenantFile>,
@@ -43,7 +43,7 @@
 
 impl ConfigFile {
     /// The names of the expectation files.
-    pub(crate) fn expectation_files(&self) -> &[Word] {
+    pub(crate) fn expectation_files(&self) -> &[SpannedString] {
         &self.server.expectations
     }
 
--- a/crates/config/src/section/bgp/mod.rs
+++ b/crates/config/src/section/bgp/mod.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::checker::Word;
+use crate::checker::SpannedString;
 
 /// Settings of the BGP speaker.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,15 +20,16 @@
     pub api: Option<SocketAddr>,
     /// Whether the speaker connects to no peer and only shows what it would announce.
     pub dry_run: bool,
-    /// The duration for which addresses are announced with graceful shutdown before the process ends.
+    /// The duration for which addresses are announced with the community GRACEFUL_SHUTDOWN before the process
+    /// ends.
     pub leave: Duration,
     /// The shutdown communication (RFC 9003) to peers.
     pub shutdown_text: String,
     /// The age of the last update above which an endpoint list is stale.
     pub max_list_age: Duration,
-    /// The duration without progress after which the data plane is stuck.
+    /// The duration without progress after which the data plane counts as stalled.
     pub stuck: Duration,
-    /// The resident memory above which nothing is announced; `None` for no bound.
+    /// The resident memory above which nothing is announced; `None` if there is no limit.
     pub memory_bytes: Option<u64>,
     /// The settings of health checks of endpoints.
     pub health_checks: bgp::HealthCheckSettings,
@@ -40,15 +41,15 @@
     pub addresses: Vec<bgp::Address>,
 }
 
-/// The maximum number of concurrent connections to the operators' API.
+/// The maximum number of concurrent connections to the API at `bgp.api`.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 
 impl Bgp {
     /// The maximum number of sockets of the speaker.
     #[must_use]
     pub fn sockets(&self) -> usize {
-        // For each peer two connections, and a third that is being rejected or replaces one of them.
         let listeners = usize::from(self.listen.is_some()) + usize::from(self.api.is_some());
+        // Each peer has two connections, and a third that is being rejected or replaces one of them.
         3 * self.peers.len() + self.health_checks.max_in_flight + listeners + MAX_OPERATOR_CONNECTIONS
     }
 }
@@ -72,15 +73,15 @@
     #[serde(rename = "as")]
     pub asn: Spanned<u32>,
     pub router_id: Spanned<Ipv4Addr>,
-    pub listen: Option<Word>,
-    pub api: Option<Word>,
+    pub listen: Option<SpannedString>,
+    pub api: Option<SpannedString>,
     #[serde(default)]
     pub dry_run: bool,
     pub hold_time_s: Option<Spanned<usize>>,
     pub retry_ms: Option<Spanned<usize>>,
     pub retry_most_ms: Option<Spanned<usize>>,
     pub leave_ms: Option<Spanned<u64>>,
-    pub shutdown_text: Option<Word>,
+    pub shutdown_text: Option<SpannedString>,
     pub list_old_s: Option<Spanned<usize>>,
     pub stuck_ms: Option<Spanned<usize>>,
     pub memory_mb: Option<Spanned<usize>>,
@@ -99,14 +100,14 @@
     pub timeout_ms: Option<Spanned<usize>>,
     pub failures: Option<Spanned<usize>>,
     pub at_once: Option<Spanned<usize>>,
-    pub path: Option<Word>,
+    pub path: Option<SpannedString>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Peer")]
 pub(crate) struct PeerFile {
-    pub name: Word,
-    pub address: Word,
+    pub name: SpannedString,
+    pub address: SpannedString,
     #[serde(rename = "as")]
     pub asn: Spanned<u32>,
     #[serde(default)]
@@ -119,8 +120,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Address")]
 pub(crate) struct AddressFile {
-    pub prefix: Word,
-    pub pools: Spanned<Vec<Word>>,
+    pub prefix: SpannedString,
+    pub pools: Spanned<Vec<SpannedString>>,
     pub announce_share: Option<Spanned<f64>>,
     pub withdraw_share: Option<Spanned<f64>>,
     pub degrade_share: Option<Spanned<f64>>,
@@ -130,9 +131,9 @@
     pub half_life_ms: Option<Spanned<u64>>,
     pub med: Option<u32>,
     #[serde(default)]
-    pub communities: Vec<Word>,
+    pub communities: Vec<SpannedString>,
     #[serde(default)]
-    pub large_communities: Vec<Word>,
+    pub large_communities: Vec<SpannedString>,
     pub degraded: Option<DegradedFile>,
 }
 
